--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -76,7 +76,7 @@
 		}
 		last = err
 		if result == notRun && ran > 0 {
-			last = fault.New(fault.LinkLost, "a previous server may have run the request: %w", err).With(fault.Unknown)
+			last = fault.New(fault.LinkLost, "a previous server may have run the request: %w", err).WithOutcome(fault.Unknown)
 		}
 		if !mayRetry(q, rel, result) {
 			return last
@@ -99,16 +99,16 @@
 		return unsent, err
 	}
 	if err := g.checkQuarantine(q, t, ran); err != nil {
-		permitted.End(permit.Stream{})
+		permitted.End(permit.StreamStats{})
 		return unsent, err
 	}
 	if !g.renewRepeat(q) {
-		permitted.End(permit.Stream{})
+		permitted.End(permit.StreamStats{})
 		return unsent, nil
 	}
-	start := choice.Candidate.Server.Start()
+	start := choice.Candidate.Server.InstanceID()
 	tried[start] = true
-	g.ledger.Place(q.quarantineID(), t.key, start, g.now())
+	g.ledger.SetServer(q.quarantineID(), t.key, start, g.now())
 	return g.sendTo(ctx, q, choice, permitted, rel)
 }
 
@@ -134,7 +134,7 @@
 	if last == nil {
 		return nil // first send
 	}
-	if fault.Is(last, fault.NoLink) && try < maxConnectFailures {
+	if fault.Is(last, fault.BackendServersUnreachable) && try < maxConnectFailures {
 		return nil // no server received the request, so this does not count as a repeat
 	}
 	if ran >= q.route.MaxAttempts || try >= maxSends {
@@ -197,7 +197,7 @@
 		d.Granted, d.Waited = d.Borrowed, g.now().Sub(claimedAt)
 		return d
 	}
-	timer := time.NewTimer(retrybudget.GrantEvery)
+	timer := time.NewTimer(retrybudget.GrantInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -210,7 +210,7 @@
 		case <-timer.C:
 			budget.Grant(g.now())
 			spread := time.Duration((0.5 + g.random()) * float64(budget.PollInterval()))
-			timer.Reset(max(retrybudget.GrantEvery, min(spread, claim.Expires.Sub(g.now()))))
+			timer.Reset(max(retrybudget.GrantInterval, min(spread, claim.Expires.Sub(g.now()))))
 		}
 		if pending.Undecided() && g.borrowRepeat(ctx, q) {
 			d := pending.Withdraw()
@@ -250,10 +250,10 @@
 	c := retrybudget.Claim{Rank: engineRank(q.route.Priority, q.priority), Due: q.start.Add(q.route.TargetLatency)}
 	if rel.started {
 		c.Due = now.Add(q.route.TargetGap)
-		c.Expires = now.Add(min(g.permitRequest(q, rel).Limit, callerWait(q.route)))
+		c.Expires = now.Add(min(g.permitRequest(q, rel).FirstTokenTimeout, callerWait(q.route)))
 		return c
 	}
-	c.Expires = now.Add(min(max(c.Due.Sub(now), 2*retrybudget.GrantEvery), q.deadline.Sub(now)))
+	c.Expires = now.Add(min(max(c.Due.Sub(now), 2*retrybudget.GrantInterval), q.deadline.Sub(now)))
 	return c
 }
 
@@ -264,7 +264,7 @@
 	switch {
 	case last == nil, fault.Is(err, fault.Quarantined):
 		return err
-	case (fault.Is(err, fault.ServersRest) || fault.Is(err, fault.ServerRate)) && fault.From(last).Outcome == fault.NotRun:
+	case (fault.Is(err, fault.ServersInBackoff) || fault.Is(err, fault.ServerRateLimit)) && fault.From(last).Outcome == fault.NotRun:
 		return err
 	}
 	return last
@@ -283,39 +283,39 @@
 func contextError(ctx context.Context, ran bool) *fault.Error {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errShuttingDown) && ran:
-		return fault.New(fault.LinkLost, "%w", errShuttingDown).With(fault.Unknown)
+		return fault.New(fault.LinkLost, "%w", errShuttingDown).WithOutcome(fault.Unknown)
 	case errors.Is(cause, errShuttingDown):
-		return fault.New(fault.NotReady, "%w", errShuttingDown).With(fault.NotRun).After(noServerRetryAfter)
+		return fault.New(fault.NotReady, "%w", errShuttingDown).WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 	case errors.Is(cause, context.Canceled):
 		return fault.New(fault.Cancelled, "the caller has left")
 	case ran:
-		return fault.New(fault.Deadline, "%w", errDeadline).With(fault.Unknown)
+		return fault.New(fault.DeadlinePassed, "%w", errDeadline).WithOutcome(fault.Unknown)
 	}
-	return fault.New(fault.Expired, "the deadline has passed before the request was sent").With(fault.NotRun).After(noServerRetryAfter)
+	return fault.New(fault.StartDeadlinePassed, "the deadline has passed before the request was sent").WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 }
 
 // sendTo sends the request to the chosen server, relays its response and records the result.
-func (g *Gateway) sendTo(ctx context.Context, q *request, choice placement.Choice, permitted peers.Leave, rel *relay) (sendResult, error) {
+func (g *Gateway) sendTo(ctx context.Context, q *request, choice placement.Choice, permitted peers.Permit, rel *relay) (sendResult, error) {
 	b := choice.Candidate.Backend
 	server := choice.Candidate.Server
 	sentAt := g.now()
 	_, shared := q.info.Prompt.Shared()
 	unread := q.info.Prompt.Tokens - shared
-	b.Begin(unread)
-	promptRead := sync.OnceFunc(func() { b.FirstToken(unread) })
-	var stats permit.Stream
-	defer func() { promptRead(); b.End(); permitted.End(stats) }()
+	b.BeginRequest(unread)
+	promptRead := sync.OnceFunc(func() { b.RecordFirstToken(unread) })
+	var stats permit.StreamStats
+	defer func() { promptRead(); b.EndRequest(); permitted.End(stats) }()
 	firstToken := sync.OnceFunc(func() {
 		promptRead()
-		stats.First = g.now().Sub(sentAt)
-		permitted.FirstToken(stats.First)
+		stats.TimeToFirstEvent = g.now().Sub(sentAt)
+		permitted.FirstToken(stats.TimeToFirstEvent)
 	})
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	resp, err := g.pool.Do(ctx, server.Address, g.outgoingRequest(q, server, choice.FetchFrom, rel))
 	var result sendResult
-	var notices *notice.Said
+	var notices *notice.Statement
 	if err != nil {
 		result, err = g.exchangeError(ctx, b, err)
 	} else {
@@ -325,24 +325,24 @@
 		notices = g.applyNotices(server, info.Notices, sentAt)
 		if info.Load != nil {
 			info.Load.At = g.now()
-			b.Report(*info.Load)
+			b.RecordLoad(*info.Load)
 		}
 		result, err = g.relayResponse(ctx, q, rel, resp, info, &streamMeter{now: g.now, onFirstEvent: firstToken, stats: &stats})
 		g.recordHealth(ctx, b, resp.Status, result)
 	}
-	stats.Failed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
+	stats.EngineFailed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
 	s := send{Server: server.ID, Reason: choice.Reason, FetchFrom: choice.FetchFrom, Result: sendResultNames[result],
-		Running: choice.Candidate.View.Running, UnreadTokens: choice.Candidate.View.Unread,
-		ExpectedFirstEvent: choice.Read, FirstEvent: stats.First, LongestGap: stats.Longest, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: notices}
+		Running: choice.Candidate.View.InFlight, UnreadTokens: choice.Candidate.View.UnreadTokens,
+		ExpectedFirstEvent: choice.ExpectedPrefill, FirstEvent: stats.TimeToFirstEvent, LongestGap: stats.LongestGap, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: notices}
 	if err != nil {
 		s.Cause = err.Error()
 	}
-	g.ledger.Ran(g.now().Sub(sentAt), g.now())
+	g.ledger.RecordRun(g.now().Sub(sentAt), g.now())
 	switch {
 	case connectionBroke(ctx, result, err):
-		s.ServerEnded = g.runInterrupted(q, server, quarantine.End{Server: server.Start(), Begun: sentAt, At: g.now()})
-	case result == delivered && resp.Status < http.StatusInternalServerError && g.ledger.Watching():
-		g.ledger.Completed(q.quarantineID(), g.now())
+		s.ServerEnded = g.runInterrupted(q, server, quarantine.Crash{Server: server.InstanceID(), SentAt: sentAt, At: g.now()})
+	case result == delivered && resp.Status < http.StatusInternalServerError && g.ledger.HasEntries():
+		g.ledger.RecordAnswer(q.quarantineID(), g.now())
 	}
 	q.sends = append(q.sends, s)
 	return result, err
@@ -351,35 +351,35 @@
 // exchangeError classifies an exchange that failed before the response headers were received.
 func (g *Gateway) exchangeError(ctx context.Context, b *registry.Backend, err error) (sendResult, error) {
 	if ctx.Err() == nil {
-		b.Failed(g.now(), true)
+		b.RecordFailure(g.now(), true)
 	}
 	var e *exchange.Error
 	if errors.As(err, &e) && !e.MayHaveRun {
 		if ctx.Err() != nil {
 			return notRun, contextError(ctx, false)
 		}
-		return notRun, fault.New(fault.NoLink, "cannot connect to the backend server: %w", err).
-			With(fault.NotRun).After(noServerRetryAfter)
+		return notRun, fault.New(fault.BackendServersUnreachable, "cannot connect to the backend server: %w", err).
+			WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 	}
 	if ctx.Err() != nil {
 		return mayHaveRun, contextError(ctx, true)
 	}
-	return mayHaveRun, fault.New(fault.LinkLost, "the backend server gave no answer: %w", err).With(fault.Unknown)
+	return mayHaveRun, fault.New(fault.LinkLost, "the backend server gave no answer: %w", err).WithOutcome(fault.Unknown)
 }
 
 // recordHealth updates the health state of a backend server after a response.
 func (g *Gateway) recordHealth(ctx context.Context, b *registry.Backend, status int, result sendResult) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		b.Gone(g.now())
+		b.RecordReplaced(g.now())
 		server := b.Server()
-		g.serverExited(server.Start())
+		g.serverExited(server.InstanceID())
 	case result == delivered && status < http.StatusInternalServerError:
-		b.Answered(g.now())
+		b.RecordSuccess(g.now())
 	case ctx.Err() != nil:
 		// The caller disconnected or the deadline passed, which is not a failure of the server.
 	default:
-		b.Failed(g.now(), false)
+		b.RecordFailure(g.now(), false)
 	}
 }
 
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -45,7 +45,7 @@
 		_, err = io.Copy(io.Discard, r.Body) // reads up to EOF
 	}
 	if err != nil {
-		return fault.New(fault.BadRequest, "the request body is incomplete: %w", err).InField("body").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "the request body is incomplete: %w", err).WithField("body").WithOutcome(fault.NotRun)
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 	if g.bodyBytes.Add(n) > maxTotalBodyBytes {
 		g.bodyBytes.Add(-n)
 		return fault.New(fault.LinkBusy, "the bodies of requests in progress would exceed %d bytes", int64(maxTotalBodyBytes)).
-			With(fault.NotRun).After(noServerRetryAfter)
+			WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 	}
 	q.reservedBytes = n
 	return nil
@@ -65,5 +65,5 @@
 func (g *Gateway) releaseBody(q *request) { g.bodyBytes.Add(-q.reservedBytes) }
 
 func bodyTooLarge(limit int64) error {
-	return fault.New(fault.TooLarge, "the request body exceeds %d bytes", limit).InField("body").With(fault.NotRun)
+	return fault.New(fault.TooLarge, "the request body exceeds %d bytes", limit).WithField("body").WithOutcome(fault.NotRun)
 }
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -167,7 +167,7 @@
 		}
 	}
 	if size > limit {
-		return fault.New(fault.HeadTooLarge, "the request headers exceed %d bytes", limit).InField("header").With(fault.NotRun)
+		return fault.New(fault.HeadersTooLarge, "the request headers exceed %d bytes", limit).WithField("header").WithOutcome(fault.NotRun)
 	}
 	return nil
 }
--- a/internal/gateway/choose_server.go
+++ b/internal/gateway/choose_server.go
@@ -11,19 +11,19 @@
 
 // noServerError returns the error for a request that no backend server can receive.
 func (g *Gateway) noServerError(q *request) error {
-	return fault.New(fault.NoServer, "no backend server of service %q is ready", q.service).
-		With(fault.NotRun).After(noServerRetryAfter)
+	return fault.New(fault.NoBackendServer, "no backend server of service %q is ready", q.service).
+		WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 }
 
 // chooseServer selects the backend server for the next send and acquires a permit for it where one is required.
-func (g *Gateway) chooseServer(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Leave, error) {
+func (g *Gateway) chooseServer(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Permit, error) {
 	if g.needsPermit(q) {
 		return g.acquirePermit(ctx, q, tried, t, rel)
 	}
 	candidates := g.candidates(q.service, tried)
 	g.recordNotices(q)
 	c, err := g.chooseLocally(q, candidates)
-	return c, peers.Leave{}, err
+	return c, peers.Permit{}, err
 }
 
 // chooseLocally selects a server without asking other gateways. If the server states a rate limit, the
@@ -37,7 +37,7 @@
 			return c, g.rateLimitedError(exhausted, wait)
 		case c.Candidate == nil:
 			return c, g.unavailableError(q, listed)
-		case g.notices.Limits().Take(c.Candidate.Server.Start(), g.now()):
+		case g.notices.Limits().Allow(c.Candidate.Server.InstanceID(), g.now()):
 			return c, nil
 		}
 		// A concurrent request used up the server's rate limit. Select again.
@@ -52,9 +52,9 @@
 	}
 	wait = maxRetryAfter
 	for _, c := range listed {
-		b := g.notices.Limits().Budget(c.Server.Start(), g.now())
+		b := g.notices.Limits().Budget(c.Server.InstanceID(), g.now())
 		switch {
-		case c.Rests > 0:
+		case c.RetryAfter > 0:
 		case b.Wait > 0:
 			exhausted++
 			wait = min(wait, b.Wait)
@@ -68,9 +68,9 @@
 // selectServer applies the route's placement strategy. The choice has no candidate if candidates is empty.
 func (g *Gateway) selectServer(q *request, candidates []placement.Candidate) placement.Choice {
 	if q.route.PrefixAffinity {
-		return placement.Engine(g.placementRequest(q), candidates)
+		return placement.ChooseEngine(g.placementRequest(q), candidates)
 	}
-	return placement.Plain(g.placementRequest(q), candidates)
+	return placement.ChoosePlain(g.placementRequest(q), candidates)
 }
 
 // candidates returns the servers of a service that may receive requests. Servers that announced in a
@@ -82,9 +82,9 @@
 	out := make([]placement.Candidate, 0, len(backends))
 	for _, b := range backends {
 		s := b.Server()
-		if !g.notices.Draining(s.Start()) {
-			out = append(out, placement.Candidate{Backend: b, Server: s, View: b.View(now), Tried: tried[s.Start()],
-				Rests: g.notices.RestsFor(s.Start(), now)})
+		if !g.notices.Draining(s.InstanceID()) {
+			out = append(out, placement.Candidate{Backend: b, Server: s, View: b.View(now), Tried: tried[s.InstanceID()],
+				RetryAfter: g.notices.BackoffRemaining(s.InstanceID(), now)})
 		}
 	}
 	return out
@@ -94,7 +94,7 @@
 // that are listed as ready, whatever this gateway knows of them from responses, because all gateways share
 // the list and so get the same number.
 func (g *Gateway) groupCount(service string) int {
-	return placement.Groups(len(g.servers.Ready(service)))
+	return placement.GroupCount(len(g.servers.Ready(service)))
 }
 
 func (g *Gateway) placementRequest(q *request) placement.Request {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,8 +66,8 @@
 
 	logLimiter decisionlog.Limiter
 	exits      exitTracker
-	ledger     *quarantine.Ledger
-	notices    *notice.Board
+	ledger     *quarantine.Tracker
+	notices    *notice.Registry
 	trials     Trials // nil if trials are not coordinated with other gateways
 
 	mu      sync.Mutex
@@ -78,7 +78,7 @@
 	borrowPausedUntil map[string]time.Time
 	// stalledUntil is the time until which requests do not add to the budgets.
 	stalledUntil time.Time
-	answerTimes  map[string]*placement.AnswerTime // keyed by route
+	answerTimes  map[string]*placement.ResponseTimeEstimator // keyed by route
 }
 
 // New returns a gateway without a configuration. It is not ready until SetTable has been called and servers is loaded.
@@ -89,12 +89,12 @@
 			telemetry.Count("merlinpost_backend_connections_opened_total")
 		}),
 		budgets: map[string]*retrybudget.Budget{}, slackShare: 1, borrowPausedUntil: map[string]time.Time{},
-		answerTimes: map[string]*placement.AnswerTime{},
+		answerTimes: map[string]*placement.ResponseTimeEstimator{},
 		exits:       exitTracker{byStart: map[string]*exitCheck{}, pending: map[string][]interruptedRun{}},
 		ledger:      quarantine.New(),
 	}
-	g.notices = notice.NewBoard(ratelimit.New(g.random), g.logNoticeChange)
-	servers.OnRestart(g.pool.Forget)
+	g.notices = notice.NewRegistry(ratelimit.New(g.random), g.logNoticeChange)
+	servers.OnRestart(g.pool.CloseIdle)
 	servers.OnEnd(g.serverExited)
 	g.settings.Store(&set)
 	g.shutdownCtx, g.abortRequests = context.WithCancel(context.Background())
@@ -104,8 +104,8 @@
 // UseNetwork sets the function that dials backend servers. It must be called before the gateway
 // handles requests.
 func (g *Gateway) UseNetwork(dial exchange.Dial) {
-	g.pool = exchange.NewPoolOver(dial, time.Now, func() {})
-	g.servers.OnRestart(g.pool.Forget)
+	g.pool = exchange.NewPoolWithDialer(dial, time.Now, func() {})
+	g.servers.OnRestart(g.pool.CloseIdle)
 }
 
 // SetSettings applies new settings. Changes to listen addresses take effect only when the
@@ -213,8 +213,8 @@
 	})
 }
 
-func (g *Gateway) answerTime(route string) *placement.AnswerTime {
-	return getOrCreate(g, g.answerTimes, route, func() *placement.AnswerTime { return &placement.AnswerTime{} })
+func (g *Gateway) answerTime(route string) *placement.ResponseTimeEstimator {
+	return getOrCreate(g, g.answerTimes, route, func() *placement.ResponseTimeEstimator { return &placement.ResponseTimeEstimator{} })
 }
 
 // getOrCreate returns the entry of m with the given name and creates it if it does not exist.
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -14,22 +14,22 @@
 
 // applyNotices applies and counts the notices in a response to a request that was sent at sentAt. It
 // returns them for the request's log line, or nil if there are none.
-func (g *Gateway) applyNotices(server registry.Server, notices *notice.Said, sentAt time.Time) *notice.Said {
+func (g *Gateway) applyNotices(server registry.Server, notices *notice.Statement, sentAt time.Time) *notice.Statement {
 	if notices == nil {
 		return nil
 	}
 	now := g.now()
-	g.notices.Heard(server.Start(), *notices, sentAt, now)
+	g.notices.RecordAnswer(server.InstanceID(), *notices, sentAt, now)
 	for _, kind := range notices.Kinds() {
 		telemetry.Count("merlinpost_server_notices_total", "service", server.Service, "kind", string(kind))
 	}
 	for _, kind := range notices.Unreadable {
 		telemetry.Count("merlinpost_server_notices_unreadable_total", "service", server.Service, "kind", string(kind))
 		if g.logLimiter.Allow("notice unreadable", now) {
-			g.logger.Warn("notice of a backend server can't be read", "server", server.Start(), "kind", string(kind))
+			g.logger.Warn("notice of a backend server can't be read", "server", server.InstanceID(), "kind", string(kind))
 		}
 	}
-	if notices.Silent() {
+	if notices.Empty() {
 		return nil
 	}
 	return notices
@@ -80,7 +80,7 @@
 	q.knownNotices = q.knownNotices[:0]
 	for _, b := range g.servers.Ready(q.service) {
 		server := b.Server()
-		for _, s := range g.notices.Standing(server.Start(), now) {
+		for _, s := range g.notices.Active(server.InstanceID(), now) {
 			if len(q.knownNotices) < maxLoggedNotices {
 				q.knownNotices = append(q.knownNotices, s)
 			}
@@ -95,7 +95,7 @@
 	}
 	for _, b := range g.servers.Ready(service) {
 		server := b.Server()
-		if g.notices.Limits().Limited(server.Start()) {
+		if g.notices.Limits().Limited(server.InstanceID()) {
 			return true
 		}
 	}
@@ -106,7 +106,7 @@
 func (g *Gateway) Limited() map[permit.Group][]string {
 	out := map[permit.Group][]string{}
 	for _, start := range g.notices.Limits().Servers() {
-		if server, listed := g.servers.Find(start); listed {
+		if server, listed := g.servers.FindInstance(start); listed {
 			group := permit.Group{Service: server.Service, Index: placement.GroupOf(server.ID, g.groupCount(server.Service))}
 			out[group] = append(out[group], start)
 		}
@@ -123,11 +123,11 @@
 func (g *Gateway) unavailableError(q *request, listed []placement.Candidate) error {
 	backoff := time.Duration(0)
 	for _, c := range listed {
-		if c.Rests == 0 && !c.Tried {
+		if c.RetryAfter == 0 && !c.Tried {
 			return g.noServerError(q)
 		}
-		if c.Rests > 0 && (backoff == 0 || c.Rests < backoff) {
-			backoff = c.Rests
+		if c.RetryAfter > 0 && (backoff == 0 || c.RetryAfter < backoff) {
+			backoff = c.RetryAfter
 		}
 	}
 	if backoff == 0 {
@@ -135,13 +135,13 @@
 	}
 	telemetry.Count("merlinpost_requests_held_back_total", "kind", string(notice.Backoff))
 	retryAfter := max(backoff+time.Duration(retryAfterJitter*g.random()*float64(backoff)), noServerRetryAfter)
-	return fault.New(fault.ServersRest, "the backend servers of service %q accept no requests for %s", q.service, backoff).
-		With(fault.NotRun).After(min(retryAfter, maxRetryAfter))
+	return fault.New(fault.ServersInBackoff, "the backend servers of service %q accept no requests for %s", q.service, backoff).
+		WithOutcome(fault.NotRun).WithRetryAfter(min(retryAfter, maxRetryAfter))
 }
 
 // rateLimitedError returns the error for a request that servers can't receive because of their rate limits.
 func (g *Gateway) rateLimitedError(servers int, wait time.Duration) error {
 	telemetry.Count("merlinpost_requests_held_back_total", "kind", string(notice.RateLimit))
-	return fault.New(fault.ServerRate, "%d backend servers have reached their stated rate limits", servers).
-		With(fault.NotRun).After(max(wait, noServerRetryAfter))
+	return fault.New(fault.ServerRateLimit, "%d backend servers have reached their stated rate limits", servers).
+		WithOutcome(fault.NotRun).WithRetryAfter(max(wait, noServerRetryAfter))
 }
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -58,8 +58,8 @@
 	It("is reported as the cause if another server refused the request before", func() {
 		r := startHarness(2)
 		r.workers[1].Behave(worker.Behaviour{Refuse: true})
-		r.gateway.UsePeers(&fakePeers{answers: []permit.Answer{{Verdict: permit.Granted, Engine: "i-1"},
-			{Verdict: permit.Refused, Limited: 1, Wait: 3 * time.Second}}})
+		r.gateway.UsePeers(&fakePeers{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-1"},
+			{Verdict: permit.Refused, RateLimitedEngines: 1, Wait: 3 * time.Second}}})
 		r.gateway.SetGateways(1)
 		a := r.post("/stream/", "a")
 		Expect(a.body).To(ContainSubstring("server_rate_limit"))
@@ -68,7 +68,7 @@
 
 	It("makes plain requests require a permit, because all gateways share the limit", func() {
 		r := startHarness(2)
-		d := &fakePeers{answers: []permit.Answer{{Verdict: permit.Granted, Engine: "i-1"}}}
+		d := &fakePeers{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-1"}}}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		r.workers[0].Say("Server-Limit: 1")
@@ -82,7 +82,7 @@
 
 	It("is limited to the gateway's own share if no gateway can grant permits", func() {
 		r := startHarness(1)
-		r.gateway.UsePeers(&fakePeers{answers: []permit.Answer{{Verdict: permit.Granted}}})
+		r.gateway.UsePeers(&fakePeers{answers: []permit.Decision{{Verdict: permit.Granted}}})
 		r.gateway.SetGateways(1)
 		r.workers[0].Say("Server-Limit: 0.2")
 		Expect(ask(r, "/again/", 20)).To(Equal(map[int]int{200: 1, 429: 19}))
@@ -150,36 +150,36 @@
 
 	It("is not used for a permit that was granted before it announced draining", func() {
 		r := startHarness(2)
-		d := &fakePeers{answers: []permit.Answer{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
+		d := &fakePeers{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
 		d.onAsk = func() {
-			r.gateway.Notices().Told(notice.Told{Server: "i-0", Draining: true}, "edge-b", time.Now())
+			r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		Expect(r.post("/stream/", "a").status).To(Equal(200))
 		Expect(r.workers[0].Asked()).To(BeZero())
-		Expect(d.asked()[1].Avoid).To(Equal([]string{"i-0"}))
+		Expect(d.asked()[1].ExcludedEngines).To(Equal([]string{"i-0"}))
 	})
 
 	It("remains listed as a closed engine, so that others can fetch cached prompt parts from it", func() {
 		r := startHarness(2)
-		r.gateway.Notices().Told(notice.Told{Server: "i-0", Draining: true}, "edge-b", time.Now())
+		r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		open := map[string]bool{}
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
-			open[e.ID] = e.Open
+			open[e.ID] = e.Accepting
 		}
 		Expect(open).To(Equal(map[string]bool{"i-0": false, "i-1": true}))
 	})
 
 	It("gets requests again after a restart", func() {
 		r := startHarness(1)
-		entry := registry.Server{ID: "i-0", Service: "s", Address: r.workers[0].Address(), Slots: 8, Started: 1}
+		entry := registry.Server{ID: "i-0", Service: "s", Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 1}
 		r.servers.Replace([]registry.Server{entry}, time.Now(), time.Time{})
 		r.workers[0].Say("Server-Leaving: 1")
 		Expect(r.post("/once/", "a").status).To(Equal(200))
 		Expect(r.post("/once/", "b").status).To(Equal(503))
 		r.workers[0].Say()
-		entry.Started = 2
+		entry.StartUnixMs = 2
 		r.servers.Replace([]registry.Server{entry}, time.Now(), time.Time{})
 		Expect(r.post("/once/", "c").status).To(Equal(200))
 	})
@@ -221,13 +221,13 @@
 
 	It("is listed as unusable in permit requests", func() {
 		r := startHarness(2)
-		d := &fakePeers{answers: []permit.Answer{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
+		d := &fakePeers{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		r.workers[0].Behave(refusing)
 		Expect(r.post("/stream/", "a").status).To(Equal(200))
 		Expect(r.post("/stream/", "b").status).To(Equal(200))
-		Expect(d.asked()[2].Avoid).To(Equal([]string{"i-0"}))
+		Expect(d.asked()[2].ExcludedEngines).To(Equal([]string{"i-0"}))
 	})
 
 	It("does not affect other gateways", func() {
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -42,7 +42,7 @@
 	// Ask requests a permit from the gateway that is responsible for a group of engines
 	// and waits for the verdict. The verdict is Granted without an engine if no gateway
 	// is available to decide.
-	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Answer, peers.Leave)
+	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a repeated send to a service from their retry budgets and reports
 	// whether one did. The key determines which gateways are asked.
 	BorrowRepeat(ctx context.Context, service, key string) bool
@@ -56,7 +56,7 @@
 }
 
 // Notices returns the notices of backend servers that the gateway knows.
-func (g *Gateway) Notices() *notice.Board { return g.notices }
+func (g *Gateway) Notices() *notice.Registry { return g.notices }
 
 // Engines returns the members of a group of engines. It includes engines that this gateway can't
 // reach, because other gateways may reach them and list the engines that they can't in their permit
@@ -70,8 +70,8 @@
 	var out []permit.Engine
 	for _, b := range g.servers.Ready(group.Service) {
 		if s := b.Server(); placement.GroupOf(s.ID, groups) == group.Index {
-			out = append(out, permit.Engine{ID: s.Start(), FailureDomain: s.FailureDomain, Open: !g.notices.Draining(s.Start()),
-				Slots: s.Slots, Memory: spec.Memory, EventTokens: spec.EventTokens})
+			out = append(out, permit.Engine{ID: s.InstanceID(), FailureDomain: s.FailureDomain, Accepting: !g.notices.Draining(s.InstanceID()),
+				Slots: s.Slots, KVCacheTokens: spec.Memory, TokensPerEvent: spec.EventTokens})
 		}
 	}
 	return out
@@ -86,30 +86,30 @@
 // acquirePermit requests a permit to send the request, from one group of engines after
 // the other, and waits for it. An error means that the request was not sent because no
 // engine is available, the service has no capacity, or ctx has ended.
-func (g *Gateway) acquirePermit(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Leave, error) {
+func (g *Gateway) acquirePermit(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Permit, error) {
 	candidates := g.candidates(q.service, tried)
 	if !slices.ContainsFunc(candidates, usable) {
-		return placement.Choice{}, peers.Leave{}, g.unavailableError(q, candidates)
+		return placement.Choice{}, peers.Permit{}, g.unavailableError(q, candidates)
 	}
 	part, _ := q.info.Prompt.Shared()
 	if part == "" {
 		part = q.info.ID
 	}
-	groups := placement.GroupsFor(part, g.groupCount(q.service))
+	groups := placement.RankGroups(part, g.groupCount(q.service))
 	ask := g.permitRequest(q, rel)
 	// A strong suspect does not get the precedence of broken streams. Otherwise a resumable stream
 	// that crashes its server would crash one server after the other ahead of all other requests.
-	ask.Begun = ask.Begun && !t.isolated
-	ask.Avoid = unusableEngines(candidates)
+	ask.Resumed = ask.Resumed && !t.isolated
+	ask.ExcludedEngines = unusableEngines(candidates)
 	g.recordNotices(q)
-	var refused permit.Answer
+	var refused permit.Decision
 	for n, group := 0, 0; n < maxPermitRequests && group < min(maxGroups, len(groups)); n++ {
 		ask.ID = fmt.Sprintf("%s/%d", q.info.ID, q.permitRequests)
 		q.permitRequests++
 		answer, permitted := g.peers.Ask(ctx, permit.Group{Service: q.service, Index: groups[group]}, ask)
 		if ctx.Err() != nil {
-			permitted.End(permit.Stream{})
-			return placement.Choice{}, peers.Leave{}, contextError(ctx, false)
+			permitted.End(permit.StreamStats{})
+			return placement.Choice{}, peers.Permit{}, contextError(ctx, false)
 		}
 		switch answer.Verdict {
 		case permit.NoEngine:
@@ -126,23 +126,23 @@
 		}
 		if answer.Engine == "" {
 			choice, err := g.chooseUncoordinated(q, candidates)
-			return choice, peers.Leave{}, err
+			return choice, peers.Permit{}, err
 		}
 		candidates = g.candidates(q.service, tried) // the wait may have taken seconds
 		if choice := grantedChoice(answer, candidates); choice.Candidate != nil {
 			return choice, permitted, nil
 		}
-		permitted.End(permit.Stream{})
-		ask.Avoid = append(ask.Avoid, answer.Engine)
+		permitted.End(permit.StreamStats{})
+		ask.ExcludedEngines = append(ask.ExcludedEngines, answer.Engine)
 	}
 	if refused.ID == "" {
-		return placement.Choice{}, peers.Leave{}, g.noServerError(q)
+		return placement.Choice{}, peers.Permit{}, g.noServerError(q)
 	}
-	if refused.Limited > 0 {
-		return placement.Choice{}, peers.Leave{}, g.rateLimitedError(refused.Limited, refused.Wait)
+	if refused.RateLimitedEngines > 0 {
+		return placement.Choice{}, peers.Permit{}, g.rateLimitedError(refused.RateLimitedEngines, refused.Wait)
 	}
-	return placement.Choice{}, peers.Leave{}, fault.New(fault.WaitTooLong, "the engines have a backlog of %d tokens", refused.Backlog).
-		With(fault.NotRun).After(refused.Wait)
+	return placement.Choice{}, peers.Permit{}, fault.New(fault.WaitTooLong, "the engines have a backlog of %d tokens", refused.BacklogTokens).
+		WithOutcome(fault.NotRun).WithRetryAfter(refused.Wait)
 }
 
 // chooseUncoordinated selects a server when no gateway is available to grant a permit.
@@ -155,14 +155,14 @@
 }
 
 // usable reports whether this gateway may send the request to a server.
-func usable(c placement.Candidate) bool { return !c.Tried && !c.View.Avoided && c.Rests == 0 }
+func usable(c placement.Candidate) bool { return !c.Tried && !c.View.Avoided && c.RetryAfter == 0 }
 
 // unusableEngines returns up to maxAvoidedEngines engines to which this gateway can't send the request.
 func unusableEngines(candidates []placement.Candidate) []string {
 	var out []string
 	for _, c := range candidates {
 		if !usable(c) {
-			out = append(out, c.Server.Start())
+			out = append(out, c.Server.InstanceID())
 		}
 	}
 	return out[:min(len(out), maxAvoidedEngines)]
@@ -170,14 +170,14 @@
 
 // grantedChoice returns the choice for the engine that was granted. It has no candidate if this
 // gateway can no longer use that engine.
-func grantedChoice(answer permit.Answer, candidates []placement.Candidate) placement.Choice {
-	choice := placement.Choice{Reason: placement.Decided, Read: answer.Read}
+func grantedChoice(answer permit.Decision, candidates []placement.Candidate) placement.Choice {
+	choice := placement.Choice{Reason: placement.Decided, ExpectedPrefill: answer.ExpectedPrefill}
 	for i := range candidates {
 		c := &candidates[i]
 		switch {
-		case c.Server.Start() == answer.Engine && usable(*c):
+		case c.Server.InstanceID() == answer.Engine && usable(*c):
 			choice.Candidate = c
-		case c.Server.Start() == answer.FetchFrom && !c.View.Avoided:
+		case c.Server.InstanceID() == answer.FetchFrom && !c.View.Avoided:
 			choice.FetchFrom = c.Server.Address
 		}
 	}
@@ -185,8 +185,8 @@
 }
 
 // recordRefusal adds a refused permit request to the sends in the request's log line.
-func (g *Gateway) recordRefusal(q *request, answer permit.Answer) {
-	q.sends = append(q.sends, send{Result: answer.Verdict.String(), Wait: answer.Wait, UnreadTokens: int64(answer.Backlog), RateLimited: answer.Limited,
+func (g *Gateway) recordRefusal(q *request, answer permit.Decision) {
+	q.sends = append(q.sends, send{Result: answer.Verdict.String(), Wait: answer.Wait, UnreadTokens: int64(answer.BacklogTokens), RateLimited: answer.RateLimitedEngines,
 		SentAfter: g.now().Sub(q.start)})
 }
 
@@ -199,22 +199,22 @@
 func (g *Gateway) permitRequest(q *request, rel *relay) permit.Ask {
 	prompt := q.info.Prompt
 	part, shared := prompt.Shared()
-	a := permit.Ask{Plain: !q.route.PrefixAffinity, Own: prompt.Tokens - shared, Part: part, Shared: shared, Output: prompt.Output, Gap: q.route.TargetGap,
+	a := permit.Ask{Plain: !q.route.PrefixAffinity, UniqueTokens: prompt.Tokens - shared, PrefixID: part, PrefixTokens: shared, OutputTokens: prompt.OutputTokens, MaxEventGap: q.route.TargetGap,
 		FailureDomain: g.settings.Load().FailureDomain}
 	now := g.now()
 	left := q.deadline.Sub(now)
-	answerTime := g.answerTime(q.route.Name).Of(prompt.Output)
+	answerTime := g.answerTime(q.route.Name).Estimate(prompt.OutputTokens)
 	elapsed := now.Sub(q.start)
-	a.Deadline = left
-	a.Rank = engineRank(q.route.Priority, q.priority)
+	a.ResponseTimeout = left
+	a.Priority = engineRank(q.route.Priority, q.priority)
 	if rel.started {
-		a.Begun = true
+		a.Resumed = true
 		remaining := max(0, answerTime-(elapsed-rel.first))
-		a.Limit = max(left-time.Duration(minRemainingShare*float64(remaining)), minPermitWait)
-		a.Target = a.Limit
+		a.FirstTokenTimeout = max(left-time.Duration(minRemainingShare*float64(remaining)), minPermitWait)
+		a.FirstTokenTarget = a.FirstTokenTimeout
 		return a
 	}
-	a.Target = q.route.TargetLatency - elapsed
-	a.Limit = max(min(callerWait(q.route)-elapsed, left-answerTime), minPermitWait)
+	a.FirstTokenTarget = q.route.TargetLatency - elapsed
+	a.FirstTokenTimeout = max(min(callerWait(q.route)-elapsed, left-answerTime), minPermitWait)
 	return a
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -26,7 +26,7 @@
 func (g *Gateway) UseTrials(t Trials) { g.trials = t }
 
 // Quarantine returns the ledger of requests that are suspected of crashing servers.
-func (g *Gateway) Quarantine() *quarantine.Ledger { return g.ledger }
+func (g *Gateway) Quarantine() *quarantine.Tracker { return g.ledger }
 
 // turn is the ledger's permission for one run of a request. The zero turn is used while the
 // ledger watches no requests.
@@ -39,20 +39,20 @@
 // the request. Without this check, each retry of a caller would be sent to another server, through
 // any gateway, and a single request could crash all servers of a service.
 func (g *Gateway) awaitTurn(ctx context.Context, q *request, ran bool) (turn, error) {
-	if !g.ledger.Watching() {
+	if !g.ledger.HasEntries() {
 		return turn{}, nil
 	}
 	t := turn{key: max(rand.Uint64(), 1)}
 	for {
 		ledgerTurn := g.ledger.Begin(q.quarantineID(), t.key, g.now())
-		if ledgerTurn.Settle > 0 {
-			if err := g.waitForChange(ctx, q, ran, nil, ledgerTurn.Settle); err != nil {
+		if ledgerTurn.ConfirmAfter > 0 {
+			if err := g.waitForChange(ctx, q, ran, nil, ledgerTurn.ConfirmAfter); err != nil {
 				g.ledger.Done(q.quarantineID(), t.key, g.now())
 				return t, err
 			}
 			ledgerTurn = g.ledger.Confirm(q.quarantineID(), t.key, g.now())
 		}
-		t.isolated = ledgerTurn.Apart
+		t.isolated = ledgerTurn.Isolate
 		switch {
 		case ledgerTurn.TrialDue:
 			t.isolated = true
@@ -87,17 +87,17 @@
 // claimTrial claims the trial of a request whose quarantine period has ended.
 func (g *Gateway) claimTrial(ctx context.Context, q *request, t turn, ran bool) error {
 	if g.trials == nil {
-		if v := g.ledger.Standing(q.quarantineID()); v != nil {
-			g.ledger.Try(q.quarantineID(), t.key, v.Tried(g.now()), g.now())
+		if v := g.ledger.Verdict(q.quarantineID()); v != nil {
+			g.ledger.BeginTrial(q.quarantineID(), t.key, v.WithTrial(g.now()), g.now())
 		}
 		return nil
 	}
 	v, err := g.trials.Claim(ctx, q.quarantineID())
 	if err != nil {
-		return withOutcome(fault.New(fault.Quarantined, "servers have ended that ran this request: %w", err).After(trialRetryAfter), ran)
+		return withOutcome(fault.New(fault.Quarantined, "servers have ended that ran this request: %w", err).WithRetryAfter(trialRetryAfter), ran)
 	}
 	if v != nil {
-		g.ledger.Try(q.quarantineID(), t.key, *v, g.now())
+		g.ledger.BeginTrial(q.quarantineID(), t.key, *v, g.now())
 	}
 	return nil
 }
@@ -108,21 +108,21 @@
 // has not run, callers at once retry what may be repeated.
 func (g *Gateway) quarantinedError(q *request, v *quarantine.Verdict, ran bool) error {
 	after := max(v.Until.Sub(g.now()), trialRetryAfter)
-	return withOutcome(fault.New(fault.Quarantined, "%d servers have ended that ran this request", len(v.Servers)).After(after), ran)
+	return withOutcome(fault.New(fault.Quarantined, "%d servers have ended that ran this request", len(v.Servers)).WithRetryAfter(after), ran)
 }
 
 // withOutcome sets the error's outcome, depending on whether a server may have run the request.
 func withOutcome(e *fault.Error, ran bool) error {
 	if ran {
-		return e.With(fault.Unknown)
+		return e.WithOutcome(fault.Unknown)
 	}
-	return e.With(fault.NotRun)
+	return e.WithOutcome(fault.NotRun)
 }
 
 // checkQuarantine checks again, after a server has been chosen, that the request is not quarantined,
 // because waiting for a permit may take seconds.
 func (g *Gateway) checkQuarantine(q *request, t turn, ran bool) error {
-	if !g.ledger.Watching() {
+	if !g.ledger.HasEntries() {
 		return nil
 	}
 	if ledgerTurn := g.ledger.Check(q.quarantineID(), t.key); ledgerTurn.Verdict != nil {
@@ -138,7 +138,7 @@
 	if !t.isolated {
 		return tried
 	}
-	out := g.ledger.Occupied(t.key, g.now())
+	out := g.ledger.OccupiedServers(t.key, g.now())
 	for start := range tried {
 		out[start] = true
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -47,25 +47,25 @@
 		return refusalError(resp)
 	}
 	if resp.Status/100 == 2 && !info.Sealed {
-		return mayHaveRun, fault.New(fault.EngineFailed, "the response has no seal").With(fault.Unknown)
+		return mayHaveRun, fault.New(fault.EngineFailed, "the response has no seal").WithOutcome(fault.Unknown)
 	}
 	if q.route.Kind == routing.Streaming && resp.Status/100 == 2 {
 		return g.stream(ctx, q, rel, resp, meter)
 	}
 	if rel.started {
-		return brokenOff, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).With(fault.Partial)
+		return brokenOff, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).WithOutcome(fault.Partial)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedBody+1))
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return mayHaveRun, contextError(ctx, true)
 	case err != nil:
-		return mayHaveRun, fault.New(fault.ShortAnswer, "the response ended early: %w", err).With(fault.Unknown)
+		return mayHaveRun, fault.New(fault.IncompleteResponse, "the response ended early: %w", err).WithOutcome(fault.Unknown)
 	case len(body) > maxBufferedBody:
-		return mayHaveRun, fault.New(fault.ShortAnswer, "the response exceeds %d bytes", maxBufferedBody).With(fault.Unknown)
+		return mayHaveRun, fault.New(fault.IncompleteResponse, "the response exceeds %d bytes", maxBufferedBody).WithOutcome(fault.Unknown)
 	}
 	if resp.Status >= http.StatusInternalServerError && q.route.MayRepeat() && len(q.sends) == 0 && q.route.MaxAttempts > 1 {
-		return mayHaveRun, fault.New(fault.EngineFailed, "the server answered %d", resp.Status).With(fault.Unknown)
+		return mayHaveRun, fault.New(fault.EngineFailed, "the server answered %d", resp.Status).WithOutcome(fault.Unknown)
 	}
 	rel.startResponse(resp)
 	rel.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -80,10 +80,10 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxBufferedBody))
 	code := fault.QueueFull
 	if resp.Status == http.StatusMisdirectedRequest {
-		code = fault.NoServer
+		code = fault.NoBackendServer
 	}
 	return notRun, fault.New(code, "the backend server refused the request with %d", resp.Status).
-		With(fault.NotRun).After(noServerRetryAfter)
+		WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 }
 
 // startResponse marks the response as started and copies the server's end-to-end headers to it.
@@ -153,7 +153,7 @@
 type streamMeter struct {
 	now          func() time.Time
 	onFirstEvent func() // called when the first event arrives
-	stats        *permit.Stream
+	stats        *permit.StreamStats
 	firstAt      time.Time // arrival of the first event
 	lastAt       time.Time // arrival of the last event
 }
@@ -165,11 +165,11 @@
 		m.firstAt = now
 		m.onFirstEvent()
 	} else {
-		m.stats.Longest = max(m.stats.Longest, now.Sub(m.lastAt))
+		m.stats.LongestGap = max(m.stats.LongestGap, now.Sub(m.lastAt))
 	}
 	m.stats.Events++
 	m.lastAt = now
-	m.stats.Took = now.Sub(m.firstAt)
+	m.stats.Duration = now.Sub(m.firstAt)
 }
 
 // accept reports whether the event is to be relayed and, if so, records it. Events that were
@@ -206,7 +206,7 @@
 	if ctx.Err() != nil {
 		return result, contextError(ctx, true)
 	}
-	return result, fault.New(fault.ShortAnswer, "the stream broke off after %d events: %w", r.events, err).With(reported)
+	return result, fault.New(fault.IncompleteResponse, "the stream broke off after %d events: %w", r.events, err).WithOutcome(reported)
 }
 
 // hopByHopHeaders apply to a single connection and are not forwarded.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -44,7 +44,7 @@
 	repeatDecidedAt time.Time
 	permitRequests  int // number of permit requests so far
 	// knownNotices are the notices in force for the service's servers when a server was last chosen.
-	knownNotices []notice.Standing
+	knownNotices []notice.ActiveNotice
 	// cachedQuarantineID caches the result of quarantineID.
 	cachedQuarantineID *quarantine.ID
 }
@@ -79,7 +79,7 @@
 	// ServerEnded is set if the connection broke because the server process exited.
 	ServerEnded bool `json:"ended,omitempty"`
 	// Notices are the notices in the response headers, or nil if there are none.
-	Notices *notice.Said `json:"said,omitempty"`
+	Notices *notice.Statement `json:"said,omitempty"`
 	// Repeat is the retry budget's decision on repeating this send, nil if the budget was not consulted.
 	Repeat *retrybudget.Decision `json:"repeat,omitempty"`
 }
@@ -151,7 +151,7 @@
 	}
 	q.table = g.table.Load()
 	if q.table == nil {
-		return q, fault.New(fault.NotReady, "no configuration has been loaded yet").With(fault.NotRun).After(startRetryAfter)
+		return q, fault.New(fault.NotReady, "no configuration has been loaded yet").WithOutcome(fault.NotRun).WithRetryAfter(startRetryAfter)
 	}
 	if err := checkHeaderSize(r, q.table.Limits.HeaderBytes); err != nil {
 		return q, err
@@ -163,7 +163,7 @@
 	}
 	path, _, _ := strings.Cut(q.target, "?")
 	if q.route = q.table.Route(r.Host, path); q.route == nil {
-		return q, fault.New(fault.NotFound, "no route matches this host and path").With(fault.NotRun)
+		return q, fault.New(fault.NotFound, "no route matches this host and path").WithOutcome(fault.NotRun)
 	}
 	if q.team, err = q.table.Authenticate(q.route, info.Key); err != nil {
 		return q, err
--- a/internal/gateway/server_exits.go
+++ b/internal/gateway/server_exits.go
@@ -28,7 +28,7 @@
 // interruptedRun is a run of a request whose connection to the server broke.
 type interruptedRun struct {
 	id  quarantine.ID
-	end quarantine.End
+	end quarantine.Crash
 }
 
 const (
@@ -42,8 +42,8 @@
 
 // runInterrupted records that the connection to a server broke while it ran the request, and
 // reports whether the server is known to have exited.
-func (g *Gateway) runInterrupted(q *request, server registry.Server, end quarantine.End) bool {
-	if g.notices.Draining(server.Start()) {
+func (g *Gateway) runInterrupted(q *request, server registry.Server, end quarantine.Crash) bool {
+	if g.notices.Draining(server.InstanceID()) {
 		return false // a planned shutdown
 	}
 	check := g.checkExit(server)
@@ -59,11 +59,11 @@
 // recordExit records in the quarantine ledger that a server exited while it ran a request. If this
 // makes the request a strong suspect, listed servers are probed in the background.
 func (g *Gateway) recordExit(r interruptedRun) {
-	g.ledger.SetServers(g.servers.Reachable(g.now()))
-	if g.ledger.Ended(r.id, r.end, g.now()) {
+	g.ledger.SetServerCount(g.servers.Reachable(g.now()))
+	if g.ledger.RecordCrash(r.id, r.end, g.now()) {
 		go func() {
 			g.probeServers()
-			g.ledger.Surveyed(r.id, g.now())
+			g.ledger.Rebroadcast(r.id, g.now())
 		}()
 	}
 }
@@ -90,10 +90,10 @@
 		return
 	}
 	var probes sync.WaitGroup
-	for _, server := range g.servers.Sample(maxProbes, g.random, func(s registry.Server) bool { return !g.ledger.Known(s.Start()) }) {
+	for _, server := range g.servers.Sample(maxProbes, g.random, func(s registry.Server) bool { return !g.ledger.KnownCrashed(s.InstanceID()) }) {
 		probes.Go(func() {
 			if g.pool.Refused(context.Background(), server.Address) {
-				g.ledger.ServerEnded(server.Start(), g.now())
+				g.ledger.RecordServerCrash(server.InstanceID(), g.now())
 			}
 		})
 	}
@@ -123,14 +123,14 @@
 		return // a planned shutdown, even if the list does not show it as draining
 	}
 	now := g.now()
-	g.ledger.ServerEnded(start, now)
+	g.ledger.RecordServerCrash(start, now)
 	g.exits.mu.Lock()
 	runs := g.exits.pending[start]
 	delete(g.exits.pending, start)
 	g.exits.mu.Unlock()
 	for _, r := range runs {
 		if now.Sub(r.end.At) <= exitReportTimeout {
-			g.ledger.Ended(r.id, r.end, now)
+			g.ledger.RecordCrash(r.id, r.end, now)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 func (g *Gateway) checkExit(server registry.Server) *exitCheck {
 	g.exits.mu.Lock()
 	defer g.exits.mu.Unlock()
-	now, start := g.now(), server.Start()
+	now, start := g.now(), server.InstanceID()
 	if c := g.exits.byStart[start]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
 		return c
 	}
@@ -171,7 +171,7 @@
 	c.exited = g.pool.Refused(context.Background(), server.Address)
 	if c.exited {
 		telemetry.Count("merlinpost_backend_servers_ended_total", "service", server.Service)
-		g.logger.Warn("backend server ended", slog.String("server", server.Start()), slog.String("service", server.Service),
+		g.logger.Warn("backend server ended", slog.String("server", server.InstanceID()), slog.String("service", server.Service),
 			slog.String("address", server.Address), slog.Duration("checked_in", g.now().Sub(c.startedAt)))
 	}
 }
@@ -180,5 +180,5 @@
 // cancellation of ctx.
 func connectionBroke(ctx context.Context, result sendResult, err error) bool {
 	return (result == mayHaveRun || result == brokenOff) && ctx.Err() == nil &&
-		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.ShortAnswer))
+		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.IncompleteResponse))
 }
--- a/internal/gateway/stream_meter_test.go
+++ b/internal/gateway/stream_meter_test.go
@@ -15,14 +15,14 @@
 func TestStreamMeter(t *testing.T) {
 	g := NewWithT(t)
 	now, first := time.Unix(100, 0), 0
-	var stats permit.Stream
+	var stats permit.StreamStats
 	meter := streamMeter{now: func() time.Time { return now }, onFirstEvent: func() { first++ }, stats: &stats}
 	for _, pause := range []time.Duration{0, 20, 400, 30} {
 		now = now.Add(pause * time.Millisecond)
 		meter.recordEvent()
 	}
 	g.Expect(first).To(Equal(1))
-	g.Expect(stats).To(Equal(permit.Stream{Events: 4, Took: 450 * time.Millisecond, Longest: 400 * time.Millisecond}))
+	g.Expect(stats).To(Equal(permit.StreamStats{Events: 4, Duration: 450 * time.Millisecond, LongestGap: 400 * time.Millisecond}))
 }
 
 // callerWait is the longest of two seconds, four times the target latency and eight times the target gap.
