--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -98,11 +98,11 @@
 		return unsent, err
 	}
 	if err := g.mayStill(q, t, ran); err != nil {
-		leave.End(permit.Stream{})
+		leave.End(permit.StreamStats{})
 		return unsent, err
 	}
 	if !g.renewRepeat(q) {
-		leave.End(permit.Stream{})
+		leave.End(permit.StreamStats{})
 		return unsent, nil
 	}
 	start := choice.Candidate.Server.Start()
@@ -249,7 +249,7 @@
 	c := retrybudget.Claim{Rank: urgency(q.route.Priority, q.priority), Due: q.start.Add(q.route.TargetLatency)}
 	if rel.started {
 		c.Due = now.Add(q.route.TargetGap)
-		c.Expires = now.Add(min(g.ask(q, rel).Limit, patience(q.route)))
+		c.Expires = now.Add(min(g.ask(q, rel).FirstTokenTimeout, patience(q.route)))
 		return c
 	}
 	c.Expires = now.Add(min(max(c.Due.Sub(now), 2*retrybudget.GrantEvery), q.deadline.Sub(now)))
@@ -301,12 +301,12 @@
 	unread := q.call.Prompt.Tokens - shared
 	b.Begin(unread)
 	read := sync.OnceFunc(func() { b.FirstToken(unread) })
-	var seen permit.Stream
+	var seen permit.StreamStats
 	defer func() { read(); b.End(); leave.End(seen) }()
 	firstToken := sync.OnceFunc(func() {
 		read()
-		seen.First = g.now().Sub(sentAt)
-		leave.FirstToken(seen.First)
+		seen.TimeToFirstEvent = g.now().Sub(sentAt)
+		leave.FirstToken(seen.TimeToFirstEvent)
 	})
 
 	ctx, cancel := context.WithCancel(ctx)
@@ -327,10 +327,10 @@
 		result, err = g.take(ctx, q, rel, resp, answer, &watch{now: g.now, first: firstToken, seen: &seen})
 		g.judge(ctx, b, resp.Status, result)
 	}
-	seen.Failed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
+	seen.EngineFailed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
 	s := send{Server: server.ID, Reason: choice.Reason, Fetch: choice.FetchFrom, Result: outcomeNames[result],
 		Running: choice.Candidate.View.Running, Unread: choice.Candidate.View.Unread,
-		Expect: choice.Read, First: seen.First, Longest: seen.Longest, At: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Said: said}
+		Expect: choice.Read, First: seen.TimeToFirstEvent, Longest: seen.LongestGap, At: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Said: said}
 	if err != nil {
 		s.Cause = err.Error()
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -151,7 +151,7 @@
 type watch struct {
 	now   func() time.Time
 	first func() // called with the first event
-	seen  *permit.Stream
+	seen  *permit.StreamStats
 	begin time.Time // of the first event
 	last  time.Time
 }
@@ -163,11 +163,11 @@
 		w.begin = now
 		w.first()
 	} else {
-		w.seen.Longest = max(w.seen.Longest, now.Sub(w.last))
+		w.seen.LongestGap = max(w.seen.LongestGap, now.Sub(w.last))
 	}
 	w.seen.Events++
 	w.last = now
-	w.seen.Took = now.Sub(w.begin)
+	w.seen.Duration = now.Sub(w.begin)
 }
 
 // accept reports whether the event is to be relayed, and counts it. Events that
--- a/internal/peers/learnt.go
+++ b/internal/peers/learnt.go
@@ -31,7 +31,7 @@
 // Run's goroutine.
 func (p *Peers) takeLearnt() {
 	var out []learnt
-	for _, l := range p.desk.Learnt() {
+	for _, l := range p.desk.Stats() {
 		if l.Observed > 0 {
 			out = append(out, learnt{l.Service, us(l.Read), us(l.Pairs), us(l.Latency), us(l.Token), us(l.Pause), float32(l.Observed)})
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -29,11 +29,11 @@
 
 // message is one datagram. Exactly one field is set.
 type message struct {
-	Beat       *beat          `msgpack:"b,omitempty"`
-	Ask        *ask           `msgpack:"a,omitempty"`
-	Answer     *permit.Answer `msgpack:"v,omitempty"`
-	FirstToken *firstToken    `msgpack:"f,omitempty"`
-	End        *end           `msgpack:"e,omitempty"`
+	Beat       *beat            `msgpack:"b,omitempty"`
+	Ask        *ask             `msgpack:"a,omitempty"`
+	Answer     *permit.Decision `msgpack:"v,omitempty"`
+	FirstToken *firstToken      `msgpack:"f,omitempty"`
+	End        *end             `msgpack:"e,omitempty"`
 	// Requests is what the sender knows of requests that may end servers.
 	Requests []quarantine.Told `msgpack:"q,omitempty"`
 	// Notices is what the sender knows that servers say of themselves.
@@ -74,7 +74,7 @@
 type end struct {
 	Group permit.Group `msgpack:"g"`
 	ID    string       `msgpack:"i"`
-	permit.Stream
+	permit.StreamStats
 }
 
 // Local is what the gateway of this process knows.
@@ -110,7 +110,7 @@
 	self   netip.AddrPort
 	logger *slog.Logger
 	in     chan received
-	desk   *permit.Desk[netip.AddrPort] // of the goroutine in Run
+	desk   *permit.Scheduler[netip.AddrPort] // of the goroutine in Run
 	local  Local
 	ledger *quarantine.Ledger
 	board  *notice.Board
@@ -120,10 +120,10 @@
 	mu         sync.Mutex
 	members    *members
 	findings   findings
-	learnt     []learnt                      // here, as last told
-	waiting    map[string]chan permit.Answer // by ID of the request
-	repeatAsks map[uint64]chan bool          // without an answer so far, by ID
-	repeatID   uint64                        // of the newest repeatAsk
+	learnt     []learnt                        // here, as last told
+	waiting    map[string]chan permit.Decision // by ID of the request
+	repeatAsks map[uint64]chan bool            // without an answer so far, by ID
+	repeatID   uint64                          // of the newest repeatAsk
 	leaving    bool
 	lastBeat   time.Time
 	lastLive   int // as last logged, at liveLogged
@@ -151,8 +151,8 @@
 	self := socket.Address()
 	now := time.Now()
 	p := &Peers{socket: socket, self: self, logger: logger, in: make(chan received, ring), local: local, ledger: local.Quarantine(), board: local.Notices(), start: now,
-		members: newMembers(Member{host, self, capacity}, now), waiting: map[string]chan permit.Answer{}, repeatAsks: map[uint64]chan bool{}}
-	p.desk = permit.NewDesk[netip.AddrPort](local.Engines, p.told, p.board.Limits(), permit.Policy{})
+		members: newMembers(Member{host, self, capacity}, now), waiting: map[string]chan permit.Decision{}, repeatAsks: map[uint64]chan bool{}}
+	p.desk = permit.NewScheduler[netip.AddrPort](local.Engines, p.told, p.board.Limits(), permit.Policy{})
 	return p
 }
 
@@ -183,7 +183,7 @@
 		case <-p.board.Telling():
 		case <-timer.C:
 			next := idleTick
-			if p.desk.Waiting() > 0 {
+			if p.desk.QueuedCount() > 0 {
 				next = busyTick
 			}
 			timer.Reset(next)
@@ -191,8 +191,8 @@
 		now := time.Now()
 		p.noteStall(now)
 		p.take(came, now)
-		for _, due := range p.desk.Next(now) {
-			p.answer(due.Answer, due.To)
+		for _, due := range p.desk.Poll(now) {
+			p.answer(due.Decision, due.To)
 		}
 		p.updateSlackShare(now)
 		p.beatIfDue(now)
@@ -211,9 +211,9 @@
 
 // logLearnt writes what the decisions of this process rest on.
 func (p *Peers) logLearnt() {
-	for _, l := range p.desk.Learnt() {
+	for _, l := range p.desk.Stats() {
 		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.Read, "pairs", l.Pairs, "latency", l.Latency, "token", l.Token,
-			"longest_pause", l.Pause, "observed", l.Observed, "waiting", l.Waiting, "engines", l.Engines, "reading", l.Reading, "running", l.Running)
+			"longest_pause", l.Pause, "observed", l.Observed, "waiting", l.Queued, "engines", l.AvailableEngines, "reading", l.PrefillingEngines, "running", l.Running)
 	}
 }
 
@@ -241,13 +241,13 @@
 	case r.Beat != nil:
 		p.heard(*r.Beat, r.from, now)
 	case r.Ask != nil:
-		p.answer(p.desk.Ask(r.Ask.Group, r.Ask.Ask, r.from, now), r.from)
+		p.answer(p.desk.Submit(r.Ask.Group, r.Ask.Ask, r.from, now), r.from)
 	case r.Answer != nil:
 		p.settle(*r.Answer)
 	case r.FirstToken != nil:
-		p.desk.FirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
+		p.desk.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
 	case r.End != nil:
-		p.desk.End(r.End.Group, r.End.ID, r.End.Stream, now)
+		p.desk.Finish(r.End.Group, r.End.ID, r.End.StreamStats, now)
 	case r.Requests != nil:
 		p.ledger.Hear(r.Requests, r.from.String(), now)
 	case r.Notices != nil:
@@ -262,7 +262,7 @@
 }
 
 // answer sends an answer.
-func (p *Peers) answer(a permit.Answer, to netip.AddrPort) {
+func (p *Peers) answer(a permit.Decision, to netip.AddrPort) {
 	telemetry.Count("merlinpost_permit_answers_total", "verdict", a.Verdict.String())
 	if to == p.self {
 		p.settle(a)
@@ -272,7 +272,7 @@
 }
 
 // settle hands an answer to the request that waits for it.
-func (p *Peers) settle(a permit.Answer) {
+func (p *Peers) settle(a permit.Decision) {
 	p.mu.Lock()
 	ch := p.waiting[a.ID]
 	p.mu.Unlock()
--- a/internal/permit/engine.go
+++ b/internal/permit/engine.go
@@ -8,186 +8,185 @@
 )
 
 const (
-	// firstPause is how long an engine that failed a request gets no other; each
-	// further failure in a row doubles it, up to longestPause. Without it an engine
-	// that fails at once would always have room and draw in all that waits.
-	firstPause, longestPause = 250 * time.Millisecond, 2 * time.Second
-	// maxDoublings keeps the shift of a pause inside its type.
-	maxDoublings = 8
-	// ownMemory is the part of an engine's memory that its requests may take for what they
-	// share with no other. The rest is for shared parts.
-	ownMemory = 0.75
-	// overdueWait is the wait that is told of an engine which should have read what it was
-	// granted.
-	overdueWait = 3 * lead
-	// recentReads is how many readings of an engine are kept, to be set beside the pauses
-	// of its streams.
-	recentReads = 8
-	// leastEvents is the number of events from which a stream tells how long a token takes.
-	leastEvents = 4
-	// mostBeside is the part of a stream's time beyond which what its engine read meanwhile
-	// says more about its length than its tokens do.
-	mostBeside = 0.3
-	// outputSlack is the part of the expected output that a stream which has passed it is
-	// taken to have left.
-	outputSlack = 0.1
+	// initialBackoff is how long an engine gets no requests after it failed one; each further
+	// consecutive failure doubles it, up to maxBackoff. Without a backoff an engine that fails
+	// immediately would always have capacity and attract all waiting requests.
+	initialBackoff, maxBackoff = 250 * time.Millisecond, 2 * time.Second
+	// maxBackoffDoublings prevents overflow when shifting the backoff.
+	maxBackoffDoublings = 8
+	// maxReservedShare is the share of an engine's KV cache that may be reserved for tokens that
+	// requests do not share. The rest is for shared prefixes.
+	maxReservedShare = 0.75
+	// overdueWait is the wait reported for an engine whose prefills are overdue.
+	overdueWait = 3 * grantLead
+	// recentPrefills is the number of completed prefills kept per engine, to be compared with
+	// the gaps of its streams.
+	recentPrefills = 8
+	// minEvents is the number of events from which a stream is used to estimate the token time.
+	minEvents = 4
+	// maxPrefillShare is the share of a stream's duration that its engine may spend on prefills
+	// for the stream to be used in the token time estimate; beyond it prefills dominate.
+	maxPrefillShare = 0.3
+	// minOutputLeftShare is the share of the expected output that a stream is assumed to have
+	// left even if it has generated more than expected.
+	minOutputLeftShare = 0.1
 )
 
-// engine is what is known of one engine of a group.
+// engine is the scheduling state of one engine of a group.
 type engine struct {
 	Engine
-	model    *enginemodel.Engine
-	position float64 // in the order of preference for short prompts, 0 to 1
-	runs     map[string]*entry
-	used     int // tokens of memory that its runs may take
-	pending  int // granted requests whose prompt has not been read
-	unread   int // prompt tokens of these
-	// readUntil is when it is expected to have read what was granted.
-	readUntil time.Time
-	// readFor is how long it has read so far, as expected.
-	readFor time.Duration
-	// together is how long it read lately without time for an event of each stream, up to
-	// readEnd.
-	together time.Duration
-	readEnd  time.Time
-	reads    [recentReads]reading
-	lastRead int
-	failures int // in a row
-	pause    time.Time
-	errors   registry.FailureRate
-	granted  time.Time // when it was granted a request last
+	model           *enginemodel.Engine
+	position        float64 // in the order of preference for short prompts, 0 to 1
+	requests        map[string]*entry
+	reservedTokens  int // KV cache tokens reserved for its requests
+	pendingPrefills int // granted requests whose prefill is not complete
+	pendingTokens   int // prompt tokens of these requests
+	// prefillUntil is when all granted prefills are expected to be complete.
+	prefillUntil time.Time
+	// prefillTotal is the expected duration of all completed prefills.
+	prefillTotal time.Duration
+	// prefillBurst is the duration of consecutive prefills, up to prefillEnd, without enough
+	// time in between for an event of each stream.
+	prefillBurst        time.Duration
+	prefillEnd          time.Time
+	prefills            [recentPrefills]completedPrefill
+	prefillCount        int
+	consecutiveFailures int
+	backoffUntil        time.Time
+	failureRate         registry.FailureRate
+	lastGrant           time.Time
 }
 
-// reading is one prompt that was read.
-type reading struct {
-	end  time.Time
-	took time.Duration // as expected
+// completedPrefill is one prefill that an engine has completed.
+type completedPrefill struct {
+	end      time.Time
+	expected time.Duration // expected duration
 }
 
 func newEngine(e Engine, service *enginemodel.Service) *engine {
-	return &engine{Engine: e, model: service.NewEngine(), runs: map[string]*entry{}}
+	return &engine{Engine: e, model: service.NewEngine(), requests: map[string]*entry{}}
 }
 
-// usable reports whether the engine may get prompts now.
-func (e *engine) usable(now time.Time) bool { return e.Open && !now.Before(e.pause) }
+// usable reports whether the engine may be sent prompts now.
+func (e *engine) usable(now time.Time) bool { return e.Accepting && !now.Before(e.backoffUntil) }
 
-// hasRoom reports whether the engine can take a request into its batch: what waits
-// inside an engine, or is put back there for want of memory, is out of our hands.
-func (e *engine) hasRoom(a Ask) bool {
-	if e.Slots > 0 && len(e.runs) >= e.Slots {
+// hasCapacity reports whether the request fits in the engine's batch and KV cache. Requests that
+// an engine queues internally or preempts for lack of memory are outside the scheduler's control.
+func (e *engine) hasCapacity(a Ask) bool {
+	if e.Slots > 0 && len(e.requests) >= e.Slots {
 		return false
 	}
-	return e.Memory == 0 || len(e.runs) == 0 || e.used+a.tokens() <= int(ownMemory*float64(e.Memory))
+	return e.KVCacheTokens == 0 || len(e.requests) == 0 || e.reservedTokens+a.tokenDemand() <= int(maxReservedShare*float64(e.KVCacheTokens))
 }
 
-// tokens is the memory that a request takes at an engine beside the parts that it shares.
-func (a Ask) tokens() int { return a.Own + a.Output }
+// tokenDemand returns the KV cache tokens that a request needs besides its shared prefix.
+func (a Ask) tokenDemand() int { return a.UniqueTokens + a.OutputTokens }
 
-// wait is the time until the engine has read what was granted, as far as can be told:
-// of one that should have read it before, nobody knows when it will have.
-func (e *engine) wait(now time.Time) time.Duration {
-	left := e.readUntil.Sub(now)
+// prefillWait returns the expected time until the granted prefills are complete. For an engine
+// that is overdue it returns overdueWait, as there is no better estimate.
+func (e *engine) prefillWait(now time.Time) time.Duration {
+	left := e.prefillUntil.Sub(now)
 	switch {
-	case e.pending == 0:
+	case e.pendingPrefills == 0:
 		return 0
-	case left < -lead:
+	case left < -grantLead:
 		return overdueWait
 	}
 	return max(left, 0)
 }
 
-// readJust returns how long the engine has just read, or reads now, without time for an
-// event of each stream in between.
-func (e *engine) readJust(event time.Duration, now time.Time) time.Duration {
-	if e.pending > 0 || now.Sub(e.readEnd) < event {
-		return e.together
+// currentBurst returns the duration of the prefill burst that is in progress or has just ended.
+// eventInterval is the time in which each stream yields an event while no prefill is running.
+func (e *engine) currentBurst(eventInterval time.Duration, now time.Time) time.Duration {
+	if e.pendingPrefills > 0 || now.Sub(e.prefillEnd) < eventInterval {
+		return e.prefillBurst
 	}
 	return 0
 }
 
-// begin counts a granted prompt. Event is the time in which its streams give an event
-// each while it reads nothing.
-func (e *engine) begin(en *entry, event time.Duration, now time.Time) {
-	e.together = e.readJust(event, now) + en.reading
-	if e.pending == 0 || e.readUntil.Before(now) {
-		e.readUntil = now
+// startPrefill accounts for a granted request. eventInterval is the time in which each stream
+// yields an event while no prefill is running.
+func (e *engine) startPrefill(en *entry, eventInterval time.Duration, now time.Time) {
+	e.prefillBurst = e.currentBurst(eventInterval, now) + en.expectedPrefill
+	if e.pendingPrefills == 0 || e.prefillUntil.Before(now) {
+		e.prefillUntil = now
 	}
-	en.alone = e.pending == 0
-	e.readUntil = e.readUntil.Add(en.reading)
-	e.pending++
-	e.unread += en.unread
-	e.used += en.ask.tokens()
-	e.runs[en.ask.ID] = en
+	en.exclusive = e.pendingPrefills == 0
+	e.prefillUntil = e.prefillUntil.Add(en.expectedPrefill)
+	e.pendingPrefills++
+	e.pendingTokens += en.prefillTokens
+	e.reservedTokens += en.ask.tokenDemand()
+	e.requests[en.ask.ID] = en
 }
 
-// run counts a granted request that is not read.
-func (e *engine) run(en *entry, now time.Time) {
-	en.read, en.firstAt = true, now
-	e.used += en.ask.tokens()
-	e.runs[en.ask.ID] = en
+// startPlain accounts for a granted request without a prefill.
+func (e *engine) startPlain(en *entry, now time.Time) {
+	en.prefillDone, en.firstTokenAt = true, now
+	e.reservedTokens += en.ask.tokenDemand()
+	e.requests[en.ask.ID] = en
 }
 
-// settle ends the reading of a granted request.
-func (e *engine) settle(en *entry, now time.Time) {
-	if en.read {
+// finishPrefill accounts for a completed prefill.
+func (e *engine) finishPrefill(en *entry, now time.Time) {
+	if en.prefillDone {
 		return
 	}
-	en.read, en.firstAt = true, now
-	e.pending--
-	e.unread -= en.unread
-	if e.pending == 0 {
-		e.readUntil, e.readEnd = now, now
+	en.prefillDone, en.firstTokenAt = true, now
+	e.pendingPrefills--
+	e.pendingTokens -= en.prefillTokens
+	if e.pendingPrefills == 0 {
+		e.prefillUntil, e.prefillEnd = now, now
 	}
-	e.readFor += en.reading
-	e.reads[e.lastRead%recentReads] = reading{now, en.reading}
-	e.lastRead++
-	en.readBefore = e.readFor
+	e.prefillTotal += en.expectedPrefill
+	e.prefills[e.prefillCount%recentPrefills] = completedPrefill{now, en.expectedPrefill}
+	e.prefillCount++
+	en.prefillTotalAtFirstToken = e.prefillTotal
 }
 
-// end takes a granted request out.
-func (e *engine) end(en *entry, now time.Time) {
-	e.settle(en, now)
-	e.used -= en.ask.tokens()
-	delete(e.runs, en.ask.ID)
+// remove removes a granted request.
+func (e *engine) remove(en *entry, now time.Time) {
+	e.finishPrefill(en, now)
+	e.reservedTokens -= en.ask.tokenDemand()
+	delete(e.requests, en.ask.ID)
 }
 
-// learn takes in what was seen of an answer.
-func (e *engine) learn(service *enginemodel.Service, en *entry, s Stream) {
-	if s.Events < leastEvents || e.EventTokens == 0 || en.firstAt.IsZero() {
+// observeStream updates the service's model with the observed response.
+func (e *engine) observeStream(service *enginemodel.Service, en *entry, s StreamStats) {
+	if s.Events < minEvents || e.TokensPerEvent == 0 || en.firstTokenAt.IsZero() {
 		return
 	}
-	if beside := e.readFor - en.readBefore; float64(beside) < mostBeside*float64(s.Took) {
-		service.Generated((s.Events-1)*e.EventTokens, s.Took-beside)
+	if prefill := e.prefillTotal - en.prefillTotalAtFirstToken; float64(prefill) < maxPrefillShare*float64(s.Duration) {
+		service.Generated((s.Events-1)*e.TokensPerEvent, s.Duration-prefill)
 	}
 	longest := time.Duration(0)
-	for _, r := range e.reads {
-		if r.end.After(en.firstAt) {
-			longest = max(longest, r.took)
+	for _, r := range e.prefills {
+		if r.end.After(en.firstTokenAt) {
+			longest = max(longest, r.expected)
 		}
 	}
-	service.Paused(s.Longest, longest)
+	service.Paused(s.LongestGap, longest)
 }
 
-// slack is how much of the time that a stream has left it does not need itself.
+// slack returns how much of a stream's remaining time it does not need for its remaining output.
 func (e *engine) slack(en *entry, service *enginemodel.Service, now time.Time) time.Duration {
-	if en.ask.Deadline == 0 {
+	if en.ask.ResponseTimeout == 0 {
 		return time.Hour
 	}
-	reading := e.readFor - en.readBefore
-	made := service.Made(now.Sub(en.firstAt)-reading, reading, e.EventTokens)
-	rest := max(float64(en.ask.Output)-made, outputSlack*float64(en.ask.Output))
-	return en.ask.Deadline - now.Sub(en.arrived) - time.Duration(rest*float64(service.TokenTime()))
+	prefill := e.prefillTotal - en.prefillTotalAtFirstToken
+	generated := service.Made(now.Sub(en.firstTokenAt)-prefill, prefill, e.TokensPerEvent)
+	rest := max(float64(en.ask.OutputTokens)-generated, minOutputLeftShare*float64(en.ask.OutputTokens))
+	return en.ask.ResponseTimeout - now.Sub(en.arrivedAt) - time.Duration(rest*float64(service.TokenTime()))
 }
 
-// answered and failed count what became of a request.
-func (e *engine) answered(now time.Time) {
-	e.errors.Add(now, false)
-	e.failures = 0
-	e.pause = time.Time{}
+// succeeded records a successful request and ends the backoff.
+func (e *engine) succeeded(now time.Time) {
+	e.failureRate.Add(now, false)
+	e.consecutiveFailures = 0
+	e.backoffUntil = time.Time{}
 }
 
 func (e *engine) failed(now time.Time) {
-	e.errors.Add(now, true)
-	e.pause = now.Add(min(firstPause<<min(e.failures, maxDoublings), longestPause))
-	e.failures++
+	e.failureRate.Add(now, true)
+	e.backoffUntil = now.Add(min(initialBackoff<<min(e.consecutiveFailures, maxBackoffDoublings), maxBackoff))
+	e.consecutiveFailures++
 }
--- a/internal/permit/place.go
+++ b/internal/permit/place.go
@@ -6,118 +6,121 @@
 	"time"
 )
 
-// docs/EXPERIMENTS.md has what other values of some of these gave in simulation.
+// docs/EXPERIMENTS.md has simulation results for other values of some of these constants.
 const (
-	// besidePart is the part of the tightest pause that prompts read one with another may
-	// take: they count as one short reading.
-	besidePart = 0.25
-	// crowdWeight is what a reading counts for each stream that it slows down, against the
-	// wait of the request itself.
-	crowdWeight = 0.05
-	// orderCost is what the whole length of the order of preference counts for short
-	// prompts: they fill engines from its begin, so that some are left to long ones while
-	// there is room.
-	orderCost = 150 * time.Millisecond
-	// packedPart is the part of its slots beyond which an engine is no longer filled with
-	// short prompts, and packedCost what a full one counts.
-	packedPart, packedCost = 0.5, 200 * time.Millisecond
-	// againCost is how many times its reading time a shared part counts where it has to be
-	// read again, and fetchCost where it is fetched: both take more than time of others.
-	againCost, fetchCost = 3.0, 0.35
-	// minFetch is the number of shared tokens from which a fetch is worth its round trip.
-	minFetch = 256
-	// lead is how long before the expected end of a reading the next prompt may be granted:
-	// it needs that long to get there.
-	lead = 8 * time.Millisecond
-	// remoteCost is what an engine in another failure domain than the asker's counts: the
-	// round trip, and the bytes between domains.
-	remoteCost = 4 * time.Millisecond
-	// dueShare is the part of its target that an ask waits for a place where it does no
-	// harm. Then it may harm dueHarm streams that are more urgent than itself, and up to
-	// limitHarm more at its limit: late answers of others before its refusal. With fewer the
-	// longest prompts are served far less often than the others.
-	dueShare  = 0.6
-	dueHarm   = 1
-	limitHarm = 10.0
-	// errorCost is what a share of failed requests of 1 counts.
-	errorCost = 2 * time.Second
-	// plainCost is what a running request counts for another at a plain server.
-	plainCost = 3 * time.Millisecond
-	// limitAskedEvery is how long a server that states a rate is left without a request where others are
-	// better, and limitAskedCost puts it before them then: only its answers tell when the limit ends.
-	limitAskedEvery, limitAskedCost = 2 * time.Second, time.Hour
-	// defaultTightest is the tightest pause that is assumed while none is known.
-	defaultTightest = 400 * time.Millisecond
+	// concurrentPrefillShare is the share of the shortest tolerated gap that prompts prefilled
+	// together may take: they count as one short prefill.
+	concurrentPrefillShare = 0.25
+	// interferenceWeight is the cost of a prefill for each stream that it delays, relative to
+	// the wait of the request itself.
+	interferenceWeight = 0.05
+	// preferenceCost is the cost of the last engine in the order of preference for short
+	// prompts. They fill engines from the start of the order, so that the others remain
+	// available for long prompts while there is capacity.
+	preferenceCost = 150 * time.Millisecond
+	// packedShare is the share of its slots above which an engine is no longer filled with
+	// short prompts, and packedCost scales the cost of the share above it.
+	packedShare, packedCost = 0.5, 200 * time.Millisecond
+	// recomputeFactor is the cost of a shared prefix that has to be prefilled again, in
+	// multiples of its prefill time, and fetchFactor the cost of fetching it. Both also take time
+	// from other requests.
+	recomputeFactor, fetchFactor = 3.0, 0.35
+	// minFetchTokens is the prefix length from which a fetch is worth its round trip.
+	minFetchTokens = 256
+	// grantLead is how long before the expected end of a prefill the next prompt may be
+	// granted; it takes that long to reach the engine.
+	grantLead = 8 * time.Millisecond
+	// crossDomainCost is the cost of an engine outside the requesting gateway's failure
+	// domain: the round trip and the traffic between domains.
+	crossDomainCost = 4 * time.Millisecond
+	// dueShare is the share of its target that a request waits for an engine where it
+	// disrupts no stream. After that it may disrupt baseDisruptions more urgent streams, and up
+	// to maxExtraDisruptions more as it approaches its timeout: late responses of others are
+	// preferred to its refusal. With lower values the longest prompts are served far less often
+	// than the others.
+	dueShare            = 0.6
+	baseDisruptions     = 1
+	maxExtraDisruptions = 10.0
+	// failureCost is the cost of an engine that fails every request.
+	failureCost = 2 * time.Second
+	// plainRequestCost is the cost of each running request on a plain server.
+	plainRequestCost = 3 * time.Millisecond
+	// rateProbeInterval is the longest time for which a rate-limited server gets no request
+	// because others are cheaper; after that rateProbeBonus makes it the cheapest. Only responses
+	// of the server show when its limit ends.
+	rateProbeInterval, rateProbeBonus = 2 * time.Second, time.Hour
+	// defaultShortestGap is the shortest tolerated gap that is assumed while none is known.
+	defaultShortestGap = 400 * time.Millisecond
 )
 
-// site is an engine that can take an ask, with what it would mean there.
-type site struct {
-	engine    *engine
-	fetchFrom string        // the engine from which the shared part is fetched
-	unread    int           // prompt tokens to read
-	after     int           // tokens before these that it keeps
-	reading   time.Duration // of these
-	wait      time.Duration // until it begins
-	cost      time.Duration
+// candidate is an engine that can take a request, with the cost of placing it there.
+type candidate struct {
+	engine        *engine
+	fetchFrom     string        // engine from which to fetch the shared prefix
+	prefillTokens int           // prompt tokens to prefill
+	cachedTokens  int           // tokens before these that are cached
+	prefill       time.Duration // expected duration
+	wait          time.Duration // until the prefill starts
+	cost          time.Duration
 }
 
-// location is where the shared part of a prompt is.
-type location struct {
+// prefixLocation is where the shared prefix of a prompt is cached.
+type prefixLocation struct {
 	holds  func(engine string) bool
 	source string // an engine that holds it; empty for none
-	home   string // where a part of which nothing is known is sought
+	home   string // the engine where a prefix of unknown location is expected
 }
 
-// locate finds the shared part of an ask.
-func (q *Queue) locate(a Ask, now time.Time) location {
-	if a.Part == "" {
-		return location{holds: func(string) bool { return true }}
+// locatePrefix finds the shared prefix of a request.
+func (q *Queue) locatePrefix(a Ask, now time.Time) prefixLocation {
+	if a.PrefixID == "" {
+		return prefixLocation{holds: func(string) bool { return true }}
 	}
-	at := location{holds: func(id string) bool { return q.prefixes.holds(a.Part, id, now) }}
-	at.source = q.prefixes.source(a.Part, func(id string) bool { return q.engines[id] != nil }, now)
+	at := prefixLocation{holds: func(id string) bool { return q.prefixes.holds(a.PrefixID, id, now) }}
+	at.source = q.prefixes.source(a.PrefixID, func(id string) bool { return q.engines[id] != nil }, now)
 	if at.source == "" {
-		at.home = q.home(a.Part)
+		at.home = q.homeEngine(a.PrefixID)
 	}
 	return at
 }
 
-// prompt works out what the engine of a site has to read of a prompt, and returns what it
-// counts beyond that time that the shared part is not there.
-func (q *Queue) prompt(s *site, a Ask, at location, now time.Time) (extra time.Duration) {
-	s.unread = a.Own
+// planPrefill sets the tokens and the time that a candidate needs for the prefill, and returns
+// the extra cost if the shared prefix is not cached there.
+func (q *Queue) planPrefill(s *candidate, a Ask, at prefixLocation, now time.Time) (extra time.Duration) {
+	s.prefillTokens = a.UniqueTokens
 	id := s.engine.ID
 	if !at.holds(id) {
-		again := s.engine.model.ReadTime(a.Own+a.Shared, 0, now) - s.engine.model.ReadTime(a.Own, a.Shared, now)
-		known := at.source != "" && !q.policy.NoFetch
-		worthFetching := a.Shared >= minFetch && !q.policy.NoFetch
+		recompute := s.engine.model.ReadTime(a.UniqueTokens+a.PrefixTokens, 0, now) - s.engine.model.ReadTime(a.UniqueTokens, a.PrefixTokens, now)
+		located := at.source != "" && !q.policy.NoFetch
+		worthFetching := a.PrefixTokens >= minFetchTokens && !q.policy.NoFetch
 		switch {
-		case known && worthFetching:
+		case located && worthFetching:
 			s.fetchFrom = at.source
-			extra = time.Duration(fetchCost * float64(again))
+			extra = time.Duration(fetchFactor * float64(recompute))
 		case id == at.home:
-			s.unread += a.Shared
+			s.prefillTokens += a.PrefixTokens
 		case worthFetching:
-			s.fetchFrom = at.home // it may be there
-			s.unread += a.Shared
-			extra = time.Duration(fetchCost * float64(again))
+			s.fetchFrom = at.home // it may be cached there
+			s.prefillTokens += a.PrefixTokens
+			extra = time.Duration(fetchFactor * float64(recompute))
 		default:
-			s.unread += a.Shared
-			extra = time.Duration(againCost * float64(again))
+			s.prefillTokens += a.PrefixTokens
+			extra = time.Duration(recomputeFactor * float64(recompute))
 		}
 	}
-	s.after = a.Own + a.Shared - s.unread
-	s.reading = s.engine.model.ReadTime(s.unread, s.after, now)
+	s.cachedTokens = a.UniqueTokens + a.PrefixTokens - s.prefillTokens
+	s.prefill = s.engine.model.ReadTime(s.prefillTokens, s.cachedTokens, now)
 	return extra
 }
 
-// place grants the ask at the engine that serves it best among those that can take it.
+// place grants the request on the cheapest engine that can take it, if any.
 func (q *Queue) place(e *entry, now time.Time) bool {
-	due, allowed := q.mayHarm(e, now)
-	for _, s := range q.sites(e.ask, now) {
-		if !q.policy.NoHarm && q.harmed(s, e.ask, due, now) > allowed {
+	due, allowed := q.disruptionAllowance(e, now)
+	for _, s := range q.candidates(e.ask, now) {
+		if !q.policy.IgnoreInterference && q.disruptedStreams(s, e.ask, due, now) > allowed {
 			continue
 		}
-		if !q.limits.Take(s.engine.ID, now) {
+		if !q.limiter.Take(s.engine.ID, now) {
 			continue
 		}
 		q.grant(e, s, now)
@@ -126,126 +129,126 @@
 	return false
 }
 
-func (q *Queue) grant(e *entry, s site, now time.Time) {
-	e.granted, e.engine, e.unread, e.after, e.reading, e.fetch = now, s.engine, s.unread, s.after, s.reading, s.fetchFrom
-	e.lost = now.Add(lostFactor*(s.wait+s.reading) + lostMargin)
-	s.engine.granted = now
+func (q *Queue) grant(e *entry, s candidate, now time.Time) {
+	e.grantedAt, e.engine, e.prefillTokens, e.cachedTokens, e.expectedPrefill, e.fetchFrom = now, s.engine, s.prefillTokens, s.cachedTokens, s.prefill, s.fetchFrom
+	e.prefillDeadline = now.Add(prefillTimeoutFactor*(s.wait+s.prefill) + prefillTimeoutMargin)
+	s.engine.lastGrant = now
 	if e.ask.Plain {
-		s.engine.run(e, now)
+		s.engine.startPlain(e, now)
 	} else {
-		s.engine.begin(e, q.event(s.engine), now)
+		s.engine.startPrefill(e, q.eventInterval(s.engine), now)
 	}
 	q.granted[e.ask.ID] = e
 }
 
-// sites returns the engines that can take the ask now, the best first.
-func (q *Queue) sites(a Ask, now time.Time) []site {
-	at := q.locate(a, now)
-	beside := time.Duration(besidePart * float64(q.tightest(now)))
-	out := q.scratch[:0]
+// candidates returns the engines that can take the request now, the cheapest first.
+func (q *Queue) candidates(a Ask, now time.Time) []candidate {
+	at := q.locatePrefix(a, now)
+	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestGap(now)))
+	out := q.candidateBuf[:0]
 	for _, en := range q.ordered {
-		if !en.usable(now) || !en.hasRoom(a) || slices.Contains(a.Avoid, en.ID) {
+		if !en.usable(now) || !en.hasCapacity(a) || slices.Contains(a.ExcludedEngines, en.ID) {
 			continue
 		}
-		budget := q.limits.Budget(en.ID, now)
+		budget := q.limiter.Budget(en.ID, now)
 		if budget.Wait > 0 {
 			continue
 		}
-		s := site{engine: en, wait: en.wait(now)}
-		if budget.Limited && now.Sub(en.granted) > limitAskedEvery {
-			s.cost -= limitAskedCost
+		s := candidate{engine: en, wait: en.prefillWait(now)}
+		if budget.Limited && now.Sub(en.lastGrant) > rateProbeInterval {
+			s.cost -= rateProbeBonus
 		}
 		if a.Plain {
-			s.cost += plainCost * time.Duration(len(en.runs))
+			s.cost += plainRequestCost * time.Duration(len(en.requests))
 		} else {
-			s.cost += q.prompt(&s, a, at, now)
+			s.cost += q.planPrefill(&s, a, at, now)
 		}
-		if en.pending > 0 && s.wait > lead && s.wait+s.reading > beside && !q.policy.Together {
+		if en.pendingPrefills > 0 && s.wait > grantLead && s.wait+s.prefill > concurrentLimit && !q.policy.ConcurrentPrefills {
 			continue
 		}
 		if a.FailureDomain != "" && a.FailureDomain != en.FailureDomain {
-			s.cost += remoteCost
+			s.cost += crossDomainCost
 		}
-		s.cost += s.wait + s.reading + time.Duration(en.errors.Share(now)*float64(errorCost))
+		s.cost += s.wait + s.prefill + time.Duration(en.failureRate.Share(now)*float64(failureCost))
 		if !a.Plain {
-			s.cost += q.crowding(s, beside)
+			s.cost += q.interferenceCost(s, concurrentLimit)
 		}
 		out = append(out, s)
 	}
-	slices.SortFunc(out, func(a, b site) int { return cmp.Compare(a.cost, b.cost) })
-	q.scratch = out
+	slices.SortFunc(out, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
+	q.candidateBuf = out
 	return out
 }
 
-// crowding is what the engine's other requests count for and against a site. Weight is 0
-// for the shortest prompts and 1 for those whose reading others notice.
-func (q *Queue) crowding(s site, beside time.Duration) time.Duration {
-	weight := min(float64(s.reading)/float64(beside), 1)
-	streams := float64(len(s.engine.runs) - s.engine.pending)
-	out := weight * crowdWeight * streams * float64(s.reading)
-	if !q.policy.NoOrder {
-		out += float64(orderCost) * (1 - weight) * s.engine.position
+// interferenceCost returns the cost of sharing the engine with its other requests. weight is 0
+// for the shortest prompts and 1 for those whose prefill delays streams noticeably.
+func (q *Queue) interferenceCost(s candidate, concurrentLimit time.Duration) time.Duration {
+	weight := min(float64(s.prefill)/float64(concurrentLimit), 1)
+	streams := float64(len(s.engine.requests) - s.engine.pendingPrefills)
+	out := weight * interferenceWeight * streams * float64(s.prefill)
+	if !q.policy.NoEnginePreference {
+		out += float64(preferenceCost) * (1 - weight) * s.engine.position
 	}
 	if slots := s.engine.Slots; slots > 0 {
-		full := float64(len(s.engine.runs)) / float64(slots)
-		out += float64(packedCost) * max(full-packedPart, 0)
+		full := float64(len(s.engine.requests)) / float64(slots)
+		out += float64(packedCost) * max(full-packedShare, 0)
 	}
 	return time.Duration(out)
 }
 
-// mayHarm reports whether the ask has waited long enough for a place where it does no harm,
-// and how many streams that are more urgent than itself it may harm then: more the nearer
-// it is to being refused.
-func (q *Queue) mayHarm(e *entry, now time.Time) (due bool, allowed int) {
-	waited, bound := float64(now.Sub(e.arrived)), e.ask.Limit
-	if e.ask.Target > 0 {
-		bound = min(bound, e.ask.Target)
+// disruptionAllowance reports whether the request has waited long enough for an engine where it
+// disrupts no stream, and how many more urgent streams it may then disrupt. The number grows
+// as the request approaches its timeout.
+func (q *Queue) disruptionAllowance(e *entry, now time.Time) (due bool, allowed int) {
+	waited, bound := float64(now.Sub(e.arrivedAt)), e.ask.FirstTokenTimeout
+	if e.ask.FirstTokenTarget > 0 {
+		bound = min(bound, e.ask.FirstTokenTarget)
 	}
 	if waited < dueShare*float64(bound) {
 		return false, 0
 	}
-	return true, dueHarm + int(limitHarm*min(waited/float64(max(e.ask.Limit, 1)), 1))
+	return true, baseDisruptions + int(maxExtraDisruptions*min(waited/float64(max(e.ask.FirstTokenTimeout, 1)), 1))
 }
 
-// harmed counts the streams of an engine that would pause for too long, or not end in
-// time, if it read the prompt now. Once the ask is due, only those that are more urgent
+// disruptedStreams counts the streams of an engine that would exceed their event gap or response
+// timeout if the engine ran the prefill now. Once the request is due, only more urgent streams
 // count.
-func (q *Queue) harmed(s site, a Ask, due bool, now time.Time) int {
-	reading := s.engine.readJust(q.event(s.engine), now) + s.reading
-	pause := q.model.Pause(reading, s.engine.EventTokens)
+func (q *Queue) disruptedStreams(s candidate, a Ask, due bool, now time.Time) int {
+	burst := s.engine.currentBurst(q.eventInterval(s.engine), now) + s.prefill
+	gap := q.model.Pause(burst, s.engine.TokensPerEvent)
 	n := 0
-	for _, run := range s.engine.runs {
-		if !run.read || due && run.ask.Rank >= a.Rank {
+	for _, other := range s.engine.requests {
+		if !other.prefillDone || due && other.ask.Priority >= a.Priority {
 			continue
 		}
-		tooLong := run.ask.Gap > 0 && pause > run.ask.Gap
-		slack := s.engine.slack(run, q.model, now)
-		if tooLong || slack > 0 && slack < s.reading && !q.policy.NoPacing {
+		tooLong := other.ask.MaxEventGap > 0 && gap > other.ask.MaxEventGap
+		slack := s.engine.slack(other, q.model, now)
+		if tooLong || slack > 0 && slack < s.prefill && !q.policy.IgnoreResponseTimeouts {
 			n++
 		}
 	}
 	return n
 }
 
-// event is the time in which the streams of an engine give an event each while it reads
-// nothing.
-func (q *Queue) event(e *engine) time.Duration {
-	return time.Duration(max(e.EventTokens, 1)) * q.model.TokenTime()
+// eventInterval returns the time in which each stream of the engine yields an event while no
+// prefill is running.
+func (q *Queue) eventInterval(e *engine) time.Duration {
+	return time.Duration(max(e.TokensPerEvent, 1)) * q.model.TokenTime()
 }
 
-const tightestFor = 10 * time.Second
+const shortestGapTTL = 10 * time.Second
 
-// tightest returns the shortest pause that any request of late bears.
-func (q *Queue) tightest(now time.Time) time.Duration {
-	if q.tight == 0 || now.Sub(q.tightAt) > tightestFor {
-		return defaultTightest
+// shortestGap returns the shortest event gap that recent requests tolerate.
+func (q *Queue) shortestGap(now time.Time) time.Duration {
+	if q.minGap == 0 || now.Sub(q.minGapAt) > shortestGapTTL {
+		return defaultShortestGap
 	}
-	return q.tight
+	return q.minGap
 }
 
-// noteGap keeps the shortest pause that is asked for.
-func (q *Queue) noteGap(gap time.Duration, now time.Time) {
-	if gap > 0 && (q.tight == 0 || gap <= q.tight || now.Sub(q.tightAt) > tightestFor) {
-		q.tight, q.tightAt = gap, now
+// recordGap updates the shortest tolerated event gap.
+func (q *Queue) recordGap(gap time.Duration, now time.Time) {
+	if gap > 0 && (q.minGap == 0 || gap <= q.minGap || now.Sub(q.minGapAt) > shortestGapTTL) {
+		q.minGap, q.minGapAt = gap, now
 	}
 }
--- a/internal/permit/policy.go
+++ b/internal/permit/policy.go
@@ -1,22 +1,22 @@
 package permit
 
-// Policy switches parts of the decisions off, to find out what each is worth. The zero
-// value is the product's policy.
+// Policy disables parts of the scheduling, to measure the effect of each. The zero value is the
+// production policy.
 type Policy struct {
-	// NoHarm: prompts are placed whatever they do to the streams beside them.
-	NoHarm bool
-	// NoPacing: the time that streams need to end is left out of that.
-	NoPacing bool
-	// NoOrder: no engine is preferred for short or for long prompts.
-	NoOrder bool
-	// Together: engines are given further prompts while they read.
-	Together bool
-	// NoLearning: the start values stand for all engines.
+	// IgnoreInterference places prompts regardless of the streams that they disrupt.
+	IgnoreInterference bool
+	// IgnoreResponseTimeouts checks only the event gaps of streams, not their response timeouts.
+	IgnoreResponseTimeouts bool
+	// NoEnginePreference disables the order of preference that separates short from long prompts.
+	NoEnginePreference bool
+	// ConcurrentPrefills grants further prompts to engines that are running a prefill.
+	ConcurrentPrefills bool
+	// NoLearning keeps the initial estimates for all engines.
 	NoLearning bool
-	// NoFetch: shared parts are read where they lack.
+	// NoFetch prefills shared prefixes where they are missing instead of fetching them.
 	NoFetch bool
-	// ByArrival: what can still be on time does not go before what can't.
-	ByArrival bool
-	// Patient: nothing is refused before its limit.
-	Patient bool
+	// IgnoreLateness does not order requests that can still be on time before late ones.
+	IgnoreLateness bool
+	// NoEarlyRefusal refuses requests only after their timeout.
+	NoEarlyRefusal bool
 }
--- a/internal/permit/prefixes.go
+++ b/internal/permit/prefixes.go
@@ -5,49 +5,49 @@
 )
 
 const (
-	// holdFor is how long an engine is taken to keep a part that it has read or used.
-	// A part that is gone costs a fetch in vain, or its reading. It is not learnt from first
-	// events that come late: under load they do so for other reasons.
-	holdFor = 20 * time.Second
-	// pruneEvery is the pause between two looks for parts that nobody holds any more.
-	pruneEvery = 5 * time.Second
+	// prefixTTL is how long an engine is assumed to cache a prefix after using it. If the prefix
+	// is already gone, the cost is a failed fetch or a prefill. A late first event is not taken
+	// as a sign of that: under load first events are late for other reasons.
+	prefixTTL = 20 * time.Second
+	// pruneInterval is the time between two sweeps for expired prefixes.
+	pruneInterval = 5 * time.Second
 )
 
-// prefixes knows which engines of the group hold which shared parts, from what was
-// read under permits. Cache events, which come late and with gaps, are not needed.
-type prefixes struct {
-	held   map[string]map[string]time.Time // last use by part and engine
-	pruned time.Time
+// prefixIndex tracks which engines of the group cache which shared prefixes, based on granted
+// requests. It does not need cache events, which are late and incomplete.
+type prefixIndex struct {
+	lastUse  map[string]map[string]time.Time // by prefix and engine
+	prunedAt time.Time
 }
 
-func newPrefixes() prefixes { return prefixes{held: map[string]map[string]time.Time{}} }
+func newPrefixIndex() prefixIndex { return prefixIndex{lastUse: map[string]map[string]time.Time{}} }
 
-// use records that an engine has read a part or used it.
-func (p *prefixes) use(part, engine string, now time.Time) {
-	if part == "" {
+// recordUse records that an engine has prefilled or used a prefix.
+func (p *prefixIndex) recordUse(prefix, engine string, now time.Time) {
+	if prefix == "" {
 		return
 	}
-	if p.held[part] == nil {
-		p.held[part] = map[string]time.Time{}
+	if p.lastUse[prefix] == nil {
+		p.lastUse[prefix] = map[string]time.Time{}
 	}
-	p.held[part][engine] = now
+	p.lastUse[prefix][engine] = now
 }
 
-// holds reports whether an engine is taken to hold a part.
-func (p *prefixes) holds(part, engine string, now time.Time) bool {
-	at, ok := p.held[part][engine]
-	return ok && now.Sub(at) <= holdFor
+// holds reports whether an engine is assumed to cache a prefix.
+func (p *prefixIndex) holds(prefix, engine string, now time.Time) bool {
+	at, ok := p.lastUse[prefix][engine]
+	return ok && now.Sub(at) <= prefixTTL
 }
 
-// source returns the engine that used a part last among those that may give it;
+// source returns the engine that used a prefix most recently among those that mayGive accepts;
 // empty for none.
-func (p *prefixes) source(part string, mayGive func(engine string) bool, now time.Time) string {
+func (p *prefixIndex) source(prefix string, mayGive func(engine string) bool, now time.Time) string {
 	var (
 		best string
 		last time.Time
 	)
-	for engine, at := range p.held[part] {
-		if now.Sub(at) > holdFor || !mayGive(engine) {
+	for engine, at := range p.lastUse[prefix] {
+		if now.Sub(at) > prefixTTL || !mayGive(engine) {
 			continue
 		}
 		if best == "" || at.After(last) || (at.Equal(last) && engine < best) {
@@ -57,20 +57,20 @@
 	return best
 }
 
-// prune forgets what is held no more.
-func (p *prefixes) prune(now time.Time) {
-	if now.Sub(p.pruned) < pruneEvery {
+// prune deletes expired entries.
+func (p *prefixIndex) prune(now time.Time) {
+	if now.Sub(p.prunedAt) < pruneInterval {
 		return
 	}
-	p.pruned = now
-	for part, engines := range p.held {
+	p.prunedAt = now
+	for prefix, engines := range p.lastUse {
 		for engine, at := range engines {
-			if now.Sub(at) > holdFor {
+			if now.Sub(at) > prefixTTL {
 				delete(engines, engine)
 			}
 		}
 		if len(engines) == 0 {
-			delete(p.held, part)
+			delete(p.lastUse, prefix)
 		}
 	}
 }
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -1,16 +1,16 @@
-// Package permit decides when a request may be sent to a model engine, and to which. One
-// gateway decides for a group of engines; it only gives leave, and the asker sends the
-// request to the engine itself, so that no answer depends on the one who decides. There is
-// no clock and no network here.
+// Package permit schedules requests to model engines: it decides when a request may be sent,
+// and to which engine. One gateway schedules a group of engines. It only grants permits; the
+// requesting gateway sends the request to the engine itself, so that responses in progress do not
+// depend on the scheduling gateway. The package uses no clock and no network.
 //
-// It answers a load in which prompts of very different lengths share engines that read
-// them between the words of everybody else's answers, and in which more prompts come than
-// are read. Left alone the engines take them all in: a long prompt holds up the first words
-// and the next words of all beside it, memory fills, and every answer comes late. One queue
-// for a group of engines leaves none of them idle while prompts wait for another, knows
-// what each is reading and what runs beside it, and where a shared part can be had. What
-// a prompt does to others is worked out from figures that are learnt (enginemodel), so
-// that no kind of request has to be told from another beforehand.
+// It is designed for prompts of widely differing lengths on shared engines that interleave
+// prefills with the generation of other responses, and for more prompts than the engines can
+// process. Without scheduling engines accept all prompts: a long prompt delays the first and following tokens
+// of all other requests on the engine, memory fills up, and every response is late. A single
+// queue for a group of engines keeps none idle while prompts wait for another, tracks the
+// prefills and streams of each engine, and knows where a shared prefix is cached. The effect of a
+// prompt on other requests is computed from learned estimates (package enginemodel), so that
+// kinds of requests do not have to be declared in advance.
 package permit
 
 import (
@@ -24,74 +24,74 @@
 )
 
 const (
-	// shortestReturn and longestReturn bound what a refused caller is told.
-	shortestReturn, longestReturn = 500 * time.Millisecond, 5 * time.Second
-	// lostFactor and lostMargin are how long a granted request may give no word before its
-	// prompt counts as read: its gateway is gone, the notice was lost, or the engine is
-	// silent and gets nothing for a while.
-	lostFactor, lostMargin = 3, 150 * time.Millisecond
-	// silentAfter is how long an ask waits without being repeated: its gateway is gone.
-	silentAfter = 3500 * time.Millisecond
-	// lookEvery is the pause between two looks through all that waits and is granted, for
-	// what is lost or can't be served in time any more.
-	lookEvery = 50 * time.Millisecond
-	// forgetGranted is above the longest time that a request runs; what is granted
-	// longer has ended without word.
-	forgetGranted = 2 * time.Minute
-	// forgetAfterDeadline is the same for what has a deadline, for the way of the word.
-	forgetAfterDeadline = 2 * time.Second
-	// lookAhead bounds how many waiting asks are tried when those before them can't be
-	// placed, as a very long prompt can't among streams that bear no such pause.
-	lookAhead = 16
+	// minRetryAfter and maxRetryAfter bound the retry time given to refused callers.
+	minRetryAfter, maxRetryAfter = 500 * time.Millisecond, 5 * time.Second
+	// A granted request without a report is treated as prefilled after prefillTimeoutFactor
+	// times its expected time plus prefillTimeoutMargin: its gateway is gone, the report was
+	// lost, or the engine is not responding and gets nothing for a while.
+	prefillTimeoutFactor, prefillTimeoutMargin = 3, 150 * time.Millisecond
+	// repeatTimeout is how long a request waits without being repeated; its gateway is then gone.
+	repeatTimeout = 3500 * time.Millisecond
+	// sweepInterval is the time between two sweeps of all waiting and granted requests for
+	// those that are lost or can't be served in time.
+	sweepInterval = 50 * time.Millisecond
+	// grantTTL exceeds the longest duration of a request. The end of a request that was granted
+	// longer ago was not reported.
+	grantTTL = 2 * time.Minute
+	// responseTimeoutGrace is the time after a request's timeout for the report of its end to arrive.
+	responseTimeoutGrace = 2 * time.Second
+	// maxPlacementAttempts bounds how many waiting requests are tried when earlier ones can't
+	// be placed, such as a very long prompt among streams that tolerate no such gap.
+	maxPlacementAttempts = 16
 )
 
-// entry is an ask that is waiting or granted.
+// entry is a waiting or granted request.
 type entry struct {
-	ask     Ask
-	arrived time.Time
-	heard   time.Time // when it was asked last
-	number  uint64    // in the order of arrival
-	lost    time.Time // when its prompt counts as read without a word
-	granted time.Time
-	engine  *engine // of a granted ask
-	fetch   string  // engine from which it is to fetch the shared part
-	unread  int     // tokens that the engine was expected to read
-	after   int     // tokens before these that it kept
-	reading time.Duration
-	alone   bool // nothing else was being read when it was granted
-	read    bool
-	firstAt time.Time
-	// readBefore is how long its engine had read in all at its first token.
-	readBefore time.Duration
+	ask             Ask
+	arrivedAt       time.Time
+	lastHeardAt     time.Time // time of the last repeat
+	sequence        uint64    // in the order of arrival
+	prefillDeadline time.Time // when the prefill is assumed complete without a report
+	grantedAt       time.Time
+	engine          *engine // of a granted request
+	fetchFrom       string  // engine from which to fetch the shared prefix
+	prefillTokens   int     // tokens that the engine was expected to prefill
+	cachedTokens    int     // tokens before these that were cached
+	expectedPrefill time.Duration
+	exclusive       bool // no other prefill was running when it was granted
+	prefillDone     bool
+	firstTokenAt    time.Time
+	// prefillTotalAtFirstToken is its engine's prefillTotal at its first token.
+	prefillTotalAtFirstToken time.Duration
 }
 
-// Queue decides for one group of engines. It is not safe for concurrent use.
+// Queue schedules requests for one group of engines. It is not safe for concurrent use.
 type Queue struct {
-	policy   Policy
-	model    *enginemodel.Service
-	limits   *ratelimit.Limiter
-	engines  map[string]*engine
-	ordered  []*engine // in order of ID
-	prefixes prefixes
-	waiting  []*entry
-	asked    map[string]*entry // waiting, by ID
-	granted  map[string]*entry
-	numbers  uint64        // of asks so far
-	read     int           // prompts that engines have read so far
-	tight    time.Duration // the shortest pause that a request bears, as asked at tightAt
-	tightAt  time.Time
-	load     loads
-	looked   time.Time // when all that waits or is granted was looked through
-	scratch  []site
-	servers  capacity // scratch
+	policy       Policy
+	model        *enginemodel.Service
+	limiter      *ratelimit.Limiter
+	engines      map[string]*engine
+	ordered      []*engine // by ID
+	prefixes     prefixIndex
+	waiting      []*entry
+	waitingByID  map[string]*entry
+	granted      map[string]*entry
+	lastSequence uint64        // of the last request
+	prefillsDone int           // prefills completed so far
+	minGap       time.Duration // the shortest event gap that a request tolerates, recorded at minGapAt
+	minGapAt     time.Time
+	load         loads
+	lastSweep    time.Time // when waiting and granted requests were last swept
+	candidateBuf []candidate
+	capacityBuf  capacity // reused buffer
 }
 
 // NewQueue returns an empty queue without engines.
-func NewQueue(model *enginemodel.Service, limits *ratelimit.Limiter, policy Policy) *Queue {
-	return &Queue{policy: policy, model: model, limits: limits, engines: map[string]*engine{}, prefixes: newPrefixes(), asked: map[string]*entry{}, granted: map[string]*entry{}}
+func NewQueue(model *enginemodel.Service, limiter *ratelimit.Limiter, policy Policy) *Queue {
+	return &Queue{policy: policy, model: model, limiter: limiter, engines: map[string]*engine{}, prefixes: newPrefixIndex(), waitingByID: map[string]*entry{}, granted: map[string]*entry{}}
 }
 
-// SetEngines tells which engines the group has now.
+// SetEngines updates the engines of the group.
 func (q *Queue) SetEngines(list []Engine) {
 	changed := len(list) != len(q.ordered)
 	listed := make(map[string]bool, len(list))
@@ -111,7 +111,7 @@
 	}
 	q.ordered = slices.DeleteFunc(q.ordered, func(e *engine) bool {
 		if !listed[e.ID] {
-			e.Open = false
+			e.Accepting = false
 			delete(q.engines, e.ID)
 		}
 		return !listed[e.ID]
@@ -120,8 +120,8 @@
 	q.setPositions()
 }
 
-// setPositions ranks the engines for short prompts, the same whoever decides, with the
-// failure domains in turn.
+// setPositions sets the order of preference for short prompts. The order alternates between
+// failure domains and is the same on every gateway.
 func (q *Queue) setPositions() {
 	ids := make([]string, len(q.ordered))
 	for i, e := range q.ordered {
@@ -133,186 +133,187 @@
 	}
 }
 
-// Ask takes in an ask; asking again with the same ID repeats the answer.
-func (q *Queue) Ask(a Ask, now time.Time) Answer {
+// Submit schedules a request. Submitting a waiting or granted request again repeats the decision.
+func (q *Queue) Submit(a Ask, now time.Time) Decision {
 	if e := q.granted[a.ID]; e != nil {
-		return q.grantAnswer(e, now)
+		return q.grantDecision(e, now)
 	}
-	if e := q.asked[a.ID]; e != nil {
-		e.heard = now
-		return Answer{ID: a.ID, Verdict: Queued}
+	if e := q.waitingByID[a.ID]; e != nil {
+		e.lastHeardAt = now
+		return Decision{ID: a.ID, Verdict: Queued}
 	}
-	q.numbers++
-	e := &entry{ask: a, arrived: now, heard: now, number: q.numbers}
+	q.lastSequence++
+	e := &entry{ask: a, arrivedAt: now, lastHeardAt: now, sequence: q.lastSequence}
 	if len(q.ordered) == 0 {
-		// This gateway has not read the list of engines yet, or reads an older one. The
-		// asker has one to go by.
-		return Answer{ID: a.ID, Verdict: Granted}
+		// This gateway has not read the list of engines yet, or has an older one. The requesting
+		// gateway chooses from its own list.
+		return Decision{ID: a.ID, Verdict: Granted}
 	}
-	q.noteGap(a.Gap, now)
-	q.load.add(a.Rank, q.work(a), now)
-	if !q.anyUsable(a, now) {
-		return q.answer(a.ID, NoEngine, shortestReturn, now)
+	q.recordGap(a.MaxEventGap, now)
+	q.load.add(a.Priority, q.work(a), now)
+	if !q.anyEligible(a, now) {
+		return q.newDecision(a.ID, NoEngine, minRetryAfter, now)
 	}
 	first := !slices.ContainsFunc(q.waiting, func(other *entry) bool { return q.precedes(other, e, now) })
 	if first && q.place(e, now) {
-		return q.grantAnswer(e, now)
+		return q.grantDecision(e, now)
 	}
-	wait, engines := q.wait(e, now)
-	if q.hopeless(e, wait, engines, now) {
-		return q.answer(a.ID, Refused, q.comeBack(wait, a, engines, now), now)
+	wait, engines := q.expectedWait(e, now)
+	if q.unservable(e, wait, engines, now) {
+		return q.newDecision(a.ID, Refused, q.retryAfter(wait, a, engines, now), now)
 	}
 	q.waiting = append(q.waiting, e)
-	q.asked[a.ID] = e
-	return q.answer(a.ID, Queued, wait, now)
+	q.waitingByID[a.ID] = e
+	return q.newDecision(a.ID, Queued, wait, now)
 }
 
-// FirstToken tells that the engine has read the request's prompt, in the time that its
-// gateway saw.
-func (q *Queue) FirstToken(id string, took time.Duration, now time.Time) {
+// RecordFirstToken records that the engine has completed the request's prefill, and how long it
+// took as measured by the requesting gateway.
+func (q *Queue) RecordFirstToken(id string, took time.Duration, now time.Time) {
 	e := q.granted[id]
-	if e == nil || e.read {
+	if e == nil || e.prefillDone {
 		return
 	}
-	if e.alone && !q.policy.NoLearning {
-		e.engine.model.Observe(e.unread, e.after, took, now)
+	if e.exclusive && !q.policy.NoLearning {
+		e.engine.model.Observe(e.prefillTokens, e.cachedTokens, took, now)
 	}
-	q.read++
-	e.engine.answered(now)
-	q.prefixes.use(e.ask.Part, e.engine.ID, now)
-	e.engine.settle(e, now)
+	q.prefillsDone++
+	e.engine.succeeded(now)
+	q.prefixes.recordUse(e.ask.PrefixID, e.engine.ID, now)
+	e.engine.finishPrefill(e, now)
 }
 
-// End tells that the request has ended or is no longer wanted, and what its gateway saw.
-func (q *Queue) End(id string, s Stream, now time.Time) {
+// Finish records that the request has ended or was cancelled, and what its gateway observed.
+func (q *Queue) Finish(id string, s StreamStats, now time.Time) {
 	if e := q.granted[id]; e != nil {
-		if e.read && !q.policy.NoLearning {
-			e.engine.learn(q.model, e, s)
+		if e.prefillDone && !q.policy.NoLearning {
+			e.engine.observeStream(q.model, e, s)
 		}
-		e.engine.end(e, now)
+		e.engine.remove(e, now)
 		switch {
-		case e.ask.Plain: // servers that can't be reached are named by who asks
-			e.engine.errors.Add(now, s.Failed)
-		case s.Failed:
+		case e.ask.Plain: // the requesting gateway lists unreachable servers itself
+			e.engine.failureRate.Add(now, s.EngineFailed)
+		case s.EngineFailed:
 			e.engine.failed(now)
 		}
 		delete(q.granted, id)
 	}
-	if e := q.asked[id]; e != nil {
-		q.leave(slices.Index(q.waiting, e))
+	if e := q.waitingByID[id]; e != nil {
+		q.removeWaiting(slices.Index(q.waiting, e))
 	}
 }
 
-// leave takes an ask out of the waiting ones.
-func (q *Queue) leave(i int) {
-	delete(q.asked, q.waiting[i].ask.ID)
+// removeWaiting removes the waiting request with the given index.
+func (q *Queue) removeWaiting(i int) {
+	delete(q.waitingByID, q.waiting[i].ask.ID)
 	q.waiting = slices.Delete(q.waiting, i, i+1)
 }
 
-// Next returns what has become due: grants, and refusals of asks that can't be
-// served in time any more.
-func (q *Queue) Next(now time.Time) []Answer {
-	lookThrough := now.Sub(q.looked) >= lookEvery
-	if lookThrough {
-		q.looked = now
-		q.forget(now)
+// Poll returns the decisions that have become due: grants, and refusals of requests that can no
+// longer be served in time.
+func (q *Queue) Poll(now time.Time) []Decision {
+	sweep := now.Sub(q.lastSweep) >= sweepInterval
+	if sweep {
+		q.lastSweep = now
+		q.expire(now)
 		q.prefixes.prune(now)
 	}
-	room := q.anyRoom(now)
-	if len(q.waiting) == 0 || !lookThrough && !room {
+	hasCapacity := q.anyCapacity(now)
+	if len(q.waiting) == 0 || !sweep && !hasCapacity {
 		return nil
 	}
-	slices.SortFunc(q.waiting, func(a, b *entry) int { return q.order(a, b, now) })
-	var out []Answer
-	if lookThrough {
-		out = q.refuseHopeless(now)
+	slices.SortFunc(q.waiting, func(a, b *entry) int { return q.compare(a, b, now) })
+	var out []Decision
+	if sweep {
+		out = q.refuseUnservable(now)
 	}
-	if !room {
+	if !hasCapacity {
 		return out
 	}
 	tried := 0
-	for i := 0; i < len(q.waiting) && tried < lookAhead && q.anyRoom(now); {
+	for i := 0; i < len(q.waiting) && tried < maxPlacementAttempts && q.anyCapacity(now); {
 		e := q.waiting[i]
 		if !q.place(e, now) {
 			i++
 			tried++
 			continue
 		}
-		q.leave(i)
-		out = append(out, q.grantAnswer(e, now))
+		q.removeWaiting(i)
+		out = append(out, q.grantDecision(e, now))
 	}
 	return out
 }
 
-// Idle reports whether nothing is waiting or granted.
+// Idle reports whether the queue has no waiting or granted requests.
 func (q *Queue) Idle() bool { return len(q.waiting) == 0 && len(q.granted) == 0 }
 
-// forget settles granted requests of which nothing is heard, and drops asks that are not
-// repeated.
-func (q *Queue) forget(now time.Time) {
+// expire handles granted requests whose reports are missing, and drops waiting requests that are
+// no longer repeated.
+func (q *Queue) expire(now time.Time) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
-		silent := now.Sub(e.heard) > silentAfter
+		silent := now.Sub(e.lastHeardAt) > repeatTimeout
 		if silent {
-			delete(q.asked, e.ask.ID)
+			delete(q.waitingByID, e.ask.ID)
 		}
 		return silent
 	})
 	for id, e := range q.granted {
-		if !e.read && now.After(e.lost) {
-			e.engine.settle(e, now)
+		if !e.prefillDone && now.After(e.prefillDeadline) {
+			e.engine.finishPrefill(e, now)
 			e.engine.failed(now)
 		}
-		if now.Sub(e.granted) > forgetGranted || e.ask.Deadline > 0 && now.Sub(e.arrived) > e.ask.Deadline+forgetAfterDeadline {
-			e.engine.end(e, now)
+		if now.Sub(e.grantedAt) > grantTTL || e.ask.ResponseTimeout > 0 && now.Sub(e.arrivedAt) > e.ask.ResponseTimeout+responseTimeoutGrace {
+			e.engine.remove(e, now)
 			delete(q.granted, id)
 		}
 	}
 }
 
-// home returns the engine that reads a part of which nothing is known, the same
-// whoever decides: after a change of who does, the part is likely there.
-func (q *Queue) home(part string) string {
-	if part == "" {
+// homeEngine returns the engine for a prefix of unknown location. It is the same on every gateway,
+// so that the prefix is likely to be cached there after another gateway takes over the scheduling.
+func (q *Queue) homeEngine(prefixID string) string {
+	if prefixID == "" {
 		return ""
 	}
 	ids := make([]string, 0, len(q.ordered))
 	for _, en := range q.ordered {
 		ids = append(ids, en.ID)
 	}
-	return rendezvous.First(part, ids)
+	return rendezvous.First(prefixID, ids)
 }
 
-// anyRoom reports whether an engine that reads nothing can take a prompt, or one that
-// reads could take a short one.
-func (q *Queue) anyRoom(now time.Time) bool {
-	beside := time.Duration(besidePart * float64(q.tightest(now)))
-	return slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.usable(now) && e.wait(now) < beside && !q.exhausted(e, now) })
+// anyCapacity reports whether an idle engine can take a prompt, or one that is running a prefill
+// could take a short one.
+func (q *Queue) anyCapacity(now time.Time) bool {
+	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestGap(now)))
+	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
+		return e.usable(now) && e.prefillWait(now) < concurrentLimit && !q.rateExhausted(e, now)
+	})
 }
 
-// anyUsable reports whether an engine may get the ask, now or once its pause is
-// over.
-func (q *Queue) anyUsable(a Ask, now time.Time) bool {
+// anyEligible reports whether any engine may take the request, now or after its backoff.
+func (q *Queue) anyEligible(a Ask, now time.Time) bool {
 	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
-		return e.Open && e.pause.Sub(now) <= a.Limit && !slices.Contains(a.Avoid, e.ID)
+		return e.Accepting && e.backoffUntil.Sub(now) <= a.FirstTokenTimeout && !slices.Contains(a.ExcludedEngines, e.ID)
 	})
 }
 
-func (q *Queue) grantAnswer(e *entry, now time.Time) Answer {
-	a := q.answer(e.ask.ID, Granted, 0, now)
-	a.Engine, a.FetchFrom, a.Read = e.engine.ID, e.fetch, e.reading
+func (q *Queue) grantDecision(e *entry, now time.Time) Decision {
+	a := q.newDecision(e.ask.ID, Granted, 0, now)
+	a.Engine, a.FetchFrom, a.ExpectedPrefill = e.engine.ID, e.fetchFrom, e.expectedPrefill
 	return a
 }
 
-func (q *Queue) answer(id string, v Verdict, wait time.Duration, now time.Time) Answer {
-	backlog, limited, all := 0, 0, q.allLimited(now)
+func (q *Queue) newDecision(id string, verdict Verdict, wait time.Duration, now time.Time) Decision {
+	backlog, limited, all := 0, 0, q.allRateLimited(now)
 	for _, en := range q.ordered {
-		backlog += en.unread
-		if b := q.limits.Budget(en.ID, now); b.Wait > 0 || all && b.Limited {
+		backlog += en.pendingTokens
+		if b := q.limiter.Budget(en.ID, now); b.Wait > 0 || all && b.Limited {
 			limited++
 		}
 	}
 	for _, e := range q.waiting {
-		backlog += e.ask.Own
+		backlog += e.ask.UniqueTokens
 	}
-	return Answer{ID: id, Verdict: v, Wait: wait, Backlog: backlog, Limited: limited}
+	return Decision{ID: id, Verdict: verdict, Wait: wait, BacklogTokens: backlog, RateLimitedEngines: limited}
 }
--- a/internal/permit/queue_test.go
+++ b/internal/permit/queue_test.go
@@ -13,45 +13,45 @@
 	"github.com/merlinpost/merlinpost/internal/ratelimit"
 )
 
-func long(id string, own int) Ask {
-	return Ask{ID: id, Rank: 6, Own: own, Target: 2500 * time.Millisecond, Limit: 10 * time.Second}
+func reportRequest(id string, own int) Ask {
+	return Ask{ID: id, Priority: 6, UniqueTokens: own, FirstTokenTarget: 2500 * time.Millisecond, FirstTokenTimeout: 10 * time.Second}
 }
 
-// sharing is an ask for a prompt with a shared part of 5,000 tokens.
-func sharing(id, part string, own int) Ask {
-	a := long(id, own)
-	a.Part, a.Shared = part, 5000
+// sharedPrefixRequest returns a request with a shared prefix of 5,000 tokens.
+func sharedPrefixRequest(id, part string, own int) Ask {
+	a := reportRequest(id, own)
+	a.PrefixID, a.PrefixTokens = part, 5000
 	return a
 }
 
-// names returns n engines, all open.
-func names(n int) []Engine {
+// acceptingEngines returns n engines that accept requests.
+func acceptingEngines(n int) []Engine {
 	out := make([]Engine, n)
 	for i := range out {
-		out[i] = Engine{ID: fmt.Sprint("e", i), Open: true, EventTokens: 4}
+		out[i] = Engine{ID: fmt.Sprint("e", i), Accepting: true, TokensPerEvent: 4}
 	}
 	return out
 }
 
 func newQueue(engines int) (*Queue, time.Time) {
 	f := enginemodel.NewService().Figures()
-	f.Observed = 100 // another gateway has found that the start values are right
+	f.Observed = 100 // another gateway has confirmed the initial estimates
 	q := NewQueue(enginemodel.NewServiceFrom(f), ratelimit.New(rand.Float64), Policy{})
-	q.SetEngines(names(engines))
+	q.SetEngines(acceptingEngines(engines))
 	return q, time.Unix(100, 0)
 }
 
-// What users saw: an interactive request was told 429, as for load, 0.2 ms after it had come, by a
-// gateway that had started 0.1 s before. It knew no other gateway and had learnt nothing, and
-// took 85,000 tokens for ten times as long as its engines needed.
-func TestNobodyIsRefusedByStartValues(t *testing.T) {
+// Guards against refusals based on initial estimates: a gateway that had started 0.1 s before, without
+// peers and observations, overestimated the time for 85,000 tokens tenfold and answered an
+// interactive request with 429, as for overload, 0.2 ms after its arrival.
+func TestNoRefusalByInitialEstimates(t *testing.T) {
 	g := NewWithT(t)
 	q := NewQueue(enginemodel.NewService(), ratelimit.New(rand.Float64), Policy{})
-	q.SetEngines(names(1))
+	q.SetEngines(acceptingEngines(1))
 	now := time.Unix(100, 0)
 	refused := func(name string, asks int) (n int) {
 		for i := range asks {
-			if q.Ask(long(fmt.Sprint(name, i), 10000), now).Verdict == Refused {
+			if q.Submit(reportRequest(fmt.Sprint(name, i), 10000), now).Verdict == Refused {
 				n++
 			}
 		}
@@ -59,71 +59,71 @@
 	}
 	g.Expect(refused("early-", 100)).To(BeZero())
 
-	now = now.Add(10 * time.Second) // nor later, while little was read
+	now = now.Add(10 * time.Second) // nor later, while few prefills are completed
 	q = NewQueue(enginemodel.NewService(), ratelimit.New(rand.Float64), Policy{NoLearning: true})
-	q.SetEngines(names(1))
-	for i := range manyRead {
+	q.SetEngines(acceptingEngines(1))
+	for i := range minPrefills {
 		g.Expect(refused(fmt.Sprint("few-", i, "-"), 1)).To(BeZero())
 		for id := range q.granted {
-			q.FirstToken(id, time.Millisecond, now)
-			q.End(id, Stream{}, now)
+			q.RecordFirstToken(id, time.Millisecond, now)
+			q.Finish(id, StreamStats{}, now)
 		}
-		q.Next(now)
+		q.Poll(now)
 	}
-	g.Expect(refused("late-", 100)).To(BeNumerically(">", 0), "by then the figures count as they are")
+	g.Expect(refused("late-", 100)).To(BeNumerically(">", 0), "from then on the estimates are used")
 }
 
-// huge is a prompt that engines read for long: by the start values 225 ms.
-const huge = 9000
+// longPromptTokens takes 225 ms to prefill by the initial estimates.
+const longPromptTokens = 9000
 
-func TestPromptsAreReadOneAtATime(t *testing.T) {
+func TestLongPrefillsRunOneAtATime(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	first := q.Ask(long("a", 6000), now)
+	first := q.Submit(reportRequest("a", 6000), now)
 	g.Expect(first.Verdict).To(Equal(Granted))
 	g.Expect(first.Engine).To(Equal("e0"))
-	g.Expect(first.Read).To(BeNumerically("~", 165*time.Millisecond, time.Millisecond))
-	g.Expect(q.Ask(long("b", 6000), now).Verdict).To(Equal(Queued))
-	g.Expect(q.Ask(long("b", 6000), now).Verdict).To(Equal(Queued)) // asked again
-	g.Expect(q.Next(now)).To(BeEmpty())
+	g.Expect(first.ExpectedPrefill).To(BeNumerically("~", 165*time.Millisecond, time.Millisecond))
+	g.Expect(q.Submit(reportRequest("b", 6000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(reportRequest("b", 6000), now).Verdict).To(Equal(Queued)) // submitted again
+	g.Expect(q.Poll(now)).To(BeEmpty())
 	now = now.Add(150 * time.Millisecond)
-	q.FirstToken("a", 150*time.Millisecond, now)
-	due := q.Next(now)
+	q.RecordFirstToken("a", 150*time.Millisecond, now)
+	due := q.Poll(now)
 	g.Expect(due).To(HaveLen(1))
 	g.Expect(due[0].ID).To(Equal("b"))
 	g.Expect(due[0].Verdict).To(Equal(Granted))
-	g.Expect(q.Ask(long("b", 6000), now).Verdict).To(Equal(Granted)) // its grant was lost
-	q.End("a", Stream{}, now)
-	q.End("b", Stream{}, now)
+	g.Expect(q.Submit(reportRequest("b", 6000), now).Verdict).To(Equal(Granted)) // the grant was lost
+	q.Finish("a", StreamStats{}, now)
+	q.Finish("b", StreamStats{}, now)
 	g.Expect(q.Idle()).To(BeTrue())
 }
 
-// Short prompts are read together with what is nearly read: they take no time that
-// anybody notices.
-func TestShortPromptsAreReadTogether(t *testing.T) {
+// Short prompts are prefilled together with a prefill that is almost complete: they cause no
+// noticeable delay.
+func TestShortPrefillsRunTogether(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for i := range 4 {
-		g.Expect(q.Ask(long(fmt.Sprint(i), 200), now).Verdict).To(Equal(Granted)) // 20 ms each
+		g.Expect(q.Submit(reportRequest(fmt.Sprint(i), 200), now).Verdict).To(Equal(Granted)) // 20 ms each
 	}
-	g.Expect(q.Ask(long("more", 2000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(reportRequest("more", 2000), now).Verdict).To(Equal(Queued))
 }
 
-func TestWhatCannotBeReadInTimeIsRefusedAtOnce(t *testing.T) {
+func TestExcessLoadIsRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	for _, engines := range []int{1, 4} {
 		q, now := newQueue(engines)
 		refused := 0
 		for i := range 100 * engines {
-			a := q.Ask(long(fmt.Sprint(i), 10000), now)
+			a := q.Submit(reportRequest(fmt.Sprint(i), 10000), now)
 			if a.Verdict == Refused {
 				refused++
-				g.Expect(a.Wait).To(BeNumerically(">=", shortestReturn))
-				g.Expect(a.Wait).To(BeNumerically("<=", longestReturn))
+				g.Expect(a.Wait).To(BeNumerically(">=", minRetryAfter))
+				g.Expect(a.Wait).To(BeNumerically("<=", maxRetryAfter))
 			}
 		}
-		// 10,000 tokens take 265 ms. While more comes than can be read, only what can be on
-		// time waits: nine at each engine are begun within the target of 2.5 s.
+		// 10,000 tokens take 265 ms. During overload only requests that can be on time wait: nine per
+		// engine start within the target of 2.5 s.
 		g.Expect(100*engines - refused).To(BeNumerically("~", 9*engines, 2*engines))
 	}
 }
@@ -131,88 +131,88 @@
 func TestMoreUrgentRequestsGoFirst(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("running", huge), now)
-	q.Ask(long("early", 1000), now)
-	urgent := long("urgent", 1000)
-	urgent.Rank = 0
-	q.Ask(urgent, now.Add(time.Millisecond))
-	q.FirstToken("running", 100*time.Millisecond, now.Add(100*time.Millisecond))
-	due := q.Next(now.Add(100 * time.Millisecond))
+	q.Submit(reportRequest("running", longPromptTokens), now)
+	q.Submit(reportRequest("early", 1000), now)
+	urgent := reportRequest("urgent", 1000)
+	urgent.Priority = 0
+	q.Submit(urgent, now.Add(time.Millisecond))
+	q.RecordFirstToken("running", 100*time.Millisecond, now.Add(100*time.Millisecond))
+	due := q.Poll(now.Add(100 * time.Millisecond))
 	g.Expect(due[0].ID).To(Equal("urgent"))
 }
 
-func TestWhatCanStillBeOnTimeGoesBeforeWhatIsLate(t *testing.T) {
+func TestOnTimeRequestsPrecedeLateOnes(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("running", huge), now)
-	q.Ask(long("late", 3000), now)
+	q.Submit(reportRequest("running", longPromptTokens), now)
+	q.Submit(reportRequest("late", 3000), now)
 	now = now.Add(2300 * time.Millisecond)
-	q.granted["running"].lost = now.Add(time.Second)
-	q.Ask(long("timely", 3000), now)
-	q.FirstToken("running", 100*time.Millisecond, now)
-	due := q.Next(now)
+	q.granted["running"].prefillDeadline = now.Add(time.Second)
+	q.Submit(reportRequest("timely", 3000), now)
+	q.RecordFirstToken("running", 100*time.Millisecond, now)
+	due := q.Poll(now)
 	g.Expect(due[0].ID).To(Equal("timely"))
 }
 
-// A notice that is lost, or a gateway that is gone, holds an engine up for three times the
-// expected reading and a little, not for seconds: after the end of 3 of 21 gateways a
-// seventh of the engines stood still for 3 s.
-func TestALostNoticeDoesNotStopAnEngine(t *testing.T) {
+// A lost report or gateway blocks an engine for three times the expected prefill plus a margin, not
+// for seconds. Before this limit, the loss of 3 of 21 gateways blocked a seventh of the engines
+// for 3 s.
+func TestLostReportDoesNotBlockEngine(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("lost", 3000), now) // 90 ms
-	q.Ask(long("next", 3000), now)
-	g.Expect(q.Next(now.Add(300 * time.Millisecond))).To(BeEmpty())
-	g.Expect(q.Next(now.Add(430 * time.Millisecond))).To(BeEmpty()) // read, but the engine may be silent
-	due := q.Next(now.Add(430*time.Millisecond + firstPause + lookEvery))
+	q.Submit(reportRequest("lost", 3000), now) // 90 ms
+	q.Submit(reportRequest("next", 3000), now)
+	g.Expect(q.Poll(now.Add(300 * time.Millisecond))).To(BeEmpty())
+	g.Expect(q.Poll(now.Add(430 * time.Millisecond))).To(BeEmpty()) // assumed complete, but the engine may not be responding
+	due := q.Poll(now.Add(430*time.Millisecond + initialBackoff + sweepInterval))
 	g.Expect(due).To(HaveLen(1))
-	q.End("next", Stream{}, now)
+	q.Finish("next", StreamStats{}, now)
 	g.Expect(q.Idle()).To(BeFalse())
-	q.Next(now.Add(forgetGranted + time.Millisecond)) // the end of "lost" was lost too
+	q.Poll(now.Add(grantTTL + time.Millisecond)) // the end of "lost" was never reported
 	g.Expect(q.Idle()).To(BeTrue())
-	g.Expect(q.ordered[0].runs).To(BeEmpty())
+	g.Expect(q.ordered[0].requests).To(BeEmpty())
 }
 
-// An ask that is not repeated has no gateway behind it any more.
-func TestAnAskThatIsNotRepeatedIsDropped(t *testing.T) {
+// A request that is not repeated no longer has a gateway.
+func TestUnrepeatedRequestIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("running", huge), now)
-	q.Ask(long("gone", huge), now)
-	q.Ask(long("kept", huge), now)
-	q.granted["running"].lost = now.Add(time.Minute)
+	q.Submit(reportRequest("running", longPromptTokens), now)
+	q.Submit(reportRequest("gone", longPromptTokens), now)
+	q.Submit(reportRequest("kept", longPromptTokens), now)
+	q.granted["running"].prefillDeadline = now.Add(time.Minute)
 	for range 4 {
 		now = now.Add(time.Second)
-		g.Expect(q.Ask(long("kept", huge), now).Verdict).To(Equal(Queued))
-		q.Next(now)
+		g.Expect(q.Submit(reportRequest("kept", longPromptTokens), now).Verdict).To(Equal(Queued))
+		q.Poll(now)
 	}
-	g.Expect(q.asked).To(HaveKey("kept"))
-	g.Expect(q.asked).NotTo(HaveKey("gone"))
+	g.Expect(q.waitingByID).To(HaveKey("kept"))
+	g.Expect(q.waitingByID).NotTo(HaveKey("gone"))
 }
 
-// What engines do is learnt from what is read, so that waits are told by it.
-func TestTheRateIsLearnt(t *testing.T) {
+// Prefill rates are learned from observations, so that expected waits follow the engines' actual speed.
+func TestPrefillRateIsLearned(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for i := range 400 {
 		id := fmt.Sprint(i)
 		own := 2000 + 100*(i%60)
-		g.Expect(q.Ask(long(id, own), now).Verdict).To(Equal(Granted))
+		g.Expect(q.Submit(reportRequest(id, own), now).Verdict).To(Equal(Granted))
 		took := time.Duration(own) * 50 * time.Microsecond // 20 tokens a ms
 		now = now.Add(took)
-		q.FirstToken(id, took, now)
-		q.End(id, Stream{}, now)
+		q.RecordFirstToken(id, took, now)
+		q.Finish(id, StreamStats{}, now)
 	}
 	g.Expect(q.model.ReadTime(5000, 0)).To(BeNumerically("~", 250*time.Millisecond, 10*time.Millisecond))
 }
 
-// No engine of a group is idle while a prompt waits for another.
+// No engine of a group is idle while a prompt waits for another engine.
 func TestNoEngineIsIdleWhilePromptsWait(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(3)
 	used := map[string]int{}
 	for i := range 6 {
-		if a := q.Ask(sharing(fmt.Sprint(i), "same", 6000), now); a.Verdict == Granted {
+		if a := q.Submit(sharedPrefixRequest(fmt.Sprint(i), "same", 6000), now); a.Verdict == Granted {
 			used[a.Engine]++
 		}
 	}
@@ -220,50 +220,50 @@
 	g.Expect(q.waiting).To(HaveLen(3))
 }
 
-func TestARequestGoesWhereItsSharedPartIs(t *testing.T) {
+func TestRequestPrefersEngineWithSharedPrefix(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(3)
-	first := q.Ask(sharing("first", "x", 2000), now)
+	first := q.Submit(sharedPrefixRequest("first", "x", 2000), now)
 	g.Expect(first.FetchFrom).To(BeEmpty())
-	g.Expect(q.granted["first"].unread).To(Equal(7000)) // nobody holds the part
+	g.Expect(q.granted["first"].prefillTokens).To(Equal(7000)) // the prefix is not cached anywhere
 	now = now.Add(200 * time.Millisecond)
-	q.FirstToken("first", 100*time.Millisecond, now)
-	second := q.Ask(sharing("second", "x", 2000), now)
+	q.RecordFirstToken("first", 100*time.Millisecond, now)
+	second := q.Submit(sharedPrefixRequest("second", "x", 2000), now)
 	g.Expect(second.Engine).To(Equal(first.Engine))
 	g.Expect(second.FetchFrom).To(BeEmpty())
-	g.Expect(q.granted["second"].unread).To(Equal(2000))
-	// With its holder busy it goes elsewhere and fetches the part from there.
-	q.Ask(sharing("third", "x", 6000), now)
-	fourth := q.Ask(sharing("fourth", "x", 6000), now)
+	g.Expect(q.granted["second"].prefillTokens).To(Equal(2000))
+	// While the engine that caches the prefix is busy, another one fetches it from there.
+	q.Submit(sharedPrefixRequest("third", "x", 6000), now)
+	fourth := q.Submit(sharedPrefixRequest("fourth", "x", 6000), now)
 	g.Expect(fourth.Verdict).To(Equal(Granted))
 	g.Expect(fourth.Engine).NotTo(Equal(first.Engine))
 	g.Expect(fourth.FetchFrom).To(Equal(first.Engine))
-	q.End("second", Stream{}, now)
-	q.End("third", Stream{}, now)
+	q.Finish("second", StreamStats{}, now)
+	q.Finish("third", StreamStats{}, now)
 	now = now.Add(100 * time.Millisecond)
-	q.FirstToken("fourth", 100*time.Millisecond, now)
-	// A holder that left the part for long prompts can still be fetched from, one that
-	// is gone can't.
+	q.RecordFirstToken("fourth", 100*time.Millisecond, now)
+	// A prefix can be fetched from an engine that no longer accepts prompts, but not from one
+	// that has been removed.
 	now = now.Add(time.Second)
-	list := names(3)
+	list := acceptingEngines(3)
 	for i := range list {
-		list[i].Open = list[i].ID != first.Engine && list[i].ID != fourth.Engine
+		list[i].Accepting = list[i].ID != first.Engine && list[i].ID != fourth.Engine
 	}
 	q.SetEngines(list)
-	fifth := q.Ask(sharing("fifth", "x", 2000), now)
-	g.Expect(fifth.FetchFrom).To(Equal(fourth.Engine)) // which used it last
-	q.End("fifth", Stream{}, now)
+	fifth := q.Submit(sharedPrefixRequest("fifth", "x", 2000), now)
+	g.Expect(fifth.FetchFrom).To(Equal(fourth.Engine)) // the most recent user
+	q.Finish("fifth", StreamStats{}, now)
 	for i := range list {
-		list[i].Open = true
+		list[i].Accepting = true
 		if list[i].ID == fifth.Engine {
 			q.SetEngines(list[i : i+1])
 		}
 	}
-	g.Expect(q.Ask(sharing("sixth", "x", 2000), now).FetchFrom).To(BeEmpty())
+	g.Expect(q.Submit(sharedPrefixRequest("sixth", "x", 2000), now).FetchFrom).To(BeEmpty())
 }
 
-// After a change of who decides nothing is known of parts. Whoever decides comes to
-// the same engine, so that parts that were read there are met again.
+// A gateway that takes over the scheduling does not know where prefixes are cached. Every gateway
+// chooses the same engine for a prefix, so that prefixes prefilled earlier are found again.
 func TestAPartOfWhichNothingIsKnownGoesToItsHome(t *testing.T) {
 	g := NewWithT(t)
 	before, now := newQueue(5)
@@ -271,115 +271,114 @@
 	for i := range 40 {
 		after, _ := newQueue(5)
 		part := fmt.Sprint("part", i)
-		first := before.Ask(sharing(part, part, 1000), now)
-		before.End(part, Stream{}, now)
-		second := after.Ask(sharing("x", part, 1000), now)
+		first := before.Submit(sharedPrefixRequest(part, part, 1000), now)
+		before.Finish(part, StreamStats{}, now)
+		second := after.Submit(sharedPrefixRequest("x", part, 1000), now)
 		g.Expect(second.Engine).To(Equal(first.Engine))
 		g.Expect(second.FetchFrom).To(BeEmpty())
 		homes[second.Engine] = true
-		// With the home busy the part is sought there all the same.
-		after.Ask(long("y", huge), now)
+		// While the home engine is busy, the prefix is still fetched from there.
+		after.Submit(reportRequest("y", longPromptTokens), now)
 		busy, _ := newQueue(5)
 		for _, e := range busy.ordered {
 			if e.ID == first.Engine {
-				busy.grant(&entry{ask: long("busy", huge)}, site{engine: e, unread: huge, reading: time.Second}, now)
+				busy.grant(&entry{ask: reportRequest("busy", longPromptTokens)}, candidate{engine: e, prefillTokens: longPromptTokens, prefill: time.Second}, now)
 			}
 		}
-		g.Expect(busy.Ask(sharing("z", part, 1000), now).FetchFrom).To(Equal(first.Engine))
+		g.Expect(busy.Submit(sharedPrefixRequest("z", part, 1000), now).FetchFrom).To(Equal(first.Engine))
 	}
 	g.Expect(len(homes)).To(BeNumerically(">", 2))
 }
 
-func TestWhatCannotBeBegunBeforeItsLimitIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatCannotStartInTimeIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("running", 5*huge), now) // 1.1 s
-	tight := long("tight", 1000)
-	tight.Limit = 500 * time.Millisecond
-	g.Expect(q.Ask(tight, now).Verdict).To(Equal(Refused))
-	g.Expect(q.Ask(long("other", 1000), now).Verdict).To(Equal(Queued))
+	q.Submit(reportRequest("running", 5*longPromptTokens), now) // 1.1 s
+	tight := reportRequest("tight", 1000)
+	tight.FirstTokenTimeout = 500 * time.Millisecond
+	g.Expect(q.Submit(tight, now).Verdict).To(Equal(Refused))
+	g.Expect(q.Submit(reportRequest("other", 1000), now).Verdict).To(Equal(Queued))
 }
 
-func TestPartsAreForgotten(t *testing.T) {
+func TestPrefixesExpire(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(sharing("a", "x", 2000), now)
-	q.FirstToken("a", 100*time.Millisecond, now)
-	q.End("a", Stream{}, now)
-	q.Next(now.Add(holdFor + pruneEvery + time.Millisecond))
-	g.Expect(q.prefixes.held).To(BeEmpty())
+	q.Submit(sharedPrefixRequest("a", "x", 2000), now)
+	q.RecordFirstToken("a", 100*time.Millisecond, now)
+	q.Finish("a", StreamStats{}, now)
+	q.Poll(now.Add(prefixTTL + pruneInterval + time.Millisecond))
+	g.Expect(q.prefixes.lastUse).To(BeEmpty())
 }
 
-// An engine that fails requests at once always has room; it must not draw in all
-// that waits.
-func TestAFailingEngineDoesNotDrawRequestsIn(t *testing.T) {
+// An engine that fails requests immediately always has capacity; it must not attract all waiting
+// requests.
+func TestFailingEngineDoesNotAttractRequests(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(4)
 	at := map[string]int{}
 	for i := range 400 {
 		id := fmt.Sprint(i)
-		a := q.Ask(long(id, 5000), now)
+		a := q.Submit(reportRequest(id, 5000), now)
 		if a.Verdict == Granted {
 			at[a.Engine]++
 			if a.Engine == "e0" {
-				q.End(id, Stream{Failed: true}, now)
+				q.Finish(id, StreamStats{EngineFailed: true}, now)
 			}
 		}
 		now = now.Add(20 * time.Millisecond)
 		for granted, e := range q.granted {
-			if now.Sub(e.granted) >= 125*time.Millisecond {
-				q.FirstToken(granted, 100*time.Millisecond, now)
-				q.End(granted, Stream{}, now)
+			if now.Sub(e.grantedAt) >= 125*time.Millisecond {
+				q.RecordFirstToken(granted, 100*time.Millisecond, now)
+				q.Finish(granted, StreamStats{}, now)
 			}
 		}
-		for _, due := range q.Next(now) {
+		for _, due := range q.Poll(now) {
 			if due.Verdict == Granted && due.Engine == "e0" {
 				at["e0"]++
-				q.End(due.ID, Stream{Failed: true}, now)
+				q.Finish(due.ID, StreamStats{EngineFailed: true}, now)
 			}
 		}
 	}
 	g.Expect(at["e0"]).To(BeNumerically(">", 0))
-	g.Expect(at["e0"]).To(BeNumerically("<", 12)) // 8 s with pauses of up to 2 s
+	g.Expect(at["e0"]).To(BeNumerically("<", 12)) // 8 s with backoffs of up to 2 s
 }
 
-func TestEnginesThatTheAskerCannotUseAreLeftOut(t *testing.T) {
+func TestExcludedEnginesAreNotUsed(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(2)
-	a := long("a", 2000)
-	a.Avoid = []string{"e0"}
-	g.Expect(q.Ask(a, now).Engine).To(Equal("e1"))
-	b := long("b", 2000)
-	b.Avoid = []string{"e0", "e1"}
-	g.Expect(q.Ask(b, now).Verdict).To(Equal(NoEngine)) // whatever the load
+	a := reportRequest("a", 2000)
+	a.ExcludedEngines = []string{"e0"}
+	g.Expect(q.Submit(a, now).Engine).To(Equal("e1"))
+	b := reportRequest("b", 2000)
+	b.ExcludedEngines = []string{"e0", "e1"}
+	g.Expect(q.Submit(b, now).Verdict).To(Equal(NoEngine)) // regardless of the load
 }
 
-// A gateway that has not read the list of engines yet, for one that started while the
-// store is away, must not refuse what others could serve.
-func TestWhoKnowsNoEngineLeavesItToTheAsker(t *testing.T) {
+// A gateway that has not read the list of engines yet, for example one that started while the store
+// was unavailable, must not refuse requests that others could serve.
+func TestUnknownGroupIsGrantedWithoutEngine(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(0)
-	a := q.Ask(long("a", 2000), now)
+	a := q.Submit(reportRequest("a", 2000), now)
 	g.Expect(a.Verdict).To(Equal(Granted))
 	g.Expect(a.Engine).To(BeEmpty())
 	g.Expect(q.Idle()).To(BeTrue())
 }
 
-// Whatever is asked and told in whatever order: each ask gets one final verdict, each
-// engine's account is that of what was granted there, and nothing is left behind once all
-// have ended.
-func TestEachAskGetsOneVerdict(t *testing.T) {
+// For any sequence of calls each request gets exactly one final decision, each engine's accounting
+// matches the requests granted to it, and no state remains after all requests have ended.
+func TestEachRequestGetsOneDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, now := newQueue(rapid.IntRange(1, 4).Draw(t, "engines"))
 		open, granted := map[string]bool{}, map[string]int{}
-		settle := func(a Answer) {
+		settle := func(a Decision) {
 			switch a.Verdict {
 			case Queued:
 				open[a.ID] = true
 				return
 			case Granted:
 				if (a.Engine == "") != (len(q.ordered) == 0) || a.Engine != "" && a.Engine == a.FetchFrom {
-					t.Fatalf("granted %q of %d engines with the part from %q", a.Engine, len(q.ordered), a.FetchFrom)
+					t.Fatalf("granted %q of %d engines with the prefix from %q", a.Engine, len(q.ordered), a.FetchFrom)
 				}
 				granted[a.ID] = 1
 			}
@@ -387,9 +386,9 @@
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			for _, a := range q.Next(now) {
+			for _, a := range q.Poll(now) {
 				if !open[a.ID] {
-					t.Fatalf("a second verdict for %s", a.ID)
+					t.Fatalf("a second decision for %s", a.ID)
 				}
 				settle(a)
 			}
@@ -397,144 +396,143 @@
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
 				if a := fmt.Sprint("r", i); !open[a] {
-					settle(q.Ask(Ask{ID: a, Rank: rapid.IntRange(0, 8).Draw(t, "rank"), Own: rapid.IntRange(1, 30000).Draw(t, "own"),
-						Part: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "part"), Shared: rapid.IntRange(0, 6000).Draw(t, "shared"),
-						Target: time.Duration(rapid.IntRange(1, 3000).Draw(t, "target")) * time.Millisecond,
-						Limit:  time.Duration(rapid.IntRange(1, 10000).Draw(t, "limit")) * time.Millisecond}, now))
+					settle(q.Submit(Ask{ID: a, Priority: rapid.IntRange(0, 8).Draw(t, "rank"), UniqueTokens: rapid.IntRange(1, 30000).Draw(t, "own"),
+						PrefixID: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "part"), PrefixTokens: rapid.IntRange(0, 6000).Draw(t, "shared"),
+						FirstTokenTarget:  time.Duration(rapid.IntRange(1, 3000).Draw(t, "target")) * time.Millisecond,
+						FirstTokenTimeout: time.Duration(rapid.IntRange(1, 10000).Draw(t, "limit")) * time.Millisecond}, now))
 				}
 			case 2:
-				q.FirstToken(id, 100*time.Millisecond, now)
+				q.RecordFirstToken(id, 100*time.Millisecond, now)
 			case 3:
-				q.SetEngines(names(rapid.IntRange(0, 4).Draw(t, "engines")))
+				q.SetEngines(acceptingEngines(rapid.IntRange(0, 4).Draw(t, "engines")))
 			default:
-				q.End(id, Stream{Failed: rapid.Bool().Draw(t, "failed"), Events: rapid.IntRange(0, 90).Draw(t, "events"),
-					Took: time.Duration(rapid.IntRange(0, 9000).Draw(t, "took")) * time.Millisecond, Longest: time.Duration(rapid.IntRange(0, 900).Draw(t, "longest")) * time.Millisecond}, now)
+				q.Finish(id, StreamStats{EngineFailed: rapid.Bool().Draw(t, "failed"), Events: rapid.IntRange(0, 90).Draw(t, "events"),
+					Duration: time.Duration(rapid.IntRange(0, 9000).Draw(t, "took")) * time.Millisecond, LongestGap: time.Duration(rapid.IntRange(0, 900).Draw(t, "longest")) * time.Millisecond}, now)
 				delete(open, id)
 				delete(granted, id)
 			}
-			checkReading(t, q)
+			checkAccounting(t, q)
 		}
 		for id := range open {
-			q.End(id, Stream{}, now)
+			q.Finish(id, StreamStats{}, now)
 		}
 		for id := range granted {
-			q.End(id, Stream{}, now)
+			q.Finish(id, StreamStats{}, now)
 		}
 		for _, e := range q.ordered {
-			if e.unread != 0 || e.pending != 0 || len(e.runs) != 0 || e.used != 0 {
-				t.Fatalf("left behind at %s: %d tokens, %d requests", e.ID, e.unread, len(e.runs))
+			if e.pendingTokens != 0 || e.pendingPrefills != 0 || len(e.requests) != 0 || e.reservedTokens != 0 {
+				t.Fatalf("state remains at %s: %d tokens, %d requests", e.ID, e.pendingTokens, len(e.requests))
 			}
 		}
-		if len(q.waiting) != 0 || len(q.asked) != 0 || len(q.granted) != 0 {
-			t.Fatalf("left behind: %d waiting, %d granted", len(q.waiting), len(q.granted))
+		if len(q.waiting) != 0 || len(q.waitingByID) != 0 || len(q.granted) != 0 {
+			t.Fatalf("state remains: %d waiting, %d granted", len(q.waiting), len(q.granted))
 		}
 	})
 }
 
-// checkReading compares each engine's account with what was granted there.
-func checkReading(t *rapid.T, q *Queue) {
+// checkAccounting compares each engine's accounting with the requests granted to it.
+func checkAccounting(t *rapid.T, q *Queue) {
 	reading, prompts := map[*engine]int{}, map[*engine]int{}
 	for _, e := range q.granted {
-		if !e.read {
-			reading[e.engine] += e.unread
+		if !e.prefillDone {
+			reading[e.engine] += e.prefillTokens
 			prompts[e.engine]++
 		}
 	}
 	for _, e := range q.ordered {
-		if reading[e] != e.unread || prompts[e] != e.pending {
-			t.Fatalf("%s reads %d tokens of %d prompts, counted %d of %d", e.ID, reading[e], prompts[e], e.unread, e.pending)
+		if reading[e] != e.pendingTokens || prompts[e] != e.pendingPrefills {
+			t.Fatalf("%s has %d pending tokens of %d prompts, accounted %d of %d", e.ID, reading[e], prompts[e], e.pendingTokens, e.pendingPrefills)
 		}
 	}
-	if len(q.asked) != len(q.waiting) {
-		t.Fatalf("%d waiting, %d by ID", len(q.waiting), len(q.asked))
+	if len(q.waitingByID) != len(q.waiting) {
+		t.Fatalf("%d waiting, %d by ID", len(q.waiting), len(q.waitingByID))
 	}
 }
 
-func TestADeskKeepsGroupsApart(t *testing.T) {
+func TestSchedulerSeparatesGroups(t *testing.T) {
 	g := NewWithT(t)
 	lists := 0
 	told := func(string) (enginemodel.Figures, bool) { return enginemodel.Figures{}, false }
-	d := NewDesk[string](func(Group) []Engine { lists++; return names(1) }, told, ratelimit.New(rand.Float64), Policy{})
+	d := NewScheduler[string](func(Group) []Engine { lists++; return acceptingEngines(1) }, told, ratelimit.New(rand.Float64), Policy{})
 	now := time.Unix(100, 0)
 	one, two := Group{Service: "s"}, Group{Service: "s", Index: 1}
-	g.Expect(d.Ask(one, long("a", huge), "gw1", now).Verdict).To(Equal(Granted))
-	g.Expect(d.Ask(one, long("b", huge), "gw2", now).Verdict).To(Equal(Queued))
-	g.Expect(d.Ask(two, long("c", huge), "gw2", now).Verdict).To(Equal(Granted))
+	g.Expect(d.Submit(one, reportRequest("a", longPromptTokens), "gw1", now).Verdict).To(Equal(Granted))
+	g.Expect(d.Submit(one, reportRequest("b", longPromptTokens), "gw2", now).Verdict).To(Equal(Queued))
+	g.Expect(d.Submit(two, reportRequest("c", longPromptTokens), "gw2", now).Verdict).To(Equal(Granted))
 	g.Expect(lists).To(Equal(2))
-	g.Expect(d.Waiting()).To(Equal(1))
-	d.FirstToken(one, "a", 100*time.Millisecond, now)
-	due := d.Next(now)
+	g.Expect(d.QueuedCount()).To(Equal(1))
+	d.RecordFirstToken(one, "a", 100*time.Millisecond, now)
+	due := d.Poll(now)
 	g.Expect(due).To(HaveLen(1))
 	g.Expect(due[0].To).To(Equal("gw2"))
-	d.End(one, "a", Stream{}, now)
-	d.End(one, "b", Stream{}, now)
-	d.End(two, "c", Stream{}, now)
-	d.Next(now.Add(forgetAfter + time.Second))
+	d.Finish(one, "a", StreamStats{}, now)
+	d.Finish(one, "b", StreamStats{}, now)
+	d.Finish(two, "c", StreamStats{}, now)
+	d.Poll(now.Add(idleQueueTTL + time.Second))
 	g.Expect(d.queues).To(BeEmpty())
 }
 
-// BenchmarkAsk is one ask, its first token and its end at a queue of 400 for 64
-// engines with 30 streams each. One ask of a short prompt at engines that are not asked
-// for more takes a third of it.
+// BenchmarkAsk measures one submission, first token and end in a queue of 400 requests for 64 engines
+// with 30 streams each. A short prompt on engines without a backlog takes a third of that time.
 func BenchmarkAsk(b *testing.B) {
 	q, now := newQueue(64)
 	for i := range 64 * 30 {
 		id := fmt.Sprint("stream", i)
-		q.Ask(long(id, 100), now)
-		q.FirstToken(id, time.Millisecond, now)
+		q.Submit(reportRequest(id, 100), now)
+		q.RecordFirstToken(id, time.Millisecond, now)
 	}
 	for i := range 64 {
-		q.Ask(long(fmt.Sprint("running", i), huge), now)
+		q.Submit(reportRequest(fmt.Sprint("running", i), longPromptTokens), now)
 	}
 	for i := range 400 {
-		q.Ask(long(fmt.Sprint("w", i), 100), now)
+		q.Submit(reportRequest(fmt.Sprint("w", i), 100), now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		a := long("x", 100)
-		q.Ask(a, now)
-		q.Next(now)
-		q.End("x", Stream{}, now)
+		a := reportRequest("x", 100)
+		q.Submit(a, now)
+		q.Poll(now)
+		q.Finish("x", StreamStats{}, now)
 	}
 }
 
-// What users saw: questions that came in a burst were refused while reports went on being sent, because
-// the reports that would come meanwhile counted as if they went first.
+// Guards against refusing bursts of interactive requests while reports are still granted, which
+// happened because reports expected to arrive meanwhile were counted as if they went first.
 func TestABurstOfUrgentRequestsIsNotRefusedForTheSakeOfOthers(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	sent, refused := map[int]int{}, map[int]int{}
 	rank, ends := map[string]int{}, map[string]time.Time{}
-	take := func(a Answer) {
+	take := func(a Decision) {
 		switch a.Verdict {
 		case Granted:
 			sent[rank[a.ID]]++
-			ends[a.ID] = now.Add(a.Read)
+			ends[a.ID] = now.Add(a.ExpectedPrefill)
 		case Refused:
 			refused[rank[a.ID]]++
 		}
 	}
 	ask := func(a Ask) {
-		rank[a.ID] = a.Rank
-		take(q.Ask(a, now))
+		rank[a.ID] = a.Priority
+		take(q.Submit(a, now))
 	}
 	for i := range 1000 { // 20 s
 		if i%10 == 0 {
-			ask(long(fmt.Sprint("report-", i), 8000))
+			ask(reportRequest(fmt.Sprint("report-", i), 8000))
 		}
-		if i%100 < 8 { // a burst every 2 s, half of the engine's time in all
-			urgent := Ask{ID: fmt.Sprint("question-", i), Own: 3500, Target: 300 * time.Millisecond, Limit: 2 * time.Second}
+		if i%100 < 8 { // a burst every 2 s, together half of the engine's time
+			urgent := Ask{ID: fmt.Sprint("question-", i), UniqueTokens: 3500, FirstTokenTarget: 300 * time.Millisecond, FirstTokenTimeout: 2 * time.Second}
 			ask(urgent)
 		}
 		now = now.Add(20 * time.Millisecond)
 		for id, end := range ends {
 			if !now.Before(end) {
-				q.FirstToken(id, 0, now)
-				q.End(id, Stream{}, now)
+				q.RecordFirstToken(id, 0, now)
+				q.Finish(id, StreamStats{}, now)
 				delete(ends, id)
 			}
 		}
-		for _, a := range q.Next(now) {
+		for _, a := range q.Poll(now) {
 			take(a)
 		}
 	}
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -7,53 +7,54 @@
 )
 
 const (
-	// lateShare is the part of its limit beyond which an expected wait is refused at once:
-	// a late answer is worth more to its caller than a refusal, and expected waits are
-	// about right.
-	lateShare = 0.85
-	// onTimePart is the part of its target after which a request that waits counts as late.
-	// The rest is for its reading. How long that is does not count, so that long prompts are
-	// put behind and refused no sooner than short ones.
-	onTimePart = 0.75
-	// leastLeft bounds from below the part of the engines' time that is taken to be left
+	// refusalShare is the share of a request's timeout above which an expected wait leads to
+	// immediate refusal. It is close to 1 because a late response is worth more to the caller
+	// than a refusal, and expected waits are about right.
+	refusalShare = 0.85
+	// onTimeShare is the share of its target after which a waiting request counts as late. The
+	// rest is for its prefill. The expected prefill time itself is not considered, so that long
+	// prompts are not delayed or refused sooner than short ones.
+	onTimeShare = 0.75
+	// minCapacityShare is the lower bound of the share of engine time that is assumed to be left
 	// for late requests.
-	leastLeft = 0.1
+	minCapacityShare = 0.1
 )
 
-// first is the comparison of two asks of which one goes first.
-func first(a bool) int {
+// trueFirst returns the comparison result for two items of which only one has a property: the one
+// that has it comes first.
+func trueFirst(a bool) int {
 	if a {
 		return -1
 	}
 	return 1
 }
 
-// order is the order of waiting asks: rank; then those whose callers have a part of the
-// answer; then those that can still be on time; then arrival.
-func (q *Queue) order(a, b *entry, now time.Time) int {
-	if c := cmp.Compare(a.ask.Rank, b.ask.Rank); c != 0 {
+// compare orders waiting requests by priority, then those with a partial response, then those that
+// can still be on time, then by arrival.
+func (q *Queue) compare(a, b *entry, now time.Time) int {
+	if c := cmp.Compare(a.ask.Priority, b.ask.Priority); c != 0 {
 		return c
 	}
-	if a.ask.Begun != b.ask.Begun {
-		return first(a.ask.Begun)
+	if a.ask.Resumed != b.ask.Resumed {
+		return trueFirst(a.ask.Resumed)
 	}
-	if x, y := q.onTime(a, now), q.onTime(b, now); x != y && !q.policy.ByArrival {
-		return first(x)
+	if x, y := q.onTime(a, now), q.onTime(b, now); x != y && !q.policy.IgnoreLateness {
+		return trueFirst(x)
 	}
-	return cmp.Compare(a.number, b.number)
+	return cmp.Compare(a.sequence, b.sequence)
 }
 
-func (q *Queue) precedes(a, b *entry, now time.Time) bool { return q.order(a, b, now) < 0 }
+func (q *Queue) precedes(a, b *entry, now time.Time) bool { return q.compare(a, b, now) < 0 }
 
-// onTime reports whether the request can be on time if it is granted now.
+// onTime reports whether the request can be on time if granted now.
 func (q *Queue) onTime(e *entry, now time.Time) bool {
-	return now.Sub(e.arrived) <= time.Duration(onTimePart*float64(e.ask.Target))
+	return now.Sub(e.arrivedAt) <= time.Duration(onTimeShare*float64(e.ask.FirstTokenTarget))
 }
 
-// wait is the expected time from now on until an engine begins to read the request: what
-// is ahead of it goes to whichever engine is free first.
-// Engines is how many engines' time there is for requests.
-func (q *Queue) wait(e *entry, now time.Time) (wait time.Duration, engines float64) {
+// expectedWait returns the expected time until an engine starts the request, assuming that
+// requests ahead of it go to whichever engine is free first. It also returns the capacity in
+// engines.
+func (q *Queue) expectedWait(e *entry, now time.Time) (wait time.Duration, engines float64) {
 	var ahead time.Duration
 	count := 0
 	for _, other := range q.waiting {
@@ -62,70 +63,70 @@
 			count++
 		}
 	}
-	c := q.capacity(mean(ahead, count, q.work(e.ask)), now)
-	return c.free(ahead), c.engines()
+	c := q.capacity(meanOr(ahead, count, q.work(e.ask)), now)
+	return c.nextFree(ahead), c.total()
 }
 
-// plainWork is what a plain request counts in an engine's time: its servers run many side by side.
+// plainWork is the engine time of a plain request; plain servers run many concurrently.
 const plainWork = time.Millisecond
 
-// work is the time of an engine that a request takes.
+// work returns the engine time that a request takes.
 func (q *Queue) work(a Ask) time.Duration {
 	if a.Plain {
 		return plainWork
 	}
-	return q.model.ReadTime(a.Own, a.Shared)
+	return q.model.ReadTime(a.UniqueTokens, a.PrefixTokens)
 }
 
-func mean(sum time.Duration, count int, otherwise time.Duration) time.Duration {
+func meanOr(sum time.Duration, count int, fallback time.Duration) time.Duration {
 	if count == 0 {
-		return otherwise
+		return fallback
 	}
 	return sum / time.Duration(count)
 }
 
-// server is an engine that may be used: when it will have read what was granted and may take the
-// next request, and the part of its time that its stated rate leaves it for requests.
-type server struct {
+// engineCapacity is when a usable engine can take its next request, and the share of its time that
+// its stated rate lets it spend on requests.
+type engineCapacity struct {
 	wait  time.Duration
 	speed float64
 }
 
-// capacity are the engines that may be used, those that are free first before the others.
-type capacity []server
+// capacity lists the usable engines, ordered by when they can take their next request.
+type capacity []engineCapacity
 
-// capacity works out when engines are free for requests that take so much of an engine's time.
-func (q *Queue) capacity(each time.Duration, now time.Time) capacity {
-	out := q.servers[:0]
+// capacity returns the capacity for requests that each take the given engine time.
+func (q *Queue) capacity(perRequest time.Duration, now time.Time) capacity {
+	out := q.capacityBuf[:0]
 	for _, en := range q.ordered {
 		if !en.usable(now) {
 			continue
 		}
-		s := server{en.wait(now), 1}
-		if b := q.limits.Budget(en.ID, now); b.Limited {
-			s.wait, s.speed = max(s.wait, b.Wait), min(1, b.Rate*each.Seconds())
+		s := engineCapacity{en.prefillWait(now), 1}
+		if b := q.limiter.Budget(en.ID, now); b.Limited {
+			s.wait, s.speed = max(s.wait, b.Wait), min(1, b.Rate*perRequest.Seconds())
 		}
 		out = append(out, s)
 	}
-	slices.SortFunc(out, func(a, b server) int { return cmp.Compare(a.wait, b.wait) })
-	q.servers = out
+	slices.SortFunc(out, func(a, b engineCapacity) int { return cmp.Compare(a.wait, b.wait) })
+	q.capacityBuf = out
 	return out
 }
 
-// engines returns how many engines' time there is.
-func (c capacity) engines() (sum float64) {
+// total returns the capacity in engines.
+func (c capacity) total() (sum float64) {
 	for _, s := range c {
 		sum += s.speed
 	}
 	return sum
 }
 
-// free returns when an engine is free for the next request once the work ahead of it is
-// taken by those that are free first.
-func (c capacity) free(ahead time.Duration) time.Duration {
+// nextFree returns when an engine can take another request after the given work has been
+// distributed over the engines as they become free.
+func (c capacity) nextFree(ahead time.Duration) time.Duration {
 	at, speed := time.Duration(0), 0.0
 	for _, s := range c {
-		// Those before work on what is ahead until this one joins them.
+		// Until this engine becomes free, the earlier ones process the work.
 		work := time.Duration(speed * float64(s.wait-at))
 		if speed > 0 && work >= ahead {
 			break
@@ -142,82 +143,86 @@
 	return at + time.Duration(float64(ahead)/speed)
 }
 
-// refuseHopeless refuses waiting asks, which are in order, that can't be served in time
-// any more.
-func (q *Queue) refuseHopeless(now time.Time) []Answer {
-	var out []Answer
+// refuseUnservable refuses waiting requests, which must be sorted, that can no longer be served in
+// time.
+func (q *Queue) refuseUnservable(now time.Time) []Decision {
+	var out []Decision
 	var all time.Duration
 	for _, e := range q.waiting {
 		all += q.work(e.ask)
 	}
-	engines := q.capacity(mean(all, len(q.waiting), 0), now)
+	engines := q.capacity(meanOr(all, len(q.waiting), 0), now)
 	verdict, ahead := Refused, time.Duration(0)
 	if len(engines) == 0 {
 		verdict = NoEngine
 	}
-	allLeave := !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Open })
+	noneAccepting := !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting })
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
-		wait := engines.free(ahead)
-		if !allLeave && !q.hopeless(e, wait, engines.engines(), now) {
+		wait := engines.nextFree(ahead)
+		if !noneAccepting && !q.unservable(e, wait, engines.total(), now) {
 			ahead += q.work(e.ask)
 			return false
 		}
-		delete(q.asked, e.ask.ID)
-		out = append(out, q.answer(e.ask.ID, verdict, q.comeBack(wait, e.ask, engines.engines(), now), now))
+		delete(q.waitingByID, e.ask.ID)
+		out = append(out, q.newDecision(e.ask.ID, verdict, q.retryAfter(wait, e.ask, engines.total(), now), now))
 		return true
 	})
 	return out
 }
 
-// hopeless reports whether a request can't be served in time if so much is ahead of it.
-// Those that will be late are served only with what those that can still be on time
-// leave over: where that is nothing, they would wait in vain.
-func (q *Queue) hopeless(e *entry, wait time.Duration, engines float64, now time.Time) bool {
-	age := now.Sub(e.arrived)
-	if age > e.ask.Limit || q.policy.Patient || q.uninformed(now) {
-		return age > e.ask.Limit
+// unservable reports whether a request can't be served in time given its expected wait. Late
+// requests only get the capacity that requests that can still be on time leave over; if there
+// is none, waiting would be in vain.
+func (q *Queue) unservable(e *entry, wait time.Duration, engines float64, now time.Time) bool {
+	age := now.Sub(e.arrivedAt)
+	if age > e.ask.FirstTokenTimeout || q.policy.NoEarlyRefusal || q.uncalibrated(now) {
+		return age > e.ask.FirstTokenTimeout
 	}
-	if age+wait > time.Duration(onTimePart*float64(e.ask.Target)) {
-		wait = q.drained(wait, e.ask.Rank, engines, now)
+	if age+wait > time.Duration(onTimeShare*float64(e.ask.FirstTokenTarget)) {
+		wait = q.waitWithArrivals(wait, e.ask.Priority, engines, now)
 	}
-	return age+wait > time.Duration(lateShare*float64(e.ask.Limit))
+	return age+wait > time.Duration(refusalShare*float64(e.ask.FirstTokenTimeout))
 }
 
-// manyRead is how many prompts engines have read when the figures count as they are. Short prompts are
-// read together, which teaches little, so that some services never observe many that are read alone.
-const manyRead = 100
+// minPrefills is the number of completed prefills after which the estimates are trusted without
+// calibration. Short prompts are prefilled together, which yields few observations, so that for
+// some services few prompts are ever observed alone.
+const minPrefills = 100
 
-// uninformed reports whether the queue knows little but start values. By these nobody is refused: a
-// gateway that had just started, or decided for few, took a backlog for ten times as long as its
-// engines needed, and refused interactive requests at once.
-func (q *Queue) uninformed(now time.Time) bool {
-	return q.read < manyRead && !q.model.Informed() && !q.allLimited(now)
+// uncalibrated reports whether the estimates are mostly initial values, in which case no request is
+// refused early. Otherwise a gateway that has just started, or schedules few requests, would
+// overestimate the time for a backlog tenfold and refuse interactive requests at once.
+func (q *Queue) uncalibrated(now time.Time) bool {
+	return q.prefillsDone < minPrefills && !q.model.Informed() && !q.allRateLimited(now)
 }
 
-// allLimited reports whether each engine states a rate. Waits rest on these then and on nothing learnt.
-func (q *Queue) allLimited(now time.Time) bool {
-	return !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Open && !q.limits.Budget(e.ID, now).Limited })
+// allRateLimited reports whether every engine states a rate. Waits then follow from the rates alone.
+func (q *Queue) allRateLimited(now time.Time) bool {
+	return !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting && !q.limiter.Budget(e.ID, now).Limited })
 }
 
-// exhausted reports whether an engine takes nothing now by the rate that it states.
-func (q *Queue) exhausted(e *engine, now time.Time) bool { return q.limits.Budget(e.ID, now).Wait > 0 }
+// rateExhausted reports whether an engine accepts nothing now because of its stated rate.
+func (q *Queue) rateExhausted(e *engine, now time.Time) bool {
+	return q.limiter.Budget(e.ID, now).Wait > 0
+}
 
-// drained is how long the wait of a request with a rank becomes where what comes meanwhile goes first.
-func (q *Queue) drained(wait time.Duration, rank int, engines float64, now time.Time) time.Duration {
+// waitWithArrivals extends an expected wait by the requests that arrive meanwhile and go first.
+func (q *Queue) waitWithArrivals(wait time.Duration, priority int, engines float64, now time.Time) time.Duration {
 	if engines == 0 {
 		engines = 1
 	}
-	left := leastLeft
-	if q.load.upTo(rank, now) < engines {
-		// Equals that come meanwhile leave some over, so that only what is more urgent takes its time. Were
-		// they counted, urgent requests would be refused in a burst, and less urgent ones served after it.
-		left = 1 - q.load.upTo(rank-1, now)/engines
+	left := minCapacityShare
+	if q.load.enginesNeededUpTo(priority, now) < engines {
+		// Requests of equal priority that arrive meanwhile leave capacity over, so only more urgent
+		// ones are counted. Counting equals as well refused urgent requests in a burst while less
+		// urgent ones were served after it.
+		left = 1 - q.load.enginesNeededUpTo(priority-1, now)/engines
 	}
-	return time.Duration(float64(wait) / max(left, leastLeft))
+	return time.Duration(float64(wait) / max(left, minCapacityShare))
 }
 
-// comeBack is when a refused caller is to ask again: when the backlog has sunk to what its
-// target bears, with what comes meanwhile.
-func (q *Queue) comeBack(wait time.Duration, a Ask, engines float64, now time.Time) time.Duration {
-	return min(max(q.drained(wait, a.Rank, engines, now)-a.Target/2, shortestReturn), longestReturn)
+// retryAfter returns when a refused caller should retry: when the backlog has shrunk to what the
+// request's target tolerates, taking new arrivals into account.
+func (q *Queue) retryAfter(wait time.Duration, a Ask, engines float64, now time.Time) time.Duration {
+	return min(max(q.waitWithArrivals(wait, a.Priority, engines, now)-a.FirstTokenTarget/2, minRetryAfter), maxRetryAfter)
 }
