--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -1,7 +1,7 @@
-// Package enginemodel learns how fast the engines of a service are from what their
-// callers see of them: how long prompts take to be read, how long a generated token
-// takes, and how long the streams of an engine pause while it reads. All figures begin
-// with a start value and follow what is observed. It has no clock and no network.
+// Package enginemodel estimates the performance of a service's engines from what their callers
+// observe: the time to prefill a prompt, the time per generated token, and the gaps in an engine's
+// streams during prefills. All estimates start from initial values and follow the observations. The
+// package uses no clock and no network.
 package enginemodel
 
 import (
@@ -9,215 +9,215 @@
 )
 
 const (
-	// The start values: an engine of one or two current accelerators with a model of 70
-	// to 120 billion parameters. They count as startWeight observations.
-	startRead    = 25 * time.Microsecond // for a prompt token
-	startLatency = 15 * time.Millisecond // to the first event of an empty prompt
-	startToken   = 10 * time.Millisecond // for a generated token
-	// startPause is the longest pause of a stream that is assumed beside any reading: six
-	// steps with chunks of 1,024 tokens. Engines that pause for longer show it within a
+	// The initial values correspond to an engine on one or two current accelerators with a model
+	// of 70 to 120 billion parameters. They weigh as much as initialWeight observations.
+	initialPrefillPerToken   = 25 * time.Microsecond
+	initialFirstEventLatency = 15 * time.Millisecond // for an empty prompt
+	initialTokenTime         = 10 * time.Millisecond
+	// initialMaxEventGap is the initial estimate of the longest gap in a stream during any
+	// prefill: six steps with chunks of 1,024 tokens. Engines with longer gaps show it within a
 	// second of load.
-	startPause  = 150 * time.Millisecond
-	startWeight = 4
-	// memory is the number of observations after which one has lost two thirds of its
-	// weight: some seconds of a busy service.
-	memory = 200
-	// farOff bounds how far one observation may be from what was expected, as a factor: an
-	// engine that freezes for seconds says nothing about the others.
-	farOff = 3.0
-	// mostWeight bounds the weight of a short prompt against one of tokensOfStart.
-	mostWeight = 4.0
-	// tokensOfStart is a prompt length in tokens at which the start values are observed.
-	tokensOfStart = 4000
-	// leastRead bounds the reading time of 1,000 tokens from below, in microseconds: engines
-	// ten times as fast as the start value.
-	leastRead = 2500.0
+	initialMaxEventGap = 150 * time.Millisecond
+	initialWeight      = 4
+	// observationWindow is the number of observations after which an observation has lost two
+	// thirds of its weight; a busy service makes as many in some seconds.
+	observationWindow = 200
+	// maxDeviationFactor bounds the deviation of a single observation from its expected value, as
+	// an engine that freezes for seconds says nothing about the others.
+	maxDeviationFactor = 3.0
+	// maxShortPromptWeight bounds the weight of a short prompt relative to referenceTokens.
+	maxShortPromptWeight = 4.0
+	// referenceTokens is the prompt length for which the initial values are added to the fit.
+	referenceTokens = 4000
+	// minPrefillPer1000TokensUs bounds the estimated prefill time from below: engines ten times as
+	// fast as the initial value.
+	minPrefillPer1000TokensUs = 2500.0
 )
 
-// Service is what was learnt of the engines of one service together. It is not safe for
+// ServiceModel estimates the average performance of a service's engines. It is not safe for
 // concurrent use.
-type Service struct {
-	reading      fit
-	coefficients features // of reading
-	observed     float64  // prompts of late
-	told         float64  // prompts on which the figures rest with which it began
-	token        float64  // us for a generated token beside no reading
-	tokens       float64  // observations of it
-	pause        float64  // us, the longest pause of a stream whatever is read
-}
-
-// Figures are what was learnt of a service's engines, to be told to others.
-type Figures struct {
-	Read     time.Duration // for 1,000 prompt tokens
-	Pairs    time.Duration // more for each million pairs of a token and one before it
-	Latency  time.Duration // to the first event of an empty prompt
-	Token    time.Duration // for a generated token beside no reading
-	Pause    time.Duration // the longest of a stream whatever is read
-	Observed float64       // prompts on which they rest, of late
-}
-
-// startFigures are the figures of engines of which nothing was observed.
-var startFigures = Figures{Read: startRead * thousand, Latency: startLatency, Token: startToken, Pause: startPause}
-
-// NewService returns a model with the start values.
-func NewService() *Service { return NewServiceFrom(startFigures) }
-
-// NewServiceFrom returns a model that begins with figures that another has learnt. They
-// count as a few observations.
-func NewServiceFrom(f Figures) *Service {
-	s := &Service{token: us(f.Token), pause: us(f.Pause), told: f.Observed, coefficients: features{us(f.Latency), us(f.Read), us(f.Pairs)}}
-	for _, tokens := range []int{0, tokensOfStart} {
-		x := of(tokens, 0)
-		s.reading.add(x, x.dot(s.coefficients), startWeight/2)
+type ServiceModel struct {
+	prefillFit          fit
+	coefficients        features // of prefillFit
+	observations        float64  // observed prompts, exponentially decayed
+	initialObservations float64  // observations behind the estimates that the model was created with
+	tokenTimeUs         float64  // perToken generated token while no prefill is running
+	tokenObservations   float64  // of tokenTimeUs
+	maxGapUs            float64  // longestGap gap in a stream during any prefill
+}
+
+// Estimates are the estimated performance of a service's engines, for exchange between gateways.
+type Estimates struct {
+	PrefillPer1000Tokens     time.Duration
+	AttentionPerMillionPairs time.Duration // additional time perToken million pairs of a token and an earlier one
+	FirstEventLatency        time.Duration // for an empty prompt
+	TokenTime                time.Duration // perToken generated token while no prefill is running
+	MaxEventGap              time.Duration // longestGap gap in a stream during any prefill
+	Observations             float64       // recent prompts on which the estimates are based
+}
+
+// initialEstimates apply to engines without observations.
+var initialEstimates = Estimates{PrefillPer1000Tokens: initialPrefillPerToken * thousand, FirstEventLatency: initialFirstEventLatency, TokenTime: initialTokenTime, MaxEventGap: initialMaxEventGap}
+
+// NewServiceModel returns a model with the initial estimates.
+func NewServiceModel() *ServiceModel { return NewServiceModelFrom(initialEstimates) }
+
+// NewServiceModelFrom returns a model that starts from another model's estimates. They weigh as much
+// as a few observations.
+func NewServiceModelFrom(initial Estimates) *ServiceModel {
+	s := &ServiceModel{tokenTimeUs: toMicroseconds(initial.TokenTime), maxGapUs: toMicroseconds(initial.MaxEventGap), initialObservations: initial.Observations, coefficients: features{toMicroseconds(initial.FirstEventLatency), toMicroseconds(initial.PrefillPer1000Tokens), toMicroseconds(initial.AttentionPerMillionPairs)}}
+	for _, tokens := range []int{0, referenceTokens} {
+		x := featuresOf(tokens, 0)
+		s.prefillFit.add(x, x.dot(s.coefficients), initialWeight/2)
 	}
 	return s
 }
 
-// Figures returns what was learnt.
-func (s *Service) Figures() Figures {
-	return Figures{Read: microseconds(s.coefficients[1]), Latency: microseconds(s.coefficients[0]),
-		Pairs: microseconds(s.coefficients[2]), Token: microseconds(s.token),
-		Pause: microseconds(s.pause), Observed: s.observed}
+// Estimates returns the current estimates.
+func (s *ServiceModel) Estimates() Estimates {
+	return Estimates{PrefillPer1000Tokens: fromMicroseconds(s.coefficients[1]), FirstEventLatency: fromMicroseconds(s.coefficients[0]),
+		AttentionPerMillionPairs: fromMicroseconds(s.coefficients[2]), TokenTime: fromMicroseconds(s.tokenTimeUs),
+		MaxEventGap: fromMicroseconds(s.maxGapUs), Observations: s.observations}
 }
 
-// leastObserved is the number of prompts after which the start values weigh a sixth at most.
-const leastObserved = 20
+// minObservations is the number of prompts after which the initial values weigh at most a sixth.
+const minObservations = 20
 
-// Informed reports whether the figures rest on what was observed rather than on start values, which
-// may be ten times off.
-func (s *Service) Informed() bool { return max(s.observed, s.told) >= leastObserved }
+// Calibrated reports whether the estimates are based on observations rather than on initial values,
+// which may be wrong by a factor of ten.
+func (s *ServiceModel) Calibrated() bool {
+	return max(s.observations, s.initialObservations) >= minObservations
+}
 
-// ReadTime returns how long a mean engine that does nothing else takes to the first event
-// of a prompt with so many tokens to read after others that it keeps.
-func (s *Service) ReadTime(tokens, after int) time.Duration {
-	return microseconds(of(tokens, after).dot(s.coefficients))
+// PrefillTime returns how long an otherwise idle engine of average speed takes to the first event of
+// a prompt with the given number of tokens to prefill, after the given number of cached tokens.
+func (s *ServiceModel) PrefillTime(tokens, cached int) time.Duration {
+	return fromMicroseconds(featuresOf(tokens, cached).dot(s.coefficients))
 }
 
-// TokenTime returns how long a generated token takes while nothing is read.
-func (s *Service) TokenTime() time.Duration { return microseconds(s.token) }
+// TokenTime returns the time per generated token while no prefill is running.
+func (s *ServiceModel) TokenTime() time.Duration { return fromMicroseconds(s.tokenTimeUs) }
 
-// Pause returns how long a stream pauses between two events of so many tokens while its
-// engine reads for so long. Engines that read in chunks generate between these, so that
-// the pause stops growing at some length.
-func (s *Service) Pause(reading time.Duration, eventTokens int) time.Duration {
-	pause := time.Duration(unsure*float64(reading)) + time.Duration(eventTokens)*s.TokenTime()
-	return min(pause, microseconds(s.pause))
+// EventGap returns the gap between two events of a stream, each with the given number of tokens,
+// during a prefill. Engines with chunked prefill generate tokens between the chunks, so that the gap
+// does not grow beyond a certain length.
+func (s *ServiceModel) EventGap(prefill time.Duration, tokensPerEvent int) time.Duration {
+	gap := time.Duration(prefillMargin*float64(prefill)) + time.Duration(tokensPerEvent)*s.TokenTime()
+	return min(gap, fromMicroseconds(s.maxGapUs))
 }
 
-// Made returns how many tokens a stream generates in a time in which its engine read for
-// a part of it.
-func (s *Service) Made(generating, reading time.Duration, eventTokens int) float64 {
-	made := max(float64(generating.Microseconds()), 0) / s.token
-	return made + float64(eventTokens)*max(float64(reading.Microseconds()), 0)/s.pause
+// TokensGenerated returns how many tokens a stream generates in the given time without prefills and
+// the given time with prefills on its engine.
+func (s *ServiceModel) TokensGenerated(generating, prefill time.Duration, tokensPerEvent int) float64 {
+	generated := max(float64(generating.Microseconds()), 0) / s.tokenTimeUs
+	return generated + float64(tokensPerEvent)*max(float64(prefill.Microseconds()), 0)/s.maxGapUs
 }
 
-func us(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
+func toMicroseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-func microseconds(us float64) time.Duration { return time.Duration(us * float64(time.Microsecond)) }
+func fromMicroseconds(us float64) time.Duration { return time.Duration(us * float64(time.Microsecond)) }
 
-// Engine is what was learnt of one engine, as a factor to its service. It is not safe
-// for concurrent use.
-type Engine struct {
-	service *Service
-	slow    float64 // times as long as a mean engine, by its own observations
-	weight  float64 // of these
-	at      time.Time
+// EngineModel is the speed of one engine relative to its service's average. It is not safe for
+// concurrent use.
+type EngineModel struct {
+	service    *ServiceModel
+	slowdown   float64 // time relative to an average engine, by this engine's observations
+	weight     float64 // of these observations
+	observedAt time.Time
 }
 
 const (
-	// engineWeight is how many observations the service's figure counts against those of
-	// one engine.
-	engineWeight = 4
-	// engineMemory is the number of observations that are kept of one engine.
-	engineMemory = 20
-	// engineForget is the time constant with which an engine that is not observed is
-	// taken for a mean one again: an engine that was slow is tried again after some
-	// seconds.
-	engineForget = 8 * time.Second
+	// serviceWeight is the weight of the service's average, in observations of the engine.
+	serviceWeight = 4
+	// maxEngineWeight bounds the weight of an engine's observations.
+	maxEngineWeight = 20
+	// engineDecayTime is the time constant with which an engine without observations is assumed to
+	// return to the average, so that an engine that was slow is tried again after some seconds.
+	engineDecayTime = 8 * time.Second
 )
 
-// NewEngine returns the model of an engine of which nothing was observed.
-func (s *Service) NewEngine() *Engine { return &Engine{service: s, slow: 1} }
+// NewEngineModel returns the model of an engine without observations.
+func (s *ServiceModel) NewEngineModel() *EngineModel { return &EngineModel{service: s, slowdown: 1} }
 
-// ReadTime is Service.ReadTime for this engine.
-func (e *Engine) ReadTime(tokens, after int, now time.Time) time.Duration {
-	return time.Duration(float64(e.service.ReadTime(tokens, after)) * e.Slowness(now))
+// PrefillTime is ServiceModel.PrefillTime for this engine.
+func (e *EngineModel) PrefillTime(tokens, cached int, now time.Time) time.Duration {
+	return time.Duration(float64(e.service.PrefillTime(tokens, cached)) * e.SlowdownFactor(now))
 }
 
-// Slowness returns how many times as long as a mean engine this one takes.
-func (e *Engine) Slowness(now time.Time) float64 {
+// SlowdownFactor returns how much longer than an average engine this one takes, as a factor.
+func (e *EngineModel) SlowdownFactor(now time.Time) float64 {
 	w := e.weightAt(now)
-	return (engineWeight + w*e.slow) / (engineWeight + w)
+	return (serviceWeight + w*e.slowdown) / (serviceWeight + w)
 }
 
-func (e *Engine) weightAt(now time.Time) float64 {
-	idle := now.Sub(e.at).Seconds() / engineForget.Seconds()
+func (e *EngineModel) weightAt(now time.Time) float64 {
+	idle := now.Sub(e.observedAt).Seconds() / engineDecayTime.Seconds()
 	return e.weight / (1 + max(idle, 0)*max(idle, 0))
 }
 
-// Observe takes in that the engine gave the first event of a prompt with so many tokens
-// to read, after others that it kept, in a time in which it read nothing else.
-func (e *Engine) Observe(tokens, after int, took time.Duration, now time.Time) {
-	expected := e.service.ReadTime(tokens, after)
+// ObservePrefill records the time to the first event of a prompt with the given number of tokens to
+// prefill, after the given number of cached tokens, while no other prefill was running.
+func (e *EngineModel) ObservePrefill(tokens, cached int, took time.Duration, now time.Time) {
+	expected := e.service.PrefillTime(tokens, cached)
 	if took <= 0 || expected <= 0 {
 		return
 	}
-	factor := clamp(float64(took)/float64(expected), 1/farOff, farOff)
+	factor := clamp(float64(took)/float64(expected), 1/maxDeviationFactor, maxDeviationFactor)
 	w := e.weightAt(now)
-	e.slow = (e.slow*w + factor) / (w + 1)
-	e.weight, e.at = min(w+1, engineMemory), now
-	e.service.observe(of(tokens, after), factor*us(expected))
+	e.slowdown = (e.slowdown*w + factor) / (w + 1)
+	e.weight, e.observedAt = min(w+1, maxEngineWeight), now
+	e.service.observe(featuresOf(tokens, cached), factor*toMicroseconds(expected))
 }
 
-func (s *Service) observe(x features, took float64) {
-	s.observed = s.observed*(1-1.0/memory) + 1
-	s.reading.decay(1 - 1.0/memory)
-	// What is off is off by a part, so that long prompts count less: by the square of the
-	// time that is expected of them.
-	weight := of(tokensOfStart, 0).dot(s.coefficients) / max(x.dot(s.coefficients), 1)
-	s.reading.add(x, took, min(weight*weight, mostWeight))
-	s.coefficients = s.reading.solve(features{us(startLatency), us(startRead * thousand), 0})
-	s.coefficients[1] = max(s.coefficients[1], leastRead)
+func (s *ServiceModel) observe(x features, took float64) {
+	s.observations = s.observations*(1-1.0/observationWindow) + 1
+	s.prefillFit.decay(1 - 1.0/observationWindow)
+	// Deviations are proportional to the prefill time, so observations are weighted by the inverse
+	// square of the expected time.
+	weight := featuresOf(referenceTokens, 0).dot(s.coefficients) / max(x.dot(s.coefficients), 1)
+	s.prefillFit.add(x, took, min(weight*weight, maxShortPromptWeight))
+	s.coefficients = s.prefillFit.solve(features{toMicroseconds(initialFirstEventLatency), toMicroseconds(initialPrefillPerToken * thousand), 0})
+	s.coefficients[1] = max(s.coefficients[1], minPrefillPer1000TokensUs)
 }
 
-// Generated takes in that a stream of so many tokens took a time from its first to its
-// last event, without the time in which its engine read prompts.
-func (s *Service) Generated(tokens int, took time.Duration) {
+// ObserveGeneration records the time from the first to the last event of a stream with the given
+// number of tokens, excluding the time of prefills on its engine.
+func (s *ServiceModel) ObserveGeneration(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	per := clamp(float64(took.Microseconds())/float64(tokens), s.token/farOff, s.token*farOff)
-	s.tokens = min(s.tokens+1, memory)
-	s.token += (per - s.token) / (s.tokens + startWeight)
+	perToken := clamp(float64(took.Microseconds())/float64(tokens), s.tokenTimeUs/maxDeviationFactor, s.tokenTimeUs*maxDeviationFactor)
+	s.tokenObservations = min(s.tokenObservations+1, observationWindow)
+	s.tokenTimeUs += (perToken - s.tokenTimeUs) / (s.tokenObservations + initialWeight)
 }
 
-// unsure is how many times as long as expected a reading may well take.
-const unsure = 1.25
+// prefillMargin is the factor by which a prefill may well exceed its expected time.
+const prefillMargin = 1.25
 
 const (
-	// heldUp is the part of a reading time below which a pause shows that the engine
-	// generates between the chunks that it reads.
-	heldUp = 0.7
-	// pauseUp and pauseDown are the weights with which the longest pause follows longer
-	// and shorter ones: it is to be an upper bound.
-	pauseUp, pauseDown = 0.2, 0.05
-	// leastReading is the reading time below which a pause says nothing of chunks.
-	leastReading = 100 * time.Millisecond
+	// chunkedPrefillRatio is the ratio of a gap to a prefill time below which the gap shows that
+	// the engine generates tokens between prefill chunks.
+	chunkedPrefillRatio = 0.7
+	// gapUpWeight and gapDownWeight are the weights of longer and shorter gaps in the moving
+	// estimate of the longest gap. They differ because it is meant to be an upper bound.
+	gapUpWeight, gapDownWeight = 0.2, 0.05
+	// minPrefillForGap is the prefill time below which a gap says nothing about chunks.
+	minPrefillForGap = 100 * time.Millisecond
 )
 
-// Paused takes in the longest pause of a stream beside the longest reading of a prompt at
-// its engine.
-func (s *Service) Paused(longest, reading time.Duration) {
-	if longest <= 0 || reading < leastReading {
+// ObserveGap records the longest gap of a stream and the longest prefill on its engine during the
+// stream.
+func (s *ServiceModel) ObserveGap(longestGap, prefill time.Duration) {
+	if longestGap <= 0 || prefill < minPrefillForGap {
 		return
 	}
-	us := float64(longest.Microseconds())
+	gapUs := float64(longestGap.Microseconds())
 	switch {
-	case us > s.pause:
-		s.pause += pauseUp * (us - s.pause)
-	case float64(longest) < heldUp*float64(reading):
-		s.pause += pauseDown * (us - s.pause)
+	case gapUs > s.maxGapUs:
+		s.maxGapUs += gapUpWeight * (gapUs - s.maxGapUs)
+	case float64(longestGap) < chunkedPrefillRatio*float64(prefill):
+		s.maxGapUs += gapDownWeight * (gapUs - s.maxGapUs)
 	}
 }
 
-func clamp(v, least, most float64) float64 { return min(max(v, least), most) }
+func clamp(v, low, high float64) float64 { return min(max(v, low), high) }
--- a/internal/enginemodel/fit.go
+++ b/internal/enginemodel/fit.go
@@ -1,19 +1,19 @@
 package enginemodel
 
-// features are what the reading time of a prompt grows with: one for each prompt, its
-// tokens, and the pairs of these with the tokens before them, to which attention looks.
+// features are the quantities that the prefill time depends on: a constant, the number of tokens, and
+// the number of pairs of a token and an earlier one, which determines the attention time.
 type features [3]float64
 
-// of returns the features of tokens that are read after others that are kept.
-func of(tokens, after int) features {
-	n, before := float64(max(tokens, 0)), float64(max(after, 0))
+// featuresOf returns the features of a number of tokens to prefill after a number of cached tokens.
+func featuresOf(tokens, cached int) features {
+	n, before := float64(max(tokens, 0)), float64(max(cached, 0))
 	return features{1, n / thousand, n * (before + n/2) / million}
 }
 
 const thousand, million = 1e3, 1e6
 
-// fit is a weighted least-squares fit of microseconds to features, drawn to the start
-// values where nothing is observed.
+// fit is a weighted least-squares fit of microseconds to features, regularized towards the initial
+// values.
 type fit struct {
 	xx [3][3]float64
 	xy [3]float64
@@ -37,11 +37,11 @@
 	}
 }
 
-// ridge is the weight with which each coefficient is drawn to its start value: that of one
-// observation of a prompt of 1,000 tokens after none.
+// ridge is the regularization weight of each coefficient's initial value, equal to that of one
+// observation of a prompt of 1,000 tokens without cached tokens.
 const ridge = 1.0
 
-// solve returns the coefficients, by elimination; none is below zero.
+// solve returns the non-negative coefficients, by Gaussian elimination.
 func (f *fit) solve(start features) features {
 	a, b := f.xx, f.xy
 	for i := range a {
@@ -68,7 +68,7 @@
 	return out
 }
 
-// dot returns the value of the fit.
+// dot returns the value of the fit for the features.
 func (x features) dot(coefficients features) float64 {
 	sum := 0.0
 	for i := range x {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -212,8 +212,8 @@
 // logLearnt writes what the decisions of this process rest on.
 func (p *Peers) logLearnt() {
 	for _, l := range p.desk.Stats() {
-		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.Read, "pairs", l.Pairs, "latency", l.Latency, "token", l.Token,
-			"longest_pause", l.Pause, "observed", l.Observed, "waiting", l.Queued, "engines", l.AvailableEngines, "reading", l.PrefillingEngines, "running", l.Running)
+		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.PrefillPer1000Tokens, "pairs", l.AttentionPerMillionPairs, "latency", l.FirstEventLatency, "token", l.TokenTime,
+			"longest_pause", l.MaxEventGap, "observed", l.Observations, "waiting", l.Queued, "engines", l.AvailableEngines, "reading", l.PrefillingEngines, "running", l.Running)
 	}
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -331,7 +331,7 @@
 		a.List([]Member{b.Self()})
 		told := func() time.Duration {
 			f, _ := b.told("s")
-			return f.Read
+			return f.PrefillPer1000Tokens
 		}
 		Eventually(told, 3*time.Second).Should(BeNumerically("~", 100*time.Millisecond, 20*time.Millisecond))
 		_, known := b.told("other")
--- a/internal/permit/engine.go
+++ b/internal/permit/engine.go
@@ -35,7 +35,7 @@
 // engine is the scheduling state of one engine of a group.
 type engine struct {
 	Engine
-	model           *enginemodel.Engine
+	model           *enginemodel.EngineModel
 	position        float64 // in the order of preference for short prompts, 0 to 1
 	requests        map[string]*entry
 	reservedTokens  int // KV cache tokens reserved for its requests
@@ -63,8 +63,8 @@
 	expected time.Duration // expected duration
 }
 
-func newEngine(e Engine, service *enginemodel.Service) *engine {
-	return &engine{Engine: e, model: service.NewEngine(), requests: map[string]*entry{}}
+func newEngine(e Engine, service *enginemodel.ServiceModel) *engine {
+	return &engine{Engine: e, model: service.NewEngineModel(), requests: map[string]*entry{}}
 }
 
 // usable reports whether the engine may be sent prompts now.
@@ -151,12 +151,12 @@
 }
 
 // observeStream updates the service's model with the observed response.
-func (e *engine) observeStream(service *enginemodel.Service, en *entry, s StreamStats) {
+func (e *engine) observeStream(service *enginemodel.ServiceModel, en *entry, s StreamStats) {
 	if s.Events < minEvents || e.TokensPerEvent == 0 || en.firstTokenAt.IsZero() {
 		return
 	}
 	if prefill := e.prefillTotal - en.prefillTotalAtFirstToken; float64(prefill) < maxPrefillShare*float64(s.Duration) {
-		service.Generated((s.Events-1)*e.TokensPerEvent, s.Duration-prefill)
+		service.ObserveGeneration((s.Events-1)*e.TokensPerEvent, s.Duration-prefill)
 	}
 	longest := time.Duration(0)
 	for _, r := range e.prefills {
@@ -164,16 +164,16 @@
 			longest = max(longest, r.expected)
 		}
 	}
-	service.Paused(s.LongestGap, longest)
+	service.ObserveGap(s.LongestGap, longest)
 }
 
 // slack returns how much of a stream's remaining time it does not need for its remaining output.
-func (e *engine) slack(en *entry, service *enginemodel.Service, now time.Time) time.Duration {
+func (e *engine) slack(en *entry, service *enginemodel.ServiceModel, now time.Time) time.Duration {
 	if en.ask.ResponseTimeout == 0 {
 		return time.Hour
 	}
 	prefill := e.prefillTotal - en.prefillTotalAtFirstToken
-	generated := service.Made(now.Sub(en.firstTokenAt)-prefill, prefill, e.TokensPerEvent)
+	generated := service.TokensGenerated(now.Sub(en.firstTokenAt)-prefill, prefill, e.TokensPerEvent)
 	rest := max(float64(en.ask.OutputTokens)-generated, minOutputLeftShare*float64(en.ask.OutputTokens))
 	return en.ask.ResponseTimeout - now.Sub(en.arrivedAt) - time.Duration(rest*float64(service.TokenTime()))
 }
--- a/internal/permit/place.go
+++ b/internal/permit/place.go
@@ -90,7 +90,7 @@
 	s.prefillTokens = a.UniqueTokens
 	id := s.engine.ID
 	if !at.holds(id) {
-		recompute := s.engine.model.ReadTime(a.UniqueTokens+a.PrefixTokens, 0, now) - s.engine.model.ReadTime(a.UniqueTokens, a.PrefixTokens, now)
+		recompute := s.engine.model.PrefillTime(a.UniqueTokens+a.PrefixTokens, 0, now) - s.engine.model.PrefillTime(a.UniqueTokens, a.PrefixTokens, now)
 		located := at.source != "" && !q.policy.NoFetch
 		worthFetching := a.PrefixTokens >= minFetchTokens && !q.policy.NoFetch
 		switch {
@@ -109,7 +109,7 @@
 		}
 	}
 	s.cachedTokens = a.UniqueTokens + a.PrefixTokens - s.prefillTokens
-	s.prefill = s.engine.model.ReadTime(s.prefillTokens, s.cachedTokens, now)
+	s.prefill = s.engine.model.PrefillTime(s.prefillTokens, s.cachedTokens, now)
 	return extra
 }
 
@@ -215,7 +215,7 @@
 // count.
 func (q *Queue) disruptedStreams(s candidate, a Ask, due bool, now time.Time) int {
 	burst := s.engine.currentBurst(q.eventInterval(s.engine), now) + s.prefill
-	gap := q.model.Pause(burst, s.engine.TokensPerEvent)
+	gap := q.model.EventGap(burst, s.engine.TokensPerEvent)
 	n := 0
 	for _, other := range s.engine.requests {
 		if !other.prefillDone || due && other.ask.Priority >= a.Priority {
--- a/internal/permit/place_test.go
+++ b/internal/permit/place_test.go
@@ -28,7 +28,7 @@
 	g := NewWithT(t)
 	q, now := newQueue(2)
 	for range 20 { // gaps as long as the prefill: large chunks
-		q.model.Paused(600*time.Millisecond, 600*time.Millisecond)
+		q.model.ObserveGap(600*time.Millisecond, 600*time.Millisecond)
 	}
 	at := startStream(q, interactiveRequest("q1"), now)
 	now = now.Add(time.Second)
@@ -53,7 +53,7 @@
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for range 20 {
-		q.model.Paused(600*time.Millisecond, 600*time.Millisecond)
+		q.model.ObserveGap(600*time.Millisecond, 600*time.Millisecond)
 	}
 	for i := range 5 {
 		startStream(q, interactiveRequest(fmt.Sprint(i)), now.Add(time.Duration(i)*time.Second))
@@ -76,7 +76,7 @@
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for range 20 {
-		q.model.Paused(600*time.Millisecond, 600*time.Millisecond)
+		q.model.ObserveGap(600*time.Millisecond, 600*time.Millisecond)
 	}
 	startStream(q, interactiveRequest("q1"), now)
 	now = now.Add(time.Second)
@@ -101,7 +101,7 @@
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for range 20 {
-		q.model.Paused(900*time.Millisecond, 900*time.Millisecond)
+		q.model.ObserveGap(900*time.Millisecond, 900*time.Millisecond)
 	}
 	startStream(q, interactiveRequest("q1"), now)
 	now = now.Add(time.Second)
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -68,7 +68,7 @@
 // Queue schedules requests for one group of engines. It is not safe for concurrent use.
 type Queue struct {
 	policy       Policy
-	model        *enginemodel.Service
+	model        *enginemodel.ServiceModel
 	limiter      *ratelimit.Limiter
 	engines      map[string]*engine
 	ordered      []*engine // by ID
@@ -87,7 +87,7 @@
 }
 
 // NewQueue returns an empty queue without engines.
-func NewQueue(model *enginemodel.Service, limiter *ratelimit.Limiter, policy Policy) *Queue {
+func NewQueue(model *enginemodel.ServiceModel, limiter *ratelimit.Limiter, policy Policy) *Queue {
 	return &Queue{policy: policy, model: model, limiter: limiter, engines: map[string]*engine{}, prefixes: newPrefixIndex(), waitingByID: map[string]*entry{}, granted: map[string]*entry{}}
 }
 
@@ -175,7 +175,7 @@
 		return
 	}
 	if e.exclusive && !q.policy.NoLearning {
-		e.engine.model.Observe(e.prefillTokens, e.cachedTokens, took, now)
+		e.engine.model.ObservePrefill(e.prefillTokens, e.cachedTokens, took, now)
 	}
 	q.prefillsDone++
 	e.engine.succeeded(now)
--- a/internal/permit/queue_test.go
+++ b/internal/permit/queue_test.go
@@ -34,9 +34,9 @@
 }
 
 func newQueue(engines int) (*Queue, time.Time) {
-	f := enginemodel.NewService().Figures()
-	f.Observed = 100 // another gateway has confirmed the initial estimates
-	q := NewQueue(enginemodel.NewServiceFrom(f), ratelimit.New(rand.Float64), Policy{})
+	f := enginemodel.NewServiceModel().Estimates()
+	f.Observations = 100 // another gateway has confirmed the initial estimates
+	q := NewQueue(enginemodel.NewServiceModelFrom(f), ratelimit.New(rand.Float64), Policy{})
 	q.SetEngines(acceptingEngines(engines))
 	return q, time.Unix(100, 0)
 }
@@ -46,7 +46,7 @@
 // interactive request with 429, as for overload, 0.2 ms after its arrival.
 func TestNoRefusalByInitialEstimates(t *testing.T) {
 	g := NewWithT(t)
-	q := NewQueue(enginemodel.NewService(), ratelimit.New(rand.Float64), Policy{})
+	q := NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{})
 	q.SetEngines(acceptingEngines(1))
 	now := time.Unix(100, 0)
 	refused := func(name string, asks int) (n int) {
@@ -60,7 +60,7 @@
 	g.Expect(refused("early-", 100)).To(BeZero())
 
 	now = now.Add(10 * time.Second) // nor later, while few prefills are completed
-	q = NewQueue(enginemodel.NewService(), ratelimit.New(rand.Float64), Policy{NoLearning: true})
+	q = NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{NoLearning: true})
 	q.SetEngines(acceptingEngines(1))
 	for i := range minPrefills {
 		g.Expect(refused(fmt.Sprint("few-", i, "-"), 1)).To(BeZero())
@@ -203,7 +203,7 @@
 		q.RecordFirstToken(id, took, now)
 		q.Finish(id, StreamStats{}, now)
 	}
-	g.Expect(q.model.ReadTime(5000, 0)).To(BeNumerically("~", 250*time.Millisecond, 10*time.Millisecond))
+	g.Expect(q.model.PrefillTime(5000, 0)).To(BeNumerically("~", 250*time.Millisecond, 10*time.Millisecond))
 }
 
 // No engine of a group is idle while a prompt waits for another engine.
@@ -452,7 +452,7 @@
 func TestSchedulerSeparatesGroups(t *testing.T) {
 	g := NewWithT(t)
 	lists := 0
-	told := func(string) (enginemodel.Figures, bool) { return enginemodel.Figures{}, false }
+	told := func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false }
 	d := NewScheduler[string](func(Group) []Engine { lists++; return acceptingEngines(1) }, told, ratelimit.New(rand.Float64), Policy{})
 	now := time.Unix(100, 0)
 	one, two := Group{Service: "s"}, Group{Service: "s", Index: 1}
--- a/internal/permit/scheduler.go
+++ b/internal/permit/scheduler.go
@@ -19,10 +19,10 @@
 // requesting gateway's address. It is not safe for concurrent use.
 type Scheduler[From any] struct {
 	listEngines   func(Group) []Engine
-	peerEstimates func(service string) (enginemodel.Figures, bool)
+	peerEstimates func(service string) (enginemodel.Estimates, bool)
 	limiter       *ratelimit.Limiter
 	policy        Policy
-	models        map[string]*enginemodel.Service
+	models        map[string]*enginemodel.ServiceModel
 	queues        map[Group]*groupQueue
 	requesters    map[string]From // by ID of the waiting request
 }
@@ -42,9 +42,9 @@
 // NewScheduler returns a scheduler without queues. listEngines returns the members of a group;
 // peerEstimates returns estimates that other gateways have made for a service's engines, if any;
 // limiter holds the rates that engines state.
-func NewScheduler[From any](listEngines func(Group) []Engine, peerEstimates func(service string) (enginemodel.Figures, bool), limiter *ratelimit.Limiter,
+func NewScheduler[From any](listEngines func(Group) []Engine, peerEstimates func(service string) (enginemodel.Estimates, bool), limiter *ratelimit.Limiter,
 	policy Policy) *Scheduler[From] {
-	return &Scheduler[From]{listEngines: listEngines, peerEstimates: peerEstimates, limiter: limiter, policy: policy, models: map[string]*enginemodel.Service{}, queues: map[Group]*groupQueue{}, requesters: map[string]From{}}
+	return &Scheduler[From]{listEngines: listEngines, peerEstimates: peerEstimates, limiter: limiter, policy: policy, models: map[string]*enginemodel.ServiceModel{}, queues: map[Group]*groupQueue{}, requesters: map[string]From{}}
 }
 
 // Submit schedules a request for an engine of a group.
@@ -64,13 +64,13 @@
 }
 
 // serviceModel returns the performance model of a service's engines.
-func (s *Scheduler[From]) serviceModel(service string) *enginemodel.Service {
+func (s *Scheduler[From]) serviceModel(service string) *enginemodel.ServiceModel {
 	m := s.models[service]
 	if m == nil {
 		if f, ok := s.peerEstimates(service); ok {
-			m = enginemodel.NewServiceFrom(f)
+			m = enginemodel.NewServiceModelFrom(f)
 		} else {
-			m = enginemodel.NewService()
+			m = enginemodel.NewServiceModel()
 		}
 		s.models[service] = m
 	}
@@ -80,7 +80,7 @@
 // ServiceStats describes the engines of a service and their load.
 type ServiceStats struct {
 	Service string
-	enginemodel.Figures
+	enginemodel.Estimates
 	// Queued counts waiting requests, AvailableEngines those that accept requests,
 	// PrefillingEngines those with prefills in progress, and Running the granted requests.
 	Queued, AvailableEngines, PrefillingEngines, Running int
@@ -90,7 +90,7 @@
 func (s *Scheduler[From]) Stats() []ServiceStats {
 	var out []ServiceStats
 	for service, m := range s.models {
-		l := ServiceStats{Service: service, Figures: m.Figures()}
+		l := ServiceStats{Service: service, Estimates: m.Estimates()}
 		for group, k := range s.queues {
 			if group.Service == service {
 				l.Queued += len(k.waiting)
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -75,7 +75,7 @@
 	if a.Plain {
 		return plainWork
 	}
-	return q.model.ReadTime(a.UniqueTokens, a.PrefixTokens)
+	return q.model.PrefillTime(a.UniqueTokens, a.PrefixTokens)
 }
 
 func meanOr(sum time.Duration, count int, fallback time.Duration) time.Duration {
@@ -193,7 +193,7 @@
 // refused early. Otherwise a gateway that has just started, or schedules few requests, would
 // overestimate the time for a backlog tenfold and refuse interactive requests at once.
 func (q *Queue) uncalibrated(now time.Time) bool {
-	return q.prefillsDone < minPrefills && !q.model.Informed() && !q.allRateLimited(now)
+	return q.prefillsDone < minPrefills && !q.model.Calibrated() && !q.allRateLimited(now)
 }
 
 // allRateLimited reports whether every engine states a rate. Waits then follow from the rates alone.
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -143,7 +143,7 @@
 func Run(c Config) []ClassResult {
 	w := &world{Config: c, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(c.Seed, 7)),
 		engines: map[string]*engine{}}
-	w.desk = permit.NewScheduler[*ask](w.list, func(string) (enginemodel.Figures, bool) { return enginemodel.Figures{}, false },
+	w.desk = permit.NewScheduler[*ask](w.list, func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false },
 		ratelimit.New(w.random.Float64), policies[c.Variant])
 	var list []registry.Server
 	for i := range c.Engines {
