--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -330,7 +330,7 @@
 	seen.EngineFailed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
 	s := send{Server: server.ID, Reason: choice.Reason, Fetch: choice.FetchFrom, Result: outcomeNames[result],
 		Running: choice.Candidate.View.Running, Unread: choice.Candidate.View.Unread,
-		Expect: choice.Read, First: seen.TimeToFirstEvent, Longest: seen.LongestGap, At: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Said: said}
+		Expect: choice.ExpectedPrefill, First: seen.TimeToFirstEvent, Longest: seen.LongestGap, At: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Said: said}
 	if err != nil {
 		s.Cause = err.Error()
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -54,7 +54,7 @@
 	for _, c := range listed {
 		b := g.notices.Limits().Budget(c.Server.Start(), g.now())
 		switch {
-		case c.Rests > 0:
+		case c.RetryAfter > 0:
 		case b.Wait > 0:
 			exhausted++
 			wait = min(wait, b.Wait)
@@ -68,9 +68,9 @@
 // pick chooses among candidates; without one where there are none.
 func (g *Gateway) pick(q *request, candidates []placement.Candidate) placement.Choice {
 	if q.route.PrefixAffinity {
-		return placement.Engine(g.placementRequest(q), candidates)
+		return placement.ChooseEngine(g.placementRequest(q), candidates)
 	}
-	return placement.Plain(g.placementRequest(q), candidates)
+	return placement.ChoosePlain(g.placementRequest(q), candidates)
 }
 
 // candidates are the servers of a service that may get work now. The list is not all that counts: it
@@ -83,7 +83,7 @@
 		s := b.Server()
 		if !g.notices.Draining(s.Start()) {
 			out = append(out, placement.Candidate{Backend: b, Server: s, View: b.View(now), Tried: tried[s.Start()],
-				Rests: g.notices.RestsFor(s.Start(), now)})
+				RetryAfter: g.notices.RestsFor(s.Start(), now)})
 		}
 	}
 	return out
@@ -91,7 +91,9 @@
 
 // groups returns the number of groups of a service's servers: those that are listed, as all gateways
 // have one list.
-func (g *Gateway) groups(service string) int { return placement.Groups(len(g.servers.Ready(service))) }
+func (g *Gateway) groups(service string) int {
+	return placement.GroupCount(len(g.servers.Ready(service)))
+}
 
 func (g *Gateway) placementRequest(q *request) placement.Request {
 	return placement.Request{Prompt: q.call.Prompt, Key: q.call.ID,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -77,7 +77,7 @@
 	borrowPausedUntil map[string]time.Time
 	// stalledUntil is the time until which requests do not add to the budgets.
 	stalledUntil time.Time
-	answers      map[string]*placement.AnswerTime // by route
+	answers      map[string]*placement.ResponseTimeEstimator // by route
 }
 
 // New returns a gateway that knows no configuration and no servers yet.
@@ -88,7 +88,7 @@
 			telemetry.Count("merlinpost_backend_connections_opened_total")
 		}),
 		budgets: map[string]*retrybudget.Budget{}, slackShare: 1, borrowPausedUntil: map[string]time.Time{},
-		answers: map[string]*placement.AnswerTime{},
+		answers: map[string]*placement.ResponseTimeEstimator{},
 		ends:    endChecks{byStart: map[string]*endCheck{}, unclear: map[string][]brokenRun{}},
 		ledger:  quarantine.New(),
 	}
@@ -212,8 +212,8 @@
 	})
 }
 
-func (g *Gateway) answerTime(route string) *placement.AnswerTime {
-	return of(g, g.answers, route, func() *placement.AnswerTime { return &placement.AnswerTime{} })
+func (g *Gateway) answerTime(route string) *placement.ResponseTimeEstimator {
+	return of(g, g.answers, route, func() *placement.ResponseTimeEstimator { return &placement.ResponseTimeEstimator{} })
 }
 
 // of returns what is kept under a name, made when it is first asked for.
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -123,11 +123,11 @@
 func (g *Gateway) noneOf(q *request, listed []placement.Candidate) error {
 	rests := time.Duration(0)
 	for _, c := range listed {
-		if c.Rests == 0 && !c.Tried {
+		if c.RetryAfter == 0 && !c.Tried {
 			return g.noServer(q)
 		}
-		if c.Rests > 0 && (rests == 0 || c.Rests < rests) {
-			rests = c.Rests
+		if c.RetryAfter > 0 && (rests == 0 || c.RetryAfter < rests) {
+			rests = c.RetryAfter
 		}
 	}
 	if rests == 0 {
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -92,7 +92,7 @@
 	if part == "" {
 		part = q.call.ID
 	}
-	groups := placement.GroupsFor(part, g.groups(q.service))
+	groups := placement.RankGroups(part, g.groups(q.service))
 	asked := g.ask(q, rel)
 	// A strong suspect loses the precedence of broken streams, with which one that may be resumed
 	// ended a server after the other ahead of everybody's questions.
@@ -152,7 +152,7 @@
 }
 
 // reachable reports whether the request may be sent to an engine from here.
-func reachable(c placement.Candidate) bool { return !c.Tried && !c.View.Avoided && c.Rests == 0 }
+func reachable(c placement.Candidate) bool { return !c.Tried && !c.View.Avoided && c.RetryAfter == 0 }
 
 // avoided are the engines to which the request can't be sent from here.
 func avoided(candidates []placement.Candidate) []string {
@@ -168,7 +168,7 @@
 // decided is the choice that an answer names; without a candidate if the engine may
 // get no work from here any more.
 func decided(answer permit.Decision, candidates []placement.Candidate) placement.Choice {
-	choice := placement.Choice{Reason: placement.Decided, Read: answer.ExpectedPrefill}
+	choice := placement.Choice{Reason: placement.Decided, ExpectedPrefill: answer.ExpectedPrefill}
 	for i := range candidates {
 		c := &candidates[i]
 		switch {
@@ -196,11 +196,11 @@
 func (g *Gateway) ask(q *request, rel *relay) permit.Ask {
 	prompt := q.call.Prompt
 	part, shared := prompt.Shared()
-	a := permit.Ask{Plain: !q.route.PrefixAffinity, UniqueTokens: prompt.Tokens - shared, PrefixID: part, PrefixTokens: shared, OutputTokens: prompt.Output, MaxEventGap: q.route.TargetGap,
+	a := permit.Ask{Plain: !q.route.PrefixAffinity, UniqueTokens: prompt.Tokens - shared, PrefixID: part, PrefixTokens: shared, OutputTokens: prompt.OutputTokens, MaxEventGap: q.route.TargetGap,
 		FailureDomain: g.settings.Load().FailureDomain}
 	now := g.now()
 	left := q.deadline.Sub(now)
-	answering := g.answerTime(q.route.Name).Of(prompt.Output)
+	answering := g.answerTime(q.route.Name).Estimate(prompt.OutputTokens)
 	elapsed := now.Sub(q.start)
 	a.ResponseTimeout = left
 	a.Priority = urgency(q.route.Priority, q.priority)
--- a/internal/placement/groups.go
+++ b/internal/placement/groups.go
@@ -6,17 +6,17 @@
 	"github.com/merlinpost/merlinpost/internal/rendezvous"
 )
 
-// groupSize is the number of engines for which one gateway decides, about: enough
-// that one of them has room while others are busy, few enough that the asks of a
-// large service are shared by many gateways.
+// groupSize is the approximate number of engines per group, each of which is scheduled by one
+// gateway: large enough that some engine has capacity while others are busy, small enough that
+// many gateways share the scheduling of a large service.
 const groupSize = 64
 
-// Groups returns the number of groups of a service with so many engines.
-func Groups(engines int) int { return max(1, (engines+groupSize-1)/groupSize) }
+// GroupCount returns the number of groups for a service with the given number of engines.
+func GroupCount(engines int) int { return max(1, (engines+groupSize-1)/groupSize) }
 
-// GroupsFor returns the groups in the order in which a request with the key is to
-// ask them. Requests with the same shared part ask the same group first.
-func GroupsFor(key string, groups int) []int {
+// RankGroups returns the groups in the order in which a request with the key tries them. Requests
+// with the same shared prefix start with the same group.
+func RankGroups(key string, groups int) []int {
 	if groups == 1 {
 		return []int{0}
 	}
@@ -26,10 +26,10 @@
 	}
 	out := make([]int, groups)
 	for i, name := range rendezvous.Rank(key, names) {
-		out[i], _ = strconv.Atoi(name) // one of names
+		out[i], _ = strconv.Atoi(name) // always a number
 	}
 	return out
 }
 
 // GroupOf returns the group of an engine.
-func GroupOf(engine string, groups int) int { return GroupsFor(engine, groups)[0] }
+func GroupOf(engine string, groups int) int { return RankGroups(engine, groups)[0] }
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -201,7 +201,7 @@
 // list is the members of a group as the first gateway sees them.
 func (w *world) list(group permit.Group) []permit.Engine {
 	candidates := w.candidates(0, w.now)
-	groups := placement.Groups(len(candidates))
+	groups := placement.GroupCount(len(candidates))
 	var out []permit.Engine
 	for _, c := range candidates {
 		if placement.GroupOf(c.Server.ID, groups) == group.Index {
@@ -218,7 +218,7 @@
 	id := fmt.Sprint("r", len(w.jobs))
 	part := fmt.Sprint(class.Name, w.random.IntN(class.SharedParts))
 	return &job{id: id, class: class, output: max(1, int(class.Output*math.Exp(0.4*w.random.NormFloat64()))),
-		prompt: placement.Prompt{Tokens: class.Shared + own, Output: int(class.Output),
+		prompt: placement.Prompt{Tokens: class.Shared + own, OutputTokens: int(class.Output),
 			Parts: []placement.Part{{ID: part, Tokens: class.Shared}, {ID: id, Tokens: own}}}}
 }
 
@@ -231,12 +231,12 @@
 	candidates := w.candidates(g, now)
 	switch w.Variant {
 	case Least:
-		w.send(j, g, placement.Plain(req, candidates), now)
+		w.send(j, g, placement.ChoosePlain(req, candidates), now)
 	case NoPermits:
-		w.send(j, g, placement.Engine(req, candidates), now)
+		w.send(j, g, placement.ChooseEngine(req, candidates), now)
 	default:
 		part, _ := j.prompt.Shared()
-		w.ask(&ask{job: j, gateway: g, groups: placement.GroupsFor(part, placement.Groups(len(candidates)))}, now)
+		w.ask(&ask{job: j, gateway: g, groups: placement.RankGroups(part, placement.GroupCount(len(candidates)))}, now)
 	}
 }
 
@@ -255,7 +255,7 @@
 	part, shared := j.prompt.Shared()
 	elapsed := now.Sub(j.arrived)
 	answer := w.desk.Submit(a.group(), permit.Ask{ID: j.id, Priority: w.rank(j), UniqueTokens: j.prompt.Tokens - shared, PrefixID: part, PrefixTokens: shared,
-		OutputTokens: j.prompt.Output, MaxEventGap: j.class.Gap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.Target - elapsed,
+		OutputTokens: j.prompt.OutputTokens, MaxEventGap: j.class.Gap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.Target - elapsed,
 		FirstTokenTimeout: max(4*j.class.Target-elapsed, 500*time.Millisecond)}, a, now)
 	w.settle(a, answer, now)
 }
