--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -37,7 +37,7 @@
 			return c, g.limited(exhausted, wait)
 		case c.Candidate == nil:
 			return c, g.noneOf(q, listed)
-		case g.notices.Limits().Take(c.Candidate.Server.Start(), g.now()):
+		case g.notices.Limits().Allow(c.Candidate.Server.Start(), g.now()):
 			return c, nil
 		}
 		// Another request has taken the server's last place meanwhile.
--- a/internal/notice/board.go
+++ b/internal/notice/board.go
@@ -158,7 +158,7 @@
 	if !changed {
 		return
 	}
-	b.limits.Set(server, limit, now)
+	b.limits.SetRate(server, limit, now)
 	b.changed(s, Event{Server: server, Kind: RateLimit, Limit: limit, From: from}, now)
 }
 
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -61,7 +61,7 @@
 // loan.
 func (p *Peers) lend(now time.Time) {
 	limits := p.board.Limits()
-	if p.board.Empty() || now.Sub(p.loans.lent) < limits.LoanEvery() {
+	if p.board.Empty() || now.Sub(p.loans.lent) < limits.RenewalInterval() {
 		return
 	}
 	p.loans.lent = now
@@ -126,7 +126,7 @@
 	}
 	if stalled && !p.board.Empty() {
 		telemetry.Count("merlinpost_rate_shares_returned_total")
-		p.board.Limits().Return(now)
+		p.board.Limits().DropBorrowed(now)
 		p.loans.mistrust = now.Add(stalledFor)
 	}
 }
--- a/internal/permit/limits_test.go
+++ b/internal/permit/limits_test.go
@@ -17,7 +17,7 @@
 func rateLimitedQueue(engines, limited int, rate float64) (*Queue, time.Time) {
 	q, now := newQueue(engines)
 	for i := range limited {
-		q.limiter.Set(fmt.Sprint("e", i), rate, now)
+		q.limiter.SetRate(fmt.Sprint("e", i), rate, now)
 	}
 	return q, now
 }
--- a/internal/permit/place.go
+++ b/internal/permit/place.go
@@ -120,7 +120,7 @@
 		if !q.policy.IgnoreInterference && q.disruptedStreams(s, e.ask, due, now) > allowed {
 			continue
 		}
-		if !q.limiter.Take(s.engine.ID, now) {
+		if !q.limiter.Allow(s.engine.ID, now) {
 			continue
 		}
 		q.grant(e, s, now)
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,10 +1,11 @@
-// Package ratelimit keeps the rates that backend servers take from all gateways together. There is
-// no clock and no network here.
+// Package ratelimit enforces the request rates that backend servers accept from all gateways together.
+// It uses no clock and no network.
 //
-// Each gateway owns an equal share of each rate. While it hears the gateway that decides for the
-// server it lends its share to that one for a short time, and asks it for leave instead; so the whole
-// rate is used wherever callers come in. A share is used by one gateway at a time, whoever is cut off
-// from whom: what was lent comes back only when the loan has lapsed, and is lent to nobody else before.
+// Each gateway owns an equal share of each rate. While it can reach the gateway that schedules requests
+// for the server, it lends its share to that gateway for a short time and requests permits from it, so
+// that the whole rate can be used regardless of where callers connect. A share is used by one gateway
+// at a time, even during network partitions: a lent share returns only when the loan has expired, and is
+// not lent to another gateway before.
 package ratelimit
 
 import (
@@ -15,88 +16,90 @@
 )
 
 const (
-	// surplus is what all shares together are worth of a rate. No gateway uses more than the rate; the
-	// surplus makes up for the shares of gateways that are down or just change the one they lend to.
-	surplus = 1.25
-	// depthFor is the time whose requests may come at once, beside one: callers do not come evenly.
-	depthFor = 250 * time.Millisecond
-	// leastRate is the rate at which a server is asked whatever it states, in requests a second: one that
-	// is asked nothing can't take its limit back.
-	leastRate = 0.2
-	// shortestLoan is how long a share is lent at least, loanPerGateway how much longer for each gateway:
-	// who decides for a server hears each of them several times in a loan.
-	shortestLoan   = 2500 * time.Millisecond
+	// shareSurplus is the sum of all shares relative to the rate. No gateway uses more than the rate;
+	// the surplus makes up for the shares of gateways that are down or are changing their borrower.
+	shareSurplus = 1.25
+	// burstWindow is the time whose requests may be sent at once, in addition to one request, as
+	// requests do not arrive evenly.
+	burstWindow = 250 * time.Millisecond
+	// minRate is the lower bound of any stated rate, in requests a second: a server that gets no
+	// requests has no response in which to lift its limit.
+	minRate = 0.2
+	// minLoan is the minimum duration of a loan, extended by loanPerGateway for each gateway: the
+	// borrower must hear from each gateway several times during a loan.
+	minLoan        = 2500 * time.Millisecond
 	loanPerGateway = 25 * time.Millisecond
-	// renewals is how often a loan is renewed in its time, so that a lost renewal costs nothing.
-	renewals = 2.5
+	// renewalsPerLoan is how often a loan is renewed during its time, so that a lost renewal has no
+	// effect.
+	renewalsPerLoan = 2.5
 )
 
-// Budget is what a server takes now.
+// Budget is what a server accepts now.
 type Budget struct {
-	// Limited is whether the server states a rate; the rest is zero if not.
+	// Limited reports whether the server states a rate; the other fields are zero if not.
 	Limited bool
-	// Wait is the time until the next request may be sent from here.
+	// Wait is the time until this gateway may send the next request.
 	Wait time.Duration
-	// Rate is what may be sent from here, in requests a second.
+	// Rate is the rate that this gateway may use, in requests a second.
 	Rate float64
 }
 
-// Limiter holds the rates of a gateway. It is safe for concurrent use.
+// Limiter holds the rate limits known to a gateway. It is safe for concurrent use.
 type Limiter struct {
-	draw  func() float64 // uniform in [0, 1)
-	count atomic.Int32   // of buckets: most days have none
+	random      func() float64 // uniform in [0, 1)
+	bucketCount atomic.Int32   // lets calls skip the lock while no server states a rate
 
 	mu       sync.Mutex
 	buckets  map[string]*bucket
 	gateways int
 }
 
-// bucket is the rate of one start of a server.
+// bucket is the token bucket of one run of a server.
 type bucket struct {
-	rate   float64 // as stated
-	tokens float64 // at the time at
-	at     time.Time
-	// borrowed are the shares of other gateways, with the ends of their loans.
-	borrowed map[string]time.Time
-	nextEnd  time.Time // no loan ends before
-	// lentTo has this gateway's own share until lentUntil.
-	lentTo    string
+	rate       float64 // as stated by the server
+	tokens     float64 // at refilledAt
+	refilledAt time.Time
+	// borrowed maps other gateways that have lent their share to the expiry of the loan.
+	borrowed   map[string]time.Time
+	nextExpiry time.Time // no loan expires earlier
+	// borrower holds this gateway's own share until lentUntil.
+	borrower  string
 	lentUntil time.Time
 }
 
-// New returns the limiter of a gateway that knows no other. Draw is a uniform random number in [0, 1).
-func New(draw func() float64) *Limiter {
-	return &Limiter{draw: draw, buckets: map[string]*bucket{}, gateways: 1}
+// New returns the limiter of a gateway without peers. random returns uniform numbers in [0, 1).
+func New(random func() float64) *Limiter {
+	return &Limiter{random: random, buckets: map[string]*bucket{}, gateways: 1}
 }
 
-// Set puts the rate of a server in force. What it got before is not known here: it gets the first
-// request within the time of one, drawn so that gateways that hear of the rate together do not all
-// send at one time.
-func (l *Limiter) Set(server string, rate float64, now time.Time) {
+// SetRate sets the rate of a server. The requests that the server received earlier are unknown, so the
+// first request is allowed after a random part of the time for one; this keeps gateways that learn of
+// the rate together from all sending at once.
+func (l *Limiter) SetRate(server string, rate float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.buckets[server]
 	if b == nil {
-		b = &bucket{at: now, tokens: l.draw(), borrowed: map[string]time.Time{}}
+		b = &bucket{refilledAt: now, tokens: l.random(), borrowed: map[string]time.Time{}}
 		l.buckets[server] = b
-		l.count.Store(int32(len(l.buckets)))
+		l.bucketCount.Store(int32(len(l.buckets)))
 	}
 	l.refill(b, now)
-	b.rate = max(rate, leastRate)
-	b.tokens = min(b.tokens, l.depth(b, now))
+	b.rate = max(rate, minRate)
+	b.tokens = min(b.tokens, l.burst(b, now))
 }
 
-// Remove forgets the rate of a server.
+// Remove removes the rate of a server.
 func (l *Limiter) Remove(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.buckets, server)
-	l.count.Store(int32(len(l.buckets)))
+	l.bucketCount.Store(int32(len(l.buckets)))
 }
 
 // Limited reports whether a server has a rate.
 func (l *Limiter) Limited(server string) bool {
-	if l.count.Load() == 0 {
+	if l.bucketCount.Load() == 0 {
 		return false
 	}
 	l.mu.Lock()
@@ -104,9 +107,9 @@
 	return l.buckets[server] != nil
 }
 
-// Servers returns the servers that have a rate, in order.
+// Servers returns the servers that have a rate, sorted.
 func (l *Limiter) Servers() []string {
-	if l.count.Load() == 0 {
+	if l.bucketCount.Load() == 0 {
 		return nil
 	}
 	l.mu.Lock()
@@ -119,16 +122,16 @@
 	return out
 }
 
-// SetGateways tells among how many gateways, this one included, rates are shared.
+// SetGateways sets the number of gateways, including this one, that share the rates.
 func (l *Limiter) SetGateways(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gateways = max(n, 1)
 }
 
-// Budget returns what a server takes now.
+// Budget returns what a server accepts now.
 func (l *Limiter) Budget(server string, now time.Time) Budget {
-	if l.count.Load() == 0 {
+	if l.bucketCount.Load() == 0 {
 		return Budget{}
 	}
 	l.mu.Lock()
@@ -138,24 +141,24 @@
 		return Budget{}
 	}
 	l.refill(b, now)
-	out := Budget{Limited: true, Rate: l.usable(b, now)}
+	out := Budget{Limited: true, Rate: l.usableRate(b, now)}
 	switch {
 	case b.tokens >= 1:
 	case out.Rate == 0:
-		out.Wait = longestWait
+		out.Wait = maxWait
 	default:
-		out.Wait = min(longestWait, time.Duration((1-b.tokens)/out.Rate*float64(time.Second))+time.Nanosecond)
+		out.Wait = min(maxWait, time.Duration((1-b.tokens)/out.Rate*float64(time.Second))+time.Nanosecond)
 	}
 	return out
 }
 
-// longestWait is told where no share is at hand.
-const longestWait = 10 * time.Second
+// maxWait is the longest wait returned, also if this gateway has no share at all.
+const maxWait = 10 * time.Second
 
-// Take takes leave for one request; false if the server takes none now. A server without a rate
-// takes any.
-func (l *Limiter) Take(server string, now time.Time) bool {
-	if l.count.Load() == 0 {
+// Allow consumes a token for one request and reports whether it may be sent now. Requests to servers
+// without a rate are always allowed.
+func (l *Limiter) Allow(server string, now time.Time) bool {
+	if l.bucketCount.Load() == 0 {
 		return true
 	}
 	l.mu.Lock()
@@ -172,31 +175,31 @@
 	return true
 }
 
-// LoanEvery returns the pause between two renewals of a loan.
-func (l *Limiter) LoanEvery() time.Duration {
+// RenewalInterval returns the time between two renewals of a loan.
+func (l *Limiter) RenewalInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Duration(float64(l.loan()) / renewals)
+	return time.Duration(float64(l.loanDuration()) / renewalsPerLoan)
 }
 
-// Lend lends this gateway's share of a server's rate to another gateway, or renews the loan; false
-// while another one has it.
+// Lend lends this gateway's share of a server's rate to another gateway, or renews the loan. It
+// returns false while a different gateway holds the share.
 func (l *Limiter) Lend(server, to string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.buckets[server]
-	if b == nil || (b.lentTo != to && now.Before(b.lentUntil)) {
+	if b == nil || (b.borrower != to && now.Before(b.lentUntil)) {
 		return false
 	}
 	l.refill(b, now)
-	b.lentTo, b.lentUntil = to, now.Add(l.loan())
-	if l.usable(b, now) == 0 {
-		b.tokens = l.draw() // what has grown goes with the share; what grows next begins anew
+	b.borrower, b.lentUntil = to, now.Add(l.loanDuration())
+	if l.usableRate(b, now) == 0 {
+		b.tokens = l.random() // accumulated tokens go with the share; start again without them
 	}
 	return true
 }
 
-// Borrow takes in the share that another gateway lends.
+// Borrow adds the share that another gateway lends.
 func (l *Limiter) Borrow(server, from string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -205,16 +208,16 @@
 		return
 	}
 	l.refill(b, now)
-	until := now.Add(l.loan())
+	until := now.Add(l.loanDuration())
 	b.borrowed[from] = until
-	if until.Before(b.nextEnd) {
-		b.nextEnd = until
+	if until.Before(b.nextExpiry) {
+		b.nextExpiry = until
 	}
 }
 
-// Return gives all that was borrowed back, as when this process has been held up: it can't tell how old
-// the words are that it takes in next.
-func (l *Limiter) Return(now time.Time) {
+// DropBorrowed discards all borrowed shares. It is called after this process was stalled, when it can't
+// tell how old the messages are that it receives next.
+func (l *Limiter) DropBorrowed(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, b := range l.buckets {
@@ -223,57 +226,57 @@
 	}
 }
 
-// loan is how long a share is lent.
-func (l *Limiter) loan() time.Duration {
-	return max(shortestLoan, time.Duration(l.gateways)*loanPerGateway)
+// loanDuration returns how long a share is lent.
+func (l *Limiter) loanDuration() time.Duration {
+	return max(minLoan, time.Duration(l.gateways)*loanPerGateway)
 }
 
-// usable is the rate that may be sent from here.
-func (l *Limiter) usable(b *bucket, now time.Time) float64 {
-	shares := l.borrowed(b, now)
+// usableRate returns the rate that this gateway may use.
+func (l *Limiter) usableRate(b *bucket, now time.Time) float64 {
+	shares := l.borrowedShares(b, now)
 	if !now.Before(b.lentUntil) {
 		shares++
 	}
-	return l.worth(b, shares)
+	return l.shareRate(b, shares)
 }
 
-// borrowed returns the number of shares that others have lent.
-func (l *Limiter) borrowed(b *bucket, now time.Time) int {
-	if now.Before(b.nextEnd) {
+// borrowedShares returns the number of shares that other gateways have lent.
+func (l *Limiter) borrowedShares(b *bucket, now time.Time) int {
+	if now.Before(b.nextExpiry) {
 		return len(b.borrowed)
 	}
-	b.nextEnd = now.Add(l.loan())
+	b.nextExpiry = now.Add(l.loanDuration())
 	for from, until := range b.borrowed {
 		if !now.Before(until) {
 			delete(b.borrowed, from)
-		} else if until.Before(b.nextEnd) {
-			b.nextEnd = until
+		} else if until.Before(b.nextExpiry) {
+			b.nextExpiry = until
 		}
 	}
 	return len(b.borrowed)
 }
 
-// worth is the rate that so many shares are worth.
-func (l *Limiter) worth(b *bucket, shares int) float64 {
-	return b.rate * min(1, surplus*float64(shares)/float64(l.gateways))
+// shareRate returns the rate of the given number of shares.
+func (l *Limiter) shareRate(b *bucket, shares int) float64 {
+	return b.rate * min(1, shareSurplus*float64(shares)/float64(l.gateways))
 }
 
-// depth is the number of requests that may be sent at once.
-func (l *Limiter) depth(b *bucket, now time.Time) float64 {
-	return 1 + l.usable(b, now)*depthFor.Seconds()
+// burst returns the number of requests that may be sent at once.
+func (l *Limiter) burst(b *bucket, now time.Time) float64 {
+	return 1 + l.usableRate(b, now)*burstWindow.Seconds()
 }
 
-// refill counts what has become due since the last time, by the shares that were at hand all the
-// while: a loan that has ended meanwhile, here or there, counts for nothing.
+// refill adds the tokens accumulated since the last call. Only shares that were held for the whole time
+// count: a loan that has expired meanwhile, in either direction, adds nothing.
 func (l *Limiter) refill(b *bucket, now time.Time) {
-	elapsed := now.Sub(b.at)
+	elapsed := now.Sub(b.refilledAt)
 	if elapsed <= 0 {
 		return
 	}
-	due := l.usable(b, now)
-	if b.lentUntil.After(b.at) {
-		due = l.worth(b, l.borrowed(b, now))
+	rate := l.usableRate(b, now)
+	if b.lentUntil.After(b.refilledAt) {
+		rate = l.shareRate(b, l.borrowedShares(b, now))
 	}
-	b.at = now
-	b.tokens = min(b.tokens+due*elapsed.Seconds(), l.depth(b, now))
+	b.refilledAt = now
+	b.tokens = min(b.tokens+rate*elapsed.Seconds(), l.burst(b, now))
 }
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -13,26 +13,26 @@
 
 const server = "i-1"
 
-func half() float64 { return 0.5 }
+func fixedRandom() float64 { return 0.5 }
 
 func at(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 
-// taken is how many requests are sent of those that come every step from one time to another.
-func taken(l *Limiter, from, to, step time.Duration) (n int) {
+// countAllowed returns how many requests are allowed if one arrives at every step of an interval.
+func countAllowed(l *Limiter, from, to, step time.Duration) (n int) {
 	for t := from; t < to; t += step {
-		if l.Take(server, at(t)) {
+		if l.Allow(server, at(t)) {
 			n++
 		}
 	}
 	return n
 }
 
-func TestAServerWithoutARateTakesAny(t *testing.T) {
+func TestServerWithoutRateIsNotLimited(t *testing.T) {
 	g := NewWithT(t)
-	l := New(half)
+	l := New(fixedRandom)
 	g.Expect(l.Budget(server, at(0))).To(Equal(Budget{}))
-	g.Expect(taken(l, 0, time.Second, time.Millisecond)).To(Equal(1000))
-	l.Set(server, 1, at(0))
+	g.Expect(countAllowed(l, 0, time.Second, time.Millisecond)).To(Equal(1000))
+	l.SetRate(server, 1, at(0))
 	g.Expect(l.Limited(server)).To(BeTrue())
 	g.Expect(l.Limited("i-2")).To(BeFalse())
 	l.Remove(server)
@@ -40,233 +40,234 @@
 	g.Expect(l.Servers()).To(BeEmpty())
 }
 
-func TestAGatewayAloneUsesTheWholeRate(t *testing.T) {
+func TestSingleGatewayUsesWholeRate(t *testing.T) {
 	for _, rate := range []float64{0.2, 1, 4, 60} {
 		g := NewWithT(t)
-		l := New(half)
-		l.Set(server, rate, at(0))
-		g.Expect(taken(l, 0, 20*time.Second, time.Millisecond)).To(BeNumerically("~", 20*rate, 1+rate*depthFor.Seconds()))
+		l := New(fixedRandom)
+		l.SetRate(server, rate, at(0))
+		g.Expect(countAllowed(l, 0, 20*time.Second, time.Millisecond)).To(BeNumerically("~", 20*rate, 1+rate*burstWindow.Seconds()))
 		b := l.Budget(server, at(20*time.Second))
 		g.Expect(b.Rate).To(Equal(rate))
-		g.Expect(taken(l, 20*time.Second, 20*time.Second+b.Wait-time.Microsecond, time.Millisecond)).To(BeZero())
-		g.Expect(l.Take(server, at(20*time.Second+b.Wait))).To(BeTrue())
+		g.Expect(countAllowed(l, 20*time.Second, 20*time.Second+b.Wait-time.Microsecond, time.Millisecond)).To(BeZero())
+		g.Expect(l.Allow(server, at(20*time.Second+b.Wait))).To(BeTrue())
 	}
 }
 
-// A server that takes nothing is asked now and then: it could not take that back otherwise.
-func TestAServerThatTakesNothingIsStillAsked(t *testing.T) {
+// A server that accepts nothing still gets occasional requests, as it could not lift its limit otherwise.
+func TestServerWithZeroRateStillGetsRequests(t *testing.T) {
 	g := NewWithT(t)
-	l := New(half)
-	l.Set(server, 0, at(0))
-	g.Expect(taken(l, 0, 100*time.Second, 100*time.Millisecond)).To(BeNumerically("~", 20, 1))
+	l := New(fixedRandom)
+	l.SetRate(server, 0, at(0))
+	g.Expect(countAllowed(l, 0, 100*time.Second, 100*time.Millisecond)).To(BeNumerically("~", 20, 1))
 }
 
-func TestAShareIsUsedByOneGatewayAtATime(t *testing.T) {
+func TestShareIsUsedByOneGatewayAtATime(t *testing.T) {
 	g := NewWithT(t)
-	a, b := New(half), New(half)
+	a, b := New(fixedRandom), New(fixedRandom)
 	for _, l := range []*Limiter{a, b} {
 		l.SetGateways(4)
-		l.Set(server, 100, at(0))
+		l.SetRate(server, 100, at(0))
 	}
-	g.Expect(a.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*surplus/4, 0.01))
+	g.Expect(a.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
 	g.Expect(a.Lend(server, "b", at(0))).To(BeTrue())
 	b.Borrow(server, "a", at(0))
 	g.Expect(a.Budget(server, at(0)).Rate).To(BeZero())
-	g.Expect(a.Take(server, at(time.Second))).To(BeFalse())
-	g.Expect(b.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*surplus/2, 0.01))
-	g.Expect(a.Lend(server, "c", at(time.Second))).To(BeFalse(), "b has it")
+	g.Expect(a.Allow(server, at(time.Second))).To(BeFalse())
+	g.Expect(b.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareSurplus/2, 0.01))
+	g.Expect(a.Lend(server, "c", at(time.Second))).To(BeFalse(), "b holds the share")
 	g.Expect(a.Lend(server, "b", at(time.Second))).To(BeTrue(), "renewed")
-	lapsed := time.Second + shortestLoan
-	g.Expect(a.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*surplus/4, 0.01))
-	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*surplus/4, 0.01))
+	lapsed := time.Second + minLoan
+	g.Expect(a.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
+	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
 	g.Expect(a.Lend(server, "c", at(lapsed))).To(BeTrue())
 	b.Borrow(server, "a", at(lapsed))
-	b.Return(at(lapsed))
-	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*surplus/4, 0.01))
+	b.DropBorrowed(at(lapsed))
+	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
 }
 
-func TestAChangedRateIsInForceAtOnce(t *testing.T) {
+func TestChangedRateAppliesImmediately(t *testing.T) {
 	g := NewWithT(t)
-	l := New(half)
-	l.Set(server, 60, at(0))
-	l.Set(server, 1, at(10*time.Second)) // what had grown under the higher rate is gone
-	g.Expect(taken(l, 10*time.Second, 14*time.Second, time.Millisecond)).To(BeNumerically("<=", 5))
-	l.Set(server, 60, at(14*time.Second))
-	g.Expect(taken(l, 14*time.Second, 18*time.Second, time.Millisecond)).To(BeNumerically(">=", 230))
+	l := New(fixedRandom)
+	l.SetRate(server, 60, at(0))
+	l.SetRate(server, 1, at(10*time.Second)) // tokens accumulated at the higher rate are discarded
+	g.Expect(countAllowed(l, 10*time.Second, 14*time.Second, time.Millisecond)).To(BeNumerically("<=", 5))
+	l.SetRate(server, 60, at(14*time.Second))
+	g.Expect(countAllowed(l, 14*time.Second, 18*time.Second, time.Millisecond)).To(BeNumerically(">=", 230))
 }
 
-// day is gateways that share the rate of one server while they are cut off from each other, held up
-// and started again. Time goes in steps.
-type day struct {
-	rnd      *rand.Rand
-	now      time.Duration
-	rate     float64
-	gateways []*simulated
-	cutOff   [][]bool // whether datagrams from one reach another
-	sent     []time.Duration
-	under    []letter // way
+// simulation consists of gateways that share the rate of one server during partitions, stalls and
+// restarts. Time advances in steps.
+type simulation struct {
+	random      *rand.Rand
+	now         time.Duration
+	rate        float64
+	gateways    []*gateway
+	partitioned [][]bool // by sender and receiver
+	sent        []time.Duration
+	inFlight    []datagram
 }
 
-// simulated is a gateway.
-type simulated struct {
-	limiter *Limiter
-	heldTo  time.Duration // it does nothing until then
-	// hears is when it heard each other gateway last.
-	hears  []time.Duration
-	lentAt time.Duration
-	in     []letter // while it is held up
+// gateway is a simulated gateway.
+type gateway struct {
+	limiter      *Limiter
+	stalledUntil time.Duration // it does nothing until then
+	// lastHeard is the time of the last datagram from each other gateway.
+	lastHeard []time.Duration
+	lentAt    time.Duration
+	backlog   []datagram // received while stalled
 }
 
-// letter is a datagram.
-type letter struct {
-	from, to int
-	loan     bool // else a heartbeat
-	arrives  time.Duration
+// datagram is a loan or a heartbeat.
+type datagram struct {
+	from, to  int
+	loan      bool // heartbeat otherwise
+	arrivesAt time.Duration
 }
 
 const (
-	dayStep  = 20 * time.Millisecond
-	onTheWay = 5 * time.Millisecond
-	// deadAfter is when a gateway that was not heard is no longer asked.
-	deadAfter = 3 * time.Second
+	stepDuration = 20 * time.Millisecond
+	networkDelay = 5 * time.Millisecond
+	// failureTimeout is the time without a datagram after which a gateway counts as failed.
+	failureTimeout = 3 * time.Second
 )
 
-func newDay(seed uint64, gateways int, rate float64) *day {
-	d := &day{rnd: rand.New(rand.NewPCG(seed, 3)), rate: rate}
+func newSimulation(seed uint64, gateways int, rate float64) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), rate: rate}
 	for range gateways {
-		d.gateways = append(d.gateways, &simulated{hears: make([]time.Duration, gateways)})
-		d.cutOff = append(d.cutOff, make([]bool, gateways))
+		s.gateways = append(s.gateways, &gateway{lastHeard: make([]time.Duration, gateways)})
+		s.partitioned = append(s.partitioned, make([]bool, gateways))
 	}
-	for i := range d.gateways {
-		d.restart(i)
+	for i := range s.gateways {
+		s.restart(i)
 	}
-	return d
+	return s
 }
 
-// restart has a gateway begin anew. It is told of the rate at once.
-func (d *day) restart(i int) {
-	g := d.gateways[i]
-	g.limiter = New(d.rnd.Float64)
-	g.limiter.SetGateways(len(d.gateways))
-	g.limiter.Set(server, d.rate, at(d.now))
-	for j := range g.hears {
-		g.hears[j] = d.now
+// restart replaces a gateway by a new one that knows the rate.
+func (s *simulation) restart(i int) {
+	g := s.gateways[i]
+	g.limiter = New(s.random.Float64)
+	g.limiter.SetGateways(len(s.gateways))
+	g.limiter.SetRate(server, s.rate, at(s.now))
+	for j := range g.lastHeard {
+		g.lastHeard[j] = s.now
 	}
-	g.in = nil
+	g.backlog = nil
 }
 
-// home is who decides, as a gateway sees it: the first that it hears.
-func (d *day) home(i int) int {
-	for j := range d.gateways {
-		if j == i || d.now-d.gateways[i].hears[j] <= deadAfter {
+// home returns the scheduling gateway from a gateway's point of view: the first that it has heard from.
+func (s *simulation) home(i int) int {
+	for j := range s.gateways {
+		if j == i || s.now-s.gateways[i].lastHeard[j] <= failureTimeout {
 			return j
 		}
 	}
 	return i
 }
 
-func (d *day) send(from, to int, loan bool) {
-	if !d.cutOff[from][to] && d.rnd.Float64() > 0.02 {
-		d.under = append(d.under, letter{from, to, loan, d.now + onTheWay})
+func (s *simulation) send(from, to int, loan bool) {
+	if !s.partitioned[from][to] && s.random.Float64() > 0.02 {
+		s.inFlight = append(s.inFlight, datagram{from, to, loan, s.now + networkDelay})
 	}
 }
 
-func (d *day) take(l letter) {
-	g := d.gateways[l.to]
-	g.hears[l.from] = d.now
+func (s *simulation) deliver(l datagram) {
+	g := s.gateways[l.to]
+	g.lastHeard[l.from] = s.now
 	if l.loan {
-		g.limiter.Borrow(server, fmt.Sprint(l.from), at(d.now))
+		g.limiter.Borrow(server, fmt.Sprint(l.from), at(s.now))
 	}
 }
 
-// step lets time pass with so many requests in it, each at a gateway drawn at random.
-func (d *day) step(requests int) {
-	d.now += dayStep
-	d.under = slices.DeleteFunc(d.under, func(l letter) bool {
-		if l.arrives > d.now {
+// advance runs one step with the given number of requests, each at a random gateway.
+func (s *simulation) advance(requests int) {
+	s.now += stepDuration
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(l datagram) bool {
+		if l.arrivesAt > s.now {
 			return false
 		}
-		if g := d.gateways[l.to]; d.now < g.heldTo {
-			g.in = append(g.in, l)
+		if g := s.gateways[l.to]; s.now < g.stalledUntil {
+			g.backlog = append(g.backlog, l)
 		} else {
-			d.take(l)
+			s.deliver(l)
 		}
 		return true
 	})
-	for i, g := range d.gateways {
+	for i, g := range s.gateways {
 		switch {
-		case d.now < g.heldTo:
+		case s.now < g.stalledUntil:
 			continue
-		case d.now-g.heldTo < dayStep && g.heldTo > 0: // it goes on
-			for _, l := range g.in {
-				d.take(l)
+		case s.now-g.stalledUntil < stepDuration && g.stalledUntil > 0: // it resumes
+			for _, l := range g.backlog {
+				s.deliver(l)
 			}
-			g.in = nil
-			g.limiter.Return(at(d.now))
+			g.backlog = nil
+			g.limiter.DropBorrowed(at(s.now))
 		}
-		if d.now-g.lentAt >= g.limiter.LoanEvery() {
-			g.lentAt = d.now
-			for j := range d.gateways {
+		if s.now-g.lentAt >= g.limiter.RenewalInterval() {
+			g.lentAt = s.now
+			for j := range s.gateways {
 				if j != i {
-					d.send(i, j, false)
+					s.send(i, j, false)
 				}
 			}
-			if home := d.home(i); home != i && g.limiter.Lend(server, fmt.Sprint(home), at(d.now)) {
-				d.send(i, home, true)
+			if home := s.home(i); home != i && g.limiter.Lend(server, fmt.Sprint(home), at(s.now)) {
+				s.send(i, home, true)
 			}
 		}
 	}
 	for range requests {
-		d.ask(d.rnd.IntN(len(d.gateways)))
+		s.request(s.random.IntN(len(s.gateways)))
 	}
 }
 
-// ask is a request at a gateway: it asks who decides, and goes by its own share where that one is silent.
-func (d *day) ask(i int) {
-	if d.now < d.gateways[i].heldTo {
+// request sends a request through a gateway, which asks the scheduling gateway or, if that does not
+// respond, uses its own share.
+func (s *simulation) request(i int) {
+	if s.now < s.gateways[i].stalledUntil {
 		return
 	}
-	home := d.home(i)
-	g := d.gateways[home]
-	if home != i && (d.cutOff[i][home] || d.cutOff[home][i] || d.now < g.heldTo) {
-		g = d.gateways[i]
+	home := s.home(i)
+	g := s.gateways[home]
+	if home != i && (s.partitioned[i][home] || s.partitioned[home][i] || s.now < g.stalledUntil) {
+		g = s.gateways[i]
 	}
-	if g.limiter.Take(server, at(d.now)) {
-		d.sent = append(d.sent, d.now)
+	if g.limiter.Allow(server, at(s.now)) {
+		s.sent = append(s.sent, s.now)
 	}
 }
 
-// disturb does one thing.
-func (d *day) disturb() {
-	i, j := d.rnd.IntN(len(d.gateways)), d.rnd.IntN(len(d.gateways))
-	switch d.rnd.IntN(6) {
+// injectFault injects one random fault.
+func (s *simulation) injectFault() {
+	i, j := s.random.IntN(len(s.gateways)), s.random.IntN(len(s.gateways))
+	switch s.random.IntN(6) {
 	case 0:
-		d.cutOff[i][j] = true // one way
+		s.partitioned[i][j] = true // in one direction
 	case 1:
-		d.cutOff[i][j], d.cutOff[j][i] = true, true
-	case 2: // two sides
-		for a := range d.gateways {
-			for b := range d.gateways {
-				d.cutOff[a][b] = (a <= i) != (b <= i)
+		s.partitioned[i][j], s.partitioned[j][i] = true, true
+	case 2: // two partitions
+		for a := range s.gateways {
+			for b := range s.gateways {
+				s.partitioned[a][b] = (a <= i) != (b <= i)
 			}
 		}
 	case 3:
-		for a := range d.gateways {
-			clear(d.cutOff[a])
+		for a := range s.gateways {
+			clear(s.partitioned[a])
 		}
 	case 4:
-		d.gateways[i].heldTo = d.now + time.Duration(d.rnd.IntN(6000))*time.Millisecond
+		s.gateways[i].stalledUntil = s.now + time.Duration(s.random.IntN(6000))*time.Millisecond
 	case 5:
-		d.restart(i)
+		s.restart(i)
 	}
 }
 
-// worst is the most that was sent in any 4 s.
-func (d *day) worst(from time.Duration) int {
+// maxSent returns the largest number of requests that were sent within 4 s.
+func (s *simulation) maxSent(from time.Duration) int {
 	most := 0
-	for i, begin := range d.sent {
+	for i, begin := range s.sent {
 		n := 0
-		for _, t := range d.sent[i:] {
+		for _, t := range s.sent[i:] {
 			if t-begin > 4*time.Second {
 				break
 			}
@@ -279,39 +280,39 @@
 	return most
 }
 
-// Whatever is cut off from whom, and whoever is held up or starts again, a server gets no more than one
-// and a half times its limit and five in any 4 s; and where nothing is in the way, 0.7 of it at least.
+// For any partitions, stalls and restarts a server gets at most 1.5 times its limit plus five requests
+// within any 4 s. Without faults it gets at least 0.7 times its limit.
 func TestALimitIsKeptWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{0.2, 1, 4, 60}).Draw(t, "rate")
-		d := newDay(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "gateways"), rate)
+		s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "gateways"), rate)
 		requests := rapid.IntRange(1, 4).Draw(t, "requests in a step")
 		every := rapid.IntRange(20, 400).Draw(t, "steps between disturbances")
 		for i := range 3000 {
 			if i%every == every-1 {
-				d.disturb()
+				s.injectFault()
 			}
-			d.step(requests)
+			s.advance(requests)
 		}
-		if n, allowed := d.worst(3*time.Second), 1.5*rate*4+5; float64(n) > allowed {
-			t.Fatalf("%d in 4 s, allowed %v", n, allowed)
+		if n, allowed := s.maxSent(3*time.Second), 1.5*rate*4+5; float64(n) > allowed {
+			t.Fatalf("%d requests sent in 4 s, allowed %v", n, allowed)
 		}
-		for a := range d.gateways {
-			clear(d.cutOff[a])
-			d.gateways[a].heldTo = 0
+		for a := range s.gateways {
+			clear(s.partitioned[a])
+			s.gateways[a].stalledUntil = 0
 		}
 		for range 500 {
-			d.step(requests)
+			s.advance(requests)
 		}
-		before := len(d.sent)
+		before := len(s.sent)
 		const calm = 1000
 		for range calm {
-			d.step(requests)
+			s.advance(requests)
 		}
-		seconds := calm * dayStep.Seconds()
-		possible := min(rate, float64(requests)/dayStep.Seconds()) * seconds
-		if used := float64(len(d.sent) - before); used < 0.7*possible-1 {
-			t.Fatalf("%v of %v used", used, possible)
+		seconds := calm * stepDuration.Seconds()
+		possible := min(rate, float64(requests)/stepDuration.Seconds()) * seconds
+		if used := float64(len(s.sent) - before); used < 0.7*possible-1 {
+			t.Fatalf("%v of %v possible requests sent", used, possible)
 		}
 	})
 }
