--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks names for a key by highest random weight, so that
-// every process comes to the same order without talking, and a name added or
-// taken away moves only the keys that rank it first.
+// Package rendezvous implements rendezvous (highest random weight) hashing: it ranks names for a key, so
+// that every process computes the same order without communication, and adding or removing a name moves
+// only the keys that rank it first.
 package rendezvous
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// weight is the rank value of name for a key's hash.
+// weight returns the weight of a name for a key's hash.
 func weight(key uint64, name string) uint64 {
 	x := xxhash.Sum64String(name) ^ key
-	// Finaliser of SplitMix64: the XOR alone would keep the order of names.
+	// SplitMix64 finalizer; XOR alone would preserve the order of the names' hashes.
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -20,30 +20,30 @@
 	return x ^ x>>31
 }
 
-// First returns the highest ranked name; empty when there is none.
+// First returns the highest ranked name, or the empty string if there are no names.
 func First(key string, names []string) string {
-	h, best, top := xxhash.Sum64String(key), "", uint64(0)
+	h, best, bestWeight := xxhash.Sum64String(key), "", uint64(0)
 	for _, n := range names {
-		if w := weight(h, n); best == "" || w > top || (w == top && n < best) {
-			best, top = n, w
+		if w := weight(h, n); best == "" || w > bestWeight || (w == bestWeight && n < best) {
+			best, bestWeight = n, w
 		}
 	}
 	return best
 }
 
-// Rank returns the names, highest ranked first.
+// Rank returns the names ordered from highest to lowest rank.
 func Rank(key string, names []string) []string {
 	h := xxhash.Sum64String(key)
 	type ranked struct {
-		name string
-		w    uint64
+		name   string
+		weight uint64
 	}
 	list := make([]ranked, len(names))
 	for i, n := range names {
 		list[i] = ranked{n, weight(h, n)}
 	}
 	sort.Slice(list, func(i, j int) bool {
-		return list[i].w > list[j].w || (list[i].w == list[j].w && list[i].name < list[j].name)
+		return list[i].weight > list[j].weight || (list[i].weight == list[j].weight && list[i].name < list[j].name)
 	})
 	out := make([]string, len(list))
 	for i, r := range list {
@@ -52,8 +52,8 @@
 	return out
 }
 
-// Spread returns n names, highest ranked first, but taking one of each group
-// in turn, so that the choice covers as many groups as it can.
+// Spread returns the n highest ranked names, taking one of each group in turn, so that the selection
+// covers as many groups as possible.
 func Spread(key string, names []string, group func(string) string, n int) []string {
 	byGroup, order := map[string][]string{}, []string{}
 	for _, name := range Rank(key, names) {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -16,21 +16,21 @@
 	return out
 }
 
-func TestRemovalMovesOnlyItsOwnKeys(t *testing.T) {
+func TestRemovalMovesOnlyKeysOfTheRemovedName(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := names(rapid.IntRange(2, 30).Draw(t, "servers"))
 		key := rapid.String().Draw(t, "key")
-		gone := rapid.SampledFrom(all).Draw(t, "gone")
+		removed := rapid.SampledFrom(all).Draw(t, "gone")
 		var rest []string
 		for _, n := range all {
-			if n != gone {
+			if n != removed {
 				rest = append(rest, n)
 			}
 		}
 		ranked := Rank(key, all)
 		want := ranked[0]
-		if want == gone {
-			want = ranked[1] // the second inherits: it was the witness
+		if want == removed {
+			want = ranked[1] // the second name takes over
 		}
 		NewWithT(t).Expect(First(key, rest)).To(Equal(want))
 	})
