--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,12 +29,12 @@
 
 // Settings are what a gateway is told at its start.
 type Settings struct {
-	Host          string // the name of this host
-	FailureDomain string
-	Callers       string // IP:PORT for callers
-	Readiness     string // IP:PORT for the balancer's readiness checks
-	ReadinessPath string
-	Metrics       string // IP:PORT of the metrics page
+	Host             string // the name of this host
+	FailureDomain    string
+	CallerAddress    string // IP:PORT for callers
+	ReadinessAddress string // IP:PORT for the balancer's readiness checks
+	ReadinessPath    string
+	MetricsAddress   string // IP:PORT of the metrics page
 	// DrainGrace is the time from SIGTERM to the end of the process.
 	DrainGrace time.Duration
 	Retries    retrybudget.Settings
@@ -65,8 +65,8 @@
 
 	failureLines decisionlog.Limiter
 	ends         endChecks
-	ledger       *quarantine.Ledger
-	notices      *notice.Board
+	ledger       *quarantine.Tracker
+	notices      *notice.Registry
 	trials       Trials // nil: this gateway is alone
 
 	mu      sync.Mutex
@@ -92,8 +92,8 @@
 		ends:    endChecks{byStart: map[string]*endCheck{}, unclear: map[string][]brokenRun{}},
 		ledger:  quarantine.New(),
 	}
-	g.notices = notice.NewBoard(ratelimit.New(g.draw), g.noticed)
-	servers.OnRestart(g.pool.Forget)
+	g.notices = notice.NewRegistry(ratelimit.New(g.draw), g.noticed)
+	servers.OnRestart(g.pool.CloseIdle)
 	servers.OnEnd(g.startEnded)
 	g.settings.Store(&set)
 	g.ending, g.endNow = context.WithCancel(context.Background())
@@ -103,16 +103,16 @@
 // UseNetwork has the gateway reach backend servers over another network than the host's own. It
 // is called before the gateway is in use.
 func (g *Gateway) UseNetwork(dial exchange.Dial) {
-	g.pool = exchange.NewPoolOver(dial, time.Now, func() {})
-	g.servers.OnRestart(g.pool.Forget)
+	g.pool = exchange.NewPoolWithDialer(dial, time.Now, func() {})
+	g.servers.OnRestart(g.pool.CloseIdle)
 }
 
 // SetSettings puts new settings in force. The addresses are those of the start:
 // a process that listens elsewhere is another process.
 func (g *Gateway) SetSettings(set Settings) {
 	old := g.settings.Swap(&set)
-	if old.Callers != set.Callers || old.Readiness != set.Readiness || old.Metrics != set.Metrics {
-		g.logger.Warn("new addresses are used from the next start on", "callers", set.Callers)
+	if old.CallerAddress != set.CallerAddress || old.ReadinessAddress != set.ReadinessAddress || old.MetricsAddress != set.MetricsAddress {
+		g.logger.Warn("new addresses are used from the next start on", "callers", set.CallerAddress)
 	}
 	if old.Retries != set.Retries {
 		g.eachBudget(func(b *retrybudget.Budget) { b.SetSettings(set.Retries, g.now()) })
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -152,7 +152,7 @@
 		r := started(2)
 		d := &decider{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
 		d.during = func() {
-			r.gateway.Notices().Told(notice.Told{Server: "i-0", Draining: true}, "edge-b", time.Now())
+			r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
@@ -163,7 +163,7 @@
 
 	It("still holds parts of prompts that others may fetch", func() {
 		r := started(2)
-		r.gateway.Notices().Told(notice.Told{Server: "i-0", Draining: true}, "edge-b", time.Now())
+		r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		open := map[string]bool{}
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
 			open[e.ID] = e.Accepting
@@ -173,13 +173,13 @@
 
 	It("serves again as another start", func() {
 		r := started(1)
-		entry := registry.Server{ID: "i-0", Service: "s", Address: r.workers[0].Address(), Slots: 8, Started: 1}
+		entry := registry.Server{ID: "i-0", Service: "s", Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 1}
 		r.servers.Replace([]registry.Server{entry}, time.Now(), time.Time{})
 		r.workers[0].Say("Server-Leaving: 1")
 		Expect(r.post("/once/", "a").status).To(Equal(200))
 		Expect(r.post("/once/", "b").status).To(Equal(503))
 		r.workers[0].Say()
-		entry.Started = 2
+		entry.StartUnixMs = 2
 		r.servers.Replace([]registry.Server{entry}, time.Now(), time.Time{})
 		Expect(r.post("/once/", "c").status).To(Equal(200))
 	})
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -40,7 +40,7 @@
 type Peers interface {
 	// Ask asks the gateway that decides for a group of engines and waits for the
 	// verdict. It is Granted without an engine where nobody is there to decide.
-	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Leave)
+	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a repeated send to a service from their retry budgets and reports
 	// whether one did. The key determines which gateways are asked.
 	BorrowRepeat(ctx context.Context, service, key string) bool
@@ -54,7 +54,7 @@
 }
 
 // Notices returns what the gateway knows that servers say of themselves.
-func (g *Gateway) Notices() *notice.Board { return g.notices }
+func (g *Gateway) Notices() *notice.Registry { return g.notices }
 
 // Engines lists the members of a group of engines as this gateway knows them. That this
 // gateway can't reach one says nothing for the others, who tell which engines failed them.
@@ -67,7 +67,7 @@
 	var out []permit.Engine
 	for _, b := range g.servers.Ready(group.Service) {
 		if s := b.Server(); placement.GroupOf(s.ID, groups) == group.Index {
-			out = append(out, permit.Engine{ID: s.Start(), FailureDomain: s.FailureDomain, Accepting: !g.notices.Draining(s.Start()),
+			out = append(out, permit.Engine{ID: s.InstanceID(), FailureDomain: s.FailureDomain, Accepting: !g.notices.Draining(s.InstanceID()),
 				Slots: s.Slots, KVCacheTokens: facts.Memory, TokensPerEvent: facts.EventTokens})
 		}
 	}
@@ -83,10 +83,10 @@
 // acquire asks for leave to send the request, at one group of engines after the
 // other, and waits for it. An error means that the request was not sent and that the
 // service has no room.
-func (g *Gateway) acquire(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Leave, error) {
+func (g *Gateway) acquire(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Permit, error) {
 	candidates := g.candidates(q.service, tried)
 	if !slices.ContainsFunc(candidates, reachable) {
-		return placement.Choice{}, peers.Leave{}, g.noneOf(q, candidates)
+		return placement.Choice{}, peers.Permit{}, g.noneOf(q, candidates)
 	}
 	part, _ := q.call.Prompt.Shared()
 	if part == "" {
@@ -106,7 +106,7 @@
 		answer, leave := g.peers.Ask(ctx, permit.Group{Service: q.service, Index: groups[group]}, asked)
 		if ctx.Err() != nil {
 			leave.End(permit.StreamStats{})
-			return placement.Choice{}, peers.Leave{}, outOfTime(ctx, false)
+			return placement.Choice{}, peers.Permit{}, outOfTime(ctx, false)
 		}
 		switch answer.Verdict {
 		case permit.NoEngine:
@@ -123,7 +123,7 @@
 		}
 		if answer.Engine == "" {
 			choice, err := g.undecided(q, candidates)
-			return choice, peers.Leave{}, err
+			return choice, peers.Permit{}, err
 		}
 		candidates = g.candidates(q.service, tried) // it may have waited for seconds
 		if choice := decided(answer, candidates); choice.Candidate != nil {
@@ -133,13 +133,13 @@
 		asked.ExcludedEngines = append(asked.ExcludedEngines, answer.Engine)
 	}
 	if refused.ID == "" {
-		return placement.Choice{}, peers.Leave{}, g.noServer(q)
+		return placement.Choice{}, peers.Permit{}, g.noServer(q)
 	}
 	if refused.RateLimitedEngines > 0 {
-		return placement.Choice{}, peers.Leave{}, g.limited(refused.RateLimitedEngines, refused.Wait)
+		return placement.Choice{}, peers.Permit{}, g.limited(refused.RateLimitedEngines, refused.Wait)
 	}
-	return placement.Choice{}, peers.Leave{}, fault.New(fault.WaitTooLong, "the engines have a backlog of %d tokens", refused.BacklogTokens).
-		With(fault.NotRun).After(refused.Wait)
+	return placement.Choice{}, peers.Permit{}, fault.New(fault.WaitTooLong, "the engines have a backlog of %d tokens", refused.BacklogTokens).
+		WithOutcome(fault.NotRun).WithRetryAfter(refused.Wait)
 }
 
 // undecided chooses the server where no other gateway decides.
@@ -159,7 +159,7 @@
 	var out []string
 	for _, c := range candidates {
 		if !reachable(c) {
-			out = append(out, c.Server.Start())
+			out = append(out, c.Server.InstanceID())
 		}
 	}
 	return out[:min(len(out), maxAvoided)]
@@ -172,9 +172,9 @@
 	for i := range candidates {
 		c := &candidates[i]
 		switch {
-		case c.Server.Start() == answer.Engine && reachable(*c):
+		case c.Server.InstanceID() == answer.Engine && reachable(*c):
 			choice.Candidate = c
-		case c.Server.Start() == answer.FetchFrom && !c.View.Avoided:
+		case c.Server.InstanceID() == answer.FetchFrom && !c.View.Avoided:
 			choice.FetchFrom = c.Server.Address
 		}
 	}
@@ -183,8 +183,8 @@
 
 // noteRefusal keeps a refusal for the decision line.
 func (g *Gateway) noteRefusal(q *request, answer permit.Decision) {
-	q.sends = append(q.sends, send{Result: answer.Verdict.String(), Wait: answer.Wait, Unread: int64(answer.BacklogTokens), Limited: answer.RateLimitedEngines,
-		At: g.now().Sub(q.start)})
+	q.sends = append(q.sends, send{Result: answer.Verdict.String(), Wait: answer.Wait, UnreadTokens: int64(answer.BacklogTokens), RateLimited: answer.RateLimitedEngines,
+		SentAfter: g.now().Sub(q.start)})
 }
 
 // patience is how long a caller of the route waits for a first event.
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -24,7 +24,7 @@
 )
 
 // Leave is a permit that was granted. The zero Leave was granted by nobody.
-type Leave struct {
+type Permit struct {
 	peers *Peers
 	home  netip.AddrPort
 	group permit.Group
@@ -33,14 +33,14 @@
 
 // FirstToken tells the home that the prompt has been read, and how long after it was sent
 // the first event came.
-func (l Leave) FirstToken(took time.Duration) {
+func (l Permit) FirstToken(took time.Duration) {
 	if l.peers != nil {
 		l.peers.send(message{FirstToken: &firstToken{Group: l.group, ID: l.id, Took: took}}, l.home)
 	}
 }
 
 // End tells the home that the request has ended, and what was seen of its answer.
-func (l Leave) End(s permit.StreamStats) {
+func (l Permit) End(s permit.StreamStats) {
 	if l.peers != nil {
 		l.peers.send(message{End: &end{Group: l.group, ID: l.id, StreamStats: s}}, l.home)
 	}
@@ -49,7 +49,7 @@
 // Ask asks the group's home for leave to send a request and waits while the ask is
 // queued. Where no home answers, the request may be sent: the answer is then Granted
 // without an engine and with a zero Leave. When ctx ends, the answer is Refused.
-func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Leave) {
+func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
 	ch := make(chan permit.Decision, 1)
 	p.mu.Lock()
 	p.waiting[a.ID] = ch
@@ -67,15 +67,15 @@
 		answer, present := p.askHome(ctx, home, question{group, a, start}, ch)
 		if present {
 			if answer.Verdict != permit.Granted {
-				return answer, Leave{}
+				return answer, Permit{}
 			}
-			return answer, Leave{p, home, group, a.ID}
+			return answer, Permit{p, home, group, a.ID}
 		}
 		p.mu.Lock()
 		p.members.silent(home, time.Now())
 		p.mu.Unlock()
 	}
-	return permit.Decision{ID: a.ID, Verdict: permit.Granted}, Leave{}
+	return permit.Decision{ID: a.ID, Verdict: permit.Granted}, Permit{}
 }
 
 // question is an ask with the time at which its times left were true.
@@ -90,7 +90,7 @@
 	a, elapsed := q.ask, time.Since(q.asked)
 	a.FirstTokenTarget -= elapsed
 	a.FirstTokenTimeout = max(a.FirstTokenTimeout-elapsed, time.Millisecond)
-	return message{Ask: &ask{q.group, a}}
+	return message{PermitRequest: &ask{q.group, a}}
 }
 
 // askHome asks one home; false when it gives no answer.
--- a/internal/permit/place.go
+++ b/internal/permit/place.go
@@ -169,7 +169,7 @@
 		if a.FailureDomain != "" && a.FailureDomain != en.FailureDomain {
 			s.cost += crossDomainCost
 		}
-		s.cost += s.wait + s.prefill + time.Duration(en.failureRate.Share(now)*float64(failureCost))
+		s.cost += s.wait + s.prefill + time.Duration(en.failureRate.Rate(now)*float64(failureCost))
 		if !a.Plain {
 			s.cost += q.interferenceCost(s, concurrentLimit)
 		}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -231,7 +231,7 @@
 // tell.
 func cost(c *Candidate, req Request) float64 {
 	v := c.View
-	ms := float64(v.Unread)/prefillTokensPerMs + runningRequestMs*float64(v.Running) + errorShareMs*v.ErrorShare
+	ms := float64(v.UnreadTokens)/prefillTokensPerMs + runningRequestMs*float64(v.InFlight) + errorShareMs*v.ErrorRate
 	if c.Server.FailureDomain != req.FailureDomain {
 		ms += crossDomainMs
 	}
