--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -68,7 +68,7 @@
 		Connect: func(address string) follow.Store { return platform.NewStore(address, logger) }, Topics: platform.Topics, Decoder: platform.Decoder{},
 		Gateway: g, Servers: servers, Peers: others, Share: share, Logger: logger,
 	}, set.Follow())
-	keeper := quarantine.NewKeeper(g.Quarantine(), follower.Quarantine(), set.Host, logger)
+	keeper := quarantine.NewPersister(g.Quarantine(), follower.Quarantine(), set.Host, logger)
 	g.UseTrials(keeper)
 	go keeper.Run(ctx)
 	go share.Serve(ctx, asks)
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -107,7 +107,7 @@
 	}
 	start := choice.Candidate.Server.Start()
 	tried[start] = true
-	g.ledger.Place(q.id(), t.key, start, g.now())
+	g.ledger.SetServer(q.id(), t.key, start, g.now())
 	return g.sendTo(ctx, q, choice, leave, rel)
 }
 
@@ -334,12 +334,12 @@
 	if err != nil {
 		s.Cause = err.Error()
 	}
-	g.ledger.Ran(g.now().Sub(sentAt), g.now())
+	g.ledger.RecordRun(g.now().Sub(sentAt), g.now())
 	switch {
 	case broke(ctx, result, err):
-		s.Ended = g.brokeAt(q, server, quarantine.End{Server: server.Start(), Begun: sentAt, At: g.now()})
-	case result == delivered && resp.Status < http.StatusInternalServerError && g.ledger.Watching():
-		g.ledger.Completed(q.id(), g.now())
+		s.Ended = g.brokeAt(q, server, quarantine.Crash{Server: server.Start(), SentAt: sentAt, At: g.now()})
+	case result == delivered && resp.Status < http.StatusInternalServerError && g.ledger.HasEntries():
+		g.ledger.RecordAnswer(q.id(), g.now())
 	}
 	q.sends = append(q.sends, s)
 	return result, err
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -65,7 +65,7 @@
 
 	failureLines decisionlog.Limiter
 	ends         endChecks
-	ledger       *quarantine.Ledger
+	ledger       *quarantine.Tracker
 	notices      *notice.Board
 	trials       Trials // nil: this gateway is alone
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -35,7 +35,7 @@
 	FirstToken *firstToken    `msgpack:"f,omitempty"`
 	End        *end           `msgpack:"e,omitempty"`
 	// Requests is what the sender knows of requests that may end servers.
-	Requests []quarantine.Told `msgpack:"q,omitempty"`
+	Requests []quarantine.Update `msgpack:"q,omitempty"`
 	// Notices is what the sender knows that servers say of themselves.
 	Notices []notice.Told `msgpack:"n,omitempty"`
 	// Loans are the rates of which the sender lends its share to the receiver.
@@ -82,7 +82,7 @@
 	// Engines lists the members of a group.
 	Engines(permit.Group) []permit.Engine
 	// Quarantine is what it knows of requests that may end servers.
-	Quarantine() *quarantine.Ledger
+	Quarantine() *quarantine.Tracker
 	// Notices is what it knows that servers say of themselves.
 	Notices() *notice.Board
 	// Limited lists the servers that state a rate, by the group to which they belong.
@@ -112,7 +112,7 @@
 	in     chan received
 	desk   *permit.Desk[netip.AddrPort] // of the goroutine in Run
 	local  Local
-	ledger *quarantine.Ledger
+	ledger *quarantine.Tracker
 	board  *notice.Board
 	loans  loans // of the goroutine in Run
 	start  time.Time
@@ -179,7 +179,7 @@
 		case <-ctx.Done():
 			return
 		case came = <-p.in:
-		case <-p.ledger.Telling():
+		case <-p.ledger.UpdatesReady():
 		case <-p.board.Telling():
 		case <-timer.C:
 			next := idleTick
@@ -249,7 +249,7 @@
 	case r.End != nil:
 		p.desk.End(r.End.Group, r.End.ID, r.End.Stream, now)
 	case r.Requests != nil:
-		p.ledger.Hear(r.Requests, r.from.String(), now)
+		p.ledger.Merge(r.Requests, r.from.String(), now)
 	case r.Notices != nil:
 		p.hearNotices(r.Notices, r.from, now)
 	case r.Loans != nil:
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -40,7 +40,7 @@
 // local is a gateway that knows one engine in each group.
 type local struct{}
 
-func (local) Quarantine() *quarantine.Ledger { return quarantine.New() }
+func (local) Quarantine() *quarantine.Tracker { return quarantine.New() }
 
 func (local) Notices() *notice.Board {
 	return notice.NewBoard(ratelimit.New(rand.Float64), func(notice.Event) {})
@@ -205,16 +205,16 @@
 }
 
 // suspects are so many requests that each ended so many servers, as they are told.
-func suspects(requests, ends int) []quarantine.Told {
+func suspects(requests, ends int) []quarantine.Update {
 	l, now := quarantine.New(), time.Unix(1000, 0)
 	for i := range requests {
 		id := quarantine.Identify("team", "POST", "a.example", fmt.Sprint("/", i), nil)
 		for j := range ends {
 			at := now.Add(time.Duration(j) * time.Second)
-			l.Ended(id, quarantine.End{Server: fmt.Sprintf("i-7f3a91c2%02d@17650000%05d", j, i), Begun: at.Add(-time.Second), At: at}, at)
+			l.RecordCrash(id, quarantine.Crash{Server: fmt.Sprintf("i-7f3a91c2%02d@17650000%05d", j, i), SentAt: at.Add(-time.Second), At: at}, at)
 		}
 	}
-	return l.All(now.Add(time.Minute))
+	return l.Snapshot(now.Add(time.Minute))
 }
 
 func TestWhatIsToldOfRequestsFitsIntoDatagrams(t *testing.T) {
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkIdentify is what a request costs while there are suspects: 6 us for 8 KB on a quiet machine.
+// BenchmarkIdentify measures the cost per request while there are suspects: 6 us for 8 KB on a quiet machine.
 func BenchmarkIdentify(b *testing.B) {
 	body := make([]byte, 8<<10)
 	for b.Loop() {
@@ -14,18 +14,18 @@
 	}
 }
 
-// BenchmarkFlood is a server that ends under one more of many different requests, with all that may be
-// kept: 0.6 ms on a quiet machine, 1.3 ms where what else ended was looked up for each suspect.
+// BenchmarkFlood measures one more server crash under a new request with a full tracker: 0.6 ms on a
+// quiet machine, 1.3 ms when the other crashed servers were looked up for each suspect.
 func BenchmarkFlood(b *testing.B) {
-	l := seasoned(12)
-	for i := range maxRequests {
-		l.Ended(id(fmt.Sprint("flood-", i)), end(fmt.Sprint("o-", i%100), 4), at(4))
+	tracker := newObservedTracker(12)
+	for i := range maxEntries {
+		tracker.RecordCrash(id(fmt.Sprint("flood-", i)), crashAt(fmt.Sprint("o-", i%100), 4), at(4))
 	}
 	i := 0
 	for b.Loop() {
 		now := at(5).Add(time.Duration(i) * time.Millisecond)
 		i++
-		l.Ended(id(fmt.Sprint("more-", i)), End{Server: fmt.Sprint("m-", i), Begun: now.Add(-time.Second), At: now}, now)
-		l.Due(now)
+		tracker.RecordCrash(id(fmt.Sprint("more-", i)), Crash{Server: fmt.Sprint("m-", i), SentAt: now.Add(-time.Second), At: now}, now)
+		tracker.DueUpdates(now)
 	}
 }
--- a/internal/quarantine/deployment_test.go
+++ b/internal/quarantine/deployment_test.go
@@ -14,67 +14,67 @@
 )
 
 const (
-	// fatal is the body of a request that ends the server which begins it, after endsAfter.
-	fatal     = "a prompt that ends every engine"
-	endsAfter = 60 * time.Millisecond
-	// downFor is how long a server is away then.
-	downFor = 2500 * time.Millisecond
-	// firstKnown is how long a server's end takes to be known to all gateways.
-	firstKnown = 10 * time.Millisecond
+	// fatal is the body of a request that crashes the server which runs it, after crashDelay.
+	fatal      = "a prompt that ends every engine"
+	crashDelay = 60 * time.Millisecond
+	// restartDelay is how long a server is down after a crash.
+	restartDelay = 2500 * time.Millisecond
+	// detectionDelay is how long it takes until all gateways know of a crash.
+	detectionDelay = 10 * time.Millisecond
 )
 
-// deployment is a fleet whose servers a fatal request ends. It lives in a synctest bubble.
+// deployment is a fleet whose servers are crashed by a fatal request. It runs in a synctest bubble.
 type deployment struct {
 	*simfleet.Fleet
 
-	mu      sync.Mutex
-	fatal   bool        // the fatal request still ends servers
-	ends    []time.Time // of servers by the fatal request
-	answers map[string]int
-	refused []string // IDs of harmless requests that were told that they are quarantined
+	mu          sync.Mutex
+	fatalActive bool        // the fatal request still crashes servers
+	crashTimes  []time.Time // of crashes by the fatal request
+	answers     map[string]int
+	refused     []string // IDs of harmless requests that were refused as quarantined
 }
 
 func deploy(gateways, servers int, seed uint64) *deployment {
-	d := &deployment{fatal: true, answers: map[string]int{}}
-	d.Fleet = simfleet.New(gateways, servers, seed, d.watch)
+	d := &deployment{fatalActive: true, answers: map[string]int{}}
+	d.Fleet = simfleet.New(gateways, servers, seed, d.armFatal)
 	return d
 }
 
-// watch has a start of a server end by the fatal request.
-func (d *deployment) watch(s *simfleet.Server, w *worker.Worker) {
+// armFatal makes a server instance crash on the fatal request.
+func (d *deployment) armFatal(s *simfleet.Server, w *worker.Worker) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fatal {
-		w.EndBy(fatal, endsAfter, func() { d.fatalEnd(s, w) })
+	if d.fatalActive {
+		w.EndBy(fatal, crashDelay, func() { d.recordFatalCrash(s, w) })
 	}
 }
 
-// fatalEnd notes that the fatal request has ended a server.
-func (d *deployment) fatalEnd(s *simfleet.Server, w *worker.Worker) {
+// recordFatalCrash counts a crash by the fatal request.
+func (d *deployment) recordFatalCrash(s *simfleet.Server, w *worker.Worker) {
 	if d.Running(s) != w {
-		return // it has ended by itself meanwhile
+		return // the instance has stopped for another reason meanwhile
 	}
 	d.mu.Lock()
-	d.ends = append(d.ends, time.Now())
+	d.crashTimes = append(d.crashTimes, time.Now())
 	d.mu.Unlock()
-	d.endServer(s)
+	d.crashServer(s)
 }
 
-// endServer ends a server without a word; it comes back as another start.
-func (d *deployment) endServer(s *simfleet.Server) {
+// crashServer stops a server without notice and restarts it as a new instance.
+func (d *deployment) crashServer(s *simfleet.Server) {
 	if d.EndServer(s) {
 		d.Go(func() {
-			if d.Pause(downFor) {
+			if d.Pause(restartDelay) {
 				d.StartServer(s)
 			}
 		})
 	}
 }
 
-// heal has the fatal request end no more servers.
+// heal makes the fatal request harmless.
 func (d *deployment) heal() {
 	d.mu.Lock()
-	d.fatal = false
+	d.fatalActive = false
 	d.mu.Unlock()
 	for _, s := range d.Servers {
 		if w := d.Running(s); w != nil {
@@ -83,9 +83,9 @@
 	}
 }
 
-// askFatal asks for the fatal request at a pace until a time, at gateways drawn at random, and
-// returns what callers got last.
-func (d *deployment) askFatal(kind string, every, until time.Duration) (last simfleet.Reply) {
+// sendFatal sends the fatal request to random gateways at an interval, for a duration, and returns the
+// reply that came last.
+func (d *deployment) sendFatal(kind string, every, until time.Duration) (last simfleet.Reply) {
 	var asked sync.WaitGroup
 	var mu sync.Mutex
 	end := time.Now().Add(until)
@@ -104,8 +104,8 @@
 	return last
 }
 
-// askHarmless asks for so many bodies in turn at a pace until a time.
-func (d *deployment) askHarmless(kind string, bodies int, every, until time.Duration) {
+// sendHarmless sends harmless requests with a number of different bodies at an interval, for a duration.
+func (d *deployment) sendHarmless(kind string, bodies int, every, until time.Duration) {
 	var asked sync.WaitGroup
 	rnd := rand.New(rand.NewPCG(7, uint64(bodies)))
 	end := time.Now().Add(until)
@@ -126,15 +126,15 @@
 	asked.Wait()
 }
 
-// quarantined returns the verdicts that a gateway knows.
-func quarantined(n *simfleet.Node) []quarantine.Quarantined {
-	list, _ := n.Gateway().Quarantine().Quarantine()
+// quarantined returns the quarantined requests that a gateway knows.
+func quarantined(n *simfleet.Node) []quarantine.QuarantinedRequest {
+	list, _ := n.Gateway().Quarantine().List()
 	return list
 }
 
-// ended is how many servers the fatal request has ended.
-func (d *deployment) ended() int {
+// crashCount returns the number of crashes by the fatal request.
+func (d *deployment) crashCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.ends)
+	return len(d.crashTimes)
 }
--- a/internal/quarantine/events.go
+++ b/internal/quarantine/events.go
@@ -1,65 +1,65 @@
 package quarantine
 
-// Kind is what has happened to a request's standing.
+// Kind is the type of a change in what is known about a request.
 type Kind int
 
-// The kinds.
+// The event kinds.
 const (
-	Suspected Kind = iota // a server has ended while it ran the request for this gateway
-	Reached               // a verdict
-	Learnt                // a verdict of another gateway
-	Renewed               // a verdict of which a trial has begun
-	Lifted                // a verdict has ended
-	Dropped               // for want of room
+	Suspected Kind = iota // a server crashed while running the request for this gateway
+	Reached               // this gateway quarantined the request
+	Learnt                // a verdict was received from another gateway or read from the store
+	Renewed               // a trial of a quarantined request began
+	Lifted                // the quarantine ended
+	Dropped               // the entry was evicted because the tracker is full
 )
 
 var kindNames = map[Kind]string{Suspected: "suspected", Reached: "reached", Learnt: "learnt", Renewed: "renewed", Lifted: "lifted", Dropped: "dropped"}
 
-// String names the kind in logs and metrics.
+// String returns the kind as it appears in logs and metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// Cause is why a verdict has ended.
+// Cause is the reason why a quarantine ended.
 type Cause string
 
 // The causes.
 const (
-	Answered   Cause = "answered"    // a server has answered the request
-	ByOperator Cause = "by_operator" // an operator has lifted it
-	Forgotten  Cause = "forgotten"   // nobody has asked for a day
-	Explained  Cause = "explained"   // another request has ended all of its servers and more
-	Elsewhere  Cause = "elsewhere"   // another gateway has lifted it
+	Answered   Cause = "answered"    // a server answered the request
+	ByOperator Cause = "by_operator" // an operator lifted it
+	Forgotten  Cause = "forgotten"   // it expired: no trial within verdictTTL
+	Explained  Cause = "explained"   // another request accounts for all of its crashes, and more
+	Elsewhere  Cause = "elsewhere"   // another gateway lifted it
 )
 
-// Event is a change of a request's standing.
+// Event is a change in what is known about a request.
 type Event struct {
 	Kind    Kind
 	ID      ID
-	Ends    []End
+	Crashes []Crash
 	Verdict *Verdict
-	Cause   Cause // of Lifted
+	Cause   Cause // set for Lifted
 }
 
-// maxEvents bounds the events that wait to be taken: a few for each request that is kept.
+// maxEvents bounds the queue of undelivered events. Further events are discarded.
 const maxEvents = 1024
 
-func (l *Ledger) note(e Event) {
-	if len(l.events) < maxEvents {
-		l.events = append(l.events, e)
+func (t *Tracker) emit(e Event) {
+	if len(t.events) < maxEvents {
+		t.events = append(t.events, e)
 	}
-	wake(l.news)
+	signal(t.eventsReady)
 }
 
-// News has room for one word that there are events to take.
-func (l *Ledger) News() <-chan struct{} { return l.news }
+// EventsReady is signalled when DrainEvents has events to return. The channel holds one signal.
+func (t *Tracker) EventsReady() <-chan struct{} { return t.eventsReady }
 
-// Telling has room for one word that something is to be told to the other gateways at once.
-func (l *Ledger) Telling() <-chan struct{} { return l.telling }
+// UpdatesReady is signalled when DueUpdates has updates to send at once. The channel holds one signal.
+func (t *Tracker) UpdatesReady() <-chan struct{} { return t.updatesReady }
 
-// Events takes the events since the last call.
-func (l *Ledger) Events() []Event {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := l.events
-	l.events = nil
+// DrainEvents returns the events since the previous call.
+func (t *Tracker) DrainEvents() []Event {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := t.events
+	t.events = nil
 	return out
 }
--- a/internal/quarantine/hazard.go
+++ b/internal/quarantine/hazard.go
@@ -6,89 +6,90 @@
 )
 
 const (
-	// hazardStep and hazardSteps part the time over which runs and ends are counted.
+	// hazardStep and hazardSteps are the length and number of the intervals in which runs and crashes are counted.
 	hazardStep  = 500 * time.Millisecond
 	hazardSteps = 20
-	// priorRun is added to the time that runs took, in seconds, so that one other request that ends
-	// a server where little runs is not taken for servers that end all the time.
-	priorRun = 3.0
-	// leastRun is how long a run counts at least. A request that is sent to a server which has just
-	// ended meets its end within a ms.
-	leastRun = 100 * time.Millisecond
-	// leastHazard, in ends a second, is what is assumed where nothing else is seen: one an hour,
-	// far more often than engines are known to crash.
-	leastHazard = 1.0 / 3600
+	// priorRunSeconds is added to the observed run time, so that a single crash by another request
+	// under little traffic does not look like servers that crash all the time.
+	priorRunSeconds = 3.0
+	// minRun is the shortest duration counted for a run. A request that is sent to a server which
+	// has just crashed fails within 1 ms.
+	minRun = 100 * time.Millisecond
+	// minHazardRate, in crashes per second, is assumed when no other crash was observed: one an
+	// hour, far more often than engines are known to crash.
+	minHazardRate = 1.0 / 3600
 )
 
-// hazardWindows are the spans over which the hazard is taken, in steps; the highest counts. The short
-// one tells soon that servers have begun to end.
+// hazardWindows are the windows, in steps, over which the rate is computed; the highest rate counts.
+// The short window reacts soon after servers begin to crash.
 var hazardWindows = []int64{2, hazardSteps}
 
-// hazard counts for how long requests ran here and how often their server ended meanwhile.
-// The zero value has seen nothing.
-type hazard struct {
-	begin time.Time
-	steps [hazardSteps + 1]hazardCount
+// hazardEstimator estimates the crash rate from the total run time of requests at this gateway and
+// the crashes during these runs. The zero value has no observations.
+type hazardEstimator struct {
+	startedAt time.Time
+	buckets   [hazardSteps + 1]hazardBucket
 }
 
-// hazardCount is one step.
-type hazardCount struct {
-	number int64
-	run    float64        // seconds
-	hits   map[string]int // runs that met the end of their server, by its start
+// hazardBucket holds the counts of one step.
+type hazardBucket struct {
+	number     int64
+	runSeconds float64
+	crashes    map[string]int // runs that were lost, by server instance
 }
 
-// at returns the step of a moment, emptied if it was that of an earlier one.
-func (h *hazard) at(now time.Time) *hazardCount {
-	if h.begin.IsZero() {
-		h.begin = now
+// bucket returns the bucket of a time and resets it if it held an earlier step.
+func (h *hazardEstimator) bucket(now time.Time) *hazardBucket {
+	if h.startedAt.IsZero() {
+		h.startedAt = now
 	}
-	number := max(0, int64(now.Sub(h.begin)/hazardStep))
-	c := &h.steps[number%int64(len(h.steps))]
+	number := max(0, int64(now.Sub(h.startedAt)/hazardStep))
+	c := &h.buckets[number%int64(len(h.buckets))]
 	if c.number != number {
-		*c = hazardCount{number: number}
+		*c = hazardBucket{number: number}
 	}
 	return c
 }
 
-// ran counts a run.
-func (h *hazard) ran(d time.Duration, now time.Time) { h.at(now).run += d.Seconds() }
+// addRun adds the duration of a run.
+func (h *hazardEstimator) addRun(d time.Duration, now time.Time) {
+	h.bucket(now).runSeconds += d.Seconds()
+}
 
-// hit counts a run that met the end of its server.
-func (h *hazard) hit(start string, now time.Time) {
-	c := h.at(now)
-	if c.hits == nil {
-		c.hits = map[string]int{}
+// addCrash counts a run that was lost in a server crash.
+func (h *hazardEstimator) addCrash(instance string, now time.Time) {
+	c := h.bucket(now)
+	if c.crashes == nil {
+		c.crashes = map[string]int{}
 	}
-	if len(c.hits) < maxExplained {
-		c.hits[start]++
+	if len(c.crashes) < maxServers {
+		c.crashes[instance]++
 	}
 }
 
-// rate returns how often, in times a second, a run meets the end of its server. Servers that skip
-// names are left out.
-func (h *hazard) rate(now time.Time, skip func(start string) bool) float64 {
-	newest := h.at(now).number
-	most := leastHazard
+// rate returns the crashes per second of run time, without the server instances that skip accepts.
+func (h *hazardEstimator) rate(now time.Time, skip func(instance string) bool) float64 {
+	newest := h.bucket(now).number
+	highest := minHazardRate
 	for _, window := range hazardWindows {
-		run, hits := priorRun, 0
-		for _, c := range h.steps {
+		run, crashes := priorRunSeconds, 0
+		for _, c := range h.buckets {
 			if c.number <= newest-window || c.number > newest {
 				continue
 			}
-			run += c.run
-			for start, n := range c.hits {
-				if !skip(start) {
-					hits += n
+			run += c.runSeconds
+			for instance, n := range c.crashes {
+				if !skip(instance) {
+					crashes += n
 				}
 			}
 		}
-		most = max(most, float64(hits)/run)
+		highest = max(highest, float64(crashes)/run)
 	}
-	return most
+	return highest
 }
 
-// chance returns how likely it is that a run of a length meets the end of its server.
-func chance(ran time.Duration, rate float64) float64 {
-	return 1 - math.Exp(-rate*max(ran, leastRun).Seconds())
+// crashProbability returns the probability that a server crashes during a run of the given duration.
+func crashProbability(ran time.Duration, rate float64) float64 {
+	return 1 - math.Exp(-rate*max(ran, minRun).Seconds())
 }
--- a/internal/quarantine/id.go
+++ b/internal/quarantine/id.go
@@ -1,5 +1,5 @@
-// Package quarantine finds requests that end the backend servers which run them, and keeps
-// them from the servers that are left.
+// Package quarantine detects requests that crash the backend servers which run them, and refuses
+// such requests before they reach further servers.
 package quarantine
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// ID tells what callers ask for again from what is asked for once: two attempts with the same
-// ID are the same request. It is half of a SHA-256 digest. Who can choose bodies can choose
-// collisions of a fast hash, and have another request refused.
+// ID identifies a request across retries: two attempts with the same ID are the same request. It is
+// half of a SHA-256 digest, because with a fast hash a caller who chooses bodies could construct a
+// collision and have another caller's request refused.
 type ID [16]byte
 
-// Identify returns the ID of a request: who asks, where and what. Headers differ from attempt to
-// attempt and don't count; nor does the service, as a route that moves to another one would have
-// the same request end as many servers there. The query counts only where there is no body.
+// Identify returns the ID of a request from its caller, address and content. Headers differ between
+// attempts and are left out, and so is the service: a route that moves to another service would
+// otherwise let the same request crash as many servers there. The query counts only without a body.
 func Identify(team, method, host, target string, body []byte) ID {
 	path, query, _ := strings.Cut(target, "?")
 	if len(body) > 0 {
@@ -37,15 +37,15 @@
 	return id
 }
 
-// String returns the ID in hexadecimal digits, as logs, metrics and the store have it.
+// String returns the ID in hexadecimal, as used in logs, metrics and the store.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// ParseID reads what String gives. Errors have code BadRequest and name the field.
+// ParseID parses the output of String. Errors have code BadRequest and name the field.
 func ParseID(text string) (ID, error) {
 	var id ID
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(id) {
-		return id, fault.New(fault.BadRequest, "%q is not %d hexadecimal digits", text, 2*len(id)).InField("request")
+		return id, fault.New(fault.BadRequest, "%q is not an ID of %d hexadecimal digits", text, 2*len(id)).InField("request")
 	}
 	copy(id[:], b)
 	return id, nil
--- a/internal/quarantine/id_test.go
+++ b/internal/quarantine/id_test.go
@@ -16,21 +16,21 @@
 	first := id("team", "a.example", "/ask/x?try=1", "body")
 	g.Expect(id("team", "A.example", "/ask/x?try=2", "body")).To(Equal(first), "another attempt")
 	for what, other := range map[string]ID{
-		"another team": id("other", "a.example", "/ask/x", "body"),
-		"another host": id("team", "b.example", "/ask/x", "body"),
-		"another path": id("team", "a.example", "/ask/y", "body"),
-		"another body": id("team", "a.example", "/ask/x", "bodY"),
-		"no body":      id("team", "a.example", "/ask/x", ""),
-		"moved border": id("teama.example", "", "/ask/x", "body"),
+		"another team":           id("other", "a.example", "/ask/x", "body"),
+		"another host":           id("team", "b.example", "/ask/x", "body"),
+		"another path":           id("team", "a.example", "/ask/y", "body"),
+		"another body":           id("team", "a.example", "/ask/x", "bodY"),
+		"no body":                id("team", "a.example", "/ask/x", ""),
+		"shifted field boundary": id("teama.example", "", "/ask/x", "body"),
 	} {
 		g.Expect(other).NotTo(Equal(first), what)
 	}
 	g.Expect(Identify("team", "PUT", "a.example", "/ask/x", []byte("body"))).NotTo(Equal(first))
 	g.Expect(id("team", "a.example", "/ask/x?of=1", "")).NotTo(Equal(id("team", "a.example", "/ask/x?of=2", "")),
-		"without a body the query says what is asked for")
+		"without a body the query is part of the ID")
 }
 
-func TestIDsAreReadAsWritten(t *testing.T) {
+func TestIDsRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	first := Identify("team", "POST", "a.example", "/", []byte("body"))
 	g.Expect(ParseID(first.String())).To(Equal(first))
--- a/internal/quarantine/system_test.go
+++ b/internal/quarantine/system_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// Whole fleets in simulated time run without the race detector, whose own runtime fails in some runs of
-// them (CHECK failed in tsan_rtl.cpp, or a segmentation violation): many goroutines come and go.
+// Fleets in simulated time run without the race detector: with the many short-lived goroutines, its own
+// runtime fails in some runs (CHECK failed in tsan_rtl.cpp, or a segmentation violation).
 
 package quarantine_test
 
@@ -17,8 +17,8 @@
 	"github.com/merlinpost/merlinpost/internal/standin/simfleet"
 )
 
-// mostEnds is how many servers may end: three that show what the request is, and a trial.
-const mostEnds = 4
+// maxCrashes is how many servers a fatal request may crash: three until the verdict, and one in a trial.
+const maxCrashes = 4
 
 func TestEachKindOfRequestIsQuarantined(t *testing.T) {
 	for kind := range simfleet.Routes {
@@ -27,8 +27,8 @@
 				g := NewWithT(t)
 				d := deploy(4, 12, 1)
 				defer d.End()
-				last := d.askFatal(kind, 150*time.Millisecond, 16*time.Second)
-				g.Expect(d.ended()).To(BeNumerically("<=", mostEnds))
+				last := d.sendFatal(kind, 150*time.Millisecond, 16*time.Second)
+				g.Expect(d.crashCount()).To(BeNumerically("<=", maxCrashes))
 				g.Expect(last.Status).To(Equal(503))
 				g.Expect(last.Code).To(Equal("quarantined"))
 				for _, n := range d.Nodes {
@@ -39,7 +39,7 @@
 	}
 }
 
-// The same request once every 3 s at the gateways in turn, as few as six servers.
+// The same request arrives once every 3 s, at each gateway in turn, with only six servers.
 func TestASlowRequestIsQuarantined(t *testing.T) {
 	for kind := range simfleet.Routes {
 		t.Run(kind, func(t *testing.T) {
@@ -51,30 +51,30 @@
 					d.Ask(d.Nodes[i%len(d.Nodes)], kind, fmt.Sprint("fatal-", i), fatal)
 					time.Sleep(3 * time.Second)
 				}
-				g.Expect(d.ended()).To(BeNumerically("<=", mostEnds))
+				g.Expect(d.crashCount()).To(BeNumerically("<=", maxCrashes))
 			})
 		})
 	}
 }
 
-// Where the cause has gone, a trial ends the quarantine everywhere and in the store.
+// Once the cause is removed, an answered trial ends the quarantine at all gateways and in the store.
 func TestAnAnsweredTrialEndsTheQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
 		defer d.End()
-		d.askFatal("stream", 500*time.Millisecond, 10*time.Second)
+		d.sendFatal("stream", 500*time.Millisecond, 10*time.Second)
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(HaveLen(1), n.Name)
 		}
 		d.heal()
-		d.askFatal("stream", 500*time.Millisecond, 70*time.Second)
+		d.sendFatal("stream", 500*time.Millisecond, 70*time.Second)
 		for i, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
 			g.Expect(d.Ask(n, "stream", fmt.Sprint("again-", i), fatal).Status).To(Equal(200))
 		}
-		g.Expect(d.ended()).To(Equal(3))
-		for _, n := range d.Nodes { // all forget
+		g.Expect(d.crashCount()).To(Equal(3))
+		for _, n := range d.Nodes { // all lose their memory
 			d.KillNode(n)
 			d.StartNode(n)
 		}
@@ -83,48 +83,48 @@
 	})
 }
 
-// Gateways that can't hear each other but reach the store have one trial together, and learn the
-// verdict with the first server that ends on their side.
-func TestSidesOfACutLearnFromTheStore(t *testing.T) {
+// Gateways that can't reach each other but can reach the store share one trial, and learn the verdict
+// when the first server crashes on their side.
+func TestSidesOfAPartitionLearnFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
 		defer d.End()
-		d.cutPeers(true)
-		for i := range 40 { // at one side only
+		d.partitionPeers(true)
+		for i := range 40 { // on one side only
 			d.Ask(d.Nodes[i%2], "once", fmt.Sprint("one-side-", i), fatal)
 			time.Sleep(150 * time.Millisecond)
 		}
-		g.Expect(d.ended()).To(Equal(3))
-		d.askFatal("once", 150*time.Millisecond, 30*time.Second)
-		g.Expect(d.ended()).To(Equal(4), "one end has the other side ask the store")
-		before := d.ended()
-		d.askFatal("once", 150*time.Millisecond, 60*time.Second)
-		g.Expect(d.ended()).To(BeNumerically("<=", before+1), "one trial for both sides")
+		g.Expect(d.crashCount()).To(Equal(3))
+		d.sendFatal("once", 150*time.Millisecond, 30*time.Second)
+		g.Expect(d.crashCount()).To(Equal(4), "one crash makes the other side read the store")
+		before := d.crashCount()
+		d.sendFatal("once", 150*time.Millisecond, 60*time.Second)
+		g.Expect(d.crashCount()).To(BeNumerically("<=", before+1), "one trial for both sides")
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(HaveLen(1), n.Name)
 		}
 	})
 }
 
-// cutPeers cuts the first two gateways from the others, or mends it.
-func (d *deployment) cutPeers(cut bool) {
+// partitionPeers separates the first two gateways from the others, or reconnects them.
+func (d *deployment) partitionPeers(partitioned bool) {
 	for i, a := range d.Nodes {
 		for j, b := range d.Nodes {
 			if (i < 2) != (j < 2) {
-				d.CutNodes(a, b, cut)
+				d.CutNodes(a, b, partitioned)
 			}
 		}
 	}
 }
 
-// When all gateways start again, the rest of a quarantine goes on where it was.
-func TestARestDoesNotBeginAnew(t *testing.T) {
+// A restart of all gateways does not restart the refusal period.
+func TestARestartDoesNotRestartTheRefusalPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
 		defer d.End()
-		d.askFatal("once", 150*time.Millisecond, 40*time.Second)
+		d.sendFatal("once", 150*time.Millisecond, 40*time.Second)
 		for _, n := range d.Nodes {
 			d.KillNode(n)
 		}
@@ -132,16 +132,16 @@
 			d.StartNode(n)
 		}
 		d.heal()
-		d.askFatal("once", 150*time.Millisecond, 30*time.Second)
+		d.sendFatal("once", 150*time.Millisecond, 30*time.Second)
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
 		}
-		g.Expect(d.ended()).To(Equal(3))
+		g.Expect(d.crashCount()).To(Equal(3))
 	})
 }
 
-// Many copies that come together again and again: a run at a time is tried of what is a suspect.
-func TestCopiesThatComeTogetherWaitForEachOther(t *testing.T) {
+// Many copies of a request arrive together, repeatedly. Runs of a suspect must be serialized.
+func TestConcurrentCopiesAreSerialized(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 14, 1)
@@ -152,14 +152,14 @@
 				asked.Go(func() { d.Ask(d.Nodes[i%4], "once", fmt.Sprint("copy-", round, "-", i), fatal) })
 			}
 			asked.Wait()
-			time.Sleep(2 * firstKnown)
+			time.Sleep(2 * detectionDelay)
 		}
-		g.Expect(d.ended()).To(BeNumerically("<=", 6-1+mostEnds))
+		g.Expect(d.crashCount()).To(BeNumerically("<=", 6-1+maxCrashes))
 	})
 }
 
-// A verdict that was reached while the store was away is kept as soon as it is back.
-func TestAVerdictIsKeptWhenTheStoreIsBack(t *testing.T) {
+// A verdict that was reached while the store was unreachable is written when the store is back.
+func TestAVerdictIsWrittenWhenTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
@@ -167,12 +167,12 @@
 		for _, n := range d.Nodes {
 			d.CutStore(n, true)
 		}
-		d.askFatal("once", 150*time.Millisecond, 5*time.Second)
-		g.Expect(d.ended()).To(Equal(3))
+		d.sendFatal("once", 150*time.Millisecond, 5*time.Second)
+		g.Expect(d.crashCount()).To(Equal(3))
 		for _, n := range d.Nodes {
 			d.CutStore(n, false)
 		}
-		d.askFatal("once", 150*time.Millisecond, 5*time.Second)
+		d.sendFatal("once", 150*time.Millisecond, 5*time.Second)
 		for _, n := range d.Nodes {
 			d.KillNode(n)
 		}
@@ -180,25 +180,25 @@
 			d.StartNode(n)
 		}
 		time.Sleep(2 * time.Second)
-		d.askFatal("once", 150*time.Millisecond, 10*time.Second)
-		g.Expect(d.ended()).To(Equal(3))
+		d.sendFatal("once", 150*time.Millisecond, 10*time.Second)
+		g.Expect(d.crashCount()).To(Equal(3))
 	})
 }
 
-// A gateway that starts knows at once what the others know, before there is a verdict.
-func TestEvidenceIsToldToAGatewayThatStarts(t *testing.T) {
+// A gateway that starts receives the evidence of the others, even before there is a verdict.
+func TestEvidenceIsSentToAGatewayThatStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
 		defer d.End()
 		d.Ask(d.Nodes[0], "once", "first", fatal)
-		time.Sleep(20 * time.Second) // nobody repeats it any more
+		time.Sleep(20 * time.Second) // longer than updates are resent
 		d.Ask(d.Nodes[0], "once", "second", fatal)
 		time.Sleep(20 * time.Second)
 		d.KillNode(d.Nodes[3])
 		d.StartNode(d.Nodes[3])
 		time.Sleep(3 * time.Second)
-		_, suspects := d.Nodes[3].Gateway().Quarantine().Quarantine()
+		_, suspects := d.Nodes[3].Gateway().Quarantine().List()
 		g.Expect(suspects).To(Equal(1))
 		d.Ask(d.Nodes[3], "once", "third", fatal)
 		time.Sleep(time.Second)
@@ -208,9 +208,9 @@
 	})
 }
 
-// A harmless request that meets the end of its server three times in a row, while idle servers end as
-// well, is not blamed: the gateway looks which servers are still there.
-func TestEndsOfIdleServersAreSeen(t *testing.T) {
+// A harmless request that loses its server three times in a row, while idle servers crash as well, is
+// not quarantined: the gateway checks which servers are still up.
+func TestCrashesOfIdleServersAreDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
@@ -220,10 +220,10 @@
 			asked := make(chan simfleet.Reply, 1)
 			go func() { asked <- d.Ask(d.Nodes[0], "once", fmt.Sprint("harmless-", time.Now().UnixNano()), "question") }()
 			time.Sleep(200 * time.Millisecond)
-			busy := d.busy("question")
-			d.endServer(d.Servers[busy])
-			d.endServer(d.Servers[(busy+1)%12])
-			d.endServer(d.Servers[(busy+2)%12])
+			index := d.lastServerOf("question")
+			d.crashServer(d.Servers[index])
+			d.crashServer(d.Servers[(index+1)%12])
+			d.crashServer(d.Servers[(index+2)%12])
 			<-asked
 		}
 		time.Sleep(time.Second)
@@ -233,8 +233,8 @@
 	})
 }
 
-// busy returns the server that has run a body last.
-func (d *deployment) busy(body string) int {
+// lastServerOf returns the server that ran a body last.
+func (d *deployment) lastServerOf(body string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	found, newest := 0, time.Time{}
@@ -252,13 +252,13 @@
 	return found
 }
 
-// An operator lifts a quarantine at one gateway, and it ends at all.
+// Lifting a quarantine at one gateway ends it at all gateways.
 func TestAnOperatorLiftsAQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
 		defer d.End()
-		d.askFatal("once", 150*time.Millisecond, 5*time.Second)
+		d.sendFatal("once", 150*time.Millisecond, 5*time.Second)
 		d.heal()
 		list := quarantined(d.Nodes[2])
 		g.Expect(list).To(HaveLen(1))
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -5,51 +5,53 @@
 	"time"
 )
 
-// Verdict is that a request ends the servers which run it. It is refused until a time, and may
-// then be sent once more, on trial.
+// Verdict is the finding that a request crashes the servers which run it. The request is refused until
+// a set time and may then be sent once more as a trial.
 type Verdict struct {
-	Since  time.Time // when it was reached or the last trial began
+	Since  time.Time // when it was reached or the latest trial began
 	Until  time.Time
 	Trials int
-	// Servers are the starts of servers that ended.
+	// Servers are the crashed server instances.
 	Servers []string
 }
 
-// rests are the times for which a request is refused: after the verdict, after the first trial,
-// after each further one. Each trial that fails costs everybody who runs on its server, so that
-// there are two in the first day; what changes the cause, another version of the model or its
-// engine, is put into service within days, and an operator can end a quarantine before that.
-var rests = []time.Duration{time.Minute, 10 * time.Minute, 24 * time.Hour}
+// refusalPeriods are how long a request is refused: after the verdict, after the first trial, and after
+// each further one. A failed trial hits every request on its server, so there are only two on the first
+// day. The cause is usually removed by another version of the model or its engine, which takes days
+// to deploy, and an operator can lift a quarantine earlier.
+var refusalPeriods = []time.Duration{time.Minute, 10 * time.Minute, 24 * time.Hour}
 
-// forgetAfter is how long a verdict is kept when its rest is over and nobody asks.
-const forgetAfter = 24 * time.Hour
+// verdictTTL is how long a verdict is kept after its refusal period when no trial is requested.
+const verdictTTL = 24 * time.Hour
 
-func rest(trials int) time.Duration { return rests[min(trials, len(rests)-1)] }
+func refusalPeriod(trials int) time.Duration {
+	return refusalPeriods[min(trials, len(refusalPeriods)-1)]
+}
 
-// newVerdict returns the verdict that the ends give at now.
-func newVerdict(ends []End, now time.Time) *Verdict {
-	return &Verdict{Since: now, Until: now.Add(rest(0)), Servers: servers(ends)}
+// newVerdict returns the verdict for crashes at the given time.
+func newVerdict(crashes []Crash, now time.Time) *Verdict {
+	return &Verdict{Since: now, Until: now.Add(refusalPeriod(0)), Servers: crashedServers(crashes)}
 }
 
-// Tried returns the verdict as it is while a trial runs that begins now. It holds however the
-// trial ends, unless that is with an answer: who tries may be gone by then.
-func (v Verdict) Tried(now time.Time) Verdict {
-	return Verdict{Since: now, Until: now.Add(rest(v.Trials + 1)), Trials: v.Trials + 1, Servers: v.Servers}
+// WithTrial returns the verdict while a trial that begins now is running. It stays in force unless the
+// trial is answered, because the gateway that runs the trial may not survive to report a failure.
+func (v Verdict) WithTrial(now time.Time) Verdict {
+	return Verdict{Since: now, Until: now.Add(refusalPeriod(v.Trials + 1)), Trials: v.Trials + 1, Servers: v.Servers}
 }
 
-// replaces reports whether the verdict says more than another one.
-func (v *Verdict) replaces(other *Verdict) bool {
+// supersedes reports whether the verdict is newer than another one.
+func (v *Verdict) supersedes(other *Verdict) bool {
 	if other == nil || v.Trials != other.Trials {
 		return other == nil || v.Trials > other.Trials
 	}
-	return v.Until.After(other.Until.Add(time.Second)) // less is the time that a datagram takes
+	return v.Until.After(other.Until.Add(time.Second)) // smaller differences come from datagram delay
 }
 
-func servers(ends []End) []string {
+func crashedServers(crashes []Crash) []string {
 	var out []string
-	for _, end := range ends {
-		if !slices.Contains(out, end.Server) {
-			out = append(out, end.Server)
+	for _, crash := range crashes {
+		if !slices.Contains(out, crash.Server) {
+			out = append(out, crash.Server)
 		}
 	}
 	return out
