--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange sends one HTTP/1.1 request to one backend server and tells
-// exactly what became of it: whether any of it was sent, so that it may have
-// run, and whether the answer is whole. Nothing is repeated here.
+// Package exchange sends a single HTTP/1.1 request to a backend server and
+// reports the exact outcome: whether any part of it was sent, so that it may
+// have run, and whether the response is complete. It never retries.
 package exchange
 
 import (
@@ -15,40 +15,40 @@
 	"time"
 )
 
-// Request is a request as the backend server gets it.
+// Request is a request as it is sent to the backend server.
 type Request struct {
 	Method string
-	Target string // path and query, as the caller sent them
+	Target string // path and query, unchanged from the caller
 	Host   string
-	Header http.Header // without Host, length and headers of one connection
+	Header http.Header // without Host, Content-Length and hop-by-hop headers
 	Body   []byte
-	// HasBody tells an empty body from none.
+	// HasBody distinguishes an empty body from none.
 	HasBody bool
-	// EchoHeader names the header in which the server repeats EchoID. An answer
+	// EchoHeader is the header in which the server repeats EchoID. A response
 	// with another value belongs to another request.
 	EchoHeader string
 	EchoID     string
-	// MayRepeat requests are sent on connections that have been idle longer: a
-	// connection that the server is just closing costs only a repeat.
+	// MayRepeat requests may use connections that have been idle for longer:
+	// if the server is just closing the connection, this only costs a retry.
 	MayRepeat bool
 }
 
 // Stage is the step at which an exchange failed.
 type Stage string
 
-// The stages.
+// The stages of an exchange.
 const (
 	Connecting Stage = "connect"
 	Sending    Stage = "send"
-	Waiting    Stage = "wait"   // for the head of the answer
-	Reading    Stage = "read"   // the body of the answer
-	Foreign    Stage = "answer" // what came is no answer to this request
+	Waiting    Stage = "wait"   // for the response header
+	Reading    Stage = "read"   // the response body
+	Mismatched Stage = "answer" // the response does not belong to this request
 )
 
-// Error is a failed exchange.
+// Error is the failure of an exchange.
 type Error struct {
 	Stage Stage
-	// MayHaveRun is false when nothing of the request was sent.
+	// MayHaveRun is false if no part of the request was sent.
 	MayHaveRun bool
 	Err        error
 }
@@ -56,57 +56,57 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%s: %v", e.Stage, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Response is the answer's head; Read gives its body. Close must be called.
+// Response is a response header; Read returns the body. Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body, -1 if it is not known beforehand.
+	// Length is the length of the body, -1 if unknown.
 	Length int64
 
-	pool  *Pool
-	conn  *conn
-	raw   *http.Response
-	stop  func() bool // keeps the request's context from closing the connection
-	whole bool
+	pool       *Pool
+	conn       *conn
+	raw        *http.Response
+	stopCancel func() bool // stops the request's context from closing the connection
+	complete   bool
 }
 
-// Read reads the body. io.EOF means that the body is whole.
+// Read reads the body. io.EOF means that the body is complete.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.raw.Body.Read(p)
 	if err == io.EOF {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept if the body was read whole;
-// else it is closed, which makes the server drop the request.
+// Close ends the exchange. The connection is reused if the body was read
+// completely; otherwise it is closed, which makes the server abort the request.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
 	}
 	c := r.conn
 	r.conn = nil
-	undisturbed := r.stop()
-	if r.whole && undisturbed && !r.raw.Close && c.reader.Buffered() == 0 && c.written() {
-		r.pool.put(c, keepAlive(r.Header))
+	notCancelled := r.stopCancel()
+	if r.complete && notCancelled && !r.raw.Close && c.reader.Buffered() == 0 && c.written() {
+		r.pool.put(c, keepAliveTimeout(r.Header))
 		return
 	}
 	c.close()
 }
 
-// maxForeign bounds the answers to other requests that are skipped on a
-// connection before it is given up.
-const maxForeign = 2
+// maxMismatched bounds the responses to other requests that are skipped on a
+// connection before the exchange fails.
+const maxMismatched = 2
 
-// errForeign is the cause when an answer carries another request's ID.
-var errForeign = errors.New("the answer belongs to another request")
+// errResponseMismatch reports a response that carries another request's ID.
+var errResponseMismatch = errors.New("response belongs to another request")
 
-// Do sends the request to the address and returns the answer's head. The
-// connection is closed when ctx ends before the answer was read. Errors are of
+// Do sends the request to the address and returns the response header. The
+// connection is closed if ctx ends before the response was read. Errors are of
 // type *Error.
 func (p *Pool) Do(ctx context.Context, address string, req *Request) (*Response, error) {
 	c, err := p.get(ctx, address, req.MayRepeat)
@@ -125,26 +125,26 @@
 		return nil, err
 	}
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
-		pool: p, conn: c, raw: resp, stop: stop}, nil
+		pool: p, conn: c, raw: resp, stopCancel: stop}, nil
 }
 
-// roundTrip writes the request and reads the head of its answer.
+// roundTrip writes the request and reads the response header.
 func (c *conn) roundTrip(req *Request) (*http.Response, error) {
 	if err := c.send(req); err != nil {
-		// The server may have answered before it closed the connection.
-		if resp, readErr := c.readHead(req); readErr == nil {
+		// The server may have responded before it closed the connection.
+		if resp, readErr := c.readHeader(req); readErr == nil {
 			resp.Close = true
 			return resp, nil
 		}
 		return nil, err
 	}
-	return c.readHead(req)
+	return c.readHeader(req)
 }
 
-// readHead reads heads until one belongs to the request.
-func (c *conn) readHead(req *Request) (*http.Response, error) {
+// readHeader reads response headers until one belongs to the request.
+func (c *conn) readHeader(req *Request) (*http.Response, error) {
 	for skipped := 0; ; {
-		c.limit.left = maxHeadBytes
+		c.limit.left = maxHeaderBytes
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: req.Method})
 		if err != nil {
 			return nil, &Error{Stage: Waiting, MayHaveRun: true, Err: err}
@@ -158,37 +158,37 @@
 			return resp, nil
 		}
 		skipped++
-		if skipped > maxForeign || resp.Close || resp.ContentLength < 0 {
-			return nil, &Error{Stage: Foreign, MayHaveRun: true, Err: errForeign}
+		if skipped > maxMismatched || resp.Close || resp.ContentLength < 0 {
+			return nil, &Error{Stage: Mismatched, MayHaveRun: true, Err: errResponseMismatch}
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, &Error{Stage: Foreign, MayHaveRun: true, Err: err}
+			return nil, &Error{Stage: Mismatched, MayHaveRun: true, Err: err}
 		}
 	}
 }
 
-// inlineBody is the size in bytes up to which a request is written before its
-// answer is read. It is well below a socket's send buffer, so that the write
-// never waits for the server.
-const inlineBody = 4 << 10
+// maxInlineBodyBytes is the size in bytes up to which a request is written before its
+// response is read. It is well below a socket's send buffer, so that the write
+// never blocks on the server.
+const maxInlineBodyBytes = 4 << 10
 
-// send writes the request. Larger bodies are written beside the reading of the
-// answer, because a server may answer before it has read them.
+// send writes the request. Larger bodies are written concurrently with reading
+// the response, because a server may respond before it has read them.
 func (c *conn) send(req *Request) error {
-	head := appendHead(c.head[:0], req)
-	c.head = head
+	header := appendHeader(c.headerBuf[:0], req)
+	c.headerBuf = header
 	c.sent = make(chan struct{})
-	if len(req.Body) <= inlineBody {
+	if len(req.Body) <= maxInlineBodyBytes {
 		defer close(c.sent)
-		return c.write(append(head, req.Body...))
+		return c.write(append(header, req.Body...))
 	}
-	if err := c.write(head); err != nil {
+	if err := c.write(header); err != nil {
 		close(c.sent)
 		return err
 	}
 	go func() {
 		defer close(c.sent)
-		// A failure shows where the answer is read.
+		// The reader of the response reports a failure.
 		_, c.sendErr = c.Write(req.Body)
 	}()
 	return nil
@@ -203,8 +203,8 @@
 	return &Error{Stage: Sending, MayHaveRun: n > 0, Err: err}
 }
 
-// appendHead appends the request line and the headers.
-func appendHead(b []byte, req *Request) []byte {
+// appendHeader appends the request line and the headers.
+func appendHeader(b []byte, req *Request) []byte {
 	b = append(b, req.Method...)
 	b = append(b, ' ')
 	b = append(b, req.Target...)
@@ -227,22 +227,22 @@
 	return append(b, "\r\n"...)
 }
 
-// maxHeadBytes bounds the head of an answer; it is what net/http accepts of a
-// request by default, 1 MB, cut to what a process of 200 MB bears a few
-// hundred times.
-const maxHeadBytes = 64 << 10
+// maxHeaderBytes bounds a response header. The 1 MB that net/http accepts in a
+// request by default is too much: a process of 200 MB must be able to hold a
+// few hundred headers at a time.
+const maxHeaderBytes = 64 << 10
 
-// limited fails reads beyond left bytes; -1 sets no bound.
-type limited struct {
+// limitedConn is a connection that fails reads beyond left bytes; -1 sets no limit.
+type limitedConn struct {
 	net.Conn
 	left int
 }
 
-var errHeadTooLarge = errors.New("the head of the answer is too large")
+var errHeaderTooLarge = fmt.Errorf("response header exceeds %d bytes", maxHeaderBytes)
 
-func (l *limited) Read(p []byte) (int, error) {
+func (l *limitedConn) Read(p []byte) (int, error) {
 	if l.left == 0 {
-		return 0, errHeadTooLarge
+		return 0, errHeaderTooLarge
 	}
 	n, err := l.Conn.Read(p)
 	if l.left > 0 {
@@ -251,20 +251,20 @@
 	return n, err
 }
 
-// conn is one connection to a backend server.
+// conn is a connection to a backend server.
 type conn struct {
 	net.Conn
-	address string
-	limit   *limited
-	reader  *bufio.Reader
-	head    []byte        // buffer for request heads
-	sent    chan struct{} // closed when the request is written
-	sendErr error         // set before sent is closed
-	idle    time.Time     // since when it is idle
-	until   time.Time     // when it is too old for a request that may be repeated
+	address       string
+	limit         *limitedConn
+	reader        *bufio.Reader
+	headerBuf     []byte        // buffer for request headers
+	sent          chan struct{} // closed when the request is written
+	sendErr       error         // set before sent is closed
+	idleSince     time.Time     // when it became idle
+	reusableUntil time.Time     // when it is too old even for a request that may be repeated
 }
 
-// written reports whether the whole request has been written.
+// written reports whether the request has been written completely.
 func (c *conn) written() bool {
 	select {
 	case <-c.sent:
@@ -274,5 +274,5 @@
 	}
 }
 
-// close closes the connection; closing it twice is harmless.
+// close closes the connection. It may be called more than once.
 func (c *conn) close() { _ = c.Conn.Close() }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -53,7 +53,7 @@
 		return e
 	}
 
-	It("passes method, target and body on as they are and keeps the connection", func() {
+	It("passes method, target and body on unchanged and reuses the connection", func() {
 		for _, id := range []string{"a", "b"} {
 			answer, status, err := do(id, "body of "+id)
 			Expect(err).NotTo(HaveOccurred())
@@ -68,27 +68,27 @@
 		Expect(server.Opened()).To(Equal(1))
 	})
 
-	It("was not sent when no connection opens", func() {
+	It("was not sent when no connection can be opened", func() {
 		server.Close()
 		_, _, err := do("a", "")
 		Expect(failure(err).MayHaveRun).To(BeFalse())
 		Expect(failure(err).Stage).To(Equal(Connecting))
 	})
 
-	It("may have run when the connection ends without an answer", func() {
+	It("may have run when the connection closes without a response", func() {
 		server.Next(worker.Behaviour{Drop: true})
 		_, _, err := do("a", "")
 		Expect(failure(err).MayHaveRun).To(BeTrue())
 	})
 
-	It("skips the answer to another request", func() {
+	It("skips the response to another request", func() {
 		server.Next(worker.Behaviour{ExtraBefore: true, BreakAfter: -1})
 		answer, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer).To(Equal(worker.Answer("a")))
 	})
 
-	It("takes an answer without length as whole when its connection ends in order", func() {
+	It("accepts a response without length as complete when its connection closes cleanly", func() {
 		server.Next(worker.Behaviour{Unframed: true, BreakAfter: -1})
 		answer, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -98,7 +98,7 @@
 		Expect(server.Opened()).To(Equal(2))
 	})
 
-	It("tells a stream that breaks off from a whole one", func() {
+	It("distinguishes an aborted stream from a complete one", func() {
 		server.Next(worker.Behaviour{Events: 3, BreakAfter: 1})
 		answer, _, err := do("a", "")
 		Expect(err).To(HaveOccurred())
@@ -109,7 +109,7 @@
 		Expect(answer).To(Equal(worker.Stream("b", 3)))
 	})
 
-	It("takes an answer that comes before a long body has been read, and loses no byte of it", func() {
+	It("accepts a response that arrives before a long body has been read, without losing a byte", func() {
 		long := strings.Repeat("x", 8<<20)
 		server.Next(worker.Behaviour{Early: true})
 		_, status, err := do("a", long)
@@ -127,7 +127,7 @@
 		Eventually(func() bool {
 			pool.mu.Lock()
 			defer pool.mu.Unlock()
-			return pool.idle[server.Address()][0].sound()
+			return pool.idle[server.Address()][0].healthy()
 		}).Should(BeFalse())
 		_, _, err = do("b", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -137,8 +137,8 @@
 	It("keeps no connection to a process that is known to have ended", func() {
 		_, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
-		pool.Forget(server.Address())
-		pool.Forget("10.0.0.1:80")
+		pool.CloseIdle(server.Address())
+		pool.CloseIdle("10.0.0.1:80")
 		_, _, err = do("b", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(server.Opened()).To(Equal(2))
@@ -147,7 +147,7 @@
 	It("sends a request that may run only once on a fresh connection", func() {
 		_, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
-		clock = clock.Add(idleOnce + time.Millisecond)
+		clock = clock.Add(maxIdleNonRepeatable + time.Millisecond)
 		once := request("b", "")
 		once.MayRepeat = false
 		resp, err := pool.Do(context.Background(), server.Address(), once)
@@ -159,12 +159,12 @@
 	It("closes idle connections that are too old", func() {
 		_, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
-		clock = clock.Add(idleRepeatable + time.Millisecond)
+		clock = clock.Add(maxIdleRepeatable + time.Millisecond)
 		pool.Sweep()
 		Expect(pool.idle).To(BeEmpty())
 	})
 
-	It("ends when its context does, and the server notices", func() {
+	It("aborts when its context ends, and the server notices", func() {
 		server.Next(worker.Behaviour{Hang: true})
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
@@ -181,7 +181,7 @@
 
 func TestKeepAliveTimes(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(keepAlive(http.Header{"Keep-Alive": {"timeout=5, max=100"}})).To(Equal(5 * time.Second))
-	g.Expect(keepAlive(http.Header{"Keep-Alive": {"max=100"}})).To(BeZero())
-	g.Expect(keepAlive(http.Header{"Keep-Alive": {"timeout=soon"}})).To(BeZero())
+	g.Expect(keepAliveTimeout(http.Header{"Keep-Alive": {"timeout=5, max=100"}})).To(Equal(5 * time.Second))
+	g.Expect(keepAliveTimeout(http.Header{"Keep-Alive": {"max=100"}})).To(BeZero())
+	g.Expect(keepAliveTimeout(http.Header{"Keep-Alive": {"timeout=soon"}})).To(BeZero())
 }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	// connectTimeout bounds the opening of a connection. A backend server takes
-	// about 1 ms, a lost SYN is sent again after 1 s; the bound lies well above
-	// the first and well below the second, as another server may be tried.
+	// connectTimeout bounds opening a connection. It takes about 1 ms, and a
+	// lost SYN is sent again after 1 s; the timeout is well between the two, so
+	// that another server can be tried instead of waiting for the second SYN.
 	connectTimeout = 400 * time.Millisecond
 	// unackedTimeout is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken (TCP_USER_TIMEOUT). It bears the loss of a few
-	// packets in a row and finds a host without power within two seconds.
+	// connection counts as broken (TCP_USER_TIMEOUT). It tolerates the loss of a
+	// few packets in a row and detects a host without power within two seconds.
 	unackedTimeout = 1500 * time.Millisecond
-	// keepAliveIdle, keepAliveEvery and keepAliveProbes find a silent host while
-	// an answer is awaited: after 1 s + 3 x 0.5 s.
-	keepAliveIdle   = time.Second
-	keepAliveEvery  = 500 * time.Millisecond
-	keepAliveProbes = 3
-	// idleRepeatable is how long a kept connection may have been idle for a
-	// request that may run again, unless the server names a shorter time.
-	idleRepeatable = 4 * time.Second
-	// idleOnce is the same for a request that may not: if the server drops the
-	// connection just then, nobody can tell whether it ran. A new connection
-	// costs 1 ms.
-	idleOnce = 500 * time.Millisecond
-	// closeMargin is taken off the time that a server announces, for the way of
-	// the request.
-	closeMargin = 300 * time.Millisecond
-	// readBuffer is the size of a connection's read buffer in bytes; an event of
-	// a stream has some hundred.
-	readBuffer = 4 << 10
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes detect a silent host
+	// while waiting for a response: after 1 s + 3 x 0.5 s.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveProbes   = 3
+	// maxIdleRepeatable is the longest idle time of a connection for a request that
+	// may be repeated, unless the server announces a shorter time.
+	maxIdleRepeatable = 4 * time.Second
+	// maxIdleNonRepeatable is the same for a request that must not be repeated: if the server
+	// closes the connection at that moment, it is unknown whether the request
+	// ran. A new connection costs 1 ms.
+	maxIdleNonRepeatable = 500 * time.Millisecond
+	// keepAliveMargin is subtracted from the keep-alive time that a server announces,
+	// to allow for the time until the request arrives.
+	keepAliveMargin = 300 * time.Millisecond
+	// readBufferBytes is the size of a connection's read buffer in bytes; an event of
+	// a stream has a few hundred.
+	readBufferBytes = 4 << 10
 )
 
-// Pool keeps idle connections to backend servers. It is safe for concurrent
+// Pool holds idle connections to backend servers. It is safe for concurrent
 // use.
 type Pool struct {
 	dial   Dial
 	now    func() time.Time
-	opened func()
+	onDial func()
 
 	mu   sync.Mutex
 	idle map[string][]*conn // by address, oldest first
@@ -57,11 +57,11 @@
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewPool returns an empty pool. opened is called for each new connection.
-func NewPool(now func() time.Time, opened func()) *Pool {
+// NewPool returns an empty pool that dials TCP. onDial is called before each attempt to connect.
+func NewPool(now func() time.Time, onDial func()) *Pool {
 	dialer := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle,
-			Interval: keepAliveEvery, Count: keepAliveProbes},
+			Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
 			if ctlErr := raw.Control(func(fd uintptr) {
@@ -72,42 +72,42 @@
 			return err
 		},
 	}
-	return NewPoolOver(dialer.DialContext, now, opened)
+	return NewPoolWithDialer(dialer.DialContext, now, onDial)
 }
 
-// NewPoolOver is NewPool over another network.
-func NewPoolOver(dial Dial, now func() time.Time, opened func()) *Pool {
+// NewPoolWithDialer returns an empty pool that opens connections with dial.
+func NewPoolWithDialer(dial Dial, now func() time.Time, onDial func()) *Pool {
 	bounded := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 		defer cancel()
 		return dial(ctx, network, address)
 	}
-	return &Pool{dial: bounded, now: now, opened: opened, idle: map[string][]*conn{}}
+	return &Pool{dial: bounded, now: now, onDial: onDial, idle: map[string][]*conn{}}
 }
 
-// get returns an idle connection that is still sound, or a new one.
+// get returns an idle connection that is still usable, or a new one.
 func (p *Pool) get(ctx context.Context, address string, mayRepeat bool) (*conn, error) {
 	for {
 		c := p.take(address, mayRepeat)
 		if c == nil {
 			break
 		}
-		if c.sound() {
+		if c.healthy() {
 			return c, nil
 		}
 		c.close()
 	}
-	p.opened()
+	p.onDial()
 	raw, err := p.dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, address: address, limit: &limited{Conn: raw, left: -1}}
-	c.reader = bufio.NewReaderSize(c.limit, readBuffer)
+	c := &conn{Conn: raw, address: address, limit: &limitedConn{Conn: raw, left: -1}}
+	c.reader = bufio.NewReaderSize(c.limit, readBufferBytes)
 	return c, nil
 }
 
-// take takes the connection that was used last, if it is fresh enough.
+// take removes and returns the most recently used idle connection, nil if it is too old.
 func (p *Pool) take(address string, mayRepeat bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,33 +116,33 @@
 		return nil
 	}
 	c, now := list[len(list)-1], p.now()
-	if now.After(c.until) || (!mayRepeat && now.Sub(c.idle) > idleOnce) {
+	if now.After(c.reusableUntil) || (!mayRepeat && now.Sub(c.idleSince) > maxIdleNonRepeatable) {
 		return nil
 	}
 	p.idle[address] = list[:len(list)-1]
 	return c
 }
 
-// put keeps a connection for up to the time that its server announced.
-func (p *Pool) put(c *conn, announced time.Duration) {
-	keep := idleRepeatable
-	if announced > 0 {
-		keep = min(keep, announced-closeMargin)
+// put returns a connection to the pool, at most for the time that its server announced.
+func (p *Pool) put(c *conn, serverTimeout time.Duration) {
+	keep := maxIdleRepeatable
+	if serverTimeout > 0 {
+		keep = min(keep, serverTimeout-keepAliveMargin)
 	}
 	if keep <= 0 {
 		c.close()
 		return
 	}
-	c.idle = p.now()
-	c.until = c.idle.Add(keep)
+	c.idleSince = p.now()
+	c.reusableUntil = c.idleSince.Add(keep)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Forget closes the idle connections to an address: the process behind them has ended,
-// and a request sent on one of them might have run for all that anybody could tell.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address whose process is known to have ended:
+// for a request sent on one of them it would be unknown whether it ran.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
@@ -151,8 +151,8 @@
 	delete(p.idle, address)
 }
 
-// Sweep closes connections that are too old to be used. It is called every
-// second or so.
+// Sweep closes idle connections that are too old. It is to be called about once
+// a second.
 func (p *Pool) Sweep() {
 	now := p.now()
 	p.mu.Lock()
@@ -160,7 +160,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.After(c.until) {
+			if now.After(c.reusableUntil) {
 				c.close()
 				continue
 			}
@@ -174,9 +174,9 @@
 	}
 }
 
-// sound reports whether nothing has come on the idle connection: neither its
-// end nor bytes that belong to no request.
-func (c *conn) sound() bool {
+// healthy reports whether an idle connection is still open and has received no
+// unexpected bytes.
+func (c *conn) healthy() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -196,8 +196,8 @@
 	return err == nil && (readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK)
 }
 
-// keepAlive returns the idle timeout that a server announces, 0 for none.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns the keep-alive timeout that a server announces, 0 for none.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/internal/exchange/probe.go
+++ b/internal/exchange/probe.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// probeTimeout bounds a probe: a connection opens in a few ms between failure domains, and what
-// waits for the probe is a caller's next send.
+// probeTimeout bounds a probe. A connection between failure domains opens within a few ms, and a
+// caller's next attempt waits for the probe.
 const probeTimeout = 100 * time.Millisecond
 
-// Refused reports whether nobody listens at an address: the host answers and the process behind
-// the address has ended. It is false where the connection opens or nothing comes back.
+// Refused reports whether the address refuses connections: its host is up, but the process has ended.
+// It is false if a connection opens or nothing comes back.
 func (p *Pool) Refused(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	p.opened()
+	p.onDial()
 	c, err := p.dial(ctx, "tcp", address)
 	if err == nil {
 		_ = c.Close() // nothing was sent
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -93,7 +93,7 @@
 		ledger:  quarantine.New(),
 	}
 	g.notices = notice.NewBoard(ratelimit.New(g.draw), g.noticed)
-	servers.OnRestart(g.pool.Forget)
+	servers.OnRestart(g.pool.CloseIdle)
 	servers.OnEnd(g.startEnded)
 	g.settings.Store(&set)
 	g.ending, g.endNow = context.WithCancel(context.Background())
@@ -103,8 +103,8 @@
 // UseNetwork has the gateway reach backend servers over another network than the host's own. It
 // is called before the gateway is in use.
 func (g *Gateway) UseNetwork(dial exchange.Dial) {
-	g.pool = exchange.NewPoolOver(dial, time.Now, func() {})
-	g.servers.OnRestart(g.pool.Forget)
+	g.pool = exchange.NewPoolWithDialer(dial, time.Now, func() {})
+	g.servers.OnRestart(g.pool.CloseIdle)
 }
 
 // SetSettings puts new settings in force. The addresses are those of the start:
