--- a/internal/peers/requests.go
+++ b/internal/peers/requests.go
@@ -22,7 +22,7 @@
 // tellRequests tells the others what has changed in the standing of requests.
 func (p *Peers) tellRequests(now time.Time) {
 	for _, batch := range batches(p.ledger.DueUpdates(now)) {
-		p.sendAll(message{Requests: batch})
+		p.sendAll(message{Suspects: batch})
 	}
 }
 
@@ -32,7 +32,7 @@
 	p.mu.Lock()
 	if m := p.members.known[host]; m != nil && now.Sub(m.greeted) >= newFor {
 		m.greeted = now
-		defer p.send(message{Beat: p.ownBeat(nil)}, at)
+		defer p.send(message{Heartbeat: p.ownBeat(nil)}, at)
 	}
 	live := slices.DeleteFunc(p.members.live(now), func(h string) bool { return h == host })
 	place := slices.Index(rendezvous.Rank("requests/"+host, live), p.members.self.Host)
@@ -41,7 +41,7 @@
 		return
 	}
 	for _, batch := range batches(p.ledger.Snapshot(now)) {
-		p.send(message{Requests: batch}, at)
+		p.send(message{Suspects: batch}, at)
 	}
 	for batch := range slices.Chunk(p.board.All(now), noticesInDatagram) {
 		p.send(message{Notices: batch}, at)
--- a/internal/quarantine/encoding.go
+++ b/internal/quarantine/encoding.go
@@ -26,10 +26,10 @@
 func decodeVerdict(value []byte, now time.Time) (Verdict, error) {
 	var doc verdictDoc
 	if err := json.Unmarshal(value, &doc); err != nil {
-		return Verdict{}, fault.New(fault.BadFrame, "%w", err).InField("verdict")
+		return Verdict{}, fault.New(fault.BadFrame, "%w", err).WithField("verdict")
 	}
 	if doc.Trials < 0 || doc.Until < doc.Since {
-		return Verdict{}, fault.New(fault.BadFrame, "invalid number of trials or times: %d trials, from %d until %d", doc.Trials, doc.Since, doc.Until).InField("verdict")
+		return Verdict{}, fault.New(fault.BadFrame, "invalid number of trials or times: %d trials, from %d until %d", doc.Trials, doc.Since, doc.Until).WithField("verdict")
 	}
 	left := min(time.UnixMilli(doc.Until).Sub(now), refusalPeriod(doc.Trials))
 	// Since is not later than now on this host's clock, so that a later clear here takes precedence.
--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -263,7 +263,7 @@
 	var err error
 	for range maxClaimAttempts {
 		var v *Verdict
-		if v, err = p.tryClaim(ctx, id, unwritten); !fault.Is(err, fault.Conflict) {
+		if v, err = p.tryClaim(ctx, id, unwritten); !fault.Is(err, fault.RevisionConflict) {
 			return v, err
 		}
 	}
@@ -271,7 +271,7 @@
 }
 
 func errTrialTaken(id ID) error {
-	return fault.New(fault.Quarantined, "the trial of request %s is already claimed", id).With(fault.NotRun)
+	return fault.New(fault.Quarantined, "the trial of request %s is already claimed", id).WithOutcome(fault.NotRun)
 }
 
 // tryClaim makes one attempt to claim the trial.
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -44,7 +44,7 @@
 	defer s.mu.Unlock()
 	s.concurrentReads = nil
 	if at != nil && at.Offset != s.end {
-		return fault.New(fault.Conflict, "it ends at %d", s.end)
+		return fault.New(fault.RevisionConflict, "it ends at %d", s.end)
 	}
 	s.end++
 	s.values[key] = value
--- a/internal/routing/change.go
+++ b/internal/routing/change.go
@@ -114,7 +114,7 @@
 		t = &Table{}
 	}
 	if c.From != t.Version {
-		return nil, fault.New(fault.InvalidConfig, "cannot apply a change from version %d to version %d", c.From, t.Version).InField("from")
+		return nil, fault.New(fault.InvalidConfig, "cannot apply a change from version %d to version %d", c.From, t.Version).WithField("from")
 	}
 	next := &Table{Version: c.To, Limits: c.Limits, keyed: c.Keyed, engines: c.Engines,
 		hosts: maps.Clone(t.hosts), routesDigest: t.routesDigest, keysDigest: t.keysDigest}
@@ -145,7 +145,7 @@
 		next.addKey(k.Key, &k.Team)
 	}
 	if next.Digest() != c.Digest {
-		return nil, fault.New(fault.InvalidConfig, "table after the change to version %d differs from the sender's table", c.To).InField("digest")
+		return nil, fault.New(fault.InvalidConfig, "table after the change to version %d differs from the sender's table", c.To).WithField("digest")
 	}
 	return next, nil
 }
