--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -196,7 +196,7 @@
 		d.Granted, d.Waited = d.Borrowed, g.now().Sub(claimedAt)
 		return d
 	}
-	timer := time.NewTimer(retrybudget.GrantEvery)
+	timer := time.NewTimer(retrybudget.GrantInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -209,7 +209,7 @@
 		case <-timer.C:
 			budget.Grant(g.now())
 			spread := time.Duration((0.5 + g.draw()) * float64(budget.PollInterval()))
-			timer.Reset(max(retrybudget.GrantEvery, min(spread, claim.Expires.Sub(g.now()))))
+			timer.Reset(max(retrybudget.GrantInterval, min(spread, claim.Expires.Sub(g.now()))))
 		}
 		if pending.Undecided() && g.borrowRepeat(ctx, q) {
 			d := pending.Withdraw()
@@ -252,7 +252,7 @@
 		c.Expires = now.Add(min(g.ask(q, rel).Limit, patience(q.route)))
 		return c
 	}
-	c.Expires = now.Add(min(max(c.Due.Sub(now), 2*retrybudget.GrantEvery), q.deadline.Sub(now)))
+	c.Expires = now.Add(min(max(c.Due.Sub(now), 2*retrybudget.GrantInterval), q.deadline.Sub(now)))
 	return c
 }
 
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,5 +1,5 @@
-// Package retrybudget bounds the repeated sends to a service, in any window and over all gateways together, to
-// a ratio of its requests plus a slack. It uses no clock and no network.
+// Package retrybudget limits the repeated sends to a service: in any window, all gateways together send at most a
+// ratio of the service's requests plus a slack. The package uses no clock and no network.
 //
 // A gateway pays for each repeat from two sources, without knowing those of the other gateways:
 //
@@ -19,13 +19,13 @@
 	"time"
 )
 
-// Settings are the bounds of a service's budget for all gateways together.
+// Settings configures the retry budget of a service, summed over all gateways.
 type Settings struct {
-	// Ratio is the share of repeated sends to requests.
+	// Ratio is the permitted number of repeats per request.
 	Ratio float64
-	// Window is the span over which both are counted.
+	// Window is the period over which requests and repeats are counted.
 	Window time.Duration
-	// Slack is the number of repeats in a window beyond the ratio.
+	// Slack is the number of repeats permitted per window in addition to the ratio.
 	Slack float64
 }
 
@@ -36,7 +36,8 @@
 	// for their refill per window without requests. The rest covers sends that arrive later than they were
 	// granted and requests that are counted later than they were sent.
 	depthSlack, refillSlack = 0.35, 0.4
-	// SlackInUse is the part of the slack that all gateways together use unless one counts too few of them.
+	// SlackInUse is the part of the slack that all gateways together use, provided that none of them
+	// underestimates the number of gateways.
 	SlackInUse = depthSlack + refillSlack
 	// stepsPerWindow is the resolution at which requests and repeats are counted.
 	stepsPerWindow = 40
@@ -66,14 +67,14 @@
 	queue claimQueue
 }
 
-// Decision is the result of Take, Claim or Renew and the numbers that it is based on.
+// Decision is the result of Take, Claim or Renew, with the counts that it is based on.
 type Decision struct {
 	Granted bool `json:"granted"`
 	// Taken is the number of repeats that this gateway has granted in the window, excluding this one.
 	Taken int `json:"taken"`
 	// Allowed is Taken plus the number of repeats that the budget still permits.
 	Allowed float64 `json:"allowed"`
-	// Borrowed is whether another gateway's budget paid for the repeat.
+	// Borrowed reports whether another gateway's budget paid for the repeat.
 	Borrowed bool `json:"borrowed,omitempty"`
 	// Waited is the time from the claim to the decision.
 	Waited time.Duration `json:"waited,omitempty"`
@@ -180,7 +181,7 @@
 	}
 }
 
-// decision returns the current numbers with Granted unset.
+// decision returns the current counts with Granted unset.
 func (b *Budget) decision() Decision {
 	taken := 0
 	for n := b.step - stepsPerWindow; n <= b.step; n++ {
--- a/internal/retrybudget/claim.go
+++ b/internal/retrybudget/claim.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// queueBelow is the fraction of a full budget below which claims are queued for GrantEvery, so that claims made
+	// queueBelow is the fraction of a full budget below which claims are queued for GrantInterval, so that claims made
 	// at about the same time are granted by priority rather than in order of arrival.
 	queueBelow = 0.5
-	// GrantEvery is the interval at which pending claims are decided.
-	GrantEvery = 10 * time.Millisecond
+	// GrantInterval is the interval at which pending claims are decided.
+	GrantInterval = 10 * time.Millisecond
 	// maxPollInterval bounds the time between two calls of Grant on behalf of the same pending claim.
 	maxPollInterval = 200 * time.Millisecond
 	// minWait is the time that a claim waits before it may be denied because of the claims ahead of it: some of
 	// these may be granted by other gateways in the meantime.
-	minWait = 5 * GrantEvery
+	minWait = 5 * GrantInterval
 	// lendAbove is the fraction of a full budget above which repeats are lent to other gateways.
 	lendAbove = 0.1
 	// byExpiryEvery makes every nth grant go to the claim that expires first, so that claims of a higher rank don't
@@ -27,13 +27,13 @@
 type Claim struct {
 	// Rank is the priority of the claim, 0 first.
 	Rank int
-	// Due is the time until which the repeat is on time; claims before their due time precede others.
+	// Due is the time by which the repeat should be sent; claims past their due time have the lowest priority.
 	Due time.Time
-	// Expires is the time from which the repeat is of no use; the claim is denied by then.
+	// Expires is the time after which the repeat is useless; the claim is denied by then.
 	Expires time.Time
 }
 
-// PendingClaim is a claim that waits for its decision.
+// PendingClaim is a queued claim without a decision so far.
 type PendingClaim struct {
 	claim    Claim
 	since    time.Time
@@ -48,13 +48,13 @@
 	decidedAt time.Time // time of the last decision about the pending claims
 }
 
-// Claim asks for a repeated send. The decision is immediate, and the PendingClaim nil, if enough of the budget is left
-// or if the claim has expired.
+// Claim requests a repeated send. If enough of the budget is left or the claim has expired, the decision is immediate
+// and the PendingClaim is nil.
 func (b *Budget) Claim(c Claim, now time.Time) (Decision, *PendingClaim) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	if b.grantsAtOnce() {
+	if b.grantsImmediately() {
 		return b.take(), nil
 	}
 	p := &PendingClaim{claim: c, since: now, budget: b, decision: make(chan Decision, 1)}
@@ -65,43 +65,43 @@
 	return Decision{}, p
 }
 
-// Lend grants another gateway a repeated send and counts it, unless claims are pending or what is left is needed for
-// this gateway's own next repeats.
+// Lend grants another gateway a repeated send and counts it, unless claims are pending or the remaining budget is
+// reserved for this gateway's own repeats.
 func (b *Budget) Lend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	if len(b.queue.claims) > 0 || b.available() < max(2, lendAbove*b.full()) {
+	if len(b.queue.claims) > 0 || b.available() < max(2, lendAbove*b.capacity()) {
 		return false
 	}
 	return b.take().Granted
 }
 
-// grantsAtOnce reports whether enough of the budget is left to grant a claim without queueing it.
-func (b *Budget) grantsAtOnce() bool {
-	return len(b.queue.claims) == 0 && b.available() >= max(1, queueBelow*b.full())
+// grantsImmediately reports whether enough of the budget is left to grant a claim without queueing it.
+func (b *Budget) grantsImmediately() bool {
+	return len(b.queue.claims) == 0 && b.available() >= max(1, queueBelow*b.capacity())
 }
 
 // Grant grants pending claims as far as the budget permits, and denies those that have expired or are not expected to
-// be granted before they expire. It does nothing within GrantEvery of the last decision.
+// be granted before they expire. It does nothing within GrantInterval of the last decision.
 func (b *Budget) Grant(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Sub(b.queue.decidedAt) < GrantEvery {
+	if now.Sub(b.queue.decidedAt) < GrantInterval {
 		return
 	}
 	b.queue.decidedAt = now
 	b.advance(now)
 	for len(b.queue.claims) > 0 && b.available() >= 1-tolerance {
 		p := b.next(now)
-		if now.Sub(p.since) < GrantEvery && !b.batchDue(now) {
+		if now.Sub(p.since) < GrantInterval && !b.batchDue(now) {
 			break
 		}
 		b.queue.grants++
 		b.resolve(p, b.take(), now)
 	}
 	pending := slices.SortedFunc(slices.Values(b.queue.claims), byPriority(now))
-	available, perSecond := b.available(), b.perSecond()
+	available, perSecond := b.available(), b.replenishRate()
 	ahead := 0
 	for _, p := range pending {
 		left := p.claim.Expires.Sub(now)
@@ -114,17 +114,17 @@
 	}
 }
 
-// PollInterval returns the time after which the holder of a pending claim calls Grant again. It grows with the number of
-// pending claims, up to maxPollInterval, so that the calls for all of them average one per GrantEvery below that bound.
+// PollInterval returns the time after which the owner of a pending claim calls Grant again. It grows with the number of
+// pending claims, up to maxPollInterval, so that the calls for all of them average one per GrantInterval below that bound.
 func (b *Budget) PollInterval() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return min(GrantEvery*time.Duration(max(1, len(b.queue.claims))), maxPollInterval)
+	return min(GrantInterval*time.Duration(max(1, len(b.queue.claims))), maxPollInterval)
 }
 
-// batchDue reports whether any claim has been queued for GrantEvery.
+// batchDue reports whether any claim has been queued for GrantInterval.
 func (b *Budget) batchDue(now time.Time) bool {
-	return slices.ContainsFunc(b.queue.claims, func(p *PendingClaim) bool { return now.Sub(p.since) >= GrantEvery })
+	return slices.ContainsFunc(b.queue.claims, func(p *PendingClaim) bool { return now.Sub(p.since) >= GrantInterval })
 }
 
 // resolve removes a claim from the queue and sends it its decision.
@@ -146,7 +146,7 @@
 // byExpiry orders claims by the time at which they expire.
 func byExpiry(a, b *PendingClaim) int { return a.claim.Expires.Compare(b.claim.Expires) }
 
-// byPriority orders claims: those that are on time first, then by rank, then by expiry.
+// byPriority orders claims: those that are not past their due time first, then by rank, then by expiry.
 func byPriority(now time.Time) func(a, b *PendingClaim) int {
 	late := func(p *PendingClaim) int {
 		if now.After(p.claim.Due) {
@@ -165,14 +165,14 @@
 	}
 }
 
-// perSecond returns the estimated number of repeats that become available per second, from the requests of the last
+// replenishRate returns the estimated number of repeats that become available per second, from the requests of the last
 // window.
-func (b *Budget) perSecond() float64 {
+func (b *Budget) replenishRate() float64 {
 	return b.settings.Ratio*float64(b.recentRequests())/b.settings.Window.Seconds() + b.refill()
 }
 
-// full returns the number of repeats that the budget permits if none have been granted.
-func (b *Budget) full() float64 {
+// capacity returns the number of repeats that the budget permits if none have been granted.
+func (b *Budget) capacity() float64 {
 	return b.depth() + (1-bucketRatio)*b.settings.Ratio*float64(b.recentRequests())
 }
 
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// Excluded under the race detector, whose runtime fails in some runs of whole fleets in simulated time.
+// Excluded under the race detector, whose runtime fails in some simulations of whole fleets in synthetic time.
 
 package retrybudget_test
 
@@ -23,17 +23,17 @@
 	"github.com/merlinpost/merlinpost/internal/standin/worker"
 )
 
-// dayLength is the length of a fleetDay: three windows.
-const dayLength = 30 * time.Second
+// scenarioDuration is the duration of a fleetScenario: three windows.
+const scenarioDuration = 30 * time.Second
 
-// fleetDay is a simulated run of a whole fleet.
-type fleetDay struct {
+// fleetScenario describes a simulated run of a whole fleet.
+type fleetScenario struct {
 	seed              uint64
 	gateways, servers int
 	route             string
-	// every is the interval between requests before changes apply.
-	every   time.Duration
-	changes []change
+	// requestInterval is the time between requests before changes apply.
+	requestInterval time.Duration
+	changes         []change
 	// oneGateway sends all requests to the first gateway.
 	oneGateway bool
 	faults     []fleetFault
@@ -49,18 +49,18 @@
 
 // fleetFault is a failure, reload or membership change of gateways or servers.
 type fleetFault struct {
-	at, lasts time.Duration
-	kind      string
-	node      int
+	at, duration time.Duration
+	kind         string
+	node         int
 }
 
 func pick[T any](rnd *rand.Rand, of ...T) T { return of[rnd.IntN(len(of))] }
 
-func drawFleetDay(seed uint64) fleetDay {
+func drawFleetScenario(seed uint64) fleetScenario {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	ms := func(from, to int) time.Duration { return time.Duration(from+rnd.IntN(to-from)) * time.Millisecond }
-	d := fleetDay{seed: seed, gateways: 1 + rnd.IntN(5), servers: 4 + rnd.IntN(12), route: pick(rnd, "once", "again", "stream", "resume"),
-		every: ms(20, 100), oneGateway: rnd.IntN(4) == 0}
+	d := fleetScenario{seed: seed, gateways: 1 + rnd.IntN(5), servers: 4 + rnd.IntN(12), route: pick(rnd, "once", "again", "stream", "resume"),
+		requestInterval: ms(20, 100), oneGateway: rnd.IntN(4) == 0}
 	failures := []worker.Behaviour{{Refuse: true}, {Drop: true}, {Events: simfleet.Events, BreakAfter: 3}}
 	for range 3 + rnd.IntN(5) {
 		d.changes = append(d.changes, change{ms(0, 28000), pick(rnd, 0.2, 1, 1, 2, 4), pick(rnd, 0, 0, 3, 6, 10), pick(rnd, failures...)})
@@ -74,10 +74,10 @@
 	return d
 }
 
-// fleetRun is the state of a running fleetDay.
+// fleetRun is the state of a running fleetScenario.
 type fleetRun struct {
 	*simfleet.Fleet
-	fleetDay
+	fleetScenario
 	begin time.Time
 
 	mu       sync.Mutex
@@ -85,11 +85,11 @@
 	requests []time.Time
 }
 
-// sendRequests sends requests at the current rate until the end of the day.
+// sendRequests sends requests at the current rate until the end of the scenario.
 func (p *fleetRun) sendRequests() {
 	rnd := rand.New(rand.NewPCG(p.seed, 4))
-	var asked sync.WaitGroup
-	for i := 0; time.Since(p.begin) < dayLength; i++ {
+	var pending sync.WaitGroup
+	for i := 0; time.Since(p.begin) < scenarioDuration; i++ {
 		n := p.Nodes[rnd.IntN(p.gateways)]
 		if p.oneGateway {
 			n = p.Nodes[0]
@@ -99,17 +99,17 @@
 			p.mu.Lock()
 			p.requests = append(p.requests, time.Now())
 			p.mu.Unlock()
-			asked.Go(func() { p.Ask(n, p.route, id, "body of "+id) })
+			pending.Go(func() { p.Ask(n, p.route, id, "body of "+id) })
 		}
 		p.mu.Lock()
-		pause := time.Duration(float64(p.every) / p.load)
+		pause := time.Duration(float64(p.requestInterval) / p.load)
 		p.mu.Unlock()
 		time.Sleep(pause)
 	}
-	asked.Wait()
+	pending.Wait()
 }
 
-// waitUntil waits until the given offset from the start of the day.
+// waitUntil waits until the given offset from the start of the scenario.
 func (p *fleetRun) waitUntil(at time.Duration) { p.Pause(max(0, at-time.Since(p.begin))) }
 
 // applyChanges applies the changes of load and failures when they are due.
@@ -142,19 +142,19 @@
 			for _, n := range p.Nodes {
 				p.KillNode(n)
 				p.StartNode(n)
-				p.Pause(f.lasts / 8)
+				p.Pause(f.duration / 8)
 			}
 		case "partition":
 			p.cut(n, true)
 			lasting.Go(func() {
-				p.Pause(f.lasts)
+				p.Pause(f.duration)
 				p.cut(n, false)
 			})
 		case "join":
 			p.AddNode(fmt.Sprint("joined-", i))
 		case "leave":
 			p.LeaveNode(n)
-			p.Pause(f.lasts / 2)
+			p.Pause(f.duration / 2)
 			p.KillNode(n)
 			p.StartNode(n)
 		case "reload":
@@ -163,7 +163,7 @@
 		case "store partition":
 			p.CutStore(n, true)
 			lasting.Go(func() {
-				p.Pause(f.lasts)
+				p.Pause(f.duration)
 				p.CutStore(n, false)
 			})
 		case "server restart":
@@ -202,17 +202,17 @@
 	return out
 }
 
-// play runs a day and returns its worst window and the total number of repeats.
-func (d fleetDay) play() (worst retryrule.Window, repeats int) {
+// run simulates the scenario and returns its worst window and the total number of repeats.
+func (d fleetScenario) run() (worst retryrule.Window, repeats int) {
 	synctest.Test(new(testing.T), func(*testing.T) {
-		p := &fleetRun{Fleet: simfleet.New(d.gateways, d.servers, d.seed, nil), fleetDay: d, load: 1}
+		p := &fleetRun{Fleet: simfleet.New(d.gateways, d.servers, d.seed, nil), fleetScenario: d, load: 1}
 		defer p.End()
 		p.begin = time.Now()
-		var duties sync.WaitGroup
-		duties.Go(p.sendRequests)
-		duties.Go(p.applyChanges)
-		duties.Go(p.injectFaults)
-		duties.Wait()
+		var tasks sync.WaitGroup
+		tasks.Go(p.sendRequests)
+		tasks.Go(p.applyChanges)
+		tasks.Go(p.injectFaults)
+		tasks.Wait()
 		all := p.repeats()
 		repeats = len(all)
 		worst = retryrule.Worst(retryrule.Rule{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack}, p.requests, all)
@@ -221,34 +221,34 @@
 }
 
 // The repeats of whole fleets, counted when they reach a server, stay within the rule in any window.
-func TestRepeatsOfWholeFleetsStayWithinTheRule(t *testing.T) {
+func TestFleetRepeatsStayWithinRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Hashed because rapid draws mostly small integers, which would repeat days.
-		d := drawFleetDay(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
-		worst, repeats := d.play()
+		// Hashed because rapid draws mostly small integers, which would repeat scenarios.
+		d := drawFleetScenario(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
+		worst, repeats := d.run()
 		if repeats > 0 && worst.Excess() > 0 {
 			t.Fatalf("%d repeats for %d requests in a window, %.1f allowed\n%+v", worst.Repeats, worst.Requests, worst.Allowed, d)
 		}
 	})
 }
 
-// Guards against losing requests of a server that ends although the budgets of all gateways together permit their
+// Guards against losing requests of a terminating server although the budgets of all gateways together permit their
 // repeats.
-func TestRequestsOfAServerThatEndsCompleteOnOthers(t *testing.T) {
+func TestRequestsOfTerminatedServerCompleteOnOthers(t *testing.T) {
 	for _, route := range []string{"resume", "again"} {
 		t.Run(route, func(t *testing.T) {
 			for seed := range uint64(10) {
-				if lost, asked := runServerEnd(route, seed); lost > 0 {
-					t.Errorf("seed %d: %d of %d requests around the end of a server were not answered completely", seed, lost, asked)
+				if lost, asked := runServerTermination(route, seed); lost > 0 {
+					t.Errorf("seed %d: %d of %d requests around the termination of a server were not answered completely", seed, lost, asked)
 				}
 			}
 		})
 	}
 }
 
-// runServerEnd ends one of three servers under constant load and returns how many of the requests sent in the 10 s
-// around that time were lost: not answered completely.
-func runServerEnd(route string, seed uint64) (lost, asked int) {
+// runServerTermination terminates one of three servers under constant load and returns how many of the requests sent in
+// the 10 s around that time were lost, that is, not answered completely.
+func runServerTermination(route string, seed uint64) (lost, asked int) {
 	synctest.Test(new(testing.T), func(*testing.T) {
 		f := simfleet.New(4, 3, seed, nil)
 		defer f.End()
@@ -258,7 +258,7 @@
 		begin, rnd := time.Now(), rand.New(rand.NewPCG(seed, 6))
 		var mu sync.Mutex
 		var requests sync.WaitGroup
-		for i := 0; time.Since(begin) < dayLength; i++ {
+		for i := 0; time.Since(begin) < scenarioDuration; i++ {
 			if i == 25*50 {
 				f.EndServer(f.Servers[0])
 			}
--- a/internal/retrybudget/days_test.go
+++ b/internal/retrybudget/simulation_test.go
@@ -16,23 +16,23 @@
 // joinDelay is how long a gateway has no share of the slack after its start.
 const joinDelay = 2 * time.Second
 
-// segment is a part of a day with a constant load.
+// segment is a part of a scenario with a constant load.
 type segment struct {
-	length    time.Duration
-	perSecond int
-	failing   float64 // share of the sends that fail
-	only      int     // the gateway that receives all requests, -1 for any
+	length      time.Duration
+	perSecond   int
+	failing     float64 // fraction of the sends that fail
+	onlyGateway int     // the gateway that receives all requests, -1 for any
 }
 
 // fault is a failure, reload or membership change of a gateway.
 type fault struct {
-	at, lasts time.Duration
-	kind      string
-	gateway   int
+	at, duration time.Duration
+	kind         string
+	gateway      int
 }
 
-// day is a simulated run: the load on some gateways and their faults.
-type day struct {
+// scenario describes a simulated run: the load on some gateways and their faults.
+type scenario struct {
 	rule     retryrule.Rule
 	gateways int
 	segments []segment
@@ -41,12 +41,12 @@
 	seed     uint64
 }
 
-// drawDay draws a day from a seed. The draws are uniform: rapid's own favour small values, which give days
-// without repeats.
-func drawDay(seed uint64) day {
+// drawScenario generates a scenario from a seed. The draws are uniform: rapid's generators favour small values, which
+// give scenarios without repeats.
+func drawScenario(seed uint64) scenario {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	ms := func(from, to int) time.Duration { return time.Duration(from+rnd.IntN(to-from)) * time.Millisecond }
-	d := day{seed: seed, delayed: pick(rnd, 0, 0.3, 1), gateways: 1 + rnd.IntN(8),
+	d := scenario{seed: seed, delayed: pick(rnd, 0, 0.3, 1), gateways: 1 + rnd.IntN(8),
 		rule: retryrule.Rule{Ratio: pick(rnd, 0.05, 0.2, 0.5), Window: 10 * time.Second, Slack: pick(rnd, 0.0, 2, 12, 52)}}
 	for range 3 + rnd.IntN(4) {
 		only := -1
@@ -66,7 +66,7 @@
 // node is a simulated gateway.
 type node struct {
 	budget      *Budget
-	joins       time.Time // when it gets its share of the slack
+	joinsAt     time.Time // when it receives its share of the slack
 	joined      bool
 	leaving     bool
 	stalledFrom time.Time
@@ -81,9 +81,9 @@
 	at    time.Time
 }
 
-// simulation is the state of a running day.
+// simulation is the state of a running scenario.
 type simulation struct {
-	day
+	scenario
 	settings Settings
 	rnd      *rand.Rand
 	now      time.Time
@@ -96,13 +96,13 @@
 // step is the time step of the simulation.
 const step = 5 * time.Millisecond
 
-// play runs a day and returns the times of its requests and repeats.
-func (d day) play() (requests, repeats []time.Time) {
-	p := &simulation{day: d, settings: Settings{d.rule.Ratio, d.rule.Window, d.rule.Slack}, rnd: rand.New(rand.NewPCG(d.seed, 1)),
+// run simulates the scenario and returns the times of its requests and repeats.
+func (d scenario) run() (requests, repeats []time.Time) {
+	p := &simulation{scenario: d, settings: Settings{d.rule.Ratio, d.rule.Window, d.rule.Slack}, rnd: rand.New(rand.NewPCG(d.seed, 1)),
 		now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
 	begin := p.now
 	for range d.gateways {
-		p.nodes = append(p.nodes, &node{budget: New(p.settings, 0, p.now), joins: p.now.Add(joinDelay)})
+		p.nodes = append(p.nodes, &node{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)})
 	}
 	for _, s := range d.segments {
 		p.failing = s.failing
@@ -116,8 +116,8 @@
 			p.advance()
 			for due += float64(s.perSecond) * step.Seconds(); due >= 1; due-- {
 				n := p.rnd.IntN(len(p.nodes))
-				if s.only >= 0 {
-					n = s.only
+				if s.onlyGateway >= 0 {
+					n = s.onlyGateway
 				}
 				p.request(p.nodes[n])
 			}
@@ -131,22 +131,22 @@
 	n := p.nodes[f.gateway]
 	switch f.kind {
 	case "kill":
-		*n = node{budget: New(p.settings, 0, p.now), joins: p.now.Add(joinDelay)}
+		*n = node{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)}
 	case "stall":
-		n.stalledFrom, n.stalledTo = p.now, p.now.Add(f.lasts)
+		n.stalledFrom, n.stalledTo = p.now, p.now.Add(f.duration)
 	case "reload":
 		n.budget.SetSettings(p.settings, p.now)
 	case "join":
-		p.nodes = append(p.nodes, &node{budget: New(p.settings, 0, p.now), joins: p.now.Add(joinDelay)})
+		p.nodes = append(p.nodes, &node{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)})
 	case "leave":
 		n.leaving = true
 		n.budget.SetShare(0, p.now)
 	}
-	p.share()
+	p.setShares()
 }
 
-// share sets the shares of all gateways that have joined. Those that have not joined yet are counted.
-func (p *simulation) share() {
+// setShares sets the shares of all gateways that have joined. Those that have not joined yet are counted.
+func (p *simulation) setShares() {
 	counted := 0
 	for _, n := range p.nodes {
 		if !n.leaving {
@@ -172,14 +172,14 @@
 			}
 			n.budget.Stalled(n.stalledFrom, p.now.Add(200*time.Millisecond), p.now)
 			n.stalledTo, n.queued = time.Time{}, nil
-			p.share()
+			p.setShares()
 		}
 		if !p.stalled(n) {
 			p.sendDelayed(n)
 		}
-		if !n.joined && !p.now.Before(n.joins) {
+		if !n.joined && !p.now.Before(n.joinsAt) {
 			n.joined = true
-			p.share()
+			p.setShares()
 		}
 	}
 }
@@ -229,11 +229,11 @@
 // In any window, the repeats of all gateways stay within the rule and within the stricter bound that each gateway
 // enforces, which splits the ratio between the requests of two windows. Only SlackInUse of the slack is allowed:
 // the rest is reserved for sends in flight, which the simulation does not have.
-func TestRepeatsOfAllGatewaysStayWithinTheRuleInAnyWindow(t *testing.T) {
+func TestRepeatsOfAllGatewaysStayWithinRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Hashed because rapid draws mostly small integers, which would repeat days.
-		d := drawDay(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
-		requests, repeats := d.play()
+		// Hashed because rapid draws mostly small integers, which would repeat scenarios.
+		d := drawScenario(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
+		requests, repeats := d.run()
 		if len(repeats) == 0 {
 			return
 		}
@@ -247,9 +247,9 @@
 	})
 }
 
-// steadyDay is a day with a constant load where all sends fail from failFrom on.
-func steadyDay(perSecond int, failFrom time.Duration) day {
-	return day{rule: retryrule.Rule{Ratio: 0.2, Window: 10 * time.Second, Slack: 52}, gateways: 4, seed: 1,
+// steadyScenario returns a scenario with a constant load in which all sends fail from failFrom on.
+func steadyScenario(perSecond int, failFrom time.Duration) scenario {
+	return scenario{rule: retryrule.Rule{Ratio: 0.2, Window: 10 * time.Second, Slack: 52}, gateways: 4, seed: 1,
 		segments: []segment{{failFrom, perSecond, 0, -1}, {40*time.Second - failFrom, perSecond, 1, -1}}}
 }
 
@@ -257,8 +257,8 @@
 func TestASteadilyFailingServiceGetsMostOfItsBudget(t *testing.T) {
 	for _, perSecond := range []int{10, 50, 200} {
 		g := NewWithT(t)
-		d := steadyDay(perSecond, 8*time.Second)
-		requests, repeats := d.play()
+		d := steadyScenario(perSecond, 8*time.Second)
+		requests, repeats := d.run()
 		w := retryrule.Worst(d.rule, requests, repeats)
 		g.Expect(float64(w.Repeats)).To(BeNumerically(">=", 0.6*w.Allowed), "%d a second", perSecond)
 		last := 0
@@ -271,8 +271,8 @@
 	}
 }
 
-// Guards against a budget too small to repeat all requests that run on a server when it ends.
-func TestTheBudgetCoversTheEndOfAServer(t *testing.T) {
+// Guards against a budget too small to repeat all requests that are running on a server when it terminates.
+func TestBudgetCoversServerTermination(t *testing.T) {
 	g := NewWithT(t)
 	const gateways, running = 4, 48
 	s := Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 12}
