--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -80,7 +80,7 @@
 	})
 	go func() {
 		<-stop
-		others.Leave()
+		others.AnnounceLeave()
 	}()
 	return g.Serve(ctx, stop)
 }
--- a/internal/follow/topic.go
+++ b/internal/follow/topic.go
@@ -62,7 +62,7 @@
 // lies so far below 1 that a first one that was cut off from the store just before a change
 // is found in time.
 func bound(within time.Duration, share float64) freshness.Bound {
-	return freshness.Bound{Within: within, Share: share, Spread: laterMost, Told: peers.NewsBeat, Pause: leastPause}
+	return freshness.Bound{Within: within, Share: share, Spread: laterMost, Told: peers.ReportInterval, Pause: leastPause}
 }
 
 // serversTopic derives the timing from the bound: a draining server must get no more work
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -293,7 +293,7 @@
 }
 
 // sendTo sends the request to the chosen server and relays what it answers.
-func (g *Gateway) sendTo(ctx context.Context, q *request, choice placement.Choice, leave peers.Leave, rel *relay) (outcome, error) {
+func (g *Gateway) sendTo(ctx context.Context, q *request, choice placement.Choice, leave peers.Permit, rel *relay) (outcome, error) {
 	b := choice.Candidate.Backend
 	server := choice.Candidate.Server
 	sentAt := g.now()
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -16,14 +16,14 @@
 }
 
 // choose picks the backend server for the next send and gets leave to send it.
-func (g *Gateway) choose(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Leave, error) {
+func (g *Gateway) choose(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Permit, error) {
 	if g.needsPermit(q) {
 		return g.acquire(ctx, q, tried, t, rel)
 	}
 	candidates := g.candidates(q.service, tried)
 	g.noteStanding(q)
 	c, err := g.place(q, candidates)
-	return c, peers.Leave{}, err
+	return c, peers.Permit{}, err
 }
 
 // place chooses a server by what this gateway knows alone, and takes leave of this gateway's share
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -40,7 +40,7 @@
 type Peers interface {
 	// Ask asks the gateway that decides for a group of engines and waits for the
 	// verdict. It is Granted without an engine where nobody is there to decide.
-	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Answer, peers.Leave)
+	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Answer, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a repeated send to a service from their retry budgets and reports
 	// whether one did. The key determines which gateways are asked.
 	BorrowRepeat(ctx context.Context, service, key string) bool
@@ -83,10 +83,10 @@
 // acquire asks for leave to send the request, at one group of engines after the
 // other, and waits for it. An error means that the request was not sent and that the
 // service has no room.
-func (g *Gateway) acquire(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Leave, error) {
+func (g *Gateway) acquire(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Permit, error) {
 	candidates := g.candidates(q.service, tried)
 	if !slices.ContainsFunc(candidates, reachable) {
-		return placement.Choice{}, peers.Leave{}, g.noneOf(q, candidates)
+		return placement.Choice{}, peers.Permit{}, g.noneOf(q, candidates)
 	}
 	part, _ := q.call.Prompt.Shared()
 	if part == "" {
@@ -106,7 +106,7 @@
 		answer, leave := g.peers.Ask(ctx, permit.Group{Service: q.service, Index: groups[group]}, asked)
 		if ctx.Err() != nil {
 			leave.End(permit.Stream{})
-			return placement.Choice{}, peers.Leave{}, outOfTime(ctx, false)
+			return placement.Choice{}, peers.Permit{}, outOfTime(ctx, false)
 		}
 		switch answer.Verdict {
 		case permit.NoEngine:
@@ -123,7 +123,7 @@
 		}
 		if answer.Engine == "" {
 			choice, err := g.undecided(q, candidates)
-			return choice, peers.Leave{}, err
+			return choice, peers.Permit{}, err
 		}
 		candidates = g.candidates(q.service, tried) // it may have waited for seconds
 		if choice := decided(answer, candidates); choice.Candidate != nil {
@@ -133,12 +133,12 @@
 		asked.Avoid = append(asked.Avoid, answer.Engine)
 	}
 	if refused.ID == "" {
-		return placement.Choice{}, peers.Leave{}, g.noServer(q)
+		return placement.Choice{}, peers.Permit{}, g.noServer(q)
 	}
 	if refused.Limited > 0 {
-		return placement.Choice{}, peers.Leave{}, g.limited(refused.Limited, refused.Wait)
+		return placement.Choice{}, peers.Permit{}, g.limited(refused.Limited, refused.Wait)
 	}
-	return placement.Choice{}, peers.Leave{}, fault.New(fault.WaitTooLong, "the engines have a backlog of %d tokens", refused.Backlog).
+	return placement.Choice{}, peers.Permit{}, fault.New(fault.WaitTooLong, "the engines have a backlog of %d tokens", refused.Backlog).
 		With(fault.NotRun).After(refused.Wait)
 }
 
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -25,7 +25,7 @@
 	during  func() // while an ask waits
 }
 
-func (d *decider) Ask(_ context.Context, _ permit.Group, a permit.Ask) (permit.Answer, peers.Leave) {
+func (d *decider) Ask(_ context.Context, _ permit.Group, a permit.Ask) (permit.Answer, peers.Permit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.asks = append(d.asks, a)
@@ -37,7 +37,7 @@
 		d.during()
 	}
 	answer.ID = a.ID
-	return answer, peers.Leave{}
+	return answer, peers.Permit{}
 }
 
 func (d *decider) BorrowRepeat(context.Context, string, string) bool { return false }
--- a/internal/peers/learnt.go
+++ b/internal/peers/learnt.go
@@ -8,46 +8,48 @@
 	"github.com/merlinpost/merlinpost/internal/enginemodel"
 )
 
-// maxLearnt bounds the services whose engines are told of, those observed most first, so
-// that a heartbeat stays a datagram: about 50 bytes each, of 1,200.
-const maxLearnt = 8
-
-// learnt is what a gateway has learnt of a service's engines, about 50 bytes.
-type learnt struct {
+// maxLearntServices limits the services whose engine figures are sent, so that a heartbeat fits
+// into a datagram: a service takes about 50 of the 1,200 bytes. Services with the most
+// observations come first.
+const maxLearntServices = 8
+
+// engineFigures is the performance that a gateway has measured for a service's engines, encoded in about
+// 50 bytes.
+type engineFigures struct {
 	Service  string  `msgpack:"s"`
-	Read     float32 `msgpack:"r"` // microseconds for 1,000 prompt tokens
-	Pairs    float32 `msgpack:"a"` // microseconds more for each million pairs of tokens
-	Latency  float32 `msgpack:"l"` // microseconds to the first event of an empty prompt
-	Token    float32 `msgpack:"t"` // microseconds for a generated token
-	Pause    float32 `msgpack:"p"` // microseconds, the longest of a stream
-	Observed float32 `msgpack:"o"` // prompts
+	Read     float32 `msgpack:"r"` // microseconds per 1,000 prompt tokens
+	Pairs    float32 `msgpack:"a"` // additional microseconds per million pairs of tokens
+	Latency  float32 `msgpack:"l"` // microseconds to the first event for an empty prompt
+	Token    float32 `msgpack:"t"` // microseconds per generated token
+	Pause    float32 `msgpack:"p"` // longest pause of a stream in microseconds
+	Observed float32 `msgpack:"o"` // number of prompts observed
 }
 
-func us(d time.Duration) float32 { return float32(d) / float32(time.Microsecond) }
+func toMicros(d time.Duration) float32 { return float32(d) / float32(time.Microsecond) }
 
-func fromUs(v float32) time.Duration { return time.Duration(v * float32(time.Microsecond)) }
+func fromMicros(v float32) time.Duration { return time.Duration(v * float32(time.Microsecond)) }
 
-// takeLearnt notes what the desk has learnt, to be told in heartbeats. It is called by
-// Run's goroutine.
-func (p *Peers) takeLearnt() {
-	var out []learnt
+// updateLearnt copies the desk's figures for the heartbeats. It must be called from Run's
+// goroutine, which owns the desk.
+func (p *Peers) updateLearnt() {
+	var out []engineFigures
 	for _, l := range p.desk.Learnt() {
 		if l.Observed > 0 {
-			out = append(out, learnt{l.Service, us(l.Read), us(l.Pairs), us(l.Latency), us(l.Token), us(l.Pause), float32(l.Observed)})
+			out = append(out, engineFigures{l.Service, toMicros(l.Read), toMicros(l.Pairs), toMicros(l.Latency), toMicros(l.Token), toMicros(l.Pause), float32(l.Observed)})
 		}
 	}
-	slices.SortFunc(out, func(a, b learnt) int { return cmp.Compare(b.Observed, a.Observed) })
+	slices.SortFunc(out, func(a, b engineFigures) int { return cmp.Compare(b.Observed, a.Observed) })
 	p.mu.Lock()
-	p.learnt = out[:min(len(out), maxLearnt)]
+	p.learnt = out[:min(len(out), maxLearntServices)]
 	p.mu.Unlock()
 }
 
-// told returns what the others have told of a service's engines: the figures that rest on
-// most observations. A gateway that begins to decide starts with them.
-func (p *Peers) told(service string) (enginemodel.Figures, bool) {
+// learntByPeers returns the other gateways' figures for a service's engines that are based on the
+// most observations. A gateway that becomes the home of a group starts with them.
+func (p *Peers) learntByPeers(service string) (enginemodel.Figures, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var best learnt
+	var best engineFigures
 	for _, m := range p.members.known {
 		for _, l := range m.learnt {
 			if l.Service == service && l.Observed > best.Observed {
@@ -55,6 +57,6 @@
 			}
 		}
 	}
-	return enginemodel.Figures{Read: fromUs(best.Read), Pairs: fromUs(best.Pairs), Latency: fromUs(best.Latency), Token: fromUs(best.Token),
-		Pause: fromUs(best.Pause), Observed: float64(best.Observed)}, best.Observed > 0
+	return enginemodel.Figures{Read: fromMicros(best.Read), Pairs: fromMicros(best.Pairs), Latency: fromMicros(best.Latency), Token: fromMicros(best.Token),
+		Pause: fromMicros(best.Pause), Observed: float64(best.Observed)}, best.Observed > 0
 }
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -16,118 +16,118 @@
 	Capacity
 }
 
-// Capacity is what a gateway's host has; zeros are not known.
+// Capacity describes a gateway's host; zero values are unknown.
 type Capacity struct {
-	Cores    float64 `msgpack:"c,omitempty"` // that the gateway may use
+	Cores    float64 `msgpack:"c,omitempty"` // available to the gateway
 	LinkMbps uint32  `msgpack:"w,omitempty"`
 }
 
 const (
-	// shortestBeat is the pause between two heartbeats of a gateway among few.
-	shortestBeat = time.Second
-	// beatPerMember stretches it, so that the heartbeats of many gateways stay
-	// inside the bytes that a host may spend: at 390 members one in 19.5 s to each,
-	// 20 datagrams of some 90 bytes a second.
-	beatPerMember = 50 * time.Millisecond
-	// missedBeats is how many heartbeats may be missing before a member counts as
-	// down.
-	missedBeats = 3
-	// downFor is how long a member that gave no answer counts as down unless it is
-	// heard again.
-	downFor = 3 * time.Second
-	// largeShare is the part of the largest member's processor that a member must have to
-	// decide for a group of engines, and of processor and link to read the store for all.
-	// The small ones would be busy with the asks of all, and one on a slow link would have a
-	// large value, and tell the others, much later.
-	largeShare = 0.5
-	// countedFor is how long a member that is not heard keeps its share of rates: it may be cut off from
-	// here and go on sending. Without an end, the shares of hosts that are gone for good would be lost.
-	countedFor = time.Minute
-	// slackCountedFor is how long a silent member keeps its share of the retry budgets' slack.
-	slackCountedFor = time.Hour
+	// minHeartbeatInterval is the heartbeat interval in a small deployment.
+	minHeartbeatInterval = time.Second
+	// heartbeatIntervalPerMember makes the interval proportional to the number of members, to limit
+	// the traffic of each host. With 390 members, each receives a heartbeat every 19.5 s: the host
+	// sends 20 datagrams of about 90 bytes per second.
+	heartbeatIntervalPerMember = 50 * time.Millisecond
+	// maxMissedHeartbeats is the number of consecutive heartbeats that a live member may miss.
+	maxMissedHeartbeats = 3
+	// unresponsiveFor is how long a member that did not answer counts as down, unless a heartbeat
+	// arrives from it earlier.
+	unresponsiveFor = 3 * time.Second
+	// largeHostFraction is the fraction of the largest member's cores that a member needs to be the
+	// home of a group of engines, and the fraction of cores and link speed that it needs to be
+	// preferred for reading the store on behalf of the others. A small host would be overloaded by
+	// the requests of all gateways; a host on a slow link would receive a large value, and report
+	// it, much later.
+	largeHostFraction = 0.5
+	// rateShareRetention is how long a silent member keeps its share of rate limits: it may be partitioned
+	// from this gateway and still send requests. The limit frees the shares of hosts that never return.
+	rateShareRetention = time.Minute
+	// slackShareRetention is how long a silent member keeps its share of the retry budgets' slack.
+	slackShareRetention = time.Hour
 	// joinDelay is how long a gateway uses none of the slack after it is first listed in the store, so that
-	// the others learn of it first. joinBeats is the same delay in heartbeat intervals; the longer one applies.
-	joinDelay, joinBeats = 1200 * time.Millisecond, 1.2
+	// the others learn of it first. joinDelayIntervals is the same delay in heartbeat intervals; the longer
+	// one applies.
+	joinDelay, joinDelayIntervals = 1200 * time.Millisecond, 1.2
 )
 
-// members is the list of gateways as this one sees it. It is not safe for
-// concurrent use.
+// members is this gateway's view of the membership. It is not safe for concurrent use.
 type members struct {
 	self  Member
 	start time.Time
-	known map[string]*presence // by host, without self
-	// listed is when the store first listed this gateway.
-	listed time.Time
+	known map[string]*peerState // by host, excluding self
+	// listedAt is when the store first listed this gateway.
+	listedAt time.Time
 	// stalledAt is the end of the last stall of this process. It received no heartbeats during the stall.
 	stalledAt time.Time
 }
 
-// presence is what is known of another gateway.
-type presence struct {
+// peerState is the state of another gateway.
+type peerState struct {
 	Member
-	heard     time.Time // zero: never
-	listed    time.Time // when it was first listed
-	downUntil time.Time
-	leaving   bool
-	learnt    []learnt // as it said last
-	greeted   time.Time
+	heartbeatAt time.Time // time of the last heartbeat, zero if none
+	listedAt    time.Time // when the store first listed it
+	downUntil   time.Time
+	leaving     bool
+	learnt      []engineFigures // from its last heartbeat that had any
+	greetedAt   time.Time
 }
 
 func newMembers(self Member, now time.Time) *members {
-	return &members{self: self, start: now, known: map[string]*presence{}}
+	return &members{self: self, start: now, known: map[string]*peerState{}}
 }
 
-// beatEvery is the pause between two heartbeats to each member.
-func (m *members) beatEvery() time.Duration {
-	return max(shortestBeat, time.Duration(len(m.known))*beatPerMember)
+// heartbeatInterval returns the interval at which each member is sent a heartbeat.
+func (m *members) heartbeatInterval() time.Duration {
+	return max(minHeartbeatInterval, time.Duration(len(m.known))*heartbeatIntervalPerMember)
 }
 
-// list takes in members from the store. It is not a word that they are up.
-func (m *members) list(all []Member, now time.Time) {
-	for _, member := range all {
+// addListed adds members listed in the store. A listed member is not necessarily up.
+func (m *members) addListed(listed []Member, now time.Time) {
+	for _, member := range listed {
 		if member.Host == m.self.Host {
-			if m.listed.IsZero() {
-				m.listed = now
+			if m.listedAt.IsZero() {
+				m.listedAt = now
 			}
 			continue
 		}
-		if p := m.presence(member); p.listed.IsZero() {
-			p.listed = now
+		if p := m.peer(member); p.listedAt.IsZero() {
+			p.listedAt = now
 		}
 	}
 }
 
-// presence returns what is kept of a member. A member that has moved to another
-// address is taken to have been heard at the new one only.
-func (m *members) presence(member Member) *presence {
+// peer returns the state of a member and creates it if necessary. The state is reset when the
+// member's address changes.
+func (m *members) peer(member Member) *peerState {
 	p := m.known[member.Host]
 	if p == nil || p.Address != member.Address {
-		p = &presence{Member: member}
+		p = &peerState{Member: member}
 		m.known[member.Host] = p
 	}
 	return p
 }
 
-// beat takes in a heartbeat.
-func (m *members) beat(member Member, leaving bool, now time.Time) {
+// recordHeartbeat records a heartbeat of a member.
+func (m *members) recordHeartbeat(member Member, leaving bool, now time.Time) {
 	if member.Host == m.self.Host {
 		return
 	}
-	p := m.presence(member)
+	p := m.peer(member)
 	p.Capacity = member.Capacity
-	p.heard, p.leaving, p.downUntil = now, leaving, time.Time{}
+	p.heartbeatAt, p.leaving, p.downUntil = now, leaving, time.Time{}
 }
 
-// silent records that a member gave no answer.
-func (m *members) silent(at netip.AddrPort, now time.Time) {
+// markUnresponsive records that the member at an address did not answer.
+func (m *members) markUnresponsive(at netip.AddrPort, now time.Time) {
 	for _, p := range m.known {
 		if p.Address == at {
-			p.downUntil = now.Add(downFor)
+			p.downUntil = now.Add(unresponsiveFor)
 		}
 	}
 }
 
-// live returns the hosts that are up, this one included.
+// live returns the hosts that are up, including this one, in alphabetical order.
 func (m *members) live(now time.Time) []string {
 	hosts := []string{m.self.Host}
 	for host, p := range m.known {
@@ -139,12 +139,12 @@
 	return hosts
 }
 
-// sharing returns among how many gateways, this one included, the rates of servers are shared: those
-// that may be sending, whether they are heard or not.
-func (m *members) sharing(now time.Time) int {
+// rateSharers returns the number of gateways, including this one, that share the rate limits of servers:
+// all that may be sending requests, including silent ones.
+func (m *members) rateSharers(now time.Time) int {
 	n := 1
 	for _, p := range m.known {
-		if !p.leaving && now.Sub(p.lastSign()) <= max(countedFor, missedBeats*m.beatEvery()) {
+		if !p.leaving && now.Sub(p.lastSeen()) <= max(rateShareRetention, maxMissedHeartbeats*m.heartbeatInterval()) {
 			n++
 		}
 	}
@@ -154,11 +154,11 @@
 // recordStall records that this process was stalled until now.
 func (m *members) recordStall(now time.Time) { m.stalledAt = now }
 
-// sharingSlack returns the number of gateways, including this one, that share the slack of the retry budgets;
+// slackSharers returns the number of gateways, including this one, that share the slack of the retry budgets;
 // 0 while the others may not know of this one. A silent member may be partitioned and still use its share, so
-// it is counted for slackCountedFor, and for as long as at least a third of all gateways are silent.
-func (m *members) sharingSlack(now time.Time) int {
-	if m.listed.IsZero() || now.Sub(m.listed) < max(joinDelay, time.Duration(joinBeats*float64(m.beatEvery()))) {
+// it is counted for slackShareRetention, and for as long as at least a third of all gateways are silent.
+func (m *members) slackSharers(now time.Time) int {
+	if m.listedAt.IsZero() || now.Sub(m.listedAt) < max(joinDelay, time.Duration(joinDelayIntervals*float64(m.heartbeatInterval()))) {
 		return 0
 	}
 	all, live, counted := 1, 1, 1
@@ -170,7 +170,7 @@
 		if m.isLive(p, now) {
 			live++
 		}
-		if now.Sub(p.lastSign()) <= slackCountedFor || now.Sub(m.stalledAt) <= slackCountedFor {
+		if now.Sub(p.lastSeen()) <= slackShareRetention || now.Sub(m.stalledAt) <= slackShareRetention {
 			counted++
 		}
 	}
@@ -180,34 +180,34 @@
 	return counted
 }
 
-// lastSign is when the member was heard or listed last.
-func (p *presence) lastSign() time.Time {
-	if p.heard.After(p.listed) {
-		return p.heard
+// lastSeen returns the time of the member's last heartbeat, or when it was first listed if that is later.
+func (p *peerState) lastSeen() time.Time {
+	if p.heartbeatAt.After(p.listedAt) {
+		return p.heartbeatAt
 	}
-	return p.listed
+	return p.listedAt
 }
 
-// isLive reports whether another gateway is up.
-func (m *members) isLive(p *presence, now time.Time) bool {
-	return !p.heard.IsZero() && !p.leaving && now.After(p.downUntil) && now.Sub(p.heard) <= missedBeats*m.beatEvery()
+// isLive reports whether a member is up.
+func (m *members) isLive(p *peerState, now time.Time) bool {
+	return !p.heartbeatAt.IsZero() && !p.leaving && now.After(p.downUntil) && now.Sub(p.heartbeatAt) <= maxMissedHeartbeats*m.heartbeatInterval()
 }
 
-// home returns the live gateway that decides for a key, one of those with enough
-// processor.
+// home returns the live gateway that decides for a key, chosen by rendezvous hashing among those
+// with enough cores.
 func (m *members) home(key string, now time.Time) Member {
-	most := m.self.Cores
+	maxCores := m.self.Cores
 	for _, p := range m.known {
 		if m.isLive(p, now) {
-			most = max(most, p.Cores)
+			maxCores = max(maxCores, p.Cores)
 		}
 	}
 	hosts := make([]string, 0, len(m.known)+1)
-	if m.self.Cores >= largeShare*most {
+	if m.self.Cores >= largeHostFraction*maxCores {
 		hosts = append(hosts, m.self.Host)
 	}
 	for host, p := range m.known {
-		if m.isLive(p, now) && p.Cores >= largeShare*most {
+		if m.isLive(p, now) && p.Cores >= largeHostFraction*maxCores {
 			hosts = append(hosts, host)
 		}
 	}
@@ -217,24 +217,24 @@
 	return m.self
 }
 
-// rank returns the place of this gateway in the order of the live ones for a key, 0 first.
-// Hosts with a large processor and link come before the others.
+// rank returns the position of this gateway in the order of the live gateways for a key, starting
+// at 0. Hosts with large processors and fast links precede the others.
 func (m *members) rank(key string, now time.Time) int {
-	large, small := m.bySize(now)
+	large, small := m.splitByCapacity(now)
 	return slices.Index(append(rendezvous.Rank(key, large), rendezvous.Rank(key, small)...), m.self.Host)
 }
 
-// bySize returns the live hosts, parted by their capacity.
-func (m *members) bySize(now time.Time) (large, small []string) {
-	var most Capacity
+// splitByCapacity returns the live hosts, split into large and small ones.
+func (m *members) splitByCapacity(now time.Time) (large, small []string) {
+	var largest Capacity
 	live := m.live(now)
 	for _, host := range live {
 		c := m.capacity(host)
-		most = Capacity{max(most.Cores, c.Cores), max(most.LinkMbps, c.LinkMbps)}
+		largest = Capacity{max(largest.Cores, c.Cores), max(largest.LinkMbps, c.LinkMbps)}
 	}
 	for _, host := range live {
 		c := m.capacity(host)
-		if c.Cores >= largeShare*most.Cores && float64(c.LinkMbps) >= largeShare*float64(most.LinkMbps) {
+		if c.Cores >= largeHostFraction*largest.Cores && float64(c.LinkMbps) >= largeHostFraction*float64(largest.LinkMbps) {
 			large = append(large, host)
 		} else {
 			small = append(small, host)
@@ -243,8 +243,8 @@
 	return large, small
 }
 
-// slowestLink returns the slowest link of the live hosts in Mbit/s, 0 where none is known.
-func (m *members) slowestLink(now time.Time) (mbps uint32) {
+// slowestLinkMbps returns the speed of the slowest link of the live hosts, or 0 if none is known.
+func (m *members) slowestLinkMbps(now time.Time) (mbps uint32) {
 	for _, host := range m.live(now) {
 		if link := m.capacity(host).LinkMbps; link > 0 && (mbps == 0 || link < mbps) {
 			mbps = link
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// noticesInDatagram bounds what is told of servers in one datagram: up to 73 bytes each, of 1,200.
-	noticesInDatagram = 16
-	// stalledAfter is the pause of Run's goroutine after which it counts as held up; stalledFor is how
-	// long it takes then to take in what has waited meanwhile.
-	stalledAfter, stalledFor = 500 * time.Millisecond, 200 * time.Millisecond
+	// noticesPerDatagram limits the notices in one datagram: each takes up to 73 of the 1,200 bytes.
+	noticesPerDatagram = 16
+	// stallThreshold is the time between two iterations of Run's loop above which the process counts as
+	// stalled. backlogPeriod is the time allowed for processing the backlog after a stall.
+	stallThreshold, backlogPeriod = 500 * time.Millisecond, 200 * time.Millisecond
 )
 
-// loans is the state of lending shares of rates.
-type loans struct {
-	lent     time.Time // when shares were lent last
-	looked   time.Time // when Run's goroutine came by last
-	mistrust time.Time // until when loans are not taken in
+// loanState is the state of the loans of rate limit shares.
+type loanState struct {
+	lentAt      time.Time // when shares were last lent
+	loopedAt    time.Time // time of the last iteration of Run's loop
+	ignoreUntil time.Time // end of the period in which received loans are ignored
 }
 
-// tellNotices tells the others what has become known of servers.
-func (p *Peers) tellNotices(now time.Time) {
-	for batch := range slices.Chunk(p.board.Due(now), noticesInDatagram) {
+// sendNotices sends notices that are due to the other gateways.
+func (p *Peers) sendNotices(now time.Time) {
+	for batch := range slices.Chunk(p.board.Due(now), noticesPerDatagram) {
 		p.sendAll(message{Notices: batch})
 	}
 }
 
-// hearNotices takes in what another gateway tells, and answers with what this one knows better.
-func (p *Peers) hearNotices(told []notice.Told, from netip.AddrPort, now time.Time) {
+// handleNotices processes notices of another gateway, and replies with those for which this gateway
+// has newer information.
+func (p *Peers) handleNotices(notices []notice.Told, from netip.AddrPort, now time.Time) {
 	host := p.hostAt(from)
-	var better []notice.Told
-	for _, t := range told {
-		if b := p.board.Told(t, host, now); b != nil {
-			better = append(better, *b)
+	var newer []notice.Told
+	for _, n := range notices {
+		if reply := p.board.Told(n, host, now); reply != nil {
+			newer = append(newer, *reply)
 		}
 	}
-	if len(better) > 0 {
-		p.send(message{Notices: better}, from)
+	if len(newer) > 0 {
+		p.send(message{Notices: newer}, from)
 	}
 }
 
-// hostAt names the gateway at an address.
+// hostAt returns the host of the gateway at an address, or the address if it is unknown.
 func (p *Peers) hostAt(at netip.AddrPort) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,16 +58,16 @@
 	return at.String()
 }
 
-// lend lends this gateway's share of each rate to the one that decides for the server, or renews the
-// loan.
-func (p *Peers) lend(now time.Time) {
+// lendRateShares lends this gateway's share of each rate limit to the home gateway of the server's
+// group, or renews the loan.
+func (p *Peers) lendRateShares(now time.Time) {
 	limits := p.board.Limits()
-	if p.board.Empty() || now.Sub(p.loans.lent) < limits.LoanEvery() {
+	if p.board.Empty() || now.Sub(p.loans.lentAt) < limits.LoanEvery() {
 		return
 	}
-	p.loans.lent = now
+	p.loans.lentAt = now
 	p.mu.Lock()
-	limits.SetGateways(p.members.sharing(now))
+	limits.SetGateways(p.members.rateSharers(now))
 	p.mu.Unlock()
 	due := map[netip.AddrPort][]notice.Told{}
 	for group, servers := range p.local.Limited() {
@@ -77,28 +78,28 @@
 			continue
 		}
 		for _, server := range servers {
-			told, known := p.board.Of(server, now)
+			n, known := p.board.Of(server, now)
 			if known && limits.Lend(server, home.Host, now) {
-				due[home.Address] = append(due[home.Address], told)
+				due[home.Address] = append(due[home.Address], n)
 			}
 		}
 	}
-	for home, told := range due {
-		for batch := range slices.Chunk(told, noticesInDatagram) {
-			p.send(message{Loans: batch}, home)
+	for address, notices := range due {
+		for batch := range slices.Chunk(notices, noticesPerDatagram) {
+			p.send(message{Loans: batch}, address)
 		}
 	}
 }
 
-// borrow takes in the shares that another gateway lends, with what it knows of the servers: the word
-// of a rate may have been lost here.
-func (p *Peers) borrow(told []notice.Told, from netip.AddrPort, now time.Time) {
-	p.hearNotices(told, from, now)
-	if now.Before(p.loans.mistrust) {
+// handleLoans accepts the shares that another gateway lends. Loans carry the lender's notices of the
+// servers, because an earlier datagram with the rate limit may have been lost.
+func (p *Peers) handleLoans(loans []notice.Told, from netip.AddrPort, now time.Time) {
+	p.handleNotices(loans, from, now)
+	if now.Before(p.loans.ignoreUntil) {
 		return
 	}
-	for _, t := range told {
-		p.board.Limits().Borrow(t.Server, from.String(), now)
+	for _, l := range loans {
+		p.board.Limits().Borrow(l.Server, from.String(), now)
 	}
 }
 
@@ -107,26 +108,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.leaving {
-		return // Leave has given the share up
+		return // AnnounceLeave has given up the share
 	}
-	p.local.SetGateways(p.members.sharingSlack(now))
+	p.local.SetGateways(p.members.slackSharers(now))
 }
 
-// noteStall gives borrowed shares back where this process has been held up: their owners may have
-// taken them back long ago, and the loans that have waited here meanwhile are as old.
-func (p *Peers) noteStall(now time.Time) {
-	looked := p.loans.looked
-	stalled := !looked.IsZero() && now.Sub(looked) > stalledAfter
-	p.loans.looked = now
+// checkStall detects that the process was stalled and then returns borrowed shares and ignores the loans
+// in the backlog: the lenders may have reclaimed these shares during the stall.
+func (p *Peers) checkStall(now time.Time) {
+	last := p.loans.loopedAt
+	stalled := !last.IsZero() && now.Sub(last) > stallThreshold
+	p.loans.loopedAt = now
 	if stalled {
 		p.mu.Lock()
 		p.members.recordStall(now)
 		p.mu.Unlock()
-		p.local.Stalled(looked, now.Add(stalledFor))
+		p.local.Stalled(last, now.Add(backlogPeriod))
 	}
 	if stalled && !p.board.Empty() {
 		telemetry.Count("merlinpost_rate_shares_returned_total")
 		p.board.Limits().Return(now)
-		p.loans.mistrust = now.Add(stalledFor)
+		p.loans.ignoreUntil = now.Add(backlogPeriod)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,8 +1,11 @@
-// Package peers joins the gateways of a deployment: which of them are up, who decides for
-// which engines where and when prompts are read, what has been learnt of these engines, and
-// what each gateway has read in the platform's store, so that not all of them need to ask
-// it. All of it is carried in datagrams of one socket; what is lost is asked again or learnt
-// from the store, and nothing that callers are promised rests on it.
+// Package peers connects the gateways of a deployment. It tracks which gateways are up and which
+// gateway decides where and when prompts are read by a group of engines (the group's home). It also
+// distributes measured engine figures, notices of backend servers, suspected requests, shares of
+// limits and budgets, and the states that gateways have read from the platform's store, so that not
+// all of them need to read it.
+//
+// All messages are datagrams on one socket. Lost requests are repeated, and other lost information
+// is sent again or read from the store. No guarantee to callers depends on the delivery of a datagram.
 package peers
 
 import (
@@ -20,72 +23,73 @@
 )
 
 const (
-	// busyTick is how often waiting asks are looked at without an event; idleTick
-	// is the same when none waits.
-	busyTick, idleTick = 20 * time.Millisecond, 100 * time.Millisecond
-	// ring is how many datagrams wait to be taken in.
-	ring = 1024
+	// busyInterval is the interval at which queued permit requests are checked in the absence of
+	// events; idleInterval is the interval of Run's loop when none is queued.
+	busyInterval, idleInterval = 20 * time.Millisecond, 100 * time.Millisecond
+	// inboxSize is the number of received datagrams that may be waiting for Run.
+	inboxSize = 1024
 )
 
 // message is one datagram. Exactly one field is set.
 type message struct {
-	Beat       *beat          `msgpack:"b,omitempty"`
-	Ask        *ask           `msgpack:"a,omitempty"`
-	Answer     *permit.Answer `msgpack:"v,omitempty"`
-	FirstToken *firstToken    `msgpack:"f,omitempty"`
-	End        *end           `msgpack:"e,omitempty"`
-	// Requests is what the sender knows of requests that may end servers.
-	Requests []quarantine.Told `msgpack:"q,omitempty"`
-	// Notices is what the sender knows that servers say of themselves.
+	Heartbeat     *heartbeat     `msgpack:"b,omitempty"`
+	PermitRequest *permitRequest `msgpack:"a,omitempty"`
+	PermitAnswer  *permit.Answer `msgpack:"v,omitempty"`
+	FirstToken    *firstToken    `msgpack:"f,omitempty"`
+	End           *requestEnd    `msgpack:"e,omitempty"`
+	// Suspects are requests that may crash servers, as known to the sender.
+	Suspects []quarantine.Told `msgpack:"q,omitempty"`
+	// Notices are the servers' statements about themselves, as known to the sender.
 	Notices []notice.Told `msgpack:"n,omitempty"`
-	// Loans are the rates of which the sender lends its share to the receiver.
+	// Loans are the rate limits of which the sender lends its share to the receiver.
 	Loans []notice.Told `msgpack:"l,omitempty"`
-	// RepeatAsk asks the receiver for a repeat from its retry budget; RepeatAnswer is the reply.
-	RepeatAsk    *repeatAsk    `msgpack:"r,omitempty"`
-	RepeatAnswer *repeatAnswer `msgpack:"p,omitempty"`
+	// RepeatRequest asks the receiver for a repeat from its retry budget; RepeatResponse is the reply.
+	RepeatRequest  *repeatRequest  `msgpack:"r,omitempty"`
+	RepeatResponse *repeatResponse `msgpack:"p,omitempty"`
 }
 
-// beat is a heartbeat with what its sender has confirmed at the store.
-type beat struct {
+// heartbeat announces a gateway and reports the states that it has read from the store.
+type heartbeat struct {
 	Host string `msgpack:"h"`
 	Capacity
 	Leaving bool `msgpack:"l,omitempty"`
-	// New is set by a gateway that has just started and asks for what the others know of requests.
-	New      bool      `msgpack:"n,omitempty"`
-	Findings []finding `msgpack:"f,omitempty"`
-	// Learnt is what the sender has learnt of the engines for which it decides.
-	Learnt []learnt `msgpack:"e,omitempty"`
+	// Starting is set by a gateway that has just started, to ask the others for what they know of suspects
+	// and notices.
+	Starting bool          `msgpack:"n,omitempty"`
+	States   []stateReport `msgpack:"f,omitempty"`
+	// Learnt are the figures of the engines for which the sender decides.
+	Learnt []engineFigures `msgpack:"e,omitempty"`
 }
 
-// ask is a request for leave to send to an engine of a group.
-type ask struct {
+// permitRequest asks for permission to send a request to an engine of a group.
+type permitRequest struct {
 	Group permit.Group `msgpack:"g"`
 	permit.Ask
 }
 
-// firstToken tells that an engine has read a request's prompt.
+// firstToken reports that an engine has read a request's prompt.
 type firstToken struct {
 	Group permit.Group  `msgpack:"g"`
 	ID    string        `msgpack:"i"`
 	Took  time.Duration `msgpack:"t,omitempty"`
 }
 
-// end tells that a request has ended.
-type end struct {
+// requestEnd reports that a request has ended.
+type requestEnd struct {
 	Group permit.Group `msgpack:"g"`
 	ID    string       `msgpack:"i"`
 	permit.Stream
 }
 
-// Local is what the gateway of this process knows.
-type Local interface {
-	// Engines lists the members of a group.
+// LocalGateway is the gateway of this process.
+type LocalGateway interface {
+	// Engines returns the engines of a group.
 	Engines(permit.Group) []permit.Engine
-	// Quarantine is what it knows of requests that may end servers.
+	// Quarantine returns the gateway's records of requests that may crash servers.
 	Quarantine() *quarantine.Ledger
-	// Notices is what it knows that servers say of themselves.
+	// Notices returns the gateway's records of the servers' statements about themselves.
 	Notices() *notice.Board
-	// Limited lists the servers that state a rate, by the group to which they belong.
+	// Limited returns the servers that state a rate limit, by group.
 	Limited() map[permit.Group][]string
 	// SetGateways sets the number of gateways, including this one, that share the slack of the retry
 	// budgets; 0 while this gateway has no share.
@@ -93,123 +97,123 @@
 	// LendRepeat grants another gateway a repeated send to a service from this gateway's retry budget, and reports
 	// whether the budget permitted it.
 	LendRepeat(service string) bool
-	// Stalled reports that the process was stalled since the given time and processes the backlog until
-	// the other.
+	// Stalled tells the gateway that the process was stalled since one time and is expected to process the
+	// backlog until the other.
 	Stalled(since, until time.Time)
 }
 
-// received is a datagram and its sender.
+// received is a message with its sender.
 type received struct {
 	message
 	from netip.AddrPort
 }
 
-// Peers is this gateway among the others. It is safe for concurrent use.
+// Peers connects this gateway to the others. It is safe for concurrent use.
 type Peers struct {
 	socket *datagram.Socket[message]
 	self   netip.AddrPort
 	logger *slog.Logger
-	in     chan received
-	desk   *permit.Desk[netip.AddrPort] // of the goroutine in Run
-	local  Local
+	inbox  chan received
+	desk   *permit.Desk[netip.AddrPort] // used only by Run's goroutine
+	local  LocalGateway
 	ledger *quarantine.Ledger
 	board  *notice.Board
-	loans  loans // of the goroutine in Run
+	loans  loanState // used only by Run's goroutine
 	start  time.Time
 
-	mu         sync.Mutex
-	members    *members
-	findings   findings
-	learnt     []learnt                      // here, as last told
-	waiting    map[string]chan permit.Answer // by ID of the request
-	repeatAsks map[uint64]chan bool          // without an answer so far, by ID
-	repeatID   uint64                        // of the newest repeatAsk
-	leaving    bool
-	lastBeat   time.Time
-	lastLive   int // as last logged, at liveLogged
-	liveLogged time.Time
+	mu             sync.Mutex
+	members        *members
+	states         topicStates
+	learnt         []engineFigures               // by this gateway, as sent in heartbeats
+	pendingPermits map[string]chan permit.Answer // by request ID
+	pendingRepeats map[uint64]chan bool          // unanswered repeatRequests by ID
+	lastRepeatID   uint64                        // ID of the newest repeatRequest
+	leaving        bool
+	heartbeatAt    time.Time
+	loggedLive     int // number of live gateways last logged, at liveLoggedAt
+	liveLoggedAt   time.Time
 }
 
-// Open opens the socket of the gateway on host, which is local, at an IP address and port.
-func Open(host, address string, capacity Capacity, local Local, logger *slog.Logger) (*Peers, error) {
+// Open opens a socket on an IP address and port for the gateway on host, which is this process's.
+func Open(host, address string, capacity Capacity, local LocalGateway, logger *slog.Logger) (*Peers, error) {
 	socket, err := datagram.Open[message](address, metric)
 	if err != nil {
 		return nil, err
 	}
-	return join(host, socket, capacity, local, logger), nil
+	return newPeers(host, socket, capacity, local, logger), nil
 }
 
-// New joins the gateway on host to the others over conn, which it owns.
-func New(host string, conn datagram.PacketConn, capacity Capacity, local Local, logger *slog.Logger) *Peers {
-	return join(host, datagram.New[message](conn, metric), capacity, local, logger)
+// New connects the gateway on host to the others over conn, and takes ownership of conn.
+func New(host string, conn datagram.PacketConn, capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
+	return newPeers(host, datagram.New[message](conn, metric), capacity, local, logger)
 }
 
-// metric begins the names of the counters of datagrams.
+// metric is the name prefix of the datagram counters.
 const metric = "merlinpost_peer_datagrams"
 
-func join(host string, socket *datagram.Socket[message], capacity Capacity, local Local, logger *slog.Logger) *Peers {
+func newPeers(host string, socket *datagram.Socket[message], capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
 	self := socket.Address()
 	now := time.Now()
-	p := &Peers{socket: socket, self: self, logger: logger, in: make(chan received, ring), local: local, ledger: local.Quarantine(), board: local.Notices(), start: now,
-		members: newMembers(Member{host, self, capacity}, now), waiting: map[string]chan permit.Answer{}, repeatAsks: map[uint64]chan bool{}}
-	p.desk = permit.NewDesk[netip.AddrPort](local.Engines, p.told, p.board.Limits(), permit.Policy{})
+	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, ledger: local.Quarantine(), board: local.Notices(), start: now,
+		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Answer{}, pendingRepeats: map[uint64]chan bool{}}
+	p.desk = permit.NewDesk[netip.AddrPort](local.Engines, p.learntByPeers, p.board.Limits(), permit.Policy{})
 	return p
 }
 
-// Self returns this gateway as a member.
+// Self returns the Member that describes this gateway.
 func (p *Peers) Self() Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members.self
 }
 
-// Run takes part until ctx ends: one goroutine receives, this one decides.
+// Run sends and processes messages until ctx is done. One goroutine receives; the calling one decides.
 func (p *Peers) Run(ctx context.Context) {
 	var receiving sync.WaitGroup
 	defer receiving.Wait()
 	receiving.Go(func() {
-		p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.post(received{m, from}) })
+		p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.enqueue(received{m, from}) })
 	})
-	timer := time.NewTimer(idleTick)
+	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	learntLogged := time.Now()
 	for {
-		var came received
+		var r received
 		select {
 		case <-ctx.Done():
 			return
-		case came = <-p.in:
+		case r = <-p.inbox:
 		case <-p.ledger.Telling():
 		case <-p.board.Telling():
 		case <-timer.C:
-			next := idleTick
+			next := idleInterval
 			if p.desk.Waiting() > 0 {
-				next = busyTick
+				next = busyInterval
 			}
 			timer.Reset(next)
 		}
 		now := time.Now()
-		p.noteStall(now)
-		p.take(came, now)
+		p.checkStall(now)
+		p.handle(r, now)
 		for _, due := range p.desk.Next(now) {
-			p.answer(due.Answer, due.To)
+			p.sendAnswer(due.Answer, due.To)
 		}
 		p.updateSlackShare(now)
-		p.beatIfDue(now)
-		p.tellRequests(now)
-		p.tellNotices(now)
-		p.lend(now)
-		if now.Sub(learntLogged) >= learntLogEvery {
+		p.sendHeartbeatIfDue(now)
+		p.sendSuspects(now)
+		p.sendNotices(now)
+		p.lendRateShares(now)
+		if now.Sub(learntLogged) >= learntLogInterval {
 			learntLogged = now
 			p.logLearnt()
 		}
 	}
 }
 
-// learntLogEvery is the pause between lines about what is learnt of engines.
-const learntLogEvery = 5 * time.Second
+// learntLogInterval is the interval at which the learnt engine figures are logged.
+const learntLogInterval = 5 * time.Second
 
-// logLearnt writes what the decisions of this process rest on.
+// logLearnt logs the engine figures on which this gateway's decisions are based.
 func (p *Peers) logLearnt() {
 	for _, l := range p.desk.Learnt() {
 		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.Read, "pairs", l.Pairs, "latency", l.Latency, "token", l.Token,
@@ -217,70 +221,71 @@
 	}
 }
 
-// post hands a datagram to Run; when too many wait it counts as lost.
-func (p *Peers) post(r received) {
+// enqueue passes a received message to Run. It drops the message if the inbox is full.
+func (p *Peers) enqueue(r received) {
 	select {
-	case p.in <- r:
+	case p.inbox <- r:
 	default:
 		telemetry.Count("merlinpost_peer_datagrams_overrun_total")
 	}
 }
 
-// send sends a datagram; to this gateway itself it goes without the socket. One
-// that can't be sent counts as lost.
+// send sends a message; messages to this gateway itself bypass the socket. A message that
+// cannot be sent is dropped.
 func (p *Peers) send(m message, to netip.AddrPort) {
 	if to == p.self {
-		p.post(received{m, p.self})
+		p.enqueue(received{m, p.self})
 		return
 	}
 	p.socket.Send(m, to)
 }
 
-func (p *Peers) take(r received, now time.Time) {
+// handle processes a received message.
+func (p *Peers) handle(r received, now time.Time) {
 	switch {
-	case r.Beat != nil:
-		p.heard(*r.Beat, r.from, now)
-	case r.Ask != nil:
-		p.answer(p.desk.Ask(r.Ask.Group, r.Ask.Ask, r.from, now), r.from)
-	case r.Answer != nil:
-		p.settle(*r.Answer)
+	case r.Heartbeat != nil:
+		p.handleHeartbeat(*r.Heartbeat, r.from, now)
+	case r.PermitRequest != nil:
+		p.sendAnswer(p.desk.Ask(r.PermitRequest.Group, r.PermitRequest.Ask, r.from, now), r.from)
+	case r.PermitAnswer != nil:
+		p.deliverAnswer(*r.PermitAnswer)
 	case r.FirstToken != nil:
 		p.desk.FirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
 	case r.End != nil:
 		p.desk.End(r.End.Group, r.End.ID, r.End.Stream, now)
-	case r.Requests != nil:
-		p.ledger.Hear(r.Requests, r.from.String(), now)
+	case r.Suspects != nil:
+		p.ledger.Hear(r.Suspects, r.from.String(), now)
 	case r.Notices != nil:
-		p.hearNotices(r.Notices, r.from, now)
+		p.handleNotices(r.Notices, r.from, now)
 	case r.Loans != nil:
-		p.borrow(r.Loans, r.from, now)
-	case r.RepeatAsk != nil:
-		p.lendRepeat(*r.RepeatAsk, r.from)
-	case r.RepeatAnswer != nil:
-		p.deliverRepeat(*r.RepeatAnswer)
+		p.handleLoans(r.Loans, r.from, now)
+	case r.RepeatRequest != nil:
+		p.lendRepeat(*r.RepeatRequest, r.from)
+	case r.RepeatResponse != nil:
+		p.deliverRepeat(*r.RepeatResponse)
 	}
 }
 
-// answer sends an answer.
-func (p *Peers) answer(a permit.Answer, to netip.AddrPort) {
+// sendAnswer sends the answer to a permit request.
+func (p *Peers) sendAnswer(a permit.Answer, to netip.AddrPort) {
 	telemetry.Count("merlinpost_permit_answers_total", "verdict", a.Verdict.String())
 	if to == p.self {
-		p.settle(a)
+		p.deliverAnswer(a)
 		return
 	}
-	p.send(message{Answer: &a}, to)
+	p.send(message{PermitAnswer: &a}, to)
 }
 
-// settle hands an answer to the request that waits for it.
-func (p *Peers) settle(a permit.Answer) {
+// deliverAnswer passes an answer to the Ask call that waits for it.
+func (p *Peers) deliverAnswer(a permit.Answer) {
 	p.mu.Lock()
-	ch := p.waiting[a.ID]
+	ch := p.pendingPermits[a.ID]
 	p.mu.Unlock()
 	if ch == nil {
 		return
 	}
 	select {
 	case ch <- a:
-	default: // the one before has not been taken yet; the asker asks again
+	default: // the previous answer has not been received yet; Ask repeats its request
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -37,49 +37,49 @@
 	return Member{host, address, Capacity{Cores: 0.3}}
 }
 
-// local is a gateway that knows one engine in each group.
-type local struct{}
+// fakeGateway has one engine in each group.
+type fakeGateway struct{}
 
-func (local) Quarantine() *quarantine.Ledger { return quarantine.New() }
+func (fakeGateway) Quarantine() *quarantine.Ledger { return quarantine.New() }
 
-func (local) Notices() *notice.Board {
+func (fakeGateway) Notices() *notice.Board {
 	return notice.NewBoard(ratelimit.New(rand.Float64), func(notice.Event) {})
 }
 
-func (local) Limited() map[permit.Group][]string { return nil }
-func (local) LendRepeat(string) bool             { return false }
-func (local) SetGateways(int)                    {}
-func (local) Stalled(time.Time, time.Time)       {}
+func (fakeGateway) Limited() map[permit.Group][]string { return nil }
+func (fakeGateway) LendRepeat(string) bool             { return false }
+func (fakeGateway) SetGateways(int)                    {}
+func (fakeGateway) Stalled(time.Time, time.Time)       {}
 
-func (local) Engines(permit.Group) []permit.Engine {
+func (fakeGateway) Engines(permit.Group) []permit.Engine {
 	return []permit.Engine{{ID: "engine", Open: true}}
 }
 
 var group = permit.Group{Service: "s"}
 
-func TestLiveGatewaysAreThoseHeardLately(t *testing.T) {
+func TestLiveGatewaysHaveRecentHeartbeats(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	m := newMembers(member("a", at(1)), now)
-	m.list([]Member{member("a", at(1)), member("b", at(2)), member("c", at(3))}, now)
+	m.addListed([]Member{member("a", at(1)), member("b", at(2)), member("c", at(3))}, now)
 	g.Expect(m.live(now)).To(Equal([]string{"a"}))
-	m.beat(member("b", at(2)), false, now)
-	m.beat(member("c", at(3)), false, now)
+	m.recordHeartbeat(member("b", at(2)), false, now)
+	m.recordHeartbeat(member("c", at(3)), false, now)
 	g.Expect(m.live(now)).To(Equal([]string{"a", "b", "c"}))
-	m.beat(member("c", at(3)), true, now)
+	m.recordHeartbeat(member("c", at(3)), true, now)
 	g.Expect(m.live(now)).To(Equal([]string{"a", "b"}))
-	m.silent(at(2), now)
+	m.markUnresponsive(at(2), now)
 	g.Expect(m.live(now)).To(Equal([]string{"a"}))
-	m.beat(member("b", at(2)), false, now.Add(time.Second))
+	m.recordHeartbeat(member("b", at(2)), false, now.Add(time.Second))
 	g.Expect(m.live(now.Add(time.Second))).To(Equal([]string{"a", "b"}))
 	g.Expect(m.live(now.Add(10 * time.Second))).To(Equal([]string{"a"}))
-	m.beat(member("b", at(9)), false, now) // replaced at another address
+	m.recordHeartbeat(member("b", at(9)), false, now) // replaced at another address
 	g.Expect(m.known["b"].Address).To(Equal(at(9)))
 }
 
-// Gateways that see the same others agree on the home of each engine, and the
-// loss of one moves only its own engines.
-func TestGatewaysAgreeOnHomes(t *testing.T) {
+// Gateways with the same view agree on the home of each key, and the loss of a gateway moves only
+// the keys of which it was the home.
+func TestGatewaysAgreeOnHome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "gateways")
 		now := time.Unix(0, 0)
@@ -87,7 +87,7 @@
 		for i := range n {
 			m := newMembers(member(fmt.Sprint("gw", i), at(i+1)), now)
 			for j := range n {
-				m.beat(member(fmt.Sprint("gw", j), at(j+1)), false, now)
+				m.recordHeartbeat(member(fmt.Sprint("gw", j), at(j+1)), false, now)
 			}
 			all = append(all, m)
 		}
@@ -101,29 +101,29 @@
 			ranks[m.rank(engine, now)] = true
 		}
 		if len(ranks) != n {
-			t.Fatalf("%d places for %d gateways", len(ranks), n)
+			t.Fatalf("%d distinct ranks for %d gateways", len(ranks), n)
 		}
 		lost := rapid.IntRange(0, n-1).Draw(t, "lost")
 		observer := all[(lost+1)%n]
-		observer.silent(at(lost+1), now)
+		observer.markUnresponsive(at(lost+1), now)
 		if moved := observer.home(engine, now) != home; moved != (home.Address == at(lost+1)) {
 			t.Fatalf("the home moved: %v", moved)
 		}
 	})
 }
 
-// Gateways on hosts with little processor do not decide for others, unless there are
-// no larger ones.
-func TestLargeHostsDecide(t *testing.T) {
+// Guards against homes on hosts with few cores, which would be overloaded by the requests of all
+// gateways. They are used only if there are no larger hosts.
+func TestOnlyLargeHostsAreHomes(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	m := newMembers(Member{"small", at(1), Capacity{Cores: 0.144}}, now)
-	m.beat(Member{"large", at(2), Capacity{Cores: 0.8}}, false, now)
-	m.beat(Member{"middle", at(3), Capacity{Cores: 0.3}}, false, now)
+	m.recordHeartbeat(Member{"large", at(2), Capacity{Cores: 0.8}}, false, now)
+	m.recordHeartbeat(Member{"middle", at(3), Capacity{Cores: 0.3}}, false, now)
 	for i := range 50 {
 		g.Expect(m.home(fmt.Sprint(i), now).Host).To(Equal("large"))
 	}
-	m.silent(at(2), now)
+	m.markUnresponsive(at(2), now)
 	homes := map[string]int{}
 	for i := range 50 {
 		homes[m.home(fmt.Sprint(i), now).Host]++
@@ -132,9 +132,9 @@
 	g.Expect(homes).To(HaveKey("middle"))
 }
 
-// Hosts with little processor or a slow link read the store for the others only where
-// there are no larger ones, in an order that all agree on.
-func TestLargeHostsReadForAll(t *testing.T) {
+// Guards against small hosts that read the store on behalf of the others while larger ones are
+// live, and against gateways that disagree on the order.
+func TestLargeHostsRankFirst(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	hosts := []Member{
@@ -142,17 +142,17 @@
 		{"no-processor", at(3), Capacity{0.144, 200}}, {"slow-link", at(4), Capacity{0.8, 10}}, {"small", at(5), Capacity{0.144, 10}},
 	}
 	for topic := range 20 {
-		places := map[int]string{}
+		hostsByRank := map[int]string{}
 		for _, self := range hosts {
 			m := newMembers(self, now)
 			for _, other := range hosts {
-				m.beat(other, false, now)
+				m.recordHeartbeat(other, false, now)
 			}
-			places[m.rank(fmt.Sprint(topic), now)] = self.Host
-			g.Expect(m.slowestLink(now)).To(BeEquivalentTo(10))
+			hostsByRank[m.rank(fmt.Sprint(topic), now)] = self.Host
+			g.Expect(m.slowestLinkMbps(now)).To(BeEquivalentTo(10))
 		}
-		g.Expect(places).To(HaveLen(len(hosts)))
-		g.Expect([]string{places[0], places[1]}).To(ConsistOf("large-1", "large-2"))
+		g.Expect(hostsByRank).To(HaveLen(len(hosts)))
+		g.Expect([]string{hostsByRank[0], hostsByRank[1]}).To(ConsistOf("large-1", "large-2"))
 	}
 	alone := newMembers(hosts[4], now)
 	g.Expect(alone.rank("t", now)).To(Equal(0))
@@ -162,40 +162,40 @@
 	g := NewWithT(t)
 	m := newMembers(member("a", at(1)), time.Unix(0, 0))
 	for i := range 389 {
-		m.list([]Member{member(fmt.Sprint(i), at(i+2))}, time.Unix(0, 0))
+		m.addListed([]Member{member(fmt.Sprint(i), at(i+2))}, time.Unix(0, 0))
 	}
-	datagramsPerSecond := 389 / m.beatEvery().Seconds()
-	// One gateway in 35 decides for a group and tells of one service's engines.
+	datagramsPerSecond := 389 / m.heartbeatInterval().Seconds()
+	// One gateway in 35 decides for a group and sends the figures of one service's engines.
 	const bytesEach = 90 + 60/35
 	g.Expect(datagramsPerSecond * bytesEach).To(BeNumerically("<", 2000))
 }
 
-// The messages of one prompt and a heartbeat with what was learnt of three services, in
-// bytes: what docs/CAPACITY.md reckons with.
+// Guards the message sizes on which docs/CAPACITY.md is based, and those of messages that must fit
+// into a datagram.
 func TestMessagesStaySmall(t *testing.T) {
 	g := NewWithT(t)
 	in := permit.Group{Service: "model-120b", Index: 3}
 	id := "9c41d07be2a35f68/0"
 	rated := notice.Told{Server: "i-7f3a91c2e4@1765000000000", Draining: true, LeftMs: 90000, Limited: true, Limit: 0.25, AgeMs: 90000}
-	figures := learnt{"model-120b", 25300, 647, 15234, 8123, 151234, 180}
+	figures := engineFigures{"model-120b", 25300, 647, 15234, 8123, 151234, 180}
 	for _, m := range []struct {
 		name  string
 		bytes int
 		message
 	}{
-		{"ask", 150, message{Ask: &ask{in, permit.Ask{ID: id, Rank: 7, Own: 6610, Part: "5c1e07a291bd", Shared: 5382, Output: 330,
+		{"ask", 150, message{PermitRequest: &permitRequest{in, permit.Ask{ID: id, Rank: 7, Own: 6610, Part: "5c1e07a291bd", Shared: 5382, Output: 330,
 			Target: 2400 * time.Millisecond, Gap: 800 * time.Millisecond, Limit: 9 * time.Second, Deadline: 15 * time.Second,
 			FailureDomain: "barrage-hall"}}}},
-		{"answer", 80, message{Answer: &permit.Answer{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", Backlog: 120000}}},
+		{"answer", 80, message{PermitAnswer: &permit.Answer{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", Backlog: 120000}}},
 		{"first token", 60, message{FirstToken: &firstToken{Group: in, ID: id, Took: 180 * time.Millisecond}}},
-		{"end", 75, message{End: &end{in, id, permit.Stream{Events: 64, Took: 5 * time.Second, Longest: 150 * time.Millisecond}}}},
-		{"heartbeat", 45, message{Beat: &beat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
-		{"heartbeat with figures", 230, message{Beat: &beat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Learnt: []learnt{figures, figures, figures}}}},
-		{"suspect", 120, message{Requests: suspects(1, 1)}},
-		{"strong suspect", 240, message{Requests: suspects(1, 3)}},
+		{"end", 75, message{End: &requestEnd{in, id, permit.Stream{Events: 64, Took: 5 * time.Second, Longest: 150 * time.Millisecond}}}},
+		{"heartbeat", 45, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
+		{"heartbeat with figures", 230, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Learnt: []engineFigures{figures, figures, figures}}}},
+		{"suspect", 120, message{Suspects: suspects(1, 1)}},
+		{"strong suspect", 240, message{Suspects: suspects(1, 3)}},
 		{"notice", 80, message{Notices: []notice.Told{rated}}},
 		{"loan", 80, message{Loans: []notice.Told{rated}}},
-		{"a datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Told{rated}, noticesInDatagram)}},
+		{"a datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Told{rated}, noticesPerDatagram)}},
 	} {
 		data, err := msgpack.Marshal(m.message)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -204,7 +204,7 @@
 	}
 }
 
-// suspects are so many requests that each ended so many servers, as they are told.
+// suspects returns the given number of suspected requests, each of which has ended the given number of servers.
 func suspects(requests, ends int) []quarantine.Told {
 	l, now := quarantine.New(), time.Unix(1000, 0)
 	for i := range requests {
@@ -217,83 +217,83 @@
 	return l.All(now.Add(time.Minute))
 }
 
-func TestWhatIsToldOfRequestsFitsIntoDatagrams(t *testing.T) {
+func TestSuspectBatchesFitIntoDatagrams(t *testing.T) {
 	g := NewWithT(t)
-	told := 0
+	total := 0
 	for _, ends := range []int{1, 3, 12} {
-		for _, batch := range batches(suspects(100, ends)) {
-			data, err := msgpack.Marshal(message{Requests: batch})
+		for _, batch := range suspectBatches(suspects(100, ends)) {
+			data, err := msgpack.Marshal(message{Suspects: batch})
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(len(data)).To(BeNumerically("<=", 1200))
-			told += len(batch)
+			total += len(batch)
 		}
 	}
-	g.Expect(told).To(Equal(300))
+	g.Expect(total).To(Equal(300))
 }
 
-func TestAFindingOfOthersConfirmsOnlyTheSameState(t *testing.T) {
+func TestRemoteReportConfirmsOnlySameState(t *testing.T) {
 	g := NewWithT(t)
-	f, now := findings{}, time.Unix(100, 0)
-	f.find("t", 7, now, now)
-	g.Expect(f.own(now)).To(HaveLen(1))
-	f.hear(finding{"t", 7, 100, 5000}, at(9), now.Add(time.Second))
-	g.Expect(f.topic("t").confirmed()).To(Equal(now.Add(900 * time.Millisecond)))
-	g.Expect(f.topic("t").heard.since).To(Equal(now.Add(-4 * time.Second)))
-	g.Expect(f.own(now.Add(time.Second))).To(BeEmpty()) // another tells it
+	f, now := topicStates{}, time.Unix(100, 0)
+	f.record("t", 7, now, now)
+	g.Expect(f.reports(now)).To(HaveLen(1))
+	f.receive(stateReport{"t", 7, 100, 5000}, at(9), now.Add(time.Second))
+	g.Expect(f.topic("t").confirmedAt()).To(Equal(now.Add(900 * time.Millisecond)))
+	g.Expect(f.topic("t").remote.since).To(Equal(now.Add(-4 * time.Second)))
+	g.Expect(f.reports(now.Add(time.Second))).To(BeEmpty()) // another gateway reports it
 	changed := f.topic("t").changed
-	f.hear(finding{"t", 8, 0, 0}, at(9), now.Add(2*time.Second))
+	f.receive(stateReport{"t", 8, 0, 0}, at(9), now.Add(2*time.Second))
 	g.Expect(changed).To(BeClosed())
-	g.Expect(f.topic("t").confirmed()).To(Equal(now))
-	f.hear(finding{"t", 7, 1500, 0}, at(9), now.Add(2*time.Second)) // older than what was heard
-	g.Expect(f.topic("t").heard.state).To(BeEquivalentTo(8))
+	g.Expect(f.topic("t").confirmedAt()).To(Equal(now))
+	f.receive(stateReport{"t", 7, 1500, 0}, at(9), now.Add(2*time.Second)) // older than the previous report
+	g.Expect(f.topic("t").remote.state).To(BeEquivalentTo(8))
 }
 
-// A version is newer than another whenever it was read: one that was read long ago over a slow
-// link is heard of, and the fresh word of a gateway that is behind neither confirms anything nor
-// hides the newer one.
-func TestAHigherVersionIsNewerWheneverItWasRead(t *testing.T) {
+// Guards against missing a higher version that was read earlier over a slow link, and against
+// recent reports of a gateway with an older version, which must neither confirm this gateway's
+// version nor replace the higher one.
+func TestHigherVersionIsNewerRegardlessOfReadTime(t *testing.T) {
 	g := NewWithT(t)
-	f, now := findings{}, time.Unix(100, 0)
+	f, now := topicStates{}, time.Unix(100, 0)
 	f.topic("t").versioned = true
-	f.find("t", 7, now, now)
+	f.record("t", 7, now, now)
 	changed := f.topic("t").changed
-	f.hear(finding{"t", 8, 3000, 0}, at(2), now.Add(time.Second)) // read before 7 was
+	f.receive(stateReport{"t", 8, 3000, 0}, at(2), now.Add(time.Second)) // read earlier than 7
 	g.Expect(changed).To(BeClosed())
 	g.Expect(f.topic("t").outdated()).To(BeTrue())
-	g.Expect(f.topic("t").confirmed()).To(Equal(now))
+	g.Expect(f.topic("t").confirmedAt()).To(Equal(now))
 
-	f.hear(finding{"t", 7, 0, 0}, at(3), now.Add(2*time.Second)) // behind
-	g.Expect(f.topic("t").heard.state).To(BeEquivalentTo(8))
-	g.Expect(f.topic("t").heard.from).To(Equal(at(2)))
-	g.Expect(f.topic("t").confirmed()).To(Equal(now))
+	f.receive(stateReport{"t", 7, 0, 0}, at(3), now.Add(2*time.Second)) // from a gateway with an older version
+	g.Expect(f.topic("t").remote.state).To(BeEquivalentTo(8))
+	g.Expect(f.topic("t").remote.from).To(Equal(at(2)))
+	g.Expect(f.topic("t").confirmedAt()).To(Equal(now))
 
-	f.find("t", 9, now.Add(2*time.Second), now)
-	f.hear(finding{"t", 8, 0, 0}, at(2), now.Add(3*time.Second))
+	f.record("t", 9, now.Add(2*time.Second), now)
+	f.receive(stateReport{"t", 8, 0, 0}, at(2), now.Add(3*time.Second))
 	g.Expect(f.topic("t").outdated()).To(BeFalse())
-	g.Expect(f.topic("t").confirmed()).To(Equal(now.Add(2 * time.Second)))
+	g.Expect(f.topic("t").confirmedAt()).To(Equal(now.Add(2 * time.Second)))
 }
 
-// A state that was fetched from another gateway is not told on to all.
-func TestWhatAnotherToldIsNoNews(t *testing.T) {
+// Guards against reporting a state that was fetched from another gateway, which reports it itself.
+func TestStateFromPeerIsNotReportedAgain(t *testing.T) {
 	g := NewWithT(t)
-	f, now := findings{}, time.Unix(100, 0)
+	f, now := topicStates{}, time.Unix(100, 0)
 	f.topic("t").versioned = true
-	f.hear(finding{"t", 8, 0, 0}, at(2), now)
-	f.find("t", 8, now, now)
-	g.Expect(f.news).To(BeFalse())
-	f.find("t", 9, now.Add(time.Second), now)
-	g.Expect(f.news).To(BeTrue())
+	f.receive(stateReport{"t", 8, 0, 0}, at(2), now)
+	f.record("t", 8, now, now)
+	g.Expect(f.unsent).To(BeFalse())
+	f.record("t", 9, now.Add(time.Second), now)
+	g.Expect(f.unsent).To(BeTrue())
 }
 
 var _ = Describe("gateways on one network", func() {
 	open := func(host string) (*Peers, context.CancelFunc) {
-		p, err := Open(host, "127.0.0.1:0", Capacity{Cores: 0.3}, local{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		p, err := Open(host, "127.0.0.1:0", Capacity{Cores: 0.3}, fakeGateway{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
-		var duty sync.WaitGroup
-		duty.Go(func() { p.Run(ctx) })
-		DeferCleanup(func() { cancel(); duty.Wait() })
-		return p, func() { cancel(); duty.Wait() }
+		var running sync.WaitGroup
+		running.Go(func() { p.Run(ctx) })
+		DeferCleanup(func() { cancel(); running.Wait() })
+		return p, func() { cancel(); running.Wait() }
 	}
 	live := func(p *Peers) func() int {
 		return func() int {
@@ -306,46 +306,46 @@
 		return permit.Ask{ID: id, Own: 20000, Target: 2 * time.Second, Limit: 8 * time.Second}
 	}
 
-	It("learn of each other, and of one that leaves", func() {
+	It("discover each other and notice one that leaves", func() {
 		a, _ := open("a")
 		b, _ := open("b")
-		a.List([]Member{b.Self()}) // b learns of a from its heartbeat
+		a.List([]Member{b.Self()}) // b discovers a from its heartbeat
 		Eventually(live(a)).Should(Equal(2))
 		Eventually(live(b)).Should(Equal(2))
-		b.Leave()
+		b.AnnounceLeave()
 		Eventually(live(a)).Should(Equal(1))
 	})
 
-	It("tell each other what they have learnt of engines", func() {
+	It("exchange the figures that they have learnt of engines", func() {
 		a, _ := open("a")
 		ctx := context.Background()
 		for i := range 300 {
 			r := request(fmt.Sprint("r", i))
 			r.Own = 1000 + 10*i
-			answer, leave := a.Ask(ctx, group, r)
+			answer, permitted := a.Ask(ctx, group, r)
 			Expect(answer.Verdict).To(Equal(permit.Granted))
-			leave.FirstToken(time.Duration(r.Own) * 100 * time.Microsecond) // 10 tokens a ms
-			leave.End(permit.Stream{})
+			permitted.FirstToken(time.Duration(r.Own) * 100 * time.Microsecond) // 10 tokens a ms
+			permitted.End(permit.Stream{})
 		}
 		b, _ := open("b")
 		a.List([]Member{b.Self()})
-		told := func() time.Duration {
-			f, _ := b.told("s")
+		read := func() time.Duration {
+			f, _ := b.learntByPeers("s")
 			return f.Read
 		}
-		Eventually(told, 3*time.Second).Should(BeNumerically("~", 100*time.Millisecond, 20*time.Millisecond))
-		_, known := b.told("other")
+		Eventually(read, 3*time.Second).Should(BeNumerically("~", 100*time.Millisecond, 20*time.Millisecond))
+		_, known := b.learntByPeers("other")
 		Expect(known).To(BeFalse())
 	})
 
-	It("decide for each other, one prompt after the other", func() {
+	It("grant permits of one group one prompt at a time", func() {
 		a, _ := open("a")
 		b, _ := open("b")
 		a.List([]Member{b.Self()})
 		Eventually(live(a)).Should(Equal(2))
 		Eventually(live(b)).Should(Equal(2))
 		ctx := context.Background()
-		first, leave := a.Ask(ctx, group, request("r1"))
+		first, permitted := a.Ask(ctx, group, request("r1"))
 		Expect(first.Verdict).To(Equal(permit.Granted))
 		second := make(chan permit.Answer, 1)
 		go func() {
@@ -353,11 +353,11 @@
 			second <- answer
 		}()
 		Consistently(second, 150*time.Millisecond).ShouldNot(Receive())
-		leave.FirstToken(time.Second)
+		permitted.FirstToken(time.Second)
 		Eventually(second).Should(Receive(HaveField("Verdict", permit.Granted)))
 	})
 
-	It("go on when the one that decides is gone", func() {
+	It("grant permits when the home has terminated", func() {
 		a, _ := open("a")
 		b, stopB := open("b")
 		a.List([]Member{b.Self()})
@@ -369,7 +369,7 @@
 		}
 	})
 
-	It("do not keep the place of a request that is given up", func() {
+	It("refuse a queued request when its context is cancelled", func() {
 		a, _ := open("a")
 		_, _ = a.Ask(context.Background(), group, request("r1"))
 		ctx, cancel := context.WithCancel(context.Background())
@@ -383,15 +383,15 @@
 		Eventually(done).Should(Receive(HaveField("Verdict", permit.Refused)))
 	})
 
-	It("tell the others what they have read", func() {
+	It("report the states that they have read", func() {
 		a, _ := open("a")
 		b, _ := open("b")
 		a.List([]Member{b.Self()})
 		Eventually(live(b)).Should(Equal(2))
 		b.Find("topic", 1, time.Now(), time.Now())
 		_, changed := b.Confirmed("topic")
-		// Later by more than a datagram is under way: by when it is heard and its age in whole ms,
-		// what b has told could else look newer to a.
+		// The offset exceeds the delivery time of a datagram. Without it, b's state could look newer to a,
+		// which derives its time from the time of receipt and an age in whole milliseconds.
 		a.Find("topic", 2, time.Now().Add(500*time.Millisecond), time.Now())
 		Eventually(changed, 2*time.Second).Should(BeClosed())
 	})
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -9,109 +9,111 @@
 )
 
 const (
-	// answerTimeout bounds the wait for a home's word: a round trip of at most 6 ms
-	// and a process with a seventh of a core. A home that is away costs a request
-	// this twice.
+	// answerTimeout limits the wait for the answer of a home. It allows for a round trip of up to
+	// 6 ms and a home process on a seventh of a core. An unreachable home delays a request by
+	// maxMissedAnswers+1 time-outs.
 	answerTimeout = 80 * time.Millisecond
-	// askAgain is how often a queued ask is repeated, in case its grant was lost or the
-	// home has ended. With some hundred asks waiting at a home on a seventh of a core,
-	// four repeats a second took most of its processor.
-	askAgain = time.Second
-	// maxSilence is how many answers may be missing before a home counts as down.
-	maxSilence = 2
-	// maxHomes bounds the homes that are tried in turn.
-	maxHomes = 2
+	// queuedRetryInterval is the interval at which a queued permit request is repeated, in case its
+	// grant was lost or the home has terminated. At four repeats a second, about a hundred queued
+	// requests took most of the processor time of a home on a seventh of a core.
+	queuedRetryInterval = time.Second
+	// maxMissedAnswers is the number of answers in a row that may be missing before a home counts as down.
+	maxMissedAnswers = 2
+	// maxHomeAttempts is the number of homes that are tried in turn.
+	maxHomeAttempts = 2
 )
 
-// Leave is a permit that was granted. The zero Leave was granted by nobody.
-type Leave struct {
+// Permit is permission to send a request to an engine. The zero Permit was granted without a home, and its methods
+// do nothing.
+type Permit struct {
 	peers *Peers
 	home  netip.AddrPort
 	group permit.Group
 	id    string
 }
 
-// FirstToken tells the home that the prompt has been read, and how long after it was sent
-// the first event came.
-func (l Leave) FirstToken(took time.Duration) {
-	if l.peers != nil {
-		l.peers.send(message{FirstToken: &firstToken{Group: l.group, ID: l.id, Took: took}}, l.home)
+// FirstToken reports to the home that the prompt has been read. Took is the time from sending the
+// request to its first event.
+func (t Permit) FirstToken(took time.Duration) {
+	if t.peers != nil {
+		t.peers.send(message{FirstToken: &firstToken{Group: t.group, ID: t.id, Took: took}}, t.home)
 	}
 }
 
-// End tells the home that the request has ended, and what was seen of its answer.
-func (l Leave) End(s permit.Stream) {
-	if l.peers != nil {
-		l.peers.send(message{End: &end{Group: l.group, ID: l.id, Stream: s}}, l.home)
+// End reports to the home that the request has ended, with the statistics of its answer.
+func (t Permit) End(s permit.Stream) {
+	if t.peers != nil {
+		t.peers.send(message{End: &requestEnd{Group: t.group, ID: t.id, Stream: s}}, t.home)
 	}
 }
 
-// Ask asks the group's home for leave to send a request and waits while the ask is
-// queued. Where no home answers, the request may be sent: the answer is then Granted
-// without an engine and with a zero Leave. When ctx ends, the answer is Refused.
-func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Answer, Leave) {
+// Ask asks the group's home for permission to send a request, and waits while the permit request is
+// queued. If no home answers, the request may be sent: the answer is then Granted without an
+// engine, and the Permit is zero. When ctx is done, the answer is Refused.
+func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Answer, Permit) {
 	ch := make(chan permit.Answer, 1)
 	p.mu.Lock()
-	p.waiting[a.ID] = ch
+	p.pendingPermits[a.ID] = ch
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.waiting, a.ID)
+		delete(p.pendingPermits, a.ID)
 		p.mu.Unlock()
 	}()
 	start := time.Now()
-	for range maxHomes {
+	for range maxHomeAttempts {
 		p.mu.Lock()
 		home := p.members.home(group.Key(), time.Now()).Address
 		p.mu.Unlock()
-		answer, present := p.askHome(ctx, home, question{group, a, start}, ch)
-		if present {
+		answer, answered := p.requestFromHome(ctx, home, pendingRequest{group, a, start}, ch)
+		if answered {
 			if answer.Verdict != permit.Granted {
-				return answer, Leave{}
+				return answer, Permit{}
 			}
-			return answer, Leave{p, home, group, a.ID}
+			return answer, Permit{p, home, group, a.ID}
 		}
 		p.mu.Lock()
-		p.members.silent(home, time.Now())
+		p.members.markUnresponsive(home, time.Now())
 		p.mu.Unlock()
 	}
-	return permit.Answer{ID: a.ID, Verdict: permit.Granted}, Leave{}
+	return permit.Answer{ID: a.ID, Verdict: permit.Granted}, Permit{}
 }
 
-// question is an ask with the time at which its times left were true.
-type question struct {
-	group permit.Group
-	ask   permit.Ask
-	asked time.Time
+// pendingRequest is a permit request with the time at which its remaining times were calculated.
+type pendingRequest struct {
+	group       permit.Group
+	request     permit.Ask
+	requestedAt time.Time
 }
 
-// message is the question as it is to be sent now.
-func (q question) message() message {
-	a, elapsed := q.ask, time.Since(q.asked)
+// message returns the request with the remaining times adjusted to now.
+func (q pendingRequest) message() message {
+	a, elapsed := q.request, time.Since(q.requestedAt)
 	a.Target -= elapsed
 	a.Limit = max(a.Limit-elapsed, time.Millisecond)
-	return message{Ask: &ask{q.group, a}}
+	return message{PermitRequest: &permitRequest{q.group, a}}
 }
 
-// askHome asks one home; false when it gives no answer.
-func (p *Peers) askHome(ctx context.Context, home netip.AddrPort, q question, ch <-chan permit.Answer) (permit.Answer, bool) {
+// requestFromHome sends a permit request to a home and waits for the decision. It returns false if the home does
+// not answer.
+func (p *Peers) requestFromHome(ctx context.Context, home netip.AddrPort, q pendingRequest, ch <-chan permit.Answer) (permit.Answer, bool) {
 	p.send(q.message(), home)
-	silent := 0
+	missed := 0
 	timer := time.NewTimer(answerTimeout)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.send(message{End: &end{Group: q.group, ID: q.ask.ID}}, home)
-			return permit.Answer{ID: q.ask.ID, Verdict: permit.Refused}, true
+			p.send(message{End: &requestEnd{Group: q.group, ID: q.request.ID}}, home)
+			return permit.Answer{ID: q.request.ID, Verdict: permit.Refused}, true
 		case answer := <-ch:
 			if answer.Verdict != permit.Queued {
 				return answer, true
 			}
-			silent = 0
-			timer.Reset(askAgain)
+			missed = 0
+			timer.Reset(queuedRetryInterval)
 		case <-timer.C:
-			if silent++; silent > maxSilence {
+			if missed++; missed > maxMissedAnswers {
 				return permit.Answer{}, false
 			}
 			p.send(q.message(), home)
--- a/internal/peers/repeats.go
+++ b/internal/peers/repeats.go
@@ -14,23 +14,23 @@
 	// repeatTimeout limits the wait for another gateway's answer. A later answer is ignored: the lender counted the
 	// repeat when it answered, and a send long after that may fall into another window.
 	repeatTimeout = 50 * time.Millisecond
-	// maxLenders is the number of gateways that are asked for one repeat at most.
+	// maxLenders is the maximum number of gateways that are asked for one repeat.
 	maxLenders = 3
 )
 
-// repeatAsk asks a gateway for a repeated send to a service from its retry budget.
-type repeatAsk struct {
+// repeatRequest asks a gateway for a repeated send to a service from its retry budget.
+type repeatRequest struct {
 	ID      uint64 `msgpack:"i"`
 	Service string `msgpack:"s"`
 }
 
-// repeatAnswer is the reply to the repeatAsk with the same ID.
-type repeatAnswer struct {
+// repeatResponse is the reply to the repeatRequest with the same ID.
+type repeatResponse struct {
 	ID      uint64 `msgpack:"i"`
 	Granted bool   `msgpack:"g,omitempty"`
 }
 
-// BorrowRepeat asks up to maxLenders other gateways, one after the other, to grant a repeated send to a service from
+// BorrowRepeat asks up to maxLenders other gateways, one at a time, to grant a repeated send to a service from
 // their retry budgets, and reports whether one did. Different keys distribute the load over the gateways.
 func (p *Peers) BorrowRepeat(ctx context.Context, service, key string) bool {
 	for _, lender := range p.lenders(key) {
@@ -62,17 +62,17 @@
 func (p *Peers) borrowRepeat(ctx context.Context, service string, lender netip.AddrPort) bool {
 	answer := make(chan bool, 1)
 	p.mu.Lock()
-	p.repeatID++
-	id := p.repeatID
-	p.repeatAsks[id] = answer
+	p.lastRepeatID++
+	id := p.lastRepeatID
+	p.pendingRepeats[id] = answer
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.repeatAsks, id)
+		delete(p.pendingRepeats, id)
 		p.mu.Unlock()
 	}()
 	askedAt := time.Now()
-	p.send(message{RepeatAsk: &repeatAsk{id, service}}, lender)
+	p.send(message{RepeatRequest: &repeatRequest{id, service}}, lender)
 	timer := time.NewTimer(repeatTimeout)
 	defer timer.Stop()
 	select {
@@ -84,17 +84,17 @@
 	return false
 }
 
-// lendRepeat answers a repeatAsk from another gateway.
-func (p *Peers) lendRepeat(ask repeatAsk, from netip.AddrPort) {
-	p.send(message{RepeatAnswer: &repeatAnswer{ask.ID, p.local.LendRepeat(ask.Service)}}, from)
+// lendRepeat answers a repeatRequest from another gateway.
+func (p *Peers) lendRepeat(r repeatRequest, from netip.AddrPort) {
+	p.send(message{RepeatResponse: &repeatResponse{r.ID, p.local.LendRepeat(r.Service)}}, from)
 }
 
 // deliverRepeat delivers an answer to the borrowRepeat call that waits for it.
-func (p *Peers) deliverRepeat(a repeatAnswer) {
+func (p *Peers) deliverRepeat(a repeatResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if ch := p.repeatAsks[a.ID]; ch != nil {
+	if ch := p.pendingRepeats[a.ID]; ch != nil {
 		ch <- a.Granted
-		delete(p.repeatAsks, a.ID)
+		delete(p.pendingRepeats, a.ID)
 	}
 }
--- a/internal/peers/slack_test.go
+++ b/internal/peers/slack_test.go
@@ -13,14 +13,14 @@
 // slackNode is a gateway of a slackFleet.
 type slackNode struct {
 	Member
-	members *members // nil while it is down
-	leaving bool
-	cut     bool      // partitioned from the other gateways, not from the store
-	beatAt  time.Time // when it last sent heartbeats
-	readAt  time.Time // when it last read the store's list
+	members     *members // nil while it is down
+	leaving     bool
+	cut         bool      // partitioned from the other gateways, not from the store
+	heartbeatAt time.Time // time of its last heartbeats
+	listReadAt  time.Time // time of its last read of the store's list
 }
 
-// slackFleet simulates gateways that learn of each other from heartbeats and from the store's list.
+// slackFleet simulates gateways that discover each other by heartbeats and by the store's list.
 type slackFleet struct {
 	rnd    *rand.Rand
 	now    time.Time
@@ -50,20 +50,20 @@
 
 // readList has a gateway read the store's list and send heartbeats to the listed gateways.
 func (f *slackFleet) readList(n *slackNode) {
-	n.readAt = f.now
-	n.members.list(f.listed, f.now)
-	f.sendBeats(n, 0.05)
+	n.listReadAt = f.now
+	n.members.addListed(f.listed, f.now)
+	f.sendHeartbeats(n, 0.05)
 }
 
 // listEvery is the interval at which gateways read the store's list.
 const listEvery = 20 * time.Second
 
-// sendBeats sends a heartbeat to each known gateway; each is lost with probability loss.
-func (f *slackFleet) sendBeats(n *slackNode, loss float64) {
-	n.beatAt = f.now
+// sendHeartbeats sends a heartbeat to each known gateway; each is lost with probability loss.
+func (f *slackFleet) sendHeartbeats(n *slackNode, loss float64) {
+	n.heartbeatAt = f.now
 	for _, other := range f.nodes {
 		if other.members != nil && !other.cut && !n.cut && n.members.known[other.Host] != nil && f.rnd.Float64() >= loss {
-			other.members.beat(n.Member, n.leaving, f.now)
+			other.members.recordHeartbeat(n.Member, n.leaving, f.now)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 		f.start(n)
 	case kind == 3:
 		n.leaving = true
-		f.sendBeats(n, 0)
+		f.sendHeartbeats(n, 0)
 	case kind == 4:
 		n.cut = !n.cut
 	case kind == 5:
@@ -94,11 +94,11 @@
 func (f *slackFleet) step() {
 	f.now = f.now.Add(500 * time.Millisecond)
 	for _, n := range f.nodes {
-		if n.members != nil && f.now.Sub(n.readAt) >= listEvery {
+		if n.members != nil && f.now.Sub(n.listReadAt) >= listEvery {
 			f.readList(n)
 		}
-		if n.members != nil && f.now.Sub(n.beatAt) >= n.members.beatEvery() {
-			f.sendBeats(n, 0.05)
+		if n.members != nil && f.now.Sub(n.heartbeatAt) >= n.members.heartbeatInterval() {
+			f.sendHeartbeats(n, 0.05)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 		if n.members == nil || n.leaving {
 			continue
 		}
-		if sharing := n.members.sharingSlack(f.now); sharing > 0 {
+		if sharing := n.members.slackSharers(f.now); sharing > 0 {
 			sum += 1 / float64(sharing)
 		}
 	}
@@ -118,7 +118,7 @@
 }
 
 // Guards against gateways that together use more than the slack of a service.
-func TestAllGatewaysTogetherUseNoMoreThanTheSlack(t *testing.T) {
+func TestGatewaysTogetherStayWithinSlack(t *testing.T) {
 	for size, seeds := range map[int]uint64{4: 100, 22: 30, 390: 1} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			most := 0.0
@@ -146,7 +146,7 @@
 }
 
 // Guards against permanently losing the share of a gateway that does not return.
-func TestTheSlackOfAGoneGatewayIsRedistributed(t *testing.T) {
+func TestSlackOfLostGatewayIsRedistributed(t *testing.T) {
 	f := &slackFleet{rnd: rand.New(rand.NewPCG(1, 1)), now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
 	for range 4 {
 		f.start(f.add())
@@ -155,13 +155,13 @@
 	for range 60 {
 		f.step()
 	}
-	if n := f.nodes[0].members.sharingSlack(f.now); n != 4 {
-		t.Fatalf("%d gateways are counted 30 s after one fell silent, want 4", n)
+	if n := f.nodes[0].members.slackSharers(f.now); n != 4 {
+		t.Fatalf("%d gateways are counted 30 s after the last heartbeat of one, want 4", n)
 	}
 	for range 2 * 3600 {
 		f.step()
 	}
-	if n := f.nodes[0].members.sharingSlack(f.now); n != 3 {
-		t.Fatalf("%d gateways are counted an hour after one fell silent, want 3", n)
+	if n := f.nodes[0].members.slackSharers(f.now); n != 3 {
+		t.Fatalf("%d gateways are counted an hour after the last heartbeat of one, want 3", n)
 	}
 }
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -208,7 +208,7 @@
 }
 
 // LeaveNode has a gateway announce that it is about to stop. It keeps serving until it is killed.
-func (f *Fleet) LeaveNode(n *Node) { n.at.Load().peers.Leave() }
+func (f *Fleet) LeaveNode(n *Node) { n.at.Load().peers.AnnounceLeave() }
 
 // StartServer starts a server as another start under its ID, at another address, and lists it.
 func (f *Fleet) StartServer(s *Server) {
