--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -313,7 +313,7 @@
 	defer cancel()
 	resp, err := g.pool.Do(ctx, server.Address, g.outgoing(q, server, choice.FetchFrom, rel))
 	var result outcome
-	var said *notice.Said
+	var said *notice.Statement
 	if err != nil {
 		result, err = g.failedExchange(ctx, b, err)
 	} else {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -83,7 +83,7 @@
 		s := b.Server()
 		if !g.notices.Draining(s.Start()) {
 			out = append(out, placement.Candidate{Backend: b, Server: s, View: b.View(now), Tried: tried[s.Start()],
-				Rests: g.notices.RestsFor(s.Start(), now)})
+				Rests: g.notices.BackoffRemaining(s.Start(), now)})
 		}
 	}
 	return out
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -56,5 +56,5 @@
 	// Load is nil when the server did not tell it.
 	Load *registry.Load
 	// Said is what the server says of itself; nil where the answer is not its word.
-	Said *notice.Said
+	Said *notice.Statement
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,7 +66,7 @@
 	failureLines decisionlog.Limiter
 	ends         endChecks
 	ledger       *quarantine.Ledger
-	notices      *notice.Board
+	notices      *notice.Registry
 	trials       Trials // nil: this gateway is alone
 
 	mu      sync.Mutex
@@ -92,7 +92,7 @@
 		ends:    endChecks{byStart: map[string]*endCheck{}, unclear: map[string][]brokenRun{}},
 		ledger:  quarantine.New(),
 	}
-	g.notices = notice.NewBoard(ratelimit.New(g.draw), g.noticed)
+	g.notices = notice.NewRegistry(ratelimit.New(g.draw), g.noticed)
 	servers.OnRestart(g.pool.Forget)
 	servers.OnEnd(g.startEnded)
 	g.settings.Store(&set)
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -14,12 +14,12 @@
 
 // heard takes in what an answer says of its server, and returns it for the decision line; nil for
 // nothing. The request was sent at a time.
-func (g *Gateway) heard(server registry.Server, said *notice.Said, sent time.Time) *notice.Said {
+func (g *Gateway) heard(server registry.Server, said *notice.Statement, sent time.Time) *notice.Statement {
 	if said == nil {
 		return nil
 	}
 	now := g.now()
-	g.notices.Heard(server.Start(), *said, sent, now)
+	g.notices.RecordAnswer(server.Start(), *said, sent, now)
 	for _, kind := range said.Kinds() {
 		telemetry.Count("merlinpost_server_notices_total", "service", server.Service, "kind", string(kind))
 	}
@@ -29,7 +29,7 @@
 			g.logger.Warn("notice of a backend server can't be read", "server", server.Start(), "kind", string(kind))
 		}
 	}
-	if said.Silent() {
+	if said.Empty() {
 		return nil
 	}
 	return said
@@ -80,7 +80,7 @@
 	q.standing = q.standing[:0]
 	for _, b := range g.servers.Ready(q.service) {
 		server := b.Server()
-		for _, s := range g.notices.Standing(server.Start(), now) {
+		for _, s := range g.notices.Active(server.Start(), now) {
 			if len(q.standing) < maxStanding {
 				q.standing = append(q.standing, s)
 			}
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -152,7 +152,7 @@
 		r := started(2)
 		d := &decider{answers: []permit.Answer{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
 		d.during = func() {
-			r.gateway.Notices().Told(notice.Told{Server: "i-0", Draining: true}, "edge-b", time.Now())
+			r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
@@ -163,7 +163,7 @@
 
 	It("still holds parts of prompts that others may fetch", func() {
 		r := started(2)
-		r.gateway.Notices().Told(notice.Told{Server: "i-0", Draining: true}, "edge-b", time.Now())
+		r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		open := map[string]bool{}
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
 			open[e.ID] = e.Open
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -54,7 +54,7 @@
 }
 
 // Notices returns what the gateway knows that servers say of themselves.
-func (g *Gateway) Notices() *notice.Board { return g.notices }
+func (g *Gateway) Notices() *notice.Registry { return g.notices }
 
 // Engines lists the members of a group of engines as this gateway knows them. That this
 // gateway can't reach one says nothing for the others, who tell which engines failed them.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -44,7 +44,7 @@
 	repeatAt time.Time
 	asks     int // for leave, so far
 	// standing is what was known of the service's servers when one was chosen.
-	standing []notice.Standing
+	standing []notice.ActiveNotice
 	// identity is set when it is first asked for; see id.
 	identity *quarantine.ID
 }
@@ -78,7 +78,7 @@
 	// Ended is whether the server has ended, where its connection broke.
 	Ended bool `json:"ended,omitempty"`
 	// Said is what the server said of itself, nil for nothing.
-	Said *notice.Said `json:"said,omitempty"`
+	Said *notice.Statement `json:"said,omitempty"`
 	// Repeat is the retry budget's decision on repeating this send, nil if the budget was not consulted.
 	Repeat *retrybudget.Decision `json:"repeat,omitempty"`
 }
--- a/internal/notice/days_test.go
+++ b/internal/notice/days_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// Whole fleets in simulated time run without the race detector, whose own runtime fails in some runs of
-// them.
+// Excluded under the race detector, whose runtime fails in some simulations of whole fleets in synthetic
+// time.
 
 package notice_test
 
@@ -23,65 +23,67 @@
 )
 
 const (
-	dayLength = 16 * time.Second
-	// contact is the time after which the whole fleet must know what a server has said.
-	contact = 3 * time.Second
-	// window is the span in which arrivals are counted.
+	scenarioDuration = 16 * time.Second
+	// propagationTime is the time after which all gateways must know a notice.
+	propagationTime = 3 * time.Second
+	// window is the period over which arrivals are counted.
 	window = 4 * time.Second
-	// longestRefusal is half of the time that callers wait.
-	longestRefusal = 2500 * time.Millisecond
-	// leaveWithin is the time after which a gateway that was told that a server leaves sends it nothing.
-	leaveWithin = 2 * time.Second
-	// From restKnown after a refusal with a rest to the end of that, a gateway may send mostInRest requests.
-	restKnown, mostInRest = 500 * time.Millisecond, 2
+	// maxRefusalTime is half of the time that callers wait.
+	maxRefusalTime = 2500 * time.Millisecond
+	// drainGrace is the time after which a gateway that has received a draining notice must send the server
+	// no requests.
+	drainGrace = 2 * time.Second
+	// A gateway may send maxDuringBackoff requests from backoffGrace after a refusal with a backoff until
+	// the backoff ends.
+	backoffGrace, maxDuringBackoff = 500 * time.Millisecond, 2
 )
 
-// day is a drawn day of servers that state rates, and of what happens to gateways meanwhile.
-type day struct {
+// scenario describes a simulated run: the notices of servers and the faults of gateways.
+type scenario struct {
 	route             string
 	gateways, servers int
 	rate              float64
-	// limited servers state the rate from limitAt on, and no longer from liftAt on.
-	limited         int
-	limitAt, liftAt time.Duration
-	// leaving servers say from leaveAt on that they leave, while the list calls them ready; 0 for none.
-	leaving int
-	leaveAt time.Duration
-	// resting servers turn requests away for refuseFor from refuseAt on and want nothing for rest; 0 for none.
-	resting             int
-	refuseAt, refuseFor time.Duration
-	rest                time.Duration
-	every               time.Duration // between two requests
-	// uneven callers all come to one gateway.
-	uneven bool
-	faults []fault
+	// limitedServers servers state the rate from limitFrom until limitUntil.
+	limitedServers        int
+	limitFrom, limitUntil time.Duration
+	// drainingServers servers state from drainFrom on that they are draining, while the list has them as ready.
+	drainingServers int
+	drainFrom       time.Duration
+	// backoffServers servers refuse requests from refuseFrom on for refuseFor, and state the backoff.
+	backoffServers        int
+	refuseFrom, refuseFor time.Duration
+	backoff               time.Duration
+	requestInterval       time.Duration // time between requests
+	// oneGateway sends all requests to the first gateway.
+	oneGateway bool
+	faults     []fault
 }
 
-// fault is something that happens to gateways.
+// fault is a failure or membership change of a gateway.
 type fault struct {
-	at, lasts time.Duration
-	kind      string
-	node      int
+	at, duration time.Duration
+	kind         string
+	node         int
 }
 
-var faultKinds = []string{"kill", "cut off", "two sides", "join", "store away"}
+var faultKinds = []string{"kill", "partition one", "partition in two", "join", "store partition"}
 
-func drawDay(t *rapid.T) day {
+func drawScenario(t *rapid.T) scenario {
 	ms := func(from, to int, what string) time.Duration {
 		return time.Duration(rapid.IntRange(from, to).Draw(t, what)) * time.Millisecond
 	}
-	d := day{route: rapid.SampledFrom([]string{"once", "again", "stream", "resume"}).Draw(t, "route"),
+	d := scenario{route: rapid.SampledFrom([]string{"once", "again", "stream", "resume"}).Draw(t, "route"),
 		gateways: rapid.IntRange(1, 5).Draw(t, "gateways"), servers: rapid.IntRange(1, 8).Draw(t, "servers"),
-		rate:    rapid.SampledFrom([]float64{0, 0.2, 1, 4, 60}).Draw(t, "rate"),
-		limitAt: ms(500, 3000, "limit at"), liftAt: ms(9000, 20000, "lift at"),
-		every: ms(4, 60, "every"), uneven: rapid.Bool().Draw(t, "uneven")}
-	d.limited = rapid.IntRange(1, d.servers).Draw(t, "limited")
+		rate:      rapid.SampledFrom([]float64{0, 0.2, 1, 4, 60}).Draw(t, "rate"),
+		limitFrom: ms(500, 3000, "limit at"), limitUntil: ms(9000, 20000, "lift at"),
+		requestInterval: ms(4, 60, "every"), oneGateway: rapid.Bool().Draw(t, "uneven")}
+	d.limitedServers = rapid.IntRange(1, d.servers).Draw(t, "limited")
 	if rapid.Bool().Draw(t, "leave") {
-		d.leaving, d.leaveAt = rapid.IntRange(1, d.servers).Draw(t, "leaving"), ms(500, 9000, "leave at")
+		d.drainingServers, d.drainFrom = rapid.IntRange(1, d.servers).Draw(t, "leaving"), ms(500, 9000, "leave at")
 	}
 	if rapid.Bool().Draw(t, "rest") {
-		d.resting, d.refuseAt, d.refuseFor = rapid.IntRange(1, d.servers).Draw(t, "resting"), ms(500, 9000, "refuse at"), ms(50, 2000, "refuse for")
-		d.rest = ms(1000, 6000, "rest for")
+		d.backoffServers, d.refuseFrom, d.refuseFor = rapid.IntRange(1, d.servers).Draw(t, "resting"), ms(500, 9000, "refuse at"), ms(50, 2000, "refuse for")
+		d.backoff = ms(1000, 6000, "rest for")
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "faults") {
 		d.faults = append(d.faults, fault{ms(500, 12000, "at"), ms(200, 8000, "lasts"), rapid.SampledFrom(faultKinds).Draw(t, "kind"),
@@ -90,62 +92,62 @@
 	return d
 }
 
-// played is a day as it goes.
-type played struct {
+// scenarioRun is the state of a running scenario.
+type scenarioRun struct {
 	*simfleet.Fleet
-	day
+	scenario
 	begin time.Time
 
 	mu      sync.Mutex
 	replies map[string]simfleet.Reply
-	asked   map[string]time.Time
+	sentAt  map[string]time.Time
 }
 
-// ask sends requests at a pace.
-func (p *played) ask() {
+// sendRequests sends requests at the scenario's interval until its end.
+func (p *scenarioRun) sendRequests() {
 	rnd := rand.New(rand.NewPCG(5, 5))
-	var asked sync.WaitGroup
-	for i := 0; time.Since(p.begin) < dayLength; i++ {
+	var pending sync.WaitGroup
+	for i := 0; time.Since(p.begin) < scenarioDuration; i++ {
 		n := p.Nodes[rnd.IntN(p.gateways)]
-		if p.uneven {
+		if p.oneGateway {
 			n = p.Nodes[0]
 		}
-		if n.Gateway().Ready() { // as the balancer sees it
+		if n.Gateway().Ready() { // as checked by the load balancer
 			id := fmt.Sprintf("%s/%s-%d", n.Name, p.route, i)
-			asked.Go(func() {
+			pending.Go(func() {
 				at := time.Now()
 				r := p.Ask(n, p.route, id, "body of "+id)
 				p.mu.Lock()
-				p.replies[id], p.asked[id] = r, at
+				p.replies[id], p.sentAt[id] = r, at
 				p.mu.Unlock()
 			})
 		}
-		time.Sleep(p.every)
+		time.Sleep(p.requestInterval)
 	}
-	asked.Wait()
+	pending.Wait()
 }
 
-// speak has servers say of themselves what the day has them say.
-func (p *played) speak() {
+// setNotices makes servers state the scenario's notices.
+func (p *scenarioRun) setNotices() {
 	step := 10 * time.Millisecond
 	refusing := false
-	for now := time.Duration(0); now < dayLength; now += step {
+	for now := time.Duration(0); now < scenarioDuration; now += step {
 		for i, s := range p.Servers {
 			var lines []string
-			if i < p.limited && now >= p.limitAt && now < p.liftAt {
+			if i < p.limitedServers && now >= p.limitFrom && now < p.limitUntil {
 				lines = append(lines, "Server-Limit: "+strconv.FormatFloat(p.rate, 'g', -1, 64))
 			}
-			if p.leaves(i) && now >= p.leaveAt {
+			if p.draining(i) && now >= p.drainFrom {
 				lines = append(lines, "Server-Leaving: 1")
 			}
 			p.Running(s).Say(lines...)
 		}
-		if refuse := now >= p.refuseAt && now < p.refuseAt+p.refuseFor; p.resting > 0 && refuse != refusing {
+		if refuse := now >= p.refuseFrom && now < p.refuseFrom+p.refuseFor; p.backoffServers > 0 && refuse != refusing {
 			refusing = refuse
 			p.SetPace(0)
-			for _, s := range p.Servers[:p.resting] {
+			for _, s := range p.Servers[:p.backoffServers] {
 				if refuse {
-					p.Running(s).Behave(worker.Behaviour{Refuse: true, RetryAfter: strconv.FormatFloat(p.rest.Seconds(), 'f', 3, 64)})
+					p.Running(s).Behave(worker.Behaviour{Refuse: true, RetryAfter: strconv.FormatFloat(p.backoff.Seconds(), 'f', 3, 64)})
 				}
 			}
 		}
@@ -153,43 +155,43 @@
 	}
 }
 
-// leaves reports whether a server leaves: those at the end of the list do.
-func (p *played) leaves(i int) bool { return i >= p.servers-p.leaving }
+// draining reports whether a server is draining in the scenario: the last drainingServers are.
+func (p *scenarioRun) draining(i int) bool { return i >= p.servers-p.drainingServers }
 
-// suffer plays one fault.
-func (p *played) suffer(f fault) {
+// injectFault injects one fault and waits until it is over.
+func (p *scenarioRun) injectFault(f fault) {
 	p.Pause(f.at)
 	n := p.Nodes[f.node]
 	switch f.kind {
 	case "kill":
 		p.KillNode(n)
 		p.StartNode(n)
-	case "cut off", "two sides":
-		apart := func(i int) bool { return f.kind == "two sides" && i <= f.node || i == f.node }
-		p.part(apart, true)
-		p.Pause(f.lasts)
-		p.part(apart, false)
+	case "partition one", "partition in two":
+		isolated := func(i int) bool { return f.kind == "partition in two" && i <= f.node || i == f.node }
+		p.partition(isolated, true)
+		p.Pause(f.duration)
+		p.partition(isolated, false)
 	case "join":
 		p.AddNode(fmt.Sprint("joined-", f.at))
-	case "store away":
+	case "store partition":
 		p.CutStore(n, true)
-		p.Pause(f.lasts)
+		p.Pause(f.duration)
 		p.CutStore(n, false)
 	}
 }
 
-// part cuts gateways from the others, or mends it; all reach the servers.
-func (p *played) part(apart func(int) bool, cut bool) {
+// partition disconnects the isolated gateways from the others, or reconnects them. All still reach the servers.
+func (p *scenarioRun) partition(isolated func(int) bool, cut bool) {
 	for i, a := range p.Nodes {
 		for j, b := range p.Nodes {
-			if i < j && apart(i) != apart(j) {
+			if i < j && isolated(i) != isolated(j) {
 				p.CutNodes(a, b, cut)
 			}
 		}
 	}
 }
 
-// arrivals are when requests came to a server.
+// arrivals returns the times at which requests arrived at a server, in order.
 func arrivals(w *worker.Worker) []time.Time {
 	var out []time.Time
 	for _, a := range w.Arrivals() {
@@ -199,8 +201,8 @@
 	return out
 }
 
-// worst is the most of these in any window that lies between two times.
-func worst(at []time.Time, from, to time.Time) (most int) {
+// maxInWindow returns the highest number of arrivals in any window between two times.
+func maxInWindow(at []time.Time, from, to time.Time) (most int) {
 	first := 0
 	for i := range at {
 		if at[i].Before(from) {
@@ -217,9 +219,9 @@
 	return most
 }
 
-// perGateway returns the arrivals at a server by the gateway that sent them, without gateways that are
-// killed in the day: they forget what they were told.
-func (p *played) perGateway(w *worker.Worker) map[string][]worker.Arrival {
+// arrivalsByGateway returns the arrivals at a server by the gateway that sent them. It excludes gateways that
+// are killed in the scenario, because they lose their notices.
+func (p *scenarioRun) arrivalsByGateway(w *worker.Worker) map[string][]worker.Arrival {
 	out := map[string][]worker.Arrival{}
 	for _, a := range w.Arrivals() {
 		host, _, _ := strings.Cut(a.ID, "/")
@@ -233,22 +235,23 @@
 	return out
 }
 
-// unheeded tells which gateway did not do as a server had told it, "" for none.
-func (p *played) unheeded() string {
+// checkHeeded returns an error message if a gateway did not follow a notice that it had received, and ""
+// otherwise.
+func (p *scenarioRun) checkHeeded() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, s := range p.Servers {
-		for host, arrivals := range p.perGateway(p.Running(s)) {
+		for host, arrivals := range p.arrivalsByGateway(p.Running(s)) {
 			slices.SortFunc(arrivals, func(a, b worker.Arrival) int { return a.At.Compare(b.At) })
-			if p.leaves(i) {
-				if id := afterLeave(arrivals, p.begin.Add(p.leaveAt+10*time.Millisecond), p.asked); id != "" {
-					return id + " reached a server after its gateway was told that it leaves"
+			if p.draining(i) {
+				if id := requestAfterDraining(arrivals, p.begin.Add(p.drainFrom+10*time.Millisecond), p.sentAt); id != "" {
+					return id + " reached a server after its gateway had received a draining notice"
 				}
 			}
-			if i < p.resting {
-				from := p.begin.Add(p.refuseAt + 10*time.Millisecond)
-				if n := inRest(arrivals, from, from.Add(p.refuseFor-20*time.Millisecond), p.rest); n > mostInRest {
-					return fmt.Sprintf("%s sent %d requests in a rest", host, n)
+			if i < p.backoffServers {
+				from := p.begin.Add(p.refuseFrom + 10*time.Millisecond)
+				if n := requestsDuringBackoff(arrivals, from, from.Add(p.refuseFor-20*time.Millisecond), p.backoff); n > maxDuringBackoff {
+					return fmt.Sprintf("%s sent %d requests to a server during a backoff", host, n)
 				}
 			}
 		}
@@ -256,30 +259,32 @@
 	return ""
 }
 
-// afterLeave returns a request that was asked later than leaveWithin after its gateway was told.
-func afterLeave(arrivals []worker.Arrival, said time.Time, asked map[string]time.Time) string {
-	var told time.Time
+// requestAfterDraining returns the ID of a request that was sent later than drainGrace after its gateway
+// received the draining notice, which the server states from the given time on.
+func requestAfterDraining(arrivals []worker.Arrival, statedFrom time.Time, sentAt map[string]time.Time) string {
+	var received time.Time
 	for _, a := range arrivals {
 		switch {
-		case a.At.Before(said):
-		case told.IsZero():
-			told = a.At
-		case asked[a.ID].Sub(told) > leaveWithin:
+		case a.At.Before(statedFrom):
+		case received.IsZero():
+			received = a.At
+		case sentAt[a.ID].Sub(received) > drainGrace:
 			return a.ID
 		}
 	}
 	return ""
 }
 
-// inRest returns the most requests in a rest that was asked for between two times.
-func inRest(arrivals []worker.Arrival, from, to time.Time, rest time.Duration) (most int) {
+// requestsDuringBackoff returns the highest number of requests during a backoff that was stated between two
+// times.
+func requestsDuringBackoff(arrivals []worker.Arrival, from, to time.Time, backoff time.Duration) (most int) {
 	for i, first := range arrivals {
 		if first.At.Before(from) || first.At.After(to) {
 			continue
 		}
 		n := 0
 		for _, a := range arrivals[i:] {
-			if since := a.At.Sub(first.At); since > restKnown && since < rest {
+			if since := a.At.Sub(first.At); since > backoffGrace && since < backoff {
 				n++
 			}
 		}
@@ -288,48 +293,50 @@
 	return most
 }
 
-// wrong tells what is wrong with the day, "" for nothing.
-func (p *played) wrong() string {
-	if wrong := p.unheeded(); wrong != "" {
-		return wrong
+// check returns an error message if a gateway did not follow the notices or refused a request incorrectly, and
+// "" otherwise.
+func (p *scenarioRun) check() string {
+	if failure := p.checkHeeded(); failure != "" {
+		return failure
 	}
-	from, to := p.begin.Add(p.limitAt+contact), p.begin.Add(p.liftAt)
+	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(p.limitUntil)
 	ran := map[string]bool{}
 	for _, s := range p.Servers {
 		for _, r := range p.Running(s).Runs() {
 			ran[r.ID] = true
 		}
 	}
-	for _, s := range p.Servers[:p.limited] {
-		if n, allowed := worst(arrivals(p.Running(s)), from, to), 1.5*p.rate*window.Seconds()+5; float64(n) > allowed {
-			return fmt.Sprintf("%s got %d requests in 4 s, allowed %v", s.ID, n, allowed)
+	for _, s := range p.Servers[:p.limitedServers] {
+		if n, allowed := maxInWindow(arrivals(p.Running(s)), from, to), 1.5*p.rate*window.Seconds()+5; float64(n) > allowed {
+			return fmt.Sprintf("%s received %d requests in 4 s, allowed %v", s.ID, n, allowed)
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, r := range p.replies {
-		back, _ := strconv.ParseFloat(r.RetryAfter, 64)
+		retryAfter, _ := strconv.ParseFloat(r.RetryAfter, 64)
 		switch {
 		case r.Status != 429 && r.Status != 503:
 		case ran[id]:
-			return id + " was refused and has run"
-		case back <= 0:
-			return id + " was refused without when to come back"
-		case r.Took > longestRefusal:
+			return id + " was refused but ran"
+		case retryAfter <= 0:
+			return id + " was refused without a Retry-After time"
+		case r.Took > maxRefusalTime:
 			return fmt.Sprintf("%s was refused after %s", id, r.Took)
 		}
 	}
 	return ""
 }
 
-// used tells where a calm day leaves too much of the limits unused, "" for nowhere.
-func (p *played) used() string {
-	possible := p.rate * float64(p.limited)
-	asked := 1 / p.every.Seconds()
-	if len(p.faults) > 0 || p.leaving > 0 || p.resting > 0 || p.limited < p.servers || p.rate < 1 || asked < 1.5*possible {
+// checkUtilization returns an error message if too little of the limits is used in a scenario without faults or
+// other notices, and "" otherwise.
+func (p *scenarioRun) checkUtilization() string {
+	capacity := p.rate * float64(p.limitedServers)
+	demand := 1 / p.requestInterval.Seconds()
+	if len(p.faults) > 0 || p.drainingServers > 0 || p.backoffServers > 0 || p.limitedServers < p.servers || p.rate < 1 || demand < 1.5*capacity {
 		return ""
 	}
-	from, to := p.begin.Add(p.limitAt+contact), p.begin.Add(min(p.liftAt, dayLength-time.Second))
+	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(min(p.limitUntil, scenarioDuration-time.Second))
 	n := 0
 	for _, s := range p.Servers {
 		for _, at := range arrivals(p.Running(s)) {
@@ -338,56 +345,58 @@
 			}
 		}
 	}
-	if all := possible * to.Sub(from).Seconds(); float64(n) < 0.7*all {
-		return fmt.Sprintf("%d of the %.0f that the limits allow were sent", n, all)
+	if allowed := capacity * to.Sub(from).Seconds(); float64(n) < 0.7*allowed {
+		return fmt.Sprintf("%d requests were sent, the limits allow %.0f", n, allowed)
 	}
 	return ""
 }
 
-// play plays a day and returns what is wrong.
-func (d day) play() (wrong string) {
+// run simulates the scenario and returns an error message, or "" if all checks pass.
+func (d scenario) run() (failure string) {
 	synctest.Test(new(testing.T), func(*testing.T) {
-		p := &played{Fleet: simfleet.New(d.gateways, d.servers, 1, nil), day: d, replies: map[string]simfleet.Reply{}, asked: map[string]time.Time{}}
+		p := &scenarioRun{Fleet: simfleet.New(d.gateways, d.servers, 1, nil), scenario: d, replies: map[string]simfleet.Reply{}, sentAt: map[string]time.Time{}}
 		defer p.End()
 		p.begin = time.Now()
-		var duties sync.WaitGroup
-		duties.Go(p.ask)
-		duties.Go(p.speak)
-		duties.Go(func() {
+		var tasks sync.WaitGroup
+		tasks.Go(p.sendRequests)
+		tasks.Go(p.setNotices)
+		tasks.Go(func() {
 			var faults sync.WaitGroup
 			defer faults.Wait()
 			for _, f := range d.faults {
 				if f.kind == "kill" || f.kind == "join" {
 					continue
 				}
-				faults.Go(func() { p.suffer(f) })
+				faults.Go(func() { p.injectFault(f) })
 			}
-			// Kills and joins come one after the other.
+			// Kills and joins are injected one at a time.
 			slices.SortFunc(d.faults, func(a, b fault) int { return int(a.at - b.at) })
 			for _, f := range d.faults {
 				if f.kind == "kill" || f.kind == "join" {
 					f.at = max(0, f.at-time.Since(p.begin))
-					p.suffer(f)
+					p.injectFault(f)
 				}
 			}
 		})
-		duties.Wait()
-		if wrong = p.wrong(); wrong == "" {
-			wrong = p.used()
+		tasks.Wait()
+		if failure = p.check(); failure == "" {
+			failure = p.checkUtilization()
 		}
 	})
-	return wrong
+	return failure
 }
 
-// Whatever happens to gateways, and wherever callers come, servers that state a rate get no more than one
-// and a half times it and five in any 4 s; those that leave or rest get nothing from gateways that they
-// have told; refusals are true, at once and tell when to come back; and where nothing is in the way, most
-// of what the limits allow is used.
-func TestWhatServersSayIsHeededOnAnyDay(t *testing.T) {
+// With faults of gateways and any distribution of callers:
+//   - a server that states a rate receives at most 1.5 times that rate plus 5 requests in any 4 s;
+//   - a server that is draining receives no requests, and one that backs off hardly any, from gateways
+//     that have received the notice;
+//   - refused requests have not run, and are refused quickly and with a Retry-After time;
+//   - without faults and other notices, most of the capacity that the limits allow is used.
+func TestFleetsHeedNotices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := drawDay(t)
-		if wrong := d.play(); wrong != "" {
-			t.Fatalf("%s\n%+v", wrong, d)
+		d := drawScenario(t)
+		if failure := d.run(); failure != "" {
+			t.Fatalf("%s\n%+v", failure, d)
 		}
 	})
 }
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,6 +1,6 @@
-// Package notice knows what backend servers say of themselves in the heads of their answers: that
-// they drain, at what rate they take requests, and for how long they want none. There is no clock
-// and no network here.
+// Package notice tracks notices: statements of backend servers about themselves in the headers of
+// their answers. A notice says that a server is draining, which rate of requests it accepts, or for
+// how long it wants none. The package uses no clock and no network.
 package notice
 
 import (
@@ -8,35 +8,34 @@
 	"time"
 )
 
-// Kind names a notice.
+// Kind is a kind of notice.
 type Kind string
 
-// The kinds.
 const (
-	Draining  Kind = "draining"   // the server takes no new work and ends soon
-	RateLimit Kind = "rate_limit" // the rate that the server takes from all gateways together
-	Backoff   Kind = "backoff"    // how long the server wants nothing from the gateway that it answered
+	Draining  Kind = "draining"   // the server accepts no new work and terminates soon
+	RateLimit Kind = "rate_limit" // the request rate that the server accepts from all gateways together
+	Backoff   Kind = "backoff"    // the time for which the server wants no requests from the gateway that it answered
 )
 
-// Said is what one answer says of its server.
-type Said struct {
+// Statement holds the notices of one answer.
+type Statement struct {
 	Draining bool `json:"draining,omitempty"`
-	// Limited is whether a rate limit is stated, Limit its requests a second.
+	// Limited reports whether a rate limit is stated; Limit is the limit in requests per second.
 	Limited bool    `json:"limited,omitempty"`
 	Limit   float64 `json:"limit,omitempty"`
-	// Backoff is how long the server wants nothing, 0 if it does not say so.
+	// Backoff is the time for which the server wants no requests, or 0 if none is stated.
 	Backoff time.Duration `json:"backoff,omitempty"`
-	// Unreadable are notices that could not be read. What was known of them stands.
+	// Unreadable are the kinds of notices that could not be parsed. Earlier notices of these kinds stay in force.
 	Unreadable []Kind `json:"unreadable,omitempty"`
 }
 
-// Silent reports whether the answer says nothing of its server.
-func (s Said) Silent() bool {
+// Empty reports whether the answer has no notices, not even unreadable ones.
+func (s Statement) Empty() bool {
 	return !s.Draining && !s.Limited && s.Backoff == 0 && len(s.Unreadable) == 0
 }
 
-// Kinds returns the kinds of notices that the answer gives.
-func (s Said) Kinds() []Kind {
+// Kinds returns the kinds of the readable notices.
+func (s Statement) Kinds() []Kind {
 	var out []Kind
 	if s.Draining {
 		out = append(out, Draining)
@@ -50,13 +49,13 @@
 	return out
 }
 
-// unreadable reports whether a notice was given that could not be read.
-func (s Said) unreadable(kind Kind) bool { return slices.Contains(s.Unreadable, kind) }
+// unreadable reports whether the answer has a notice of a kind that could not be parsed.
+func (s Statement) unreadable(kind Kind) bool { return slices.Contains(s.Unreadable, kind) }
 
-// MaxLimit bounds the rates that are taken for one, in requests a second: a backend server runs some
-// ten or hundred requests at once.
+// MaxLimit is the highest valid rate limit in requests per second. A backend server runs tens to
+// hundreds of requests at once.
 const MaxLimit = 1e6
 
-// MaxBackoff bounds the times that are taken for one: who wants nothing for longer is better taken
-// off the list.
+// MaxBackoff is the longest valid backoff. A server that wants no requests for longer should be removed
+// from the list.
 const MaxBackoff = time.Hour
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -26,18 +26,18 @@
 
 // sendNotices sends notices that are due to the other gateways.
 func (p *Peers) sendNotices(now time.Time) {
-	for batch := range slices.Chunk(p.board.Due(now), noticesPerDatagram) {
+	for batch := range slices.Chunk(p.notices.Due(now), noticesPerDatagram) {
 		p.sendAll(message{Notices: batch})
 	}
 }
 
 // handleNotices processes notices of another gateway, and replies with those for which this gateway
 // has newer information.
-func (p *Peers) handleNotices(notices []notice.Told, from netip.AddrPort, now time.Time) {
+func (p *Peers) handleNotices(notices []notice.Report, from netip.AddrPort, now time.Time) {
 	host := p.hostAt(from)
-	var newer []notice.Told
+	var newer []notice.Report
 	for _, n := range notices {
-		if reply := p.board.Told(n, host, now); reply != nil {
+		if reply := p.notices.Receive(n, host, now); reply != nil {
 			newer = append(newer, *reply)
 		}
 	}
@@ -61,15 +61,15 @@
 // lendRateShares lends this gateway's share of each rate limit to the home gateway of the server's
 // group, or renews the loan.
 func (p *Peers) lendRateShares(now time.Time) {
-	limits := p.board.Limits()
-	if p.board.Empty() || now.Sub(p.loans.lentAt) < limits.LoanEvery() {
+	limits := p.notices.Limits()
+	if p.notices.Empty() || now.Sub(p.loans.lentAt) < limits.LoanEvery() {
 		return
 	}
 	p.loans.lentAt = now
 	p.mu.Lock()
 	limits.SetGateways(p.members.rateSharers(now))
 	p.mu.Unlock()
-	due := map[netip.AddrPort][]notice.Told{}
+	due := map[netip.AddrPort][]notice.Report{}
 	for group, servers := range p.local.Limited() {
 		p.mu.Lock()
 		home := p.members.home(group.Key(), now)
@@ -78,7 +78,7 @@
 			continue
 		}
 		for _, server := range servers {
-			n, known := p.board.Of(server, now)
+			n, known := p.notices.Report(server, now)
 			if known && limits.Lend(server, home.Host, now) {
 				due[home.Address] = append(due[home.Address], n)
 			}
@@ -93,13 +93,13 @@
 
 // handleLoans accepts the shares that another gateway lends. Loans carry the lender's notices of the
 // servers, because an earlier datagram with the rate limit may have been lost.
-func (p *Peers) handleLoans(loans []notice.Told, from netip.AddrPort, now time.Time) {
+func (p *Peers) handleLoans(loans []notice.Report, from netip.AddrPort, now time.Time) {
 	p.handleNotices(loans, from, now)
 	if now.Before(p.loans.ignoreUntil) {
 		return
 	}
 	for _, l := range loans {
-		p.board.Limits().Borrow(l.Server, from.String(), now)
+		p.notices.Limits().Borrow(l.Server, from.String(), now)
 	}
 }
 
@@ -125,9 +125,9 @@
 		p.mu.Unlock()
 		p.local.Stalled(last, now.Add(backlogPeriod))
 	}
-	if stalled && !p.board.Empty() {
+	if stalled && !p.notices.Empty() {
 		telemetry.Count("merlinpost_rate_shares_returned_total")
-		p.board.Limits().Return(now)
+		p.notices.Limits().Return(now)
 		p.loans.ignoreUntil = now.Add(backlogPeriod)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -40,9 +40,9 @@
 	// Suspects are requests that may crash servers, as known to the sender.
 	Suspects []quarantine.Told `msgpack:"q,omitempty"`
 	// Notices are the servers' statements about themselves, as known to the sender.
-	Notices []notice.Told `msgpack:"n,omitempty"`
+	Notices []notice.Report `msgpack:"n,omitempty"`
 	// Loans are the rate limits of which the sender lends its share to the receiver.
-	Loans []notice.Told `msgpack:"l,omitempty"`
+	Loans []notice.Report `msgpack:"l,omitempty"`
 	// RepeatRequest asks the receiver for a repeat from its retry budget; RepeatResponse is the reply.
 	RepeatRequest  *repeatRequest  `msgpack:"r,omitempty"`
 	RepeatResponse *repeatResponse `msgpack:"p,omitempty"`
@@ -88,7 +88,7 @@
 	// Quarantine returns the gateway's records of requests that may crash servers.
 	Quarantine() *quarantine.Ledger
 	// Notices returns the gateway's records of the servers' statements about themselves.
-	Notices() *notice.Board
+	Notices() *notice.Registry
 	// Limited returns the servers that state a rate limit, by group.
 	Limited() map[permit.Group][]string
 	// SetGateways sets the number of gateways, including this one, that share the slack of the retry
@@ -110,16 +110,16 @@
 
 // Peers connects this gateway to the others. It is safe for concurrent use.
 type Peers struct {
-	socket *datagram.Socket[message]
-	self   netip.AddrPort
-	logger *slog.Logger
-	inbox  chan received
-	desk   *permit.Desk[netip.AddrPort] // used only by Run's goroutine
-	local  LocalGateway
-	ledger *quarantine.Ledger
-	board  *notice.Board
-	loans  loanState // used only by Run's goroutine
-	start  time.Time
+	socket  *datagram.Socket[message]
+	self    netip.AddrPort
+	logger  *slog.Logger
+	inbox   chan received
+	desk    *permit.Desk[netip.AddrPort] // used only by Run's goroutine
+	local   LocalGateway
+	ledger  *quarantine.Ledger
+	notices *notice.Registry
+	loans   loanState // used only by Run's goroutine
+	start   time.Time
 
 	mu             sync.Mutex
 	members        *members
@@ -154,9 +154,9 @@
 func newPeers(host string, socket *datagram.Socket[message], capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
 	self := socket.Address()
 	now := time.Now()
-	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, ledger: local.Quarantine(), board: local.Notices(), start: now,
+	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, ledger: local.Quarantine(), notices: local.Notices(), start: now,
 		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Answer{}, pendingRepeats: map[uint64]chan bool{}}
-	p.desk = permit.NewDesk[netip.AddrPort](local.Engines, p.learntByPeers, p.board.Limits(), permit.Policy{})
+	p.desk = permit.NewDesk[netip.AddrPort](local.Engines, p.learntByPeers, p.notices.Limits(), permit.Policy{})
 	return p
 }
 
@@ -184,7 +184,7 @@
 			return
 		case r = <-p.inbox:
 		case <-p.ledger.Telling():
-		case <-p.board.Telling():
+		case <-p.notices.Pending():
 		case <-timer.C:
 			next := idleInterval
 			if p.desk.Waiting() > 0 {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -42,8 +42,8 @@
 
 func (fakeGateway) Quarantine() *quarantine.Ledger { return quarantine.New() }
 
-func (fakeGateway) Notices() *notice.Board {
-	return notice.NewBoard(ratelimit.New(rand.Float64), func(notice.Event) {})
+func (fakeGateway) Notices() *notice.Registry {
+	return notice.NewRegistry(ratelimit.New(rand.Float64), func(notice.Event) {})
 }
 
 func (fakeGateway) Limited() map[permit.Group][]string { return nil }
@@ -176,7 +176,7 @@
 	g := NewWithT(t)
 	in := permit.Group{Service: "model-120b", Index: 3}
 	id := "9c41d07be2a35f68/0"
-	rated := notice.Told{Server: "i-7f3a91c2e4@1765000000000", Draining: true, LeftMs: 90000, Limited: true, Limit: 0.25, AgeMs: 90000}
+	rated := notice.Report{Server: "i-7f3a91c2e4@1765000000000", Draining: true, DrainingAgeMs: 90000, Limited: true, Limit: 0.25, LimitAgeMs: 90000}
 	figures := engineFigures{"model-120b", 25300, 647, 15234, 8123, 151234, 180}
 	for _, m := range []struct {
 		name  string
@@ -193,9 +193,9 @@
 		{"heartbeat with figures", 230, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Learnt: []engineFigures{figures, figures, figures}}}},
 		{"suspect", 120, message{Suspects: suspects(1, 1)}},
 		{"strong suspect", 240, message{Suspects: suspects(1, 3)}},
-		{"notice", 80, message{Notices: []notice.Told{rated}}},
-		{"loan", 80, message{Loans: []notice.Told{rated}}},
-		{"a datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Told{rated}, noticesPerDatagram)}},
+		{"notice", 80, message{Notices: []notice.Report{rated}}},
+		{"loan", 80, message{Loans: []notice.Report{rated}}},
+		{"a datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Report{rated}, noticesPerDatagram)}},
 	} {
 		data, err := msgpack.Marshal(m.message)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -43,7 +43,7 @@
 	for _, batch := range suspectBatches(p.ledger.All(now)) {
 		p.send(message{Suspects: batch}, at)
 	}
-	for batch := range slices.Chunk(p.board.All(now), noticesPerDatagram) {
+	for batch := range slices.Chunk(p.notices.All(now), noticesPerDatagram) {
 		p.send(message{Notices: batch}, at)
 	}
 }
