--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,6 +1,6 @@
-// Package datagram carries small messages among processes of the system, one msgpack
-// message a datagram. Whatever goes wrong with one counts as its loss, which those who
-// use it must bear: they ask again, or do without.
+// Package datagram exchanges small messages between processes of the system over UDP, with one
+// msgpack message per datagram. Delivery is not guaranteed: a message is dropped on any error, and
+// users must repeat it or tolerate its loss.
 package datagram
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// maxSize is above any message, in bytes, and below what a link carries in one piece.
-const maxSize = 1200
+// maxMessageBytes is larger than any message and small enough to avoid fragmentation.
+const maxMessageBytes = 1200
 
-// PacketConn is what a Socket needs of a *net.UDPConn.
+// PacketConn is the subset of *net.UDPConn that a Socket uses.
 type PacketConn interface {
 	ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort([]byte, netip.AddrPort) (int, error)
@@ -27,61 +27,62 @@
 
 // Socket sends and receives messages of type T. It is safe for concurrent use.
 type Socket[T any] struct {
-	conn   PacketConn
-	metric string
+	conn         PacketConn
+	metricPrefix string
 }
 
-// Open listens on an IP address and port. Metric begins the names of the counters of
-// broken and unsent messages. Errors have code BadSettings and name the field
+// Open returns a socket that listens on an IP address and port. MetricPrefix is the name prefix of the
+// counters of malformed and unsent messages. Errors have the code BadSettings and name the field
 // peers.listen.
-func Open[T any](address, metric string) (*Socket[T], error) {
-	at, err := netip.ParseAddrPort(address)
+func Open[T any](address, metricPrefix string) (*Socket[T], error) {
+	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
 	}
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
 	}
-	return New[T](conn, metric), nil
+	return New[T](conn, metricPrefix), nil
 }
 
-// New returns a socket on conn, which it owns.
-func New[T any](conn PacketConn, metric string) *Socket[T] { return &Socket[T]{conn, metric} }
+// New returns a socket on conn, and takes ownership of conn.
+func New[T any](conn PacketConn, metricPrefix string) *Socket[T] {
+	return &Socket[T]{conn, metricPrefix}
+}
 
-// Address returns the address in use.
+// Address returns the local address.
 func (s *Socket[T]) Address() netip.AddrPort { return s.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Receive hands each message and its sender to take until ctx ends, which closes the
-// socket.
-func (s *Socket[T]) Receive(ctx context.Context, take func(T, netip.AddrPort)) {
-	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() }) // ends the read
+// Receive calls handle with each message and its sender until ctx is done, and then closes the socket.
+func (s *Socket[T]) Receive(ctx context.Context, handle func(T, netip.AddrPort)) {
+	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() }) // unblocks the pending read
 	defer stop()
-	buf := make([]byte, maxSize)
+	buf := make([]byte, maxMessageBytes)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram met a closed port
+			continue // an earlier datagram was sent to a closed port
 		}
 		var message T
 		if msgpack.Unmarshal(buf[:n], &message) != nil {
-			telemetry.Count(s.metric + "_broken_total")
+			telemetry.Count(s.metricPrefix + "_broken_total")
 			continue
 		}
-		take(message, from)
+		handle(message, from)
 	}
 }
 
-// Send sends a message.
+// Send sends a message. If that fails, it counts the message as unsent.
 func (s *Socket[T]) Send(message T, to netip.AddrPort) {
 	data, err := msgpack.Marshal(message)
 	if err == nil {
 		_, err = s.conn.WriteToUDPAddrPort(data, to)
 	}
 	if err != nil {
-		telemetry.Count(s.metric + "_unsent_total")
+		telemetry.Count(s.metricPrefix + "_unsent_total")
 	}
 }
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -15,7 +15,7 @@
 
 type message struct{ Text string }
 
-func TestWhatIsBrokenCountsAsLost(t *testing.T) {
+func TestMalformedMessagesAreDropped(t *testing.T) {
 	g := NewWithT(t)
 	a, err := Open[message]("127.0.0.1:0", "test_a")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -23,23 +23,23 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	got := make(chan message, 10)
-	var duty sync.WaitGroup
-	duty.Go(func() {
+	var receiving sync.WaitGroup
+	receiving.Go(func() {
 		a.Receive(ctx, func(m message, from netip.AddrPort) {
 			g.Expect(from.IsValid()).To(BeTrue())
 			got <- m
 		})
 	})
-	other.Send(7, a.Address()) // no message
+	other.Send(7, a.Address()) // not a message of the receiver's type
 	a.Send(message{"hello"}, a.Address())
 	g.Eventually(got, 5*time.Second).Should(Receive(Equal(message{"hello"})))
 	cancel()
-	duty.Wait()
+	receiving.Wait()
 	g.Expect(got).To(BeEmpty())
-	a.Send(message{"late"}, other.Address()) // the socket is closed: lost, no more
+	a.Send(message{"late"}, other.Address()) // the socket is closed: the message is dropped
 }
 
-func TestBadAddressesAreNamed(t *testing.T) {
+func TestInvalidAddressIsReported(t *testing.T) {
 	g := NewWithT(t)
 	for _, address := range []string{"", "nowhere", "300.1.1.1:1"} {
 		_, err := Open[message](address, "test")
@@ -48,8 +48,8 @@
 	}
 }
 
-// Processes of two versions understand each other while fields keep their names.
-func TestNewFieldsMayCome(t *testing.T) {
+// Guards against incompatible versions: a decoder ignores unknown fields and leaves missing ones zero.
+func TestVersionsWithDifferentFieldsAreCompatible(t *testing.T) {
 	g := NewWithT(t)
 	type newer struct {
 		Text  string
