--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -37,11 +37,11 @@
 func Open[T any](address, metricPrefix string) (*Socket[T], error) {
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
 	return New[T](conn, metricPrefix), nil
 }
--- a/internal/notice/registry.go
+++ b/internal/notice/registry.go
@@ -161,7 +161,7 @@
 	if !changed {
 		return
 	}
-	r.limits.Set(server, limit, now)
+	r.limits.SetRate(server, limit, now)
 	r.publish(s, Event{Server: server, Kind: RateLimit, Limit: limit, From: from}, now)
 }
 
--- a/internal/peers/learnt.go
+++ b/internal/peers/learnt.go
@@ -33,9 +33,9 @@
 // goroutine, which owns the desk.
 func (p *Peers) updateLearnt() {
 	var out []engineFigures
-	for _, l := range p.desk.Learnt() {
-		if l.Observed > 0 {
-			out = append(out, engineFigures{l.Service, toMicros(l.Read), toMicros(l.Pairs), toMicros(l.Latency), toMicros(l.Token), toMicros(l.Pause), float32(l.Observed)})
+	for _, l := range p.desk.Stats() {
+		if l.Observations > 0 {
+			out = append(out, engineFigures{l.Service, toMicros(l.PrefillPer1000Tokens), toMicros(l.AttentionPerMillionPairs), toMicros(l.FirstEventLatency), toMicros(l.TokenTime), toMicros(l.MaxEventGap), float32(l.Observations)})
 		}
 	}
 	slices.SortFunc(out, func(a, b engineFigures) int { return cmp.Compare(b.Observed, a.Observed) })
@@ -46,7 +46,7 @@
 
 // learntByPeers returns the other gateways' figures for a service's engines that are based on the
 // most observations. A gateway that becomes the home of a group starts with them.
-func (p *Peers) learntByPeers(service string) (enginemodel.Figures, bool) {
+func (p *Peers) learntByPeers(service string) (enginemodel.Estimates, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best engineFigures
@@ -57,6 +57,6 @@
 			}
 		}
 	}
-	return enginemodel.Figures{Read: fromMicros(best.Read), Pairs: fromMicros(best.Pairs), Latency: fromMicros(best.Latency), Token: fromMicros(best.Token),
-		Pause: fromMicros(best.Pause), Observed: float64(best.Observed)}, best.Observed > 0
+	return enginemodel.Estimates{PrefillPer1000Tokens: fromMicros(best.Read), AttentionPerMillionPairs: fromMicros(best.Pairs), FirstEventLatency: fromMicros(best.Latency), TokenTime: fromMicros(best.Token),
+		MaxEventGap: fromMicros(best.Pause), Observations: float64(best.Observed)}, best.Observed > 0
 }
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -62,7 +62,7 @@
 // group, or renews the loan.
 func (p *Peers) lendRateShares(now time.Time) {
 	limits := p.notices.Limits()
-	if p.notices.Empty() || now.Sub(p.loans.lentAt) < limits.LoanEvery() {
+	if p.notices.Empty() || now.Sub(p.loans.lentAt) < limits.RenewalInterval() {
 		return
 	}
 	p.loans.lentAt = now
@@ -127,7 +127,7 @@
 	}
 	if stalled && !p.notices.Empty() {
 		telemetry.Count("merlinpost_rate_shares_returned_total")
-		p.notices.Limits().Return(now)
+		p.notices.Limits().DropBorrowed(now)
 		p.loans.ignoreUntil = now.Add(backlogPeriod)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -32,13 +32,13 @@
 
 // message is one datagram. Exactly one field is set.
 type message struct {
-	Heartbeat     *heartbeat     `msgpack:"b,omitempty"`
-	PermitRequest *permitRequest `msgpack:"a,omitempty"`
-	PermitAnswer  *permit.Answer `msgpack:"v,omitempty"`
-	FirstToken    *firstToken    `msgpack:"f,omitempty"`
-	End           *requestEnd    `msgpack:"e,omitempty"`
+	Heartbeat     *heartbeat       `msgpack:"b,omitempty"`
+	PermitRequest *permitRequest   `msgpack:"a,omitempty"`
+	PermitAnswer  *permit.Decision `msgpack:"v,omitempty"`
+	FirstToken    *firstToken      `msgpack:"f,omitempty"`
+	End           *requestEnd      `msgpack:"e,omitempty"`
 	// Suspects are requests that may crash servers, as known to the sender.
-	Suspects []quarantine.Told `msgpack:"q,omitempty"`
+	Suspects []quarantine.Update `msgpack:"q,omitempty"`
 	// Notices are the servers' statements about themselves, as known to the sender.
 	Notices []notice.Report `msgpack:"n,omitempty"`
 	// Loans are the rate limits of which the sender lends its share to the receiver.
@@ -78,7 +78,7 @@
 type requestEnd struct {
 	Group permit.Group `msgpack:"g"`
 	ID    string       `msgpack:"i"`
-	permit.Stream
+	permit.StreamStats
 }
 
 // LocalGateway is the gateway of this process.
@@ -86,7 +86,7 @@
 	// Engines returns the engines of a group.
 	Engines(permit.Group) []permit.Engine
 	// Quarantine returns the gateway's records of requests that may crash servers.
-	Quarantine() *quarantine.Ledger
+	Quarantine() *quarantine.Tracker
 	// Notices returns the gateway's records of the servers' statements about themselves.
 	Notices() *notice.Registry
 	// Limited returns the servers that state a rate limit, by group.
@@ -114,9 +114,9 @@
 	self    netip.AddrPort
 	logger  *slog.Logger
 	inbox   chan received
-	desk    *permit.Desk[netip.AddrPort] // used only by Run's goroutine
+	desk    *permit.Scheduler[netip.AddrPort] // used only by Run's goroutine
 	local   LocalGateway
-	ledger  *quarantine.Ledger
+	ledger  *quarantine.Tracker
 	notices *notice.Registry
 	loans   loanState // used only by Run's goroutine
 	start   time.Time
@@ -124,10 +124,10 @@
 	mu             sync.Mutex
 	members        *members
 	states         topicStates
-	learnt         []engineFigures               // by this gateway, as sent in heartbeats
-	pendingPermits map[string]chan permit.Answer // by request ID
-	pendingRepeats map[uint64]chan bool          // unanswered repeatRequests by ID
-	lastRepeatID   uint64                        // ID of the newest repeatRequest
+	learnt         []engineFigures                 // by this gateway, as sent in heartbeats
+	pendingPermits map[string]chan permit.Decision // by request ID
+	pendingRepeats map[uint64]chan bool            // unanswered repeatRequests by ID
+	lastRepeatID   uint64                          // ID of the newest repeatRequest
 	leaving        bool
 	heartbeatAt    time.Time
 	loggedLive     int // number of live gateways last logged, at liveLoggedAt
@@ -155,8 +155,8 @@
 	self := socket.Address()
 	now := time.Now()
 	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, ledger: local.Quarantine(), notices: local.Notices(), start: now,
-		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Answer{}, pendingRepeats: map[uint64]chan bool{}}
-	p.desk = permit.NewDesk[netip.AddrPort](local.Engines, p.learntByPeers, p.notices.Limits(), permit.Policy{})
+		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRepeats: map[uint64]chan bool{}}
+	p.desk = permit.NewScheduler[netip.AddrPort](local.Engines, p.learntByPeers, p.notices.Limits(), permit.Policy{})
 	return p
 }
 
@@ -183,11 +183,11 @@
 		case <-ctx.Done():
 			return
 		case r = <-p.inbox:
-		case <-p.ledger.Telling():
+		case <-p.ledger.UpdatesReady():
 		case <-p.notices.Pending():
 		case <-timer.C:
 			next := idleInterval
-			if p.desk.Waiting() > 0 {
+			if p.desk.QueuedCount() > 0 {
 				next = busyInterval
 			}
 			timer.Reset(next)
@@ -195,8 +195,8 @@
 		now := time.Now()
 		p.checkStall(now)
 		p.handle(r, now)
-		for _, due := range p.desk.Next(now) {
-			p.sendAnswer(due.Answer, due.To)
+		for _, due := range p.desk.Poll(now) {
+			p.sendAnswer(due.Decision, due.To)
 		}
 		p.updateSlackShare(now)
 		p.sendHeartbeatIfDue(now)
@@ -215,9 +215,9 @@
 
 // logLearnt logs the engine figures on which this gateway's decisions are based.
 func (p *Peers) logLearnt() {
-	for _, l := range p.desk.Learnt() {
-		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.Read, "pairs", l.Pairs, "latency", l.Latency, "token", l.Token,
-			"longest_pause", l.Pause, "observed", l.Observed, "waiting", l.Waiting, "engines", l.Engines, "reading", l.Reading, "running", l.Running)
+	for _, l := range p.desk.Stats() {
+		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.PrefillPer1000Tokens, "pairs", l.AttentionPerMillionPairs, "latency", l.FirstEventLatency, "token", l.TokenTime,
+			"longest_pause", l.MaxEventGap, "observed", l.Observations, "waiting", l.Queued, "engines", l.AvailableEngines, "reading", l.PrefillingEngines, "running", l.Running)
 	}
 }
 
@@ -246,15 +246,15 @@
 	case r.Heartbeat != nil:
 		p.handleHeartbeat(*r.Heartbeat, r.from, now)
 	case r.PermitRequest != nil:
-		p.sendAnswer(p.desk.Ask(r.PermitRequest.Group, r.PermitRequest.Ask, r.from, now), r.from)
+		p.sendAnswer(p.desk.Submit(r.PermitRequest.Group, r.PermitRequest.Ask, r.from, now), r.from)
 	case r.PermitAnswer != nil:
 		p.deliverAnswer(*r.PermitAnswer)
 	case r.FirstToken != nil:
-		p.desk.FirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
+		p.desk.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
 	case r.End != nil:
-		p.desk.End(r.End.Group, r.End.ID, r.End.Stream, now)
+		p.desk.Finish(r.End.Group, r.End.ID, r.End.StreamStats, now)
 	case r.Suspects != nil:
-		p.ledger.Hear(r.Suspects, r.from.String(), now)
+		p.ledger.Merge(r.Suspects, r.from.String(), now)
 	case r.Notices != nil:
 		p.handleNotices(r.Notices, r.from, now)
 	case r.Loans != nil:
@@ -267,7 +267,7 @@
 }
 
 // sendAnswer sends the answer to a permit request.
-func (p *Peers) sendAnswer(a permit.Answer, to netip.AddrPort) {
+func (p *Peers) sendAnswer(a permit.Decision, to netip.AddrPort) {
 	telemetry.Count("merlinpost_permit_answers_total", "verdict", a.Verdict.String())
 	if to == p.self {
 		p.deliverAnswer(a)
@@ -277,7 +277,7 @@
 }
 
 // deliverAnswer passes an answer to the Ask call that waits for it.
-func (p *Peers) deliverAnswer(a permit.Answer) {
+func (p *Peers) deliverAnswer(a permit.Decision) {
 	p.mu.Lock()
 	ch := p.pendingPermits[a.ID]
 	p.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -40,7 +40,7 @@
 // fakeGateway has one engine in each group.
 type fakeGateway struct{}
 
-func (fakeGateway) Quarantine() *quarantine.Ledger { return quarantine.New() }
+func (fakeGateway) Quarantine() *quarantine.Tracker { return quarantine.New() }
 
 func (fakeGateway) Notices() *notice.Registry {
 	return notice.NewRegistry(ratelimit.New(rand.Float64), func(notice.Event) {})
@@ -52,7 +52,7 @@
 func (fakeGateway) Stalled(time.Time, time.Time)       {}
 
 func (fakeGateway) Engines(permit.Group) []permit.Engine {
-	return []permit.Engine{{ID: "engine", Open: true}}
+	return []permit.Engine{{ID: "engine", Accepting: true}}
 }
 
 var group = permit.Group{Service: "s"}
@@ -183,12 +183,12 @@
 		bytes int
 		message
 	}{
-		{"ask", 150, message{PermitRequest: &permitRequest{in, permit.Ask{ID: id, Rank: 7, Own: 6610, Part: "5c1e07a291bd", Shared: 5382, Output: 330,
-			Target: 2400 * time.Millisecond, Gap: 800 * time.Millisecond, Limit: 9 * time.Second, Deadline: 15 * time.Second,
+		{"ask", 150, message{PermitRequest: &permitRequest{in, permit.Ask{ID: id, Priority: 7, UniqueTokens: 6610, PrefixID: "5c1e07a291bd", PrefixTokens: 5382, OutputTokens: 330,
+			FirstTokenTarget: 2400 * time.Millisecond, MaxEventGap: 800 * time.Millisecond, FirstTokenTimeout: 9 * time.Second, ResponseTimeout: 15 * time.Second,
 			FailureDomain: "barrage-hall"}}}},
-		{"answer", 80, message{PermitAnswer: &permit.Answer{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", Backlog: 120000}}},
+		{"answer", 80, message{PermitAnswer: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
 		{"first token", 60, message{FirstToken: &firstToken{Group: in, ID: id, Took: 180 * time.Millisecond}}},
-		{"end", 75, message{End: &requestEnd{in, id, permit.Stream{Events: 64, Took: 5 * time.Second, Longest: 150 * time.Millisecond}}}},
+		{"end", 75, message{End: &requestEnd{in, id, permit.StreamStats{Events: 64, Duration: 5 * time.Second, LongestGap: 150 * time.Millisecond}}}},
 		{"heartbeat", 45, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
 		{"heartbeat with figures", 230, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Learnt: []engineFigures{figures, figures, figures}}}},
 		{"suspect", 120, message{Suspects: suspects(1, 1)}},
@@ -205,16 +205,16 @@
 }
 
 // suspects returns the given number of suspected requests, each of which has ended the given number of servers.
-func suspects(requests, ends int) []quarantine.Told {
+func suspects(requests, ends int) []quarantine.Update {
 	l, now := quarantine.New(), time.Unix(1000, 0)
 	for i := range requests {
 		id := quarantine.Identify("team", "POST", "a.example", fmt.Sprint("/", i), nil)
 		for j := range ends {
 			at := now.Add(time.Duration(j) * time.Second)
-			l.Ended(id, quarantine.End{Server: fmt.Sprintf("i-7f3a91c2%02d@17650000%05d", j, i), Begun: at.Add(-time.Second), At: at}, at)
+			l.RecordCrash(id, quarantine.Crash{Server: fmt.Sprintf("i-7f3a91c2%02d@17650000%05d", j, i), SentAt: at.Add(-time.Second), At: at}, at)
 		}
 	}
-	return l.All(now.Add(time.Minute))
+	return l.Snapshot(now.Add(time.Minute))
 }
 
 func TestSuspectBatchesFitIntoDatagrams(t *testing.T) {
@@ -303,7 +303,7 @@
 		}
 	}
 	request := func(id string) permit.Ask {
-		return permit.Ask{ID: id, Own: 20000, Target: 2 * time.Second, Limit: 8 * time.Second}
+		return permit.Ask{ID: id, UniqueTokens: 20000, FirstTokenTarget: 2 * time.Second, FirstTokenTimeout: 8 * time.Second}
 	}
 
 	It("discover each other and notice one that leaves", func() {
@@ -321,17 +321,17 @@
 		ctx := context.Background()
 		for i := range 300 {
 			r := request(fmt.Sprint("r", i))
-			r.Own = 1000 + 10*i
+			r.UniqueTokens = 1000 + 10*i
 			answer, permitted := a.Ask(ctx, group, r)
 			Expect(answer.Verdict).To(Equal(permit.Granted))
-			permitted.FirstToken(time.Duration(r.Own) * 100 * time.Microsecond) // 10 tokens a ms
-			permitted.End(permit.Stream{})
+			permitted.FirstToken(time.Duration(r.UniqueTokens) * 100 * time.Microsecond) // 10 tokens a ms
+			permitted.End(permit.StreamStats{})
 		}
 		b, _ := open("b")
 		a.List([]Member{b.Self()})
 		read := func() time.Duration {
 			f, _ := b.learntByPeers("s")
-			return f.Read
+			return f.PrefillPer1000Tokens
 		}
 		Eventually(read, 3*time.Second).Should(BeNumerically("~", 100*time.Millisecond, 20*time.Millisecond))
 		_, known := b.learntByPeers("other")
@@ -347,7 +347,7 @@
 		ctx := context.Background()
 		first, permitted := a.Ask(ctx, group, request("r1"))
 		Expect(first.Verdict).To(Equal(permit.Granted))
-		second := make(chan permit.Answer, 1)
+		second := make(chan permit.Decision, 1)
 		go func() {
 			answer, _ := b.Ask(ctx, group, request("r2"))
 			second <- answer
@@ -373,7 +373,7 @@
 		a, _ := open("a")
 		_, _ = a.Ask(context.Background(), group, request("r1"))
 		ctx, cancel := context.WithCancel(context.Background())
-		done := make(chan permit.Answer, 1)
+		done := make(chan permit.Decision, 1)
 		go func() {
 			answer, _ := a.Ask(ctx, group, request("r2"))
 			done <- answer
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -41,17 +41,17 @@
 }
 
 // End reports to the home that the request has ended, with the statistics of its answer.
-func (t Permit) End(s permit.Stream) {
+func (t Permit) End(s permit.StreamStats) {
 	if t.peers != nil {
-		t.peers.send(message{End: &requestEnd{Group: t.group, ID: t.id, Stream: s}}, t.home)
+		t.peers.send(message{End: &requestEnd{Group: t.group, ID: t.id, StreamStats: s}}, t.home)
 	}
 }
 
 // Ask asks the group's home for permission to send a request, and waits while the permit request is
 // queued. If no home answers, the request may be sent: the answer is then Granted without an
 // engine, and the Permit is zero. When ctx is done, the answer is Refused.
-func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Answer, Permit) {
-	ch := make(chan permit.Answer, 1)
+func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
+	ch := make(chan permit.Decision, 1)
 	p.mu.Lock()
 	p.pendingPermits[a.ID] = ch
 	p.mu.Unlock()
@@ -76,7 +76,7 @@
 		p.members.markUnresponsive(home, time.Now())
 		p.mu.Unlock()
 	}
-	return permit.Answer{ID: a.ID, Verdict: permit.Granted}, Permit{}
+	return permit.Decision{ID: a.ID, Verdict: permit.Granted}, Permit{}
 }
 
 // pendingRequest is a permit request with the time at which its remaining times were calculated.
@@ -89,14 +89,14 @@
 // message returns the request with the remaining times adjusted to now.
 func (q pendingRequest) message() message {
 	a, elapsed := q.request, time.Since(q.requestedAt)
-	a.Target -= elapsed
-	a.Limit = max(a.Limit-elapsed, time.Millisecond)
+	a.FirstTokenTarget -= elapsed
+	a.FirstTokenTimeout = max(a.FirstTokenTimeout-elapsed, time.Millisecond)
 	return message{PermitRequest: &permitRequest{q.group, a}}
 }
 
 // requestFromHome sends a permit request to a home and waits for the decision. It returns false if the home does
 // not answer.
-func (p *Peers) requestFromHome(ctx context.Context, home netip.AddrPort, q pendingRequest, ch <-chan permit.Answer) (permit.Answer, bool) {
+func (p *Peers) requestFromHome(ctx context.Context, home netip.AddrPort, q pendingRequest, ch <-chan permit.Decision) (permit.Decision, bool) {
 	p.send(q.message(), home)
 	missed := 0
 	timer := time.NewTimer(answerTimeout)
@@ -105,7 +105,7 @@
 		select {
 		case <-ctx.Done():
 			p.send(message{End: &requestEnd{Group: q.group, ID: q.request.ID}}, home)
-			return permit.Answer{ID: q.request.ID, Verdict: permit.Refused}, true
+			return permit.Decision{ID: q.request.ID, Verdict: permit.Refused}, true
 		case answer := <-ch:
 			if answer.Verdict != permit.Queued {
 				return answer, true
@@ -114,7 +114,7 @@
 			timer.Reset(queuedRetryInterval)
 		case <-timer.C:
 			if missed++; missed > maxMissedAnswers {
-				return permit.Answer{}, false
+				return permit.Decision{}, false
 			}
 			p.send(q.message(), home)
 			timer.Reset(answerTimeout)
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -21,7 +21,7 @@
 
 // sendSuspects sends changes of suspected requests to the other gateways.
 func (p *Peers) sendSuspects(now time.Time) {
-	for _, batch := range suspectBatches(p.ledger.Due(now)) {
+	for _, batch := range suspectBatches(p.ledger.DueUpdates(now)) {
 		p.sendAll(message{Suspects: batch})
 	}
 }
@@ -40,7 +40,7 @@
 	if position < 0 || position >= maxGreeters {
 		return
 	}
-	for _, batch := range suspectBatches(p.ledger.All(now)) {
+	for _, batch := range suspectBatches(p.ledger.Snapshot(now)) {
 		p.send(message{Suspects: batch}, at)
 	}
 	for batch := range slices.Chunk(p.notices.All(now), noticesPerDatagram) {
@@ -49,12 +49,12 @@
 }
 
 // suspectBatches splits suspects into batches that each fit into a datagram.
-func suspectBatches(suspects []quarantine.Told) [][]quarantine.Told {
-	var out [][]quarantine.Told
+func suspectBatches(suspects []quarantine.Update) [][]quarantine.Update {
+	var out [][]quarantine.Update
 	size := 0
 	for _, s := range suspects {
 		if bytes := s.Size(); len(out) == 0 || size+bytes > maxSuspectBytes {
-			out, size = append(out, []quarantine.Told{s}), bytes
+			out, size = append(out, []quarantine.Update{s}), bytes
 		} else {
 			out[len(out)-1], size = append(out[len(out)-1], s), size+bytes
 		}
