--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -64,7 +64,7 @@
 	ctx, stop := stopSignals(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	follower := follow.New(follow.Parts{
+	follower := follow.New(follow.Dependencies{
 		Connect: func(address string) follow.Store { return platform.NewStore(address, logger) }, Topics: platform.Topics, Decoder: platform.Decoder{},
 		Gateway: g, Servers: servers, Peers: others, Share: share, Logger: logger,
 	}, set.Follow())
--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -12,28 +12,28 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// configTopic derives the timing from the bound: a change of the configuration must be in
-// force within ApplyWithin.
+// configTopic returns how the configuration topic is followed. Its timing is derived from ApplyWithin,
+// the time within which a change must be in force.
 func (f *Follower) configTopic() topic {
 	set := f.settings.Load()
-	bound := bound(set.ApplyWithin, 0.7)
+	bound := newBound(set.ApplyWithin, 0.7)
 	if _, some := f.Peers.Small(); some {
-		bound.Spread += handOnTime
+		bound.Spread += smallHostDelay
 	}
-	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: newestReadKB, bound: bound, pause: leastPause, waits: true,
-		slowestRead: freshness.Reading(f.configBytes, set.RecordBytes, float64(f.Peers.SlowestLink())),
-		confirm:     func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, whole: f.newConfig, added: f.newConfig,
-		handedOn: true,
-		fromPeer: f.configFromPeer,
-		offer:    f.shareConfig,
-		watch: func(failed error) {
-			f.behind.note(f.Gateway.ConfigVersion(), int64(f.Peers.Heard(f.Topics.Configuration)), failed, set.ApplyWithin, time.Now())
+	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: configReadMaxKB, bound: bound, interval: minReadInterval, longPoll: true,
+		slowestTransfer: freshness.Reading(f.configBytes, set.RecordBytes, float64(f.Peers.SlowestLink())),
+		confirm:         func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, replace: f.applyConfig, apply: f.applyConfig,
+		sharedByPeers: true,
+		fetchFromPeer: f.fetchConfigFromPeer,
+		publish:       f.publishConfig,
+		observe: func(failed error) {
+			f.configLag.observe(f.Gateway.ConfigVersion(), int64(f.Peers.Heard(f.Topics.Configuration)), failed, set.ApplyWithin, time.Now())
 		}}
 }
 
-// newConfig puts the last configuration of the records in force. One that can't
-// be read leaves the one before in force.
-func (f *Follower) newConfig(b batch, _ time.Time) uint64 {
+// applyConfig applies the last configuration among the records. If it can't be decoded, the previous
+// one stays in force.
+func (f *Follower) applyConfig(b batch, _ time.Time) uint64 {
 	for _, r := range slices.Backward(b.records) {
 		if r.Key != f.Topics.ConfigurationKey || r.Value == nil {
 			continue
@@ -45,57 +45,58 @@
 			continue
 		}
 		f.configBytes = len(r.Value)
-		if f.Gateway.SetTable(f.sharing(table), b.at) {
-			f.Logger.Info("configuration in force", "config", table.Version, "bytes", b.bytes(), "read_ms", b.took.Milliseconds(),
-				"apply_ms", time.Since(b.sent.Add(b.took)).Milliseconds(), "reads_for_all", b.first)
+		if f.Gateway.SetTable(f.shareUnchanged(table), b.asOf) {
+			f.Logger.Info("configuration in force", "config", table.Version, "bytes", b.bytes(), "read_ms", b.duration.Milliseconds(),
+				"apply_ms", time.Since(b.sentAt.Add(b.duration)).Milliseconds(), "reads_for_all", b.byPrimary)
 		}
 		break
 	}
 	return uint64(f.Gateway.ConfigVersion())
 }
 
-// sharing returns the table with the routes and teams of the one in force where they are the
-// same: versions that are kept to be handed on then take the memory of what differs.
-func (f *Follower) sharing(table *routing.Table) *routing.Table {
+// shareUnchanged returns the table with the routes and teams of the active one reused where they are
+// equal, so that the earlier versions kept for peers only take memory for what differs.
+func (f *Follower) shareUnchanged(table *routing.Table) *routing.Table {
 	inForce := f.Gateway.Table()
 	if inForce == nil || inForce.Version >= table.Version {
 		return table
 	}
 	shared, err := inForce.Apply(routing.Diff(inForce, table))
 	if err != nil {
-		f.Logger.Error("a change of the configuration can't be applied", "config", table.Version, "error", err)
+		f.Logger.Error("cannot reuse unchanged parts of the active configuration", "config", table.Version, "error", err)
 		return table
 	}
 	return shared
 }
 
-// shareConfig offers the version in force to the other gateways; next is where the topic goes
-// on.
-func (f *Follower) shareConfig(next logposition.Position) {
+// publishConfig makes the active version available to peers; next is the position from which to read
+// the topic after it.
+func (f *Follower) publishConfig(next logposition.Position) {
 	if table := f.Gateway.Table(); table != nil {
 		f.Share.Put(configshare.Version{Table: table, Next: next, Bytes: f.configBytes})
 	}
 }
 
-// configFromPeer takes in the configuration of the gateway that told of a newer one.
-func (f *Follower) configFromPeer(ctx context.Context, r *reading) bool {
+// fetchConfigFromPeer fetches and applies the configuration of a peer that announced a newer version.
+// It reports whether that succeeded.
+func (f *Follower) fetchConfigFromPeer(ctx context.Context, r *readState) bool {
 	at, from, newer := f.Peers.Newer(f.Topics.Configuration)
 	if !newer {
 		return false
 	}
 	start := time.Now()
-	v, packed, err := f.Share.Fetch(ctx, from, f.Gateway.Table())
+	v, fetchedBytes, err := f.Share.Fetch(ctx, from, f.Gateway.Table())
 	if err != nil {
 		f.Logger.Warn("configuration not fetched", "from", from, "error", err, "took_ms", time.Since(start).Milliseconds())
 		return false
 	}
 	f.configBytes = v.Bytes
 	if f.Gateway.SetTable(v.Table, at) {
-		f.Logger.Info("configuration in force", "config", v.Table.Version, "fetched_from", from, "fetched_bytes", packed,
+		f.Logger.Info("configuration in force", "config", v.Table.Version, "fetched_from", from, "fetched_bytes", fetchedBytes,
 			"took_ms", time.Since(start).Milliseconds())
 	}
-	r.next, r.loaded, r.behind, r.news = logposition.Later(r.next, v.Next), true, false, false
+	r.next, r.loaded, r.behind, r.gotRecords = logposition.Later(r.next, v.Next), true, false, false
 	f.Share.Put(v)
-	f.Peers.Find(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.since)
+	f.Peers.Find(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.upSince)
 	return true
 }
--- /dev/null
+++ b/internal/follow/dependencies.go
@@ -0,0 +1,116 @@
+package follow
+
+import (
+	"context"
+	"log/slog"
+	"net/netip"
+	"time"
+
+	"github.com/merlinpost/merlinpost/internal/configshare"
+	"github.com/merlinpost/merlinpost/internal/gateway"
+	"github.com/merlinpost/merlinpost/internal/logposition"
+	"github.com/merlinpost/merlinpost/internal/peers"
+	"github.com/merlinpost/merlinpost/internal/registry"
+	"github.com/merlinpost/merlinpost/internal/routing"
+)
+
+// Record is a record of a keyed topic. A nil Value means that the key was removed.
+type Record struct {
+	Key   string
+	Value []byte
+}
+
+// Store is the metadata store. Its topics keep the newest record of each key permanently, and all
+// other records for a limited time.
+type Store interface {
+	// Read returns the records of a topic from a position on, the position of the next record, and the
+	// end of the topic, which is greater if there are more records than one read returns: up to maxKB,
+	// or a single larger record. It waits up to wait for a record to be written, and fails if no data
+	// arrives for timeout beyond that. Errors have code LogTruncated if the records have been deleted,
+	// LogRestored if the position is of an earlier era, otherwise LogDown.
+	Read(ctx context.Context, topic string, from logposition.Position, maxKB int, wait, timeout time.Duration) (records []Record, next, end logposition.Position, err error)
+	// Newest returns the newest record of each key and the position from which to read changes.
+	// Records written during the call may be returned by both. Errors have the codes of Read.
+	Newest(ctx context.Context, topic string, timeout time.Duration) (records []Record, next logposition.Position, err error)
+	// Put appends a record. After an error the record may have been appended, or may be appended
+	// later.
+	Put(ctx context.Context, topic string, r Record, timeout time.Duration) error
+	// PutAt appends a record only if the topic ends at the position. Otherwise the error has code
+	// Conflict, or LogRestored if the position is of an earlier era.
+	PutAt(ctx context.Context, topic string, r Record, at logposition.Position, timeout time.Duration) error
+}
+
+// Topics are the names of the topics that gateways use.
+type Topics struct {
+	// Configuration and ConfigurationKey are the topic and the key of the operator's configuration.
+	Configuration, ConfigurationKey string
+	// Servers is the topic with an entry for each backend server, by server ID.
+	Servers string
+	// Gateways is the topic with the peer address of each gateway. It is written by the gateways.
+	Gateways string
+	// Quarantine is the topic with the requests that made servers fail, by request ID. It is written
+	// by the gateways.
+	Quarantine string
+}
+
+// Decoder decodes values. Errors have code InvalidConfig and name the field.
+type Decoder interface {
+	Config(value []byte) (*routing.Table, error)
+	Server(id string, value []byte) (*registry.Server, error)
+}
+
+// Settings are the platform's settings for following the store.
+type Settings struct {
+	// Address is the address of the store.
+	Address string
+	// DrainWithin is the time within which a draining backend server must stop receiving new requests.
+	DrainWithin time.Duration
+	// ApplyWithin is the time within which a configuration must be in force.
+	ApplyWithin time.Duration
+	// RecordBytes is the maximum record size that the store accepts from its users, 0 if unknown.
+	RecordBytes int
+}
+
+// Peers gives access to the other gateways, which share the state that they have read.
+type Peers interface {
+	// Rank returns the position of this gateway in the read order of a topic. The gateway with rank 0
+	// is the primary reader.
+	Rank(topic string) int
+	// Find records and announces the state that this gateway has read, and since when its calls to the
+	// store have succeeded without interruption.
+	Find(topic string, state uint64, at, since time.Time)
+	// StoreUpSince returns since when another gateway's calls to the store have succeeded without
+	// interruption; zero if none has reported it.
+	StoreUpSince(topic string) time.Time
+	// Heard returns the state of the topic that a peer announced last, 0 if none has.
+	Heard(topic string) uint64
+	// Versioned declares that the states of a topic are ordered version numbers.
+	Versioned(topic string)
+	// Newer reports whether a peer announced a newer state than this gateway has, the address of that
+	// peer, and the time at which that state was the newest.
+	Newer(topic string) (at time.Time, from netip.AddrPort, newer bool)
+	// Confirmed returns when this gateway's state was last confirmed to be the newest, and a channel
+	// that is closed when a peer announces a newer one.
+	Confirmed(topic string) (at time.Time, changed <-chan struct{})
+	// Small returns whether this host has a small processor or link compared with the largest host,
+	// and whether any host has.
+	Small() (self, some bool)
+	// SlowestLink returns the speed of the slowest link of the live gateways in Mbit/s, 0 if unknown.
+	SlowestLink() uint32
+	// List sets the gateways that are registered in the store. Self returns this gateway.
+	List([]peers.Member)
+	Self() peers.Member
+}
+
+// Dependencies are the components that a follower uses.
+type Dependencies struct {
+	// Connect returns a client of the store at an address.
+	Connect func(address string) Store
+	Topics  Topics
+	Decoder Decoder
+	Gateway *gateway.Gateway
+	Servers *registry.Registry
+	Peers   Peers
+	Share   *configshare.Share
+	Logger  *slog.Logger
+}
--- a/internal/follow/export_test.go
+++ b/internal/follow/export_test.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// What the tests, which follow the platform's store over its stand-in, use of a follower.
+// This file exports internals to the tests in package follow_test, which import the platform package
+// and its simulated store.
 
-// ReturnGrace is how long entries are kept that were removed while the store was away.
-const ReturnGrace = returnGrace
+// RecoveryGrace is how long entries that were removed during an outage of the store are kept after it.
+const RecoveryGrace = recoveryGrace
 
-// WholeList takes in the newest records of all servers.
-func (f *Follower) WholeList(records []Record, returned time.Time) uint64 {
-	return f.wholeList(batch{records: records}, returned)
+// ReplaceServers replaces the server list with the newest records of all servers.
+func (f *Follower) ReplaceServers(records []Record, graceStart time.Time) uint64 {
+	return f.replaceServers(batch{records: records}, graceStart)
 }
 
-// NewEntries takes in changes of the list.
-func (f *Follower) NewEntries(records []Record, returned time.Time) uint64 {
-	return f.newEntries(batch{records: records}, returned)
+// ApplyServerChanges applies changes to the server list.
+func (f *Follower) ApplyServerChanges(records []Record, graceStart time.Time) uint64 {
+	return f.applyServerChanges(batch{records: records}, graceStart)
 }
 
-// NewConfig takes in values of the configuration.
-func (f *Follower) NewConfig(records []Record) { f.newConfig(batch{records: records}, time.Time{}) }
+// ApplyConfig applies configuration records.
+func (f *Follower) ApplyConfig(records []Record) { f.applyConfig(batch{records: records}, time.Time{}) }
 
-// LostStore reports whether the list can't be read.
-func (f *Follower) LostStore() bool { return f.lostStore.Load() }
+// StoreUnavailable reports whether the server list can't be read.
+func (f *Follower) StoreUnavailable() bool { return f.storeUnavailable.Load() }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,7 +1,6 @@
-// Package follow keeps a gateway's configuration and its list of backend servers up to date
-// with the store in which they are written. It decides when the store is read, by which gateway,
-// what another gateway hands on instead, and what a failure of the store means; what its records
-// say is decoded for it.
+// Package follow keeps a gateway's configuration and list of backend servers in sync with the metadata
+// store. It decides when and by which gateway the store is read, what is fetched from a peer instead,
+// and how an outage of the store is handled. Records are decoded by a Decoder.
 package follow
 
 import (
@@ -13,68 +12,68 @@
 )
 
 const (
-	// readTimeout bounds a call beyond its wait. The store answers in a few ms;
-	// where its answers take some hundred times as long they still get through,
-	// and a silent connection is replaced soon enough for the bounds of seconds.
+	// readTimeout limits how long a call may receive no data, in addition to its long-poll wait. The
+	// store usually answers within a few ms; replies that take about a hundred times as long are still
+	// accepted, and a dead connection is replaced early enough for bounds of a few seconds.
 	readTimeout = 700 * time.Millisecond
-	// retryPause is the pause after a failed call of the gateway that reads first;
-	// the next ones in the order wait that much longer each, up to retryMost.
-	retryPause, retryMost = 200 * time.Millisecond, time.Second
-	// returnGrace is how long entries are kept that were removed while the store
-	// was away: servers that live are back within about two seconds.
-	returnGrace = 2300 * time.Millisecond
-	// stagger is by how much each gateway in the order reads later than the one
-	// before it when nothing has been heard; laterMost bounds the sum.
-	stagger, laterMost = 60 * time.Millisecond, 300 * time.Millisecond
-	// handOnTime is by how much small hosts read later still, so that a large one can read
-	// and hand on what differs first: 0.24 s for an answer of a store that is 60 times as
-	// slow as usual, 0.1 s for 0.9 MB at 200 Mbit/s, 0.13 s to hand it on.
-	handOnTime = 500 * time.Millisecond
-	// lapseEvery is how often removals that are held back are looked at.
-	lapseEvery = 200 * time.Millisecond
-	// listReadKB is how much one read of the list returns at most, 0.2 s of the slowest links,
-	// which carry 10 Mbit/s.
-	listReadKB = 256
-	// newestReadKB is the same where only the newest record counts: one record, or some small
-	// ones. A storm of versions of 300 KB would take 0.24 s each on such a link.
-	newestReadKB = 16
-	// leastPause bounds how often one gateway reads a topic, in a storm of changes.
-	leastPause = 150 * time.Millisecond
+	// retryDelay is the delay before the primary reader retries a failed call. Each following gateway
+	// in the order waits one more retryDelay, up to maxRetryDelay.
+	retryDelay, maxRetryDelay = 200 * time.Millisecond, time.Second
+	// recoveryGrace is how long entries that were removed during an outage of the store are kept after
+	// it. Live servers register again within about two seconds.
+	recoveryGrace = 2300 * time.Millisecond
+	// readStagger is the extra delay of each gateway in the order, relative to the one before it, when
+	// no confirmation arrived; maxReadStagger limits the sum.
+	readStagger, maxReadStagger = 60 * time.Millisecond, 300 * time.Millisecond
+	// smallHostDelay is the additional read delay of small hosts, so that a large host can read first
+	// and distribute the difference: 0.24 s for a reply of a store that is 60 times slower than usual,
+	// 0.1 s for 0.9 MB at 200 Mbit/s, and 0.13 s for the distribution.
+	smallHostDelay = 500 * time.Millisecond
+	// graceCheckInterval is how often deferred removals are checked.
+	graceCheckInterval = 200 * time.Millisecond
+	// serversReadMaxKB limits one read of the server list to 0.2 s on the slowest links, which carry
+	// 10 Mbit/s.
+	serversReadMaxKB = 256
+	// configReadMaxKB limits one read of a topic where only the newest record counts, to a single
+	// record or a few small ones. In a burst of versions of 300 KB, each superseded one would take
+	// 0.24 s on such a link.
+	configReadMaxKB = 16
+	// minReadInterval is the minimum time between two reads of a topic by one gateway, for bursts of
+	// changes.
+	minReadInterval = 150 * time.Millisecond
 )
 
-// connection is the store at the address in force.
+// connection is a client of the store at the current address.
 type connection struct{ Store }
 
-// Follower keeps a gateway's configuration and list of backend servers up to
-// date with the store.
+// Follower keeps a gateway's configuration and list of backend servers in sync with the store.
 type Follower struct {
-	Parts
+	Dependencies
 	store    atomic.Pointer[connection]
 	settings atomic.Pointer[Settings]
-	// lostStore is set while the list can't be read.
-	lostStore atomic.Bool
-	behind    lag
-	// configBytes is the size of the newest configuration.
+	// storeUnavailable is set while the server list can't be read.
+	storeUnavailable atomic.Bool
+	configLag        lagMonitor
+	// configBytes is the encoded size of the newest configuration.
 	configBytes int
-	// answered tells that the store answers again.
-	answered signal
-	// rejected bounds the lines about entries that can't be read, by field.
-	rejected decisionlog.Limiter
-	// entries are digests of the list's entries by server; the sum of them is the
-	// state of the list.
-	entries map[string]uint64
+	// storeAnswered wakes pending retries when the store answers again.
+	storeAnswered broadcast
+	// rejectionLog limits the log lines about invalid entries, by field.
+	rejectionLog decisionlog.Limiter
+	// entryDigests has a digest of each entry by server ID. Their sum identifies the state of the
+	// list.
+	entryDigests map[string]uint64
 }
 
-// New returns a follower; Run is its duty.
-func New(parts Parts, s Settings) *Follower {
-	f := &Follower{Parts: parts, behind: lag{logger: parts.Logger}, entries: map[string]uint64{}}
+// New returns a follower, which is started with Run.
+func New(parts Dependencies, s Settings) *Follower {
+	f := &Follower{Dependencies: parts, configLag: lagMonitor{logger: parts.Logger}, entryDigests: map[string]uint64{}}
 	f.Peers.Versioned(f.Topics.Configuration)
 	f.SetSettings(s)
 	return f
 }
 
-// SetSettings puts new settings in force; a new address of the store is used
-// from the next call on.
+// SetSettings applies new settings. A new store address is used from the next call on.
 func (f *Follower) SetSettings(s Settings) {
 	old := f.settings.Swap(&s)
 	if old == nil || old.Address != s.Address {
@@ -82,44 +81,44 @@
 	}
 }
 
-// Run follows the store until ctx ends.
+// Run follows the store until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
-	go f.follow(ctx, f.configTopic)
+	go f.followTopic(ctx, f.configTopic)
 	go f.followGateways(ctx)
-	f.follow(ctx, f.serversTopic)
+	f.followTopic(ctx, f.serversTopic)
 }
 
-// follow keeps up with a topic.
-func (f *Follower) follow(ctx context.Context, timing func() topic) {
-	r := reading{}
+// followTopic reads a topic in a loop until ctx is done.
+func (f *Follower) followTopic(ctx context.Context, current func() topic) {
+	r := readState{}
 	for ctx.Err() == nil {
-		t := timing()
-		first := f.Peers.Rank(t.name) == 0
+		t := current()
+		primary := f.Peers.Rank(t.name) == 0
 		if r.loaded && !r.down && !r.behind {
-			f.awaitDue(ctx, t, first, &r)
+			f.waitUntilDue(ctx, t, primary, &r)
 		}
-		if !t.fromPeer(ctx, &r) {
-			f.read(ctx, t, first, &r)
+		if !t.fetchFromPeer(ctx, &r) {
+			f.read(ctx, t, primary, &r)
 		}
 	}
 }
 
-// awaitDue waits until the topic is to be read.
-func (f *Follower) awaitDue(ctx context.Context, t topic, first bool, r *reading) {
-	sleep(ctx, leastPause)
+// waitUntilDue waits until the topic has to be read, or a peer announces a newer state.
+func (f *Follower) waitUntilDue(ctx context.Context, t topic, primary bool, r *readState) {
+	sleep(ctx, minReadInterval)
 	for ctx.Err() == nil {
 		confirmed, changed := f.Peers.Confirmed(t.name)
-		age := t.pause
-		if !first {
-			age = t.bound.Patience(t.slowestRead) + f.later(t)
+		maxAge := t.interval
+		if !primary {
+			maxAge = t.bound.Patience(t.slowestTransfer) + f.readDelay(t)
 		}
-		t.confirm(confirmed, f.graceFrom(t.name, r))
-		t.watch(r.failed)
-		left := age - time.Since(confirmed)
+		t.confirm(confirmed, f.graceStart(t.name, r))
+		t.observe(r.lastErr)
+		left := maxAge - time.Since(confirmed)
 		if left <= 0 {
 			return
 		}
-		timer := time.NewTimer(min(left, lapseEvery))
+		timer := time.NewTimer(min(left, graceCheckInterval))
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -131,32 +130,32 @@
 	}
 }
 
-// later returns by how much this gateway reads later than the first of those that lost
-// patience.
-func (f *Follower) later(t topic) time.Duration {
-	later := min(time.Duration(f.Peers.Rank(t.name))*stagger, laterMost)
-	if small, _ := f.Peers.Small(); small && t.handedOn {
-		later += handOnTime
+// readDelay returns how long this gateway waits beyond the maximum age of a confirmation before it
+// reads, so that gateways do not all read at once.
+func (f *Follower) readDelay(t topic) time.Duration {
+	delay := min(time.Duration(f.Peers.Rank(t.name))*readStagger, maxReadStagger)
+	if small, _ := f.Peers.Small(); small && t.sharedByPeers {
+		delay += smallHostDelay
 	}
-	return later
+	return delay
 }
 
-// awaitRetry waits before a failed call is repeated. It ends at once when a call for
-// another topic is answered, as the store is back, or when another gateway has news. A gateway that serves nobody for want of
-// the store asks as often as the one that reads for all.
-func (f *Follower) awaitRetry(ctx context.Context, t topic) {
-	pause := retryPause
+// waitBeforeRetry waits before a failed call is retried. It returns early when a call for another
+// topic succeeds, which shows that the store is back, or when a peer announces a newer state. A
+// gateway that is not ready retries as often as the primary reader.
+func (f *Follower) waitBeforeRetry(ctx context.Context, t topic) {
+	delay := retryDelay
 	if f.Gateway.Ready() {
-		pause = min(retryPause*time.Duration(1+f.Peers.Rank(t.name)), retryMost)
+		delay = min(retryDelay*time.Duration(1+f.Peers.Rank(t.name)), maxRetryDelay)
 	}
 	_, changed := f.Peers.Confirmed(t.name)
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-changed:
-	case <-f.answered.next():
+	case <-f.storeAnswered.wait():
 	}
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -24,33 +24,33 @@
 	"github.com/merlinpost/merlinpost/platform"
 )
 
-// within is how long a change may take to be seen over the stand-in store.
+// within is the timeout for a change to take effect with the simulated store.
 const within = 5 * time.Second
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// openPeers returns a gateway without others.
+// openPeers returns the peers of a gateway on a loopback address.
 func openPeers(host string) *peers.Peers {
 	p, err := peers.Open(host, "127.0.0.1:0", peers.Capacity{Cores: 0.3}, gateway.New(gateway.Settings{}, platform.Dialect{}, registry.New(), quiet()), quiet())
 	if err != nil {
-		panic(err) // no loopback address
+		panic(err) // there is no loopback address
 	}
 	return p
 }
 
-// parts are those of a follower of the stand-in, with a share that reaches nobody.
-func parts(gw *gateway.Gateway, servers *registry.Registry, others follow.Peers) follow.Parts {
-	return follow.Parts{
+// dependencies returns those of a follower of the simulated store, with a share that reaches no peer.
+func dependencies(gw *gateway.Gateway, servers *registry.Registry, others follow.Peers) follow.Dependencies {
+	return follow.Dependencies{
 		Connect: func(address string) follow.Store { return platform.NewStore(address, slog.New(slog.DiscardHandler)) }, Topics: platform.Topics, Decoder: platform.Decoder{},
 		Gateway: gw, Servers: servers, Peers: others, Share: configshare.New((&net.Dialer{}).DialContext, 0, quiet()), Logger: quiet(),
 	}
 }
 
-// configVersion is a small configuration.
+// configVersion returns a small configuration.
 func configVersion(version int) []byte { return largeConfig(version, 1, 1) }
 
-// largeConfig is a configuration of so many routes and teams: 270 bytes a route, 110 a
-// team.
+// largeConfig returns a configuration with the given number of routes, of 270 bytes each, and teams,
+// of 110 bytes each.
 func largeConfig(version, routes, teams int) []byte {
 	type doc = map[string]any
 	c := doc{"version": version}
@@ -93,10 +93,10 @@
 	start := func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		others := openPeers("h1")
-		var duties sync.WaitGroup
-		duties.Go(func() { others.Run(ctx) })
-		duties.Go(func() { follow.New(parts(gw, servers, others), set).Run(ctx) })
-		DeferCleanup(func() { cancel(); duties.Wait() })
+		var running sync.WaitGroup
+		running.Go(func() { others.Run(ctx) })
+		running.Go(func() { follow.New(dependencies(gw, servers, others), set).Run(ctx) })
+		DeferCleanup(func() { cancel(); running.Wait() })
 	}
 	BeforeEach(func() {
 		store = platformstore.Start()
@@ -106,7 +106,7 @@
 		set = follow.Settings{Address: store.Address(), DrainWithin: 60 * time.Millisecond, ApplyWithin: 200 * time.Millisecond}
 	})
 
-	It("makes the gateway ready once it knows configuration and servers", func() {
+	It("makes the gateway ready once the configuration and the servers are loaded", func() {
 		put("i-1", "ready")
 		start()
 		Eventually(ids, within).Should(ConsistOf("i-1"))
@@ -116,7 +116,7 @@
 		Expect(gw.ConfigVersion()).To(BeEquivalentTo(7))
 	})
 
-	It("leaves the last good configuration in force", func() {
+	It("keeps the last valid configuration in force", func() {
 		store.Put(platformstore.TopicOperator, "config", configVersion(7))
 		start()
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(7))
@@ -130,9 +130,10 @@
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(9))
 	})
 
-	// A host with a link of 10 Mbit/s, of which callers take half, and configurations of
-	// 1,400 routes or of 2,500 teams, several of them written while the store was away. A
-	// read that was given 0.7 s in all and up to 1,024 KB was cut and begun anew for ever.
+	// Guards against a read that restarts forever: reads were limited to 0.7 s in total and returned
+	// up to 1,024 KB, so they were cut off and repeated on a link of 10 Mbit/s of which callers use
+	// half. The configurations have 1,400 routes or 2,500 teams, and several versions are written
+	// while the store is unavailable.
 	DescribeTable("has the newest configuration in force over a slow link", func(routes, teams int) {
 		set.ApplyWithin = 2 * time.Second
 		store.SetLink(5e6)
@@ -145,7 +146,7 @@
 		}
 		store.SetMode(platformstore.Up)
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(6))
-		// In a storm of versions too.
+		// The same with a burst of versions.
 		for version := 7; version <= 12; version++ {
 			store.Put(platformstore.TopicOperator, "config", largeConfig(version, routes, teams))
 		}
@@ -155,7 +156,7 @@
 		Entry("2,500 teams", 50, 2500),
 	)
 
-	It("reads the newest records when the others are gone", func() {
+	It("loads the newest records when older ones have been deleted", func() {
 		store.PageSize = 1
 		put("i-1", "ready")
 		store.Put(platformstore.TopicOperator, "config", configVersion(7))
@@ -170,7 +171,7 @@
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(8))
 	})
 
-	It("takes draining and removed servers out", func() {
+	It("stops using draining and removed servers", func() {
 		put("i-1", "ready")
 		put("i-2", "ready")
 		put("i-3", "ready")
@@ -181,7 +182,7 @@
 		Eventually(ids, within).Should(ConsistOf("i-3"))
 	})
 
-	It("serves on with what it knows while the store is away, and keeps entries that lapsed meanwhile", func() {
+	It("keeps serving during an outage of the store, and defers the removal of entries that expired meanwhile", func() {
 		put("i-1", "ready")
 		put("i-2", "ready")
 		store.Put(platformstore.TopicOperator, "config", configVersion(7))
@@ -199,40 +200,40 @@
 		Eventually(store.Reads, within).Should(BeNumerically(">", reads+6))
 		Expect(ids()).To(ConsistOf("i-1", "i-2"))
 		put("i-1", "ready")
-		Eventually(ids, within).Should(ConsistOf("i-1")) // i-2 has not come back in time
+		Eventually(ids, within).Should(ConsistOf("i-1")) // i-2 was not registered again in time
 	})
 
-	It("drops at once what left while only it was cut off from the store", func() {
+	It("drops servers at once that were removed while only this host was disconnected from the store", func() {
 		put("i-1", "ready")
 		put("i-2", "ready")
 		ctx, cancel := context.WithCancel(context.Background())
-		cutOff, other := openPeers("h1"), openPeers("h2")
-		var duties sync.WaitGroup
-		f := follow.New(parts(gw, servers, cutOff), set)
+		disconnected, other := openPeers("h1"), openPeers("h2")
+		var running sync.WaitGroup
+		f := follow.New(dependencies(gw, servers, disconnected), set)
 		others := registry.New()
-		duties.Go(func() { cutOff.Run(ctx) })
-		duties.Go(func() { other.Run(ctx) })
-		duties.Go(func() { f.Run(ctx) })
-		duties.Go(func() {
-			follow.New(parts(gateway.New(gateway.Settings{}, platform.Dialect{}, others, quiet()), others, other), set).Run(ctx)
+		running.Go(func() { disconnected.Run(ctx) })
+		running.Go(func() { other.Run(ctx) })
+		running.Go(func() { f.Run(ctx) })
+		running.Go(func() {
+			follow.New(dependencies(gateway.New(gateway.Settings{}, platform.Dialect{}, others, quiet()), others, other), set).Run(ctx)
 		})
-		DeferCleanup(func() { cancel(); duties.Wait() })
+		DeferCleanup(func() { cancel(); running.Wait() })
 		Eventually(ids, within).Should(ConsistOf("i-1", "i-2"))
-		Eventually(func() int { return cutOff.Rank("x") + other.Rank("x") }, within).Should(Equal(1)) // they know each other
+		Eventually(func() int { return disconnected.Rank("x") + other.Rank("x") }, within).Should(Equal(1)) // they have discovered each other
 		Eventually(others.Loaded, within).Should(BeTrue())
 		reads := store.Reads()
-		Eventually(store.Reads, within).Should(BeNumerically(">", reads+6)) // both were in touch for a while
+		Eventually(store.Reads, within).Should(BeNumerically(">", reads+6)) // both have read the store repeatedly
 		unreachable := set
 		unreachable.Address = "127.0.0.1:1"
 		f.SetSettings(unreachable)
-		Eventually(f.LostStore, within).Should(BeTrue())
+		Eventually(f.StoreUnavailable, within).Should(BeTrue())
 		store.Put(platformstore.TopicServers, "i-2", nil)
-		Eventually(func() bool { return cutOff.StoreUpSince(platform.Topics.Servers).IsZero() }, within).Should(BeFalse())
+		Eventually(func() bool { return disconnected.StoreUpSince(platform.Topics.Servers).IsZero() }, within).Should(BeFalse())
 		f.SetSettings(set)
-		Eventually(ids, follow.ReturnGrace-500*time.Millisecond).Should(ConsistOf("i-1"))
+		Eventually(ids, follow.RecoveryGrace-500*time.Millisecond).Should(ConsistOf("i-1"))
 	})
 
-	It("gives up a call that gets no answer", func() {
+	It("abandons a call that gets no reply", func() {
 		store.Put(platformstore.TopicOperator, "config", configVersion(7))
 		store.SetMode(platformstore.Silent)
 		start()
@@ -242,20 +243,20 @@
 	})
 })
 
-// In whatever order and however often records are read, the version in force
-// never goes down, and the highest that was read is in force.
-func TestTheConfigurationNeverGoesBack(t *testing.T) {
+// Whatever the order and repetition of the records read, the version in force never decreases, and is
+// at least the version of the last record.
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	others := openPeers("h1")
 	rapid.Check(t, func(t *rapid.T) {
 		gw := gateway.New(gateway.Settings{}, platform.Dialect{}, registry.New(), quiet())
-		f := follow.New(parts(gw, registry.New(), others), follow.Settings{})
+		f := follow.New(dependencies(gw, registry.New(), others), follow.Settings{})
 		var last int64
 		for range rapid.IntRange(1, 8).Draw(t, "reads") {
 			var records []follow.Record
 			for range rapid.IntRange(0, 4).Draw(t, "records") {
 				records = append(records, follow.Record{Key: platform.Topics.ConfigurationKey, Value: configVersion(rapid.IntRange(1, 20).Draw(t, "version"))})
 			}
-			f.NewConfig(records)
+			f.ApplyConfig(records)
 			version := gw.ConfigVersion()
 			if version < last {
 				t.Fatalf("version %d after %d", version, last)
--- a/internal/follow/gateways.go
+++ b/internal/follow/gateways.go
@@ -9,40 +9,39 @@
 	"github.com/merlinpost/merlinpost/internal/peers"
 )
 
-// gatewaysEvery is how often the list of gateways is read. New ones are learnt of
-// from their heartbeats; the list only brings together gateways that have never
-// heard of each other.
-const gatewaysEvery = 20 * time.Second
+// gatewaysInterval is how often the list of gateways is read. Gateways usually discover each other
+// through heartbeats; the list is only needed by gateways that have not received any from each other.
+const gatewaysInterval = 20 * time.Second
 
-// gatewayDoc is our own entry of a gateway in the store; the key is its host.
-type gatewayDoc struct {
+// gatewayEntry is the stored record of a gateway. Its key is the host name.
+type gatewayEntry struct {
 	Address netip.AddrPort `json:"address"`
 }
 
-// followGateways enters this gateway in the store and reads the others until ctx
-// ends.
+// followGateways registers this gateway in the store and reads the list of the others until ctx is
+// done.
 func (f *Follower) followGateways(ctx context.Context) {
-	entered := false
+	registered := false
 	for ctx.Err() == nil {
-		pause := gatewaysEvery
-		if !entered {
-			entered = f.enterGateway(ctx)
+		delay := gatewaysInterval
+		if !registered {
+			registered = f.registerGateway(ctx)
 		}
-		if !f.readGateways(ctx) || !entered {
-			pause = retryMost
+		if !f.readGateways(ctx) || !registered {
+			delay = maxRetryDelay
 		}
-		sleep(ctx, pause)
+		sleep(ctx, delay)
 	}
 }
 
-func (f *Follower) enterGateway(ctx context.Context) bool {
+func (f *Follower) registerGateway(ctx context.Context) bool {
 	self := f.Peers.Self()
-	value, err := json.Marshal(gatewayDoc{self.Address})
+	value, err := json.Marshal(gatewayEntry{self.Address})
 	if err == nil {
 		err = f.store.Load().Put(ctx, f.Topics.Gateways, Record{self.Host, value}, readTimeout)
 	}
 	if err != nil && ctx.Err() == nil {
-		f.Logger.Warn("gateway not entered in the store yet", "error", err)
+		f.Logger.Warn("gateway registration failed, will retry", "error", err)
 	}
 	return err == nil
 }
@@ -57,7 +56,7 @@
 	}
 	var list []peers.Member
 	for _, r := range records {
-		var doc gatewayDoc
+		var doc gatewayEntry
 		if err := json.Unmarshal(r.Value, &doc); err != nil {
 			f.Logger.Error("gateway entry rejected", "host", r.Key, "error", err)
 			continue
--- a/internal/follow/lag.go
+++ b/internal/follow/lag.go
@@ -7,24 +7,23 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// lag watches whether the configuration in force is behind the newest that any gateway
-// has told of. It is not safe for concurrent use.
-type lag struct {
+// lagMonitor tracks whether the active configuration is older than the newest version announced by any
+// gateway. It is not safe for concurrent use.
+type lagMonitor struct {
 	logger *slog.Logger
-	since  time.Time // when a newer one was first heard of; zero while none is
-	told   bool      // the line has been written
+	since  time.Time // when a newer version was first announced; zero if none is
+	logged bool      // the current lag has been logged
 }
 
-// note takes in the version in force and the newest heard of. A lag that lasts longer
-// than within gets one line, with why the newest could not be read so far, and one more
-// at its end.
-func (l *lag) note(inForce, newest int64, why error, within time.Duration, now time.Time) {
+// observe records the active version and the newest one announced. A lag longer than within is logged
+// once, with the reason why the newest version could not be read, and once more when it ends.
+func (l *lagMonitor) observe(inForce, newest int64, why error, within time.Duration, now time.Time) {
 	telemetry.Gauge("merlinpost_config_newest_heard", float64(max(inForce, newest)))
 	if newest <= inForce {
-		if l.told {
+		if l.logged {
 			l.logger.Info("configuration caught up", "config", inForce, "was_behind", now.Sub(l.since))
 		}
-		l.since, l.told = time.Time{}, false
+		l.since, l.logged = time.Time{}, false
 		telemetry.Gauge("merlinpost_config_behind_seconds", 0)
 		return
 	}
@@ -33,8 +32,8 @@
 	}
 	behind := now.Sub(l.since)
 	telemetry.Gauge("merlinpost_config_behind_seconds", behind.Seconds())
-	if behind > within && !l.told {
-		l.told = true
+	if behind > within && !l.logged {
+		l.logged = true
 		l.logger.Warn("configuration behind", "config", inForce, "newest_heard", newest, "behind", behind, "why", why)
 	}
 }
--- a/internal/follow/quarantine.go
+++ b/internal/follow/quarantine.go
@@ -7,27 +7,27 @@
 	"github.com/merlinpost/merlinpost/internal/quarantine"
 )
 
-// verdictStore is the topic of verdicts at the store in force.
-type verdictStore struct{ f *Follower }
+// quarantineStore implements quarantine.Store on the current metadata store.
+type quarantineStore struct{ f *Follower }
 
-// Quarantine returns the store of verdicts.
-func (f *Follower) Quarantine() quarantine.Store { return verdictStore{f} }
+// Quarantine returns the store of quarantine verdicts.
+func (f *Follower) Quarantine() quarantine.Store { return quarantineStore{f} }
 
 // Newest implements quarantine.Store.
-func (s verdictStore) Newest(ctx context.Context) (map[string][]byte, logposition.Position, error) {
+func (s quarantineStore) Newest(ctx context.Context) (map[string][]byte, logposition.Position, error) {
 	records, end, err := s.f.store.Load().Newest(ctx, s.f.Topics.Quarantine, readTimeout)
 	if err != nil {
 		return nil, end, err
 	}
-	kept := make(map[string][]byte, len(records))
+	values := make(map[string][]byte, len(records))
 	for _, r := range records {
-		kept[r.Key] = r.Value
+		values[r.Key] = r.Value
 	}
-	return kept, end, nil
+	return values, end, nil
 }
 
 // Put implements quarantine.Store.
-func (s verdictStore) Put(ctx context.Context, key string, value []byte, at *logposition.Position) error {
+func (s quarantineStore) Put(ctx context.Context, key string, value []byte, at *logposition.Position) error {
 	r := Record{Key: key, Value: value}
 	if at == nil {
 		return s.f.store.Load().Put(ctx, s.f.Topics.Quarantine, r, readTimeout)
--- a/internal/follow/list_test.go
+++ b/internal/follow/servers_test.go
@@ -20,20 +20,20 @@
 const goodEntry = `{"service":"s1","address":"10.0.0.1:80","zone":"z","version":"v1","slots":6,"state":"ready",` +
 	`"cold_remaining_ms":0,"sequence":4,"born":1764720000000,"stage":"colocated"}`
 
-// alone is a gateway among no others.
-type alone struct{ follow.Peers }
+// noPeers is the peers of a gateway that is the only one.
+type noPeers struct{ follow.Peers }
 
-func (alone) StoreUpSince(string) time.Time { return time.Time{} }
-func (alone) Versioned(string)              {}
+func (noPeers) StoreUpSince(string) time.Time { return time.Time{} }
+func (noPeers) Versioned(string)              {}
 
-// unconnected returns a follower that is not connected to a store, and its list.
-func unconnected() (*follow.Follower, *registry.Registry) {
+// newOfflineFollower returns a follower that is not connected to a store, and its server list.
+func newOfflineFollower() (*follow.Follower, *registry.Registry) {
 	servers := registry.New()
 	gw := gateway.New(gateway.Settings{}, platform.Dialect{}, servers, quiet())
-	return follow.New(parts(gw, servers, alone{}), follow.Settings{Address: "127.0.0.1:1"}), servers
+	return follow.New(dependencies(gw, servers, noPeers{}), follow.Settings{Address: "127.0.0.1:1"}), servers
 }
 
-func listed(servers *registry.Registry) []string {
+func readyServers(servers *registry.Registry) []string {
 	var out []string
 	for _, b := range servers.Ready("s1") {
 		s := b.Server()
@@ -42,10 +42,10 @@
 	return out
 }
 
-// Any series of entries, split anywhere between a whole read and changes, gives the same
-// list. Entries that can't be read were dropped by a whole read and left the entry
-// before in force as a change.
-func TestAWholeReadAndChangesGiveTheSameList(t *testing.T) {
+// Any series of entries, split anywhere between a full load and incremental changes, results in the
+// same server list. Guards against an inconsistency with invalid entries: a full load dropped the
+// server, an incremental change left its previous entry in force.
+func TestFullLoadAndChangesGiveTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) follow.Record {
 			r := follow.Record{Key: rapid.SampledFrom([]string{"i-1", "i-2", "i-3"}).Draw(t, "server")}
@@ -89,27 +89,27 @@
 			slices.SortFunc(out, func(a, b follow.Record) int { return strings.Compare(a.Key, b.Key) })
 			return out
 		}
-		whole, wholeList := unconnected()
-		wholeState := whole.WholeList(newest(written), time.Time{})
-		changes, changedList := unconnected()
-		changes.WholeList(newest(written[:split]), time.Time{})
-		changedState := changes.NewEntries(written[split:], time.Time{})
+		whole, fullList := newOfflineFollower()
+		wholeState := whole.ReplaceServers(newest(written), time.Time{})
+		changes, changedList := newOfflineFollower()
+		changes.ReplaceServers(newest(written[:split]), time.Time{})
+		changedState := changes.ApplyServerChanges(written[split:], time.Time{})
 		g := NewWithT(t)
-		g.Expect(listed(changedList)).To(Equal(listed(wholeList)))
+		g.Expect(readyServers(changedList)).To(Equal(readyServers(fullList)))
 		g.Expect(changedState).To(Equal(wholeState))
 	})
 }
 
-// While removals are held back after an outage of the store, an entry that names no
-// server to use still counts at once: no outage explains it.
-func TestAnUnusableEntryIsNotHeldBack(t *testing.T) {
+// While removals are deferred after an outage of the store, an invalid entry still takes effect at
+// once, because an outage does not explain it.
+func TestInvalidEntryIsNotDeferred(t *testing.T) {
 	g := NewWithT(t)
-	f, servers := unconnected()
-	f.WholeList([]follow.Record{{Key: "i-1", Value: []byte(goodEntry)}, {Key: "i-2", Value: []byte(goodEntry)}, {Key: "i-3", Value: []byte(goodEntry)}}, time.Time{})
-	g.Expect(listed(servers)).To(HaveLen(3))
-	returned := time.Now()
-	f.NewEntries([]follow.Record{{Key: "i-1", Value: []byte(`{}`)}}, returned)
-	g.Expect(listed(servers)).To(HaveLen(2))
-	f.WholeList([]follow.Record{{Key: "i-2", Value: []byte(`x`)}}, returned)
-	g.Expect(listed(servers)).To(HaveLen(1)) // i-3 may be back
+	f, servers := newOfflineFollower()
+	f.ReplaceServers([]follow.Record{{Key: "i-1", Value: []byte(goodEntry)}, {Key: "i-2", Value: []byte(goodEntry)}, {Key: "i-3", Value: []byte(goodEntry)}}, time.Time{})
+	g.Expect(readyServers(servers)).To(HaveLen(3))
+	outageEnd := time.Now()
+	f.ApplyServerChanges([]follow.Record{{Key: "i-1", Value: []byte(`{}`)}}, outageEnd)
+	g.Expect(readyServers(servers)).To(HaveLen(2))
+	f.ReplaceServers([]follow.Record{{Key: "i-2", Value: []byte(`x`)}}, outageEnd)
+	g.Expect(readyServers(servers)).To(HaveLen(1)) // the removal of i-3 is deferred
 }
--- a/internal/follow/topic.go
+++ b/internal/follow/topic.go
@@ -9,48 +9,49 @@
 	"github.com/merlinpost/merlinpost/internal/peers"
 )
 
-// topic says how a topic of the store is followed. The gateway that comes first
-// in the order of the live ones reads it for all and tells the others the state;
-// they read only when the state has changed or was not confirmed for a while.
+// topic describes how a topic of the store is followed. The primary reader, which is the first live
+// gateway in the topic's order, reads it on behalf of all and announces the state to its peers. They
+// read the store only when the state has changed or has not been confirmed recently.
 type topic struct {
 	name  string
 	bound freshness.Bound
-	// pause is the time between two reads of the first one; waits says that they wait at the
-	// store for a record.
-	pause time.Duration
-	waits bool
-	// slowestRead is how long the next value may take on the slowest link.
-	slowestRead time.Duration
-	// handedOn says that one gateway hands on to the others what it has read.
-	handedOn bool
-	// fromPeer takes in what another gateway has read, if there is news; false leaves it to
-	// the store.
-	fromPeer func(context.Context, *reading) bool
-	// offer hands the state to the other gateways who ask; next is where the topic goes on.
-	offer func(next logposition.Position)
-	// confirm takes in when the state this gateway has was found to be the newest.
-	confirm func(at, returned time.Time)
-	// key is the one whose newest value is all that counts, "" if all keys do: what was
-	// written in between is passed over when there is more than one read returns.
+	// interval is the time between two reads of the primary reader; longPoll makes these reads wait at
+	// the store for a record.
+	interval time.Duration
+	longPoll bool
+	// slowestTransfer is how long the transfer of the next value may take on the slowest link.
+	slowestTransfer time.Duration
+	// sharedByPeers is set if a gateway that has read the state passes it on to its peers.
+	sharedByPeers bool
+	// fetchFromPeer gets a newer state from a peer, if one was announced. If it returns false, the
+	// store is read.
+	fetchFromPeer func(context.Context, *readState) bool
+	// publish makes the state available to peers; next is the position from which to read on.
+	publish func(next logposition.Position)
+	// confirm is called with the time at which this gateway's state was last known to be the newest.
+	confirm func(at, graceStart time.Time)
+	// key is the only key of the topic that is used; superseded values are skipped if there are more
+	// records than one read returns. If it is "", the records of all keys are used.
 	key   string
-	maxKB int // that one read returns
-	// watch is called with why the last read failed, nil if it did not.
-	watch func(failed error)
-	// whole and added take in what was read and return the state of the topic;
-	// returned is when the store was last back after an outage.
-	whole, added func(b batch, returned time.Time) uint64
+	maxKB int // maximum size of one read
+	// observe is called with the error of the last read, nil if it succeeded.
+	observe func(failed error)
+	// replace and apply process the newest records of all keys and the changes since, and return the
+	// resulting state of the topic. graceStart is when the store came back after an outage, zero if
+	// removals are not deferred.
+	replace, apply func(b batch, graceStart time.Time) uint64
 }
 
-// batch is what one read returned.
+// batch is the result of one read.
 type batch struct {
-	records []Record
-	sent    time.Time     // when it was asked for
-	took    time.Duration // until the whole had come
-	at      time.Time     // of which the store's state is told
-	first   bool          // by the gateway that reads for all
+	records   []Record
+	sentAt    time.Time     // when the request was sent
+	duration  time.Duration // until the reply was complete
+	asOf      time.Time     // when these records were known to be the newest
+	byPrimary bool          // read by the primary reader
 }
 
-// bytes is the length of the values.
+// bytes returns the total length of the values.
 func (b batch) bytes() (n int) {
 	for _, r := range b.records {
 		n += len(r.Value)
@@ -58,18 +59,18 @@
 	return n
 }
 
-// bound returns the bound of a topic whose changes must be in force within some time. share
-// lies so far below 1 that a first one that was cut off from the store just before a change
-// is found in time.
-func bound(within time.Duration, share float64) freshness.Bound {
-	return freshness.Bound{Within: within, Share: share, Spread: laterMost, Told: peers.NewsBeat, Pause: leastPause}
+// newBound returns the timing bound of a topic whose changes must be in force within the given time.
+// The share is far enough below 1 that the loss of a primary reader that was disconnected from the
+// store just before a change is detected in time.
+func newBound(within time.Duration, share float64) freshness.Bound {
+	return freshness.Bound{Within: within, Share: share, Spread: maxReadStagger, Told: peers.NewsBeat, Pause: minReadInterval}
 }
 
-// serversTopic derives the timing from the bound: a draining server must get no more work
-// within DrainWithin.
+// serversTopic returns how the server list is followed. Its timing is derived from DrainWithin, the
+// time within which a draining server must stop receiving new requests.
 func (f *Follower) serversTopic() topic {
 	within := f.settings.Load().DrainWithin
-	return topic{name: f.Topics.Servers, maxKB: listReadKB, bound: bound(within, 0.45), pause: within / 3,
-		confirm: f.confirmList, whole: f.wholeList, added: f.newEntries,
-		fromPeer: func(context.Context, *reading) bool { return false }, offer: func(logposition.Position) {}, watch: func(error) {}}
+	return topic{name: f.Topics.Servers, maxKB: serversReadMaxKB, bound: newBound(within, 0.45), interval: within / 3,
+		confirm: f.confirmServers, replace: f.replaceServers, apply: f.applyServerChanges,
+		fetchFromPeer: func(context.Context, *readState) bool { return false }, publish: func(logposition.Position) {}, observe: func(error) {}}
 }
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -188,7 +188,7 @@
 	p.gateway.UsePeers(others)
 	p.peers = others
 	share := configshare.New(n.Link.DialContext, 0, quiet())
-	follower := follow.New(follow.Parts{Connect: func(address string) follow.Store { return platform.NewStoreOver(n.Link.DialContext, address, quiet()) },
+	follower := follow.New(follow.Dependencies{Connect: func(address string) follow.Store { return platform.NewStoreOver(n.Link.DialContext, address, quiet()) },
 		Topics: platform.Topics, Decoder: platform.Decoder{}, Gateway: p.gateway, Servers: servers, Peers: others, Share: share, Logger: quiet()},
 		follow.Settings{Address: f.storeAt.Address(storePort).String(), DrainWithin: DrainWithin, ApplyWithin: ApplyWithin})
 	keeper := quarantine.NewKeeper(p.gateway.Quarantine(), follower.Quarantine(), n.Name, quiet())
