--- a/internal/follow/servers.go
+++ b/internal/follow/servers.go
@@ -22,7 +22,7 @@
 		if s := f.decodeServer(r); s != nil {
 			list = append(list, *s)
 		} else {
-			invalid = append(invalid, registry.Change{ID: r.Key, Unusable: true})
+			invalid = append(invalid, registry.Change{ID: r.Key, Invalid: true})
 		}
 	}
 	now := time.Now()
@@ -41,7 +41,7 @@
 			continue
 		}
 		s := f.decodeServer(r)
-		changes = append(changes, registry.Change{ID: r.Key, Server: s, Unusable: s == nil})
+		changes = append(changes, registry.Change{ID: r.Key, Server: s, Invalid: s == nil})
 	}
 	f.logDropped(f.Servers.Apply(changes, time.Now(), graceEnd(graceStart)))
 	return f.serversDigest()
@@ -49,7 +49,7 @@
 
 // confirmServers records that the server list was unchanged at a time.
 func (f *Follower) confirmServers(at, graceStart time.Time) {
-	f.logDropped(f.Servers.Confirmed(at, time.Now(), graceEnd(graceStart)))
+	f.logDropped(f.Servers.Confirm(at, time.Now(), graceEnd(graceStart)))
 }
 
 // serversDigest returns the digest of the server list.
@@ -73,7 +73,7 @@
 		}
 		return nil
 	}
-	f.entryDigests[r.Key] = xxhash.Sum64String(fmt.Sprintf("%s %s %s %s %d %t %d", s.ID, s.Service, s.Address, s.FailureDomain, s.Slots, s.Draining, s.Started))
+	f.entryDigests[r.Key] = xxhash.Sum64String(fmt.Sprintf("%s %s %s %s %d %t %d", s.ID, s.Service, s.Address, s.FailureDomain, s.Slots, s.Draining, s.StartUnixMs))
 	return s
 }
 
--- a/internal/follow/servers_test.go
+++ b/internal/follow/servers_test.go
@@ -37,7 +37,7 @@
 	var out []string
 	for _, b := range servers.Ready("s1") {
 		s := b.Server()
-		out = append(out, s.Start()+" "+s.Address)
+		out = append(out, s.InstanceID()+" "+s.Address)
 	}
 	return out
 }
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -105,7 +105,7 @@
 		leave.End(permit.Stream{})
 		return unsent, nil
 	}
-	start := choice.Candidate.Server.Start()
+	start := choice.Candidate.Server.InstanceID()
 	tried[start] = true
 	g.ledger.Place(q.id(), t.key, start, g.now())
 	return g.sendTo(ctx, q, choice, leave, rel)
@@ -299,10 +299,10 @@
 	sentAt := g.now()
 	_, shared := q.call.Prompt.Shared()
 	unread := q.call.Prompt.Tokens - shared
-	b.Begin(unread)
-	read := sync.OnceFunc(func() { b.FirstToken(unread) })
+	b.BeginRequest(unread)
+	read := sync.OnceFunc(func() { b.RecordFirstToken(unread) })
 	var seen permit.Stream
-	defer func() { read(); b.End(); leave.End(seen) }()
+	defer func() { read(); b.EndRequest(); leave.End(seen) }()
 	firstToken := sync.OnceFunc(func() {
 		read()
 		seen.First = g.now().Sub(sentAt)
@@ -322,14 +322,14 @@
 		said = g.heard(server, answer.Said, sentAt) // with the head: a stream may last for long
 		if answer.Load != nil {
 			answer.Load.At = g.now()
-			b.Report(*answer.Load)
+			b.RecordLoad(*answer.Load)
 		}
 		result, err = g.take(ctx, q, rel, resp, answer, &watch{now: g.now, first: firstToken, seen: &seen})
 		g.judge(ctx, b, resp.Status, result)
 	}
 	seen.Failed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
 	s := send{Server: server.ID, Reason: choice.Reason, Fetch: choice.FetchFrom, Result: outcomeNames[result],
-		Running: choice.Candidate.View.Running, Unread: choice.Candidate.View.Unread,
+		Running: choice.Candidate.View.InFlight, Unread: choice.Candidate.View.UnreadTokens,
 		Expect: choice.Read, First: seen.First, Longest: seen.Longest, At: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Said: said}
 	if err != nil {
 		s.Cause = err.Error()
@@ -337,7 +337,7 @@
 	g.ledger.Ran(g.now().Sub(sentAt), g.now())
 	switch {
 	case broke(ctx, result, err):
-		s.Ended = g.brokeAt(q, server, quarantine.End{Server: server.Start(), Begun: sentAt, At: g.now()})
+		s.Ended = g.brokeAt(q, server, quarantine.End{Server: server.InstanceID(), Begun: sentAt, At: g.now()})
 	case result == delivered && resp.Status < http.StatusInternalServerError && g.ledger.Watching():
 		g.ledger.Completed(q.id(), g.now())
 	}
@@ -348,7 +348,7 @@
 // failedExchange types an exchange that gave no answer.
 func (g *Gateway) failedExchange(ctx context.Context, b *registry.Backend, err error) (outcome, error) {
 	if ctx.Err() == nil {
-		b.Failed(g.now(), true)
+		b.RecordFailure(g.now(), true)
 	}
 	var e *exchange.Error
 	if errors.As(err, &e) && !e.MayHaveRun {
@@ -368,15 +368,15 @@
 func (g *Gateway) judge(ctx context.Context, b *registry.Backend, status int, result outcome) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		b.Gone(g.now())
+		b.RecordReplaced(g.now())
 		server := b.Server()
-		g.startEnded(server.Start())
+		g.startEnded(server.InstanceID())
 	case result == delivered && status < http.StatusInternalServerError:
-		b.Answered(g.now())
+		b.RecordSuccess(g.now())
 	case ctx.Err() != nil:
 		// The caller left or its time is over: no word about the server.
 	default:
-		b.Failed(g.now(), false)
+		b.RecordFailure(g.now(), false)
 	}
 }
 
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -37,7 +37,7 @@
 			return c, g.limited(exhausted, wait)
 		case c.Candidate == nil:
 			return c, g.noneOf(q, listed)
-		case g.notices.Limits().Take(c.Candidate.Server.Start(), g.now()):
+		case g.notices.Limits().Take(c.Candidate.Server.InstanceID(), g.now()):
 			return c, nil
 		}
 		// Another request has taken the server's last place meanwhile.
@@ -52,7 +52,7 @@
 	}
 	wait = longestReturn
 	for _, c := range listed {
-		b := g.notices.Limits().Budget(c.Server.Start(), g.now())
+		b := g.notices.Limits().Budget(c.Server.InstanceID(), g.now())
 		switch {
 		case c.Rests > 0:
 		case b.Wait > 0:
@@ -81,9 +81,9 @@
 	out := make([]placement.Candidate, 0, len(backends))
 	for _, b := range backends {
 		s := b.Server()
-		if !g.notices.Draining(s.Start()) {
-			out = append(out, placement.Candidate{Backend: b, Server: s, View: b.View(now), Tried: tried[s.Start()],
-				Rests: g.notices.RestsFor(s.Start(), now)})
+		if !g.notices.Draining(s.InstanceID()) {
+			out = append(out, placement.Candidate{Backend: b, Server: s, View: b.View(now), Tried: tried[s.InstanceID()],
+				Rests: g.notices.RestsFor(s.InstanceID(), now)})
 		}
 	}
 	return out
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -42,7 +42,7 @@
 // brokeAt takes in that the connection broke on which a server ran the request, and reports
 // whether the server is known to have ended.
 func (g *Gateway) brokeAt(q *request, server registry.Server, end quarantine.End) bool {
-	if g.notices.Draining(server.Start()) {
+	if g.notices.Draining(server.InstanceID()) {
 		return false // it ends as it said
 	}
 	check := g.checkEnd(server)
@@ -86,10 +86,10 @@
 		return
 	}
 	var asked sync.WaitGroup
-	for _, server := range g.servers.Sample(surveyMost, g.draw, func(s registry.Server) bool { return !g.ledger.Known(s.Start()) }) {
+	for _, server := range g.servers.Sample(surveyMost, g.draw, func(s registry.Server) bool { return !g.ledger.Known(s.InstanceID()) }) {
 		asked.Go(func() {
 			if g.pool.Refused(context.Background(), server.Address) {
-				g.ledger.ServerEnded(server.Start(), g.now())
+				g.ledger.ServerEnded(server.InstanceID(), g.now())
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 func (g *Gateway) checkEnd(server registry.Server) *endCheck {
 	g.ends.mu.Lock()
 	defer g.ends.mu.Unlock()
-	now, start := g.now(), server.Start()
+	now, start := g.now(), server.InstanceID()
 	if c := g.ends.byStart[start]; c != nil && now.Sub(c.begun) < checkAgain {
 		return c
 	}
@@ -166,7 +166,7 @@
 	c.ended = g.pool.Refused(context.Background(), server.Address)
 	if c.ended {
 		telemetry.Count("merlinpost_backend_servers_ended_total", "service", server.Service)
-		g.logger.Warn("backend server ended", slog.String("server", server.Start()), slog.String("service", server.Service),
+		g.logger.Warn("backend server ended", slog.String("server", server.InstanceID()), slog.String("service", server.Service),
 			slog.String("address", server.Address), slog.Duration("checked_in", g.now().Sub(c.begun)))
 	}
 }
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -173,13 +173,13 @@
 
 	It("serves again as another start", func() {
 		r := started(1)
-		entry := registry.Server{ID: "i-0", Service: "s", Address: r.workers[0].Address(), Slots: 8, Started: 1}
+		entry := registry.Server{ID: "i-0", Service: "s", Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 1}
 		r.servers.Replace([]registry.Server{entry}, time.Now(), time.Time{})
 		r.workers[0].Say("Server-Leaving: 1")
 		Expect(r.post("/once/", "a").status).To(Equal(200))
 		Expect(r.post("/once/", "b").status).To(Equal(503))
 		r.workers[0].Say()
-		entry.Started = 2
+		entry.StartUnixMs = 2
 		r.servers.Replace([]registry.Server{entry}, time.Now(), time.Time{})
 		Expect(r.post("/once/", "c").status).To(Equal(200))
 	})
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -67,7 +67,7 @@
 	var out []permit.Engine
 	for _, b := range g.servers.Ready(group.Service) {
 		if s := b.Server(); placement.GroupOf(s.ID, groups) == group.Index {
-			out = append(out, permit.Engine{ID: s.Start(), FailureDomain: s.FailureDomain, Open: !g.notices.Draining(s.Start()),
+			out = append(out, permit.Engine{ID: s.InstanceID(), FailureDomain: s.FailureDomain, Open: !g.notices.Draining(s.InstanceID()),
 				Slots: s.Slots, Memory: facts.Memory, EventTokens: facts.EventTokens})
 		}
 	}
@@ -159,7 +159,7 @@
 	var out []string
 	for _, c := range candidates {
 		if !reachable(c) {
-			out = append(out, c.Server.Start())
+			out = append(out, c.Server.InstanceID())
 		}
 	}
 	return out[:min(len(out), maxAvoided)]
@@ -172,9 +172,9 @@
 	for i := range candidates {
 		c := &candidates[i]
 		switch {
-		case c.Server.Start() == answer.Engine && reachable(*c):
+		case c.Server.InstanceID() == answer.Engine && reachable(*c):
 			choice.Candidate = c
-		case c.Server.Start() == answer.FetchFrom && !c.View.Avoided:
+		case c.Server.InstanceID() == answer.FetchFrom && !c.View.Avoided:
 			choice.FetchFrom = c.Server.Address
 		}
 	}
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -83,10 +83,10 @@
 		r, d := before(2, granted("i-0"), granted("i-0@2000"))
 		d.during = func() {
 			r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s",
-				Address: r.workers[0].Address(), Slots: 8, Started: 2000}}}, time.Now(), time.Time{})
+				Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 2000}}}, time.Now(), time.Time{})
 		}
 		r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s",
-			Address: r.workers[0].Address(), Slots: 8, Started: 1000}}}, time.Now(), time.Time{})
+			Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 1000}}}, time.Now(), time.Time{})
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(d.asks).To(HaveLen(2)) // "i-0" names no start that is listed
 		Expect(d.asks[1].Avoid).To(ContainElement("i-0"))
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -117,7 +117,7 @@
 		case <-tick.C:
 			g.pool.Sweep()
 			g.notices.Sweep(func(start string) bool {
-				_, listed := g.servers.Find(start)
+				_, listed := g.servers.FindInstance(start)
 				return listed
 			}, g.now())
 		}
--- a/internal/permit/place.go
+++ b/internal/permit/place.go
@@ -166,7 +166,7 @@
 		if a.FailureDomain != "" && a.FailureDomain != en.FailureDomain {
 			s.cost += remoteCost
 		}
-		s.cost += s.wait + s.reading + time.Duration(en.errors.Share(now)*float64(errorCost))
+		s.cost += s.wait + s.reading + time.Duration(en.errors.Rate(now)*float64(errorCost))
 		if !a.Plain {
 			s.cost += q.crowding(s, beside)
 		}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -232,7 +232,7 @@
 // this gateway can tell.
 func cost(c *Candidate, req Request) float64 {
 	v := c.View
-	ms := float64(v.Unread)/tokensPerMs + runningMs*float64(v.Running) + errorWeightMs*v.ErrorShare
+	ms := float64(v.UnreadTokens)/tokensPerMs + runningMs*float64(v.InFlight) + errorWeightMs*v.ErrorRate
 	if c.Server.FailureDomain != req.FailureDomain {
 		ms += remoteMs
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -41,7 +41,7 @@
 	home := Engine(req, all)
 	g.Expect(home.Reason).To(Equal(Home))
 	g.Expect(Engine(req, all).Candidate).To(BeIdenticalTo(home.Candidate))
-	home.Candidate.View.Unread = 20000 // 350 ms
+	home.Candidate.View.UnreadTokens = 20000 // 350 ms
 	spread := Engine(req, all)
 	g.Expect(spread.Reason).To(Equal(Spread))
 	g.Expect(spread.FetchFrom).To(Equal(home.Candidate.Server.Address))
@@ -112,7 +112,7 @@
 func TestFailingServersArePassedOver(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(4)
-	all[0].View.ErrorShare, all[1].View.Avoided, all[2].Tried = 0.5, true, true
+	all[0].View.ErrorRate, all[1].View.Avoided, all[2].Tried = 0.5, true, true
 	for draw := range 10 {
 		c := Plain(Request{Draw: float64(draw) / 10, FailureDomain: "0"}, all)
 		g.Expect(c.Candidate.Server.ID).To(Equal("e03"))
--- a/internal/registry/backend.go
+++ b/internal/registry/backend.go
@@ -6,129 +6,128 @@
 	"time"
 )
 
-// Backend is one start of a backend server as this process sees it. It is safe
-// for concurrent use.
+// Backend is the state that this process keeps for one instance of a backend server. It is safe for
+// concurrent use.
 type Backend struct {
-	entry    atomic.Pointer[Server]
-	mu       sync.Mutex
-	running  int   // own requests in progress
-	tokens   int64 // prompt tokens of own requests that wait for their first token
-	reported Load
-	failures int // failures in a row
-	avoid    time.Time
-	errors   FailureRate
+	entry               atomic.Pointer[Server]
+	mu                  sync.Mutex
+	inFlight            int   // own requests in progress
+	unreadTokens        int64 // prompt tokens of own requests without a first token
+	reported            Load
+	consecutiveFailures int
+	avoidUntil          time.Time
+	errorRate           FailureRate
 }
 
-// Load is what a backend server says of its load.
+// Load is the load that a backend server reports.
 type Load struct {
 	Running, Waiting, Slots int
-	At                      time.Time // zero: nothing was said yet
+	At                      time.Time // when it was reported, zero if it has not been
 }
 
-// server returns the entry.
 func (b *Backend) server() *Server { return b.entry.Load() }
 
-// Server returns what the backend server has registered.
+// Server returns the server's registration.
 func (b *Backend) Server() Server { return *b.entry.Load() }
 
-// Begin counts a request that is sent to the backend server. Unread are the
-// prompt tokens that it is expected to read first.
-func (b *Backend) Begin(unread int) {
+// BeginRequest records a request that is sent to the backend server. promptTokens is the number of
+// prompt tokens that the server is expected to process first.
+func (b *Backend) BeginRequest(promptTokens int) {
 	b.mu.Lock()
-	b.running++
-	b.tokens += int64(unread)
+	b.inFlight++
+	b.unreadTokens += int64(promptTokens)
 	b.mu.Unlock()
 }
 
-// FirstToken counts the end of a request's prompt reading.
-func (b *Backend) FirstToken(unread int) {
+// RecordFirstToken records that the server has processed a request's prompt.
+func (b *Backend) RecordFirstToken(promptTokens int) {
 	b.mu.Lock()
-	b.tokens -= int64(unread)
+	b.unreadTokens -= int64(promptTokens)
 	b.mu.Unlock()
 }
 
-// End counts the end of a request.
-func (b *Backend) End() {
+// EndRequest records the end of a request.
+func (b *Backend) EndRequest() {
 	b.mu.Lock()
-	b.running--
+	b.inFlight--
 	b.mu.Unlock()
 }
 
-// Report takes in what the backend server said of its load.
-func (b *Backend) Report(l Load) {
+// RecordLoad records the load that the backend server has reported.
+func (b *Backend) RecordLoad(l Load) {
 	b.mu.Lock()
 	b.reported = l
 	b.mu.Unlock()
 }
 
 const (
-	// firstAvoidance is how long a backend server that could not be reached is
-	// passed over after its first failure in a row; each further one doubles it.
-	// It is a little above a round trip between failure domains and a process
-	// restart, so that a single reset costs little.
-	firstAvoidance = 250 * time.Millisecond
-	// longestAvoidance bounds it, so that a server that is back serves again
-	// within about the two seconds that a lapsed registration takes.
-	longestAvoidance = 2 * time.Second
-	// goneFor is above the three missed heartbeats of 1.2 s after which the entry of
-	// a server that is gone lapses.
-	goneFor = 5 * time.Second
+	// initialAvoidance is how long an unreachable backend server is avoided after its first failure
+	// in a row; the time doubles with each further one. It is a little longer than a round trip
+	// between failure domains and a process restart, so that a single connection reset costs
+	// little.
+	initialAvoidance = 250 * time.Millisecond
+	// maxAvoidance limits this time, so that a server that is reachable again gets requests within
+	// about the two seconds after which a registration expires.
+	maxAvoidance = 2 * time.Second
+	// replacedAvoidance is longer than three missed heartbeats of 1.2 s, after which the
+	// registration of a stopped server expires.
+	replacedAvoidance = 5 * time.Second
 )
 
-// Failed counts a request that the backend server did not answer as it should.
-// Unreachable failures make it passed over for a while.
-func (b *Backend) Failed(now time.Time, unreachable bool) {
+// RecordFailure records a request that failed at the backend server. If the server was unreachable,
+// it is avoided for a while.
+func (b *Backend) RecordFailure(now time.Time, unreachable bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.errors.Add(now, true)
+	b.errorRate.Add(now, true)
 	if !unreachable {
 		return
 	}
-	wait := min(firstAvoidance<<min(b.failures, 8), longestAvoidance)
-	b.failures++
-	b.avoid = now.Add(wait)
+	wait := min(initialAvoidance<<min(b.consecutiveFailures, 8), maxAvoidance)
+	b.consecutiveFailures++
+	b.avoidUntil = now.Add(wait)
 }
 
-// Gone records that another start answers at the address: nothing is sent there
-// until the list says so too, or goneFor has passed.
-func (b *Backend) Gone(now time.Time) {
+// RecordReplaced records that another instance answers at the address. The backend is avoided until
+// the server list is updated, or for replacedAvoidance.
+func (b *Backend) RecordReplaced(now time.Time) {
 	b.mu.Lock()
-	b.avoid = now.Add(goneFor)
+	b.avoidUntil = now.Add(replacedAvoidance)
 	b.mu.Unlock()
 }
 
-// Answered counts a request that the backend server answered.
-func (b *Backend) Answered(now time.Time) {
+// RecordSuccess records a request that the backend server answered.
+func (b *Backend) RecordSuccess(now time.Time) {
 	b.mu.Lock()
-	b.errors.Add(now, false)
-	b.failures = 0
-	b.avoid = time.Time{}
+	b.errorRate.Add(now, false)
+	b.consecutiveFailures = 0
+	b.avoidUntil = time.Time{}
 	b.mu.Unlock()
 }
 
-// View is a backend server at one moment, for placement.
+// View is a snapshot of a backend server's state for placement.
 type View struct {
-	Running int   // own requests in progress
-	Unread  int64 // prompt tokens of own requests before their first token
-	Load    Load  // zero if nothing was said lately
-	// Avoided servers could not be reached lately.
+	InFlight     int   // own requests in progress
+	UnreadTokens int64 // prompt tokens of own requests without a first token
+	Load         Load  // zero if none was reported recently
+	// Avoided is set if the server was unreachable recently.
 	Avoided bool
-	// ErrorShare is the share of recent requests that failed, 0 to 1.
-	ErrorShare float64
+	// ErrorRate is the fraction of recent requests that failed, 0 to 1.
+	ErrorRate float64
 }
 
-// reportFor is how long what a backend server said of its load is looked at: a gateway
-// hears of each of 50 engines about once in two seconds.
-const reportFor = 3 * time.Second
+// loadReportTTL is how long a reported load is used. A gateway gets a report from each of 50
+// servers about once in two seconds.
+const loadReportTTL = 3 * time.Second
 
-// View returns the state at now.
+// View returns the state at the given time.
 func (b *Backend) View(now time.Time) View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	reported := b.reported
-	if now.Sub(reported.At) > reportFor {
+	if now.Sub(reported.At) > loadReportTTL {
 		reported = Load{}
 	}
-	return View{Running: b.running, Unread: b.tokens, Load: reported,
-		Avoided: now.Before(b.avoid), ErrorShare: b.errors.Share(now)}
+	return View{InFlight: b.inFlight, UnreadTokens: b.unreadTokens, Load: reported,
+		Avoided: now.Before(b.avoidUntil), ErrorRate: b.errorRate.Rate(now)}
 }
--- a/internal/registry/failurerate.go
+++ b/internal/registry/failurerate.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// errorMemory is the time constant of the share of failed requests. At the
-	// tens of requests a second that a backend server gets it covers enough of
-	// them to tell a share of 0.3 from chance.
-	errorMemory = 3 * time.Second
-	// priorAnswers stands for answers not seen yet, so that one failure of a quiet
-	// server does not count as a share of 1.
-	priorAnswers = 4
+	// failureRateTimeConstant is the time constant of the exponential decay. At some tens of
+	// requests per second to a backend server, it covers enough requests to distinguish a rate of
+	// 0.3 from chance.
+	failureRateTimeConstant = 3 * time.Second
+	// priorSuccesses is the weight of assumed successes, so that a single failure of a server with
+	// little traffic does not result in a rate of 1.
+	priorSuccesses = 4
 )
 
-// FailureRate is a share of failures with exponential forgetting. The zero value
-// has seen none. It is not safe for concurrent use.
+// FailureRate is an exponentially decaying failure rate. The zero value has no results. It is not
+// safe for concurrent use.
 type FailureRate struct {
-	failed, all float64
-	at          time.Time
+	failed, total float64
+	updatedAt     time.Time
 }
 
-// Add counts an answer.
+// Add records the result of a request.
 func (r *FailureRate) Add(now time.Time, failed bool) {
-	r.forget(now)
-	r.all++
+	r.decay(now)
+	r.total++
 	if failed {
 		r.failed++
 	}
 }
 
-func (r *FailureRate) forget(now time.Time) {
-	if elapsed := now.Sub(r.at); elapsed > 0 {
-		keep := math.Exp(-float64(elapsed) / float64(errorMemory))
-		r.failed *= keep
-		r.all *= keep
-		r.at = now
+func (r *FailureRate) decay(now time.Time) {
+	if elapsed := now.Sub(r.updatedAt); elapsed > 0 {
+		factor := math.Exp(-float64(elapsed) / float64(failureRateTimeConstant))
+		r.failed *= factor
+		r.total *= factor
+		r.updatedAt = now
 	}
 }
 
-// Share returns the share of recent answers that were failures, 0 to 1.
-func (r *FailureRate) Share(now time.Time) float64 {
-	r.forget(now)
-	return r.failed / (r.all + priorAnswers)
+// Rate returns the fraction of recent requests that failed, 0 to 1.
+func (r *FailureRate) Rate(now time.Time) float64 {
+	r.decay(now)
+	return r.failed / (r.total + priorSuccesses)
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry knows the backend servers that run without an agent: which
-// may get new work now, and what this process has seen of each.
+// Package registry holds the backend servers that run without an agent: which of them may receive
+// new requests, and what this process has observed of each.
 package registry
 
 import (
@@ -11,108 +11,110 @@
 	"time"
 )
 
-// Server is what a backend server has registered of itself.
+// Server is the registration of a backend server.
 type Server struct {
-	// ID names the backend server. It may keep it when it starts again.
+	// ID identifies the backend server. It may stay the same after a restart.
 	ID            string
 	Service       string
 	Address       string // IP:PORT
 	FailureDomain string
 	Slots         int
-	// Draining servers finish what they have and take no new work.
+	// Draining servers finish their requests and accept no new ones.
 	Draining bool
-	// ColdFor is how much longer the server stays slow after its start.
-	ColdFor time.Duration
-	// Started tells the starts of a server from each other: the Unix time in ms that it
-	// states, 0 if it states none.
-	Started int64
+	// WarmupRemaining is how much longer the server is slow after its start.
+	WarmupRemaining time.Duration
+	// StartUnixMs is the start time of the process in Unix ms, which distinguishes the instances of
+	// a server; 0 if the server does not state it.
+	StartUnixMs int64
 }
 
-// Start names one start of the server. What is learnt of one says nothing of another.
-func (s Server) Start() string {
-	if s.Started == 0 {
+// InstanceID identifies one instance of the server, from its start to its end. Nothing observed of
+// one instance applies to another.
+func (s Server) InstanceID() string {
+	if s.StartUnixMs == 0 {
 		return s.ID
 	}
-	return s.ID + startSeparator + strconv.FormatInt(s.Started, 10)
+	return s.ID + instanceIDSeparator + strconv.FormatInt(s.StartUnixMs, 10)
 }
 
-// startSeparator stands between a server's ID and the time of its start.
-const startSeparator = "@"
+// instanceIDSeparator separates the server ID and the start time in an instance ID.
+const instanceIDSeparator = "@"
 
-// sameStart reports whether two entries are of one start, as far as they tell.
-func (s Server) sameStart(other Server) bool {
-	return s.Started == other.Started || s.Started == 0 || other.Started == 0
+// sameInstance reports whether two registrations may be of the same instance. It returns true if
+// one of them states no start time.
+func (s Server) sameInstance(other Server) bool {
+	return s.StartUnixMs == other.StartUnixMs || s.StartUnixMs == 0 || other.StartUnixMs == 0
 }
 
-// Change is one entry of the list as it was written: the newest entry of a
-// server, or its removal when Server is nil.
+// Change is a change of the server list: the newest entry of a server, or its removal if Server is
+// nil.
 type Change struct {
 	ID     string
 	Server *Server
-	// Unusable is set where the newest entry names no server to use, so that a removal
-	// is not held back: no outage of the list explains it.
-	Unusable bool
+	// Invalid is set if the newest entry is invalid. Such a removal is not deferred, because an
+	// outage of the list does not explain it.
+	Invalid bool
 }
 
 // Registry is the list of backend servers. It is safe for concurrent use.
 type Registry struct {
-	mu       sync.RWMutex
-	backends map[string]*Backend
-	ready    map[string][]*Backend // by service, in order of ID
-	loaded   bool
-	updated  time.Time
-	// expiries holds removals that may be an effect of an outage of the list,
-	// with the time at which each counts.
-	expiries map[string]time.Time
-	// restarted is called with the address of a server that has started again.
-	restarted func(address string)
-	// ended is called with the start of a server that is gone without having drained.
-	ended func(start string)
+	mu          sync.RWMutex
+	backends    map[string]*Backend
+	ready       map[string][]*Backend // by service, ordered by ID
+	loaded      bool
+	confirmedAt time.Time
+	// pendingRemovals has the removals that may be an effect of an outage of the list, with the
+	// time at which each takes effect.
+	pendingRemovals map[string]time.Time
+	// onRestart is called with the address of a server that has restarted.
+	onRestart func(address string)
+	// onEnd is called with the ID of an instance that ended without having drained.
+	onEnd func(instanceID string)
 }
 
-// OnRestart has f called with the old address of each server that has started again. It
-// is called before the registry is in use.
-func (r *Registry) OnRestart(f func(address string)) { r.restarted = f }
+// OnRestart registers f to be called with the previous address of each server that has restarted.
+// It must be called before the registry is in use.
+func (r *Registry) OnRestart(f func(address string)) { r.onRestart = f }
 
-// OnEnd has f called with each start of a server that is no longer listed, or that another
-// start has followed, and that did not drain. It is called before the registry is in use; f does
-// not call the registry.
-func (r *Registry) OnEnd(f func(start string)) { r.ended = f }
+// OnEnd registers f to be called with the ID of each instance that is no longer listed, or was
+// replaced by another one, without having drained. It must be called before the registry is in use;
+// f must not call the registry.
+func (r *Registry) OnEnd(f func(instanceID string)) { r.onEnd = f }
 
 // New returns an empty registry.
 func New() *Registry {
-	return &Registry{backends: map[string]*Backend{}, ready: map[string][]*Backend{}, expiries: map[string]time.Time{},
-		restarted: func(string) {}, ended: func(string) {}}
+	return &Registry{backends: map[string]*Backend{}, ready: map[string][]*Backend{}, pendingRemovals: map[string]time.Time{},
+		onRestart: func(string) {}, onEnd: func(string) {}}
 }
 
-// Apply takes in changes in the order in which they were written. Removals are
-// held back until the time that grace names, zero for none: an entry may have
+// Apply applies changes in the order in which they were written, and returns the IDs of the removed
+// servers. Removals are deferred until grace, if it is not zero, because a registration may have
 // expired while its server could not renew it.
 func (r *Registry) Apply(changes []Change, now, grace time.Time) (dropped []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range changes {
 		if c.Server != nil {
-			r.put(*c.Server)
+			r.upsert(*c.Server)
 			continue
 		}
-		if b := r.backends[c.ID]; b != nil && now.Before(grace) && !b.server().Draining && !c.Unusable {
-			r.expiries[c.ID] = grace
+		if b := r.backends[c.ID]; b != nil && now.Before(grace) && !b.server().Draining && !c.Invalid {
+			r.pendingRemovals[c.ID] = grace
 			continue
 		}
-		if b := r.backends[c.ID]; b != nil && !c.Unusable {
-			r.gone(b)
+		if b := r.backends[c.ID]; b != nil && !c.Invalid {
+			r.reportEnded(b)
 		}
-		dropped = r.drop(c.ID, dropped)
+		dropped = r.remove(c.ID, dropped)
 	}
 	dropped = r.expire(now, dropped)
-	r.updated = now
+	r.confirmedAt = now
 	r.rebuild()
 	return dropped
 }
 
-// Replace takes in a whole list. Servers that it lacks are dropped, after grace
-// as in Apply.
+// Replace replaces the server list. Servers that are missing from it are removed, after grace as in
+// Apply.
 func (r *Registry) Replace(list []Server, now, grace time.Time) (dropped []string) {
 	listed := make(map[string]bool, len(list))
 	changes := make([]Change, 0, len(list))
@@ -131,14 +133,14 @@
 	return r.Apply(changes, now, grace)
 }
 
-func (r *Registry) put(s Server) {
-	delete(r.expiries, s.ID)
+func (r *Registry) upsert(s Server) {
+	delete(r.pendingRemovals, s.ID)
 	b := r.backends[s.ID]
-	if b != nil && !b.server().sameStart(s) {
-		// Requests in progress keep the state of the start that they were sent to: what
-		// still comes of them counts for nothing here.
-		r.restarted(b.server().Address)
-		r.gone(b)
+	if b != nil && !b.server().sameInstance(s) {
+		// Requests in progress keep the state of the instance that they were sent to, so that their
+		// results do not affect the new one.
+		r.onRestart(b.server().Address)
+		r.reportEnded(b)
 		b = nil
 	}
 	if b == nil {
@@ -148,15 +150,15 @@
 	b.entry.Store(&s)
 }
 
-// gone tells of a server that has ended unless it drained.
-func (r *Registry) gone(b *Backend) {
+// reportEnded calls onEnd for an instance that has ended, unless it was draining.
+func (r *Registry) reportEnded(b *Backend) {
 	if s := b.server(); !s.Draining {
-		r.ended(s.Start())
+		r.onEnd(s.InstanceID())
 	}
 }
 
-func (r *Registry) drop(id string, dropped []string) []string {
-	delete(r.expiries, id)
+func (r *Registry) remove(id string, dropped []string) []string {
+	delete(r.pendingRemovals, id)
 	if r.backends[id] == nil {
 		return dropped
 	}
@@ -165,12 +167,12 @@
 }
 
 func (r *Registry) expire(now time.Time, dropped []string) []string {
-	for id, at := range r.expiries {
+	for id, at := range r.pendingRemovals {
 		if !now.Before(at) {
 			if b := r.backends[id]; b != nil {
-				r.gone(b)
+				r.reportEnded(b)
 			}
-			dropped = r.drop(id, dropped)
+			dropped = r.remove(id, dropped)
 		}
 	}
 	return dropped
@@ -189,15 +191,15 @@
 	r.ready = ready
 }
 
-// Ready returns the backend servers of a service that may get new work, in
-// order of ID. The slice must not be changed.
+// Ready returns the backend servers of a service that may receive new requests, ordered by ID. The
+// slice must not be modified.
 func (r *Registry) Ready(service string) []*Backend {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.ready[service]
 }
 
-// Reachable returns the number of backend servers that are listed and not passed over.
+// Reachable returns the number of listed backend servers that are not avoided.
 func (r *Registry) Reachable(now time.Time) int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -210,40 +212,41 @@
 	return n
 }
 
-// Sample returns up to most of the listed backend servers that wanted accepts, drawn at random.
-func (r *Registry) Sample(most int, draw func() float64, wanted func(Server) bool) []Server {
+// Sample returns a random sample of at most the given number of listed servers that are not
+// draining and that accept returns true for.
+func (r *Registry) Sample(limit int, draw func() float64, accept func(Server) bool) []Server {
 	r.mu.RLock()
 	var out []Server
 	for _, b := range r.backends {
 		out = append(out, b.Server())
 	}
 	r.mu.RUnlock()
-	out = slices.DeleteFunc(out, func(s Server) bool { return s.Draining || !wanted(s) })
+	out = slices.DeleteFunc(out, func(s Server) bool { return s.Draining || !accept(s) })
 	slices.SortFunc(out, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
-	for i := range out[:min(most, len(out))] {
+	for i := range out[:min(limit, len(out))] {
 		j := i + int(draw()*float64(len(out)-i))
 		out[i], out[j] = out[j], out[i]
 	}
-	return out[:min(most, len(out))]
+	return out[:min(limit, len(out))]
 }
 
-// Find returns the entry of a start of a backend server; false if it is not listed.
-func (r *Registry) Find(start string) (Server, bool) {
-	id := start
-	if i := strings.LastIndex(start, startSeparator); i >= 0 {
-		id = start[:i]
+// FindInstance returns the registration of an instance; false if it is not listed.
+func (r *Registry) FindInstance(instanceID string) (Server, bool) {
+	serverID := instanceID
+	if i := strings.LastIndex(instanceID, instanceIDSeparator); i >= 0 {
+		serverID = instanceID[:i]
 	}
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	for _, id := range []string{id, start} { // a start that states no time is the ID
-		if b := r.backends[id]; b != nil && b.server().Start() == start {
+	for _, id := range []string{serverID, instanceID} { // without a start time, the instance ID is the server ID
+		if b := r.backends[id]; b != nil && b.server().InstanceID() == instanceID {
 			return b.Server(), true
 		}
 	}
 	return Server{}, false
 }
 
-// Loaded reports whether a whole list has been taken in.
+// Loaded reports whether the server list has been loaded.
 func (r *Registry) Loaded() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -254,22 +257,22 @@
 func (r *Registry) Age(now time.Time) time.Duration {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return now.Sub(r.updated)
+	return now.Sub(r.confirmedAt)
 }
 
-// Confirmed records that the list was found unchanged at a time, and drops the
-// entries whose grace is over by now, all of them if grace is zero.
-func (r *Registry) Confirmed(at, now, grace time.Time) (dropped []string) {
+// Confirm records that the list was unchanged at a time, and applies the deferred removals whose
+// grace has ended; all of them if grace is zero.
+func (r *Registry) Confirm(at, now, grace time.Time) (dropped []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if grace.IsZero() {
-		for id := range r.expiries {
-			r.expiries[id] = now
+		for id := range r.pendingRemovals {
+			r.pendingRemovals[id] = now
 		}
 	}
 	dropped = r.expire(now, nil)
-	if at.After(r.updated) {
-		r.updated = at
+	if at.After(r.confirmedAt) {
+		r.confirmedAt = at
 	}
 	if len(dropped) > 0 {
 		r.rebuild()
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -16,7 +16,7 @@
 	return out
 }
 
-func TestOnlyReadyServersGetWork(t *testing.T) {
+func TestOnlyReadyServersAreReturned(t *testing.T) {
 	g := NewWithT(t)
 	r, now := New(), time.Now()
 	g.Expect(r.Loaded()).To(BeFalse())
@@ -27,46 +27,46 @@
 	g.Expect(ids(r)).To(BeEmpty())
 }
 
-// A gateway that hears from others that nothing has changed does not read the list
-// again; what is held back must lapse all the same.
-func TestAConfirmationEndsTheGraceOfRemovals(t *testing.T) {
+// A gateway that learns from its peers that the list is unchanged does not read it again. Its
+// deferred removals must take effect nevertheless.
+func TestConfirmAppliesDeferredRemovals(t *testing.T) {
 	g := NewWithT(t)
 	r, now := New(), time.Now()
 	r.Replace([]Server{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, now, time.Time{})
 	grace := now.Add(time.Second)
 	r.Apply([]Change{{ID: "b"}}, now, grace)
-	g.Expect(r.Confirmed(now, now.Add(500*time.Millisecond), grace)).To(BeEmpty())
-	g.Expect(r.Confirmed(now.Add(time.Second), grace, grace)).To(Equal([]string{"b"}))
+	g.Expect(r.Confirm(now, now.Add(500*time.Millisecond), grace)).To(BeEmpty())
+	g.Expect(r.Confirm(now.Add(time.Second), grace, grace)).To(Equal([]string{"b"}))
 	g.Expect(ids(r)).To(Equal([]string{"a"}))
 	g.Expect(r.Age(grace.Add(time.Second))).To(Equal(time.Second))
 }
 
-func TestWithoutAnOutageNothingIsHeldBack(t *testing.T) {
+func TestConfirmWithoutGraceAppliesAllRemovals(t *testing.T) {
 	g := NewWithT(t)
 	r, now := New(), time.Now()
 	r.Replace([]Server{{ID: "a", Service: "s"}}, now, time.Time{})
 	r.Apply([]Change{{ID: "a"}}, now, now.Add(time.Second))
 	g.Expect(ids(r)).To(Equal([]string{"a"}))
-	// Another process was in touch with the list all the while.
-	g.Expect(r.Confirmed(now, now, time.Time{})).To(Equal([]string{"a"}))
+	// Another process could reach the list all the time.
+	g.Expect(r.Confirm(now, now, time.Time{})).To(Equal([]string{"a"}))
 	g.Expect(ids(r)).To(BeEmpty())
 }
 
-func TestRemovalsAfterAnOutageAreHeldBack(t *testing.T) {
+func TestRemovalsAfterOutageAreDeferred(t *testing.T) {
 	g := NewWithT(t)
 	r, now := New(), time.Now()
 	r.Replace([]Server{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s", Draining: true}}, now, time.Time{})
 	grace := now.Add(time.Second)
-	g.Expect(r.Replace(nil, now, grace)).To(Equal([]string{"c"})) // it had said that it leaves
+	g.Expect(r.Replace(nil, now, grace)).To(Equal([]string{"c"})) // it was draining
 	g.Expect(ids(r)).To(Equal([]string{"a", "b"}))
 	r.Apply([]Change{{ID: "a", Server: &Server{ID: "a", Service: "s"}}}, now.Add(500*time.Millisecond), grace)
 	g.Expect(r.Apply(nil, grace, grace)).To(Equal([]string{"b"}))
 	g.Expect(ids(r)).To(Equal([]string{"a"}))
 }
 
-// Whatever is written in whatever order, the servers that may get work are those
-// whose newest entry is ready, and a removal is never held back beyond its grace.
-func TestTheNewestEntryDecides(t *testing.T) {
+// For any sequence of changes, the servers that may receive requests are those whose newest entry
+// is ready, and no removal is deferred beyond its grace.
+func TestNewestEntryTakesEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := New(), time.Unix(0, 0)
 		newest := map[string]bool{}
@@ -102,109 +102,108 @@
 	})
 }
 
-func TestAnUnreachableServerIsAvoidedForAWhile(t *testing.T) {
+func TestUnreachableServerIsAvoidedTemporarily(t *testing.T) {
 	g := NewWithT(t)
 	b, now := &Backend{}, time.Unix(0, 0)
-	b.Failed(now, true)
+	b.RecordFailure(now, true)
 	g.Expect(b.View(now).Avoided).To(BeTrue())
-	g.Expect(b.View(now.Add(firstAvoidance)).Avoided).To(BeFalse())
+	g.Expect(b.View(now.Add(initialAvoidance)).Avoided).To(BeFalse())
 	for range 20 {
-		b.Failed(now, true)
+		b.RecordFailure(now, true)
 	}
-	g.Expect(b.View(now.Add(longestAvoidance - time.Millisecond)).Avoided).To(BeTrue())
-	g.Expect(b.View(now.Add(longestAvoidance)).Avoided).To(BeFalse())
-	b.Answered(now)
+	g.Expect(b.View(now.Add(maxAvoidance - time.Millisecond)).Avoided).To(BeTrue())
+	g.Expect(b.View(now.Add(maxAvoidance)).Avoided).To(BeFalse())
+	b.RecordSuccess(now)
 	g.Expect(b.View(now).Avoided).To(BeFalse())
 }
 
-func TestTheErrorShareFollowsWhatFailsNow(t *testing.T) {
+func TestErrorRateTracksRecentFailures(t *testing.T) {
 	g := NewWithT(t)
 	b, now := &Backend{}, time.Unix(0, 0)
 	for i := range 100 {
 		now = now.Add(30 * time.Millisecond)
 		if i%2 == 0 {
-			b.Failed(now, false)
+			b.RecordFailure(now, false)
 		} else {
-			b.Answered(now)
+			b.RecordSuccess(now)
 		}
 	}
-	g.Expect(b.View(now).ErrorShare).To(BeNumerically("~", 0.5, 0.06))
-	g.Expect(b.View(now.Add(30 * time.Second)).ErrorShare).To(BeNumerically("<", 0.01))
+	g.Expect(b.View(now).ErrorRate).To(BeNumerically("~", 0.5, 0.06))
+	g.Expect(b.View(now.Add(30 * time.Second)).ErrorRate).To(BeNumerically("<", 0.01))
 }
 
-func TestOwnLoadIsCounted(t *testing.T) {
+func TestViewCountsOwnRequests(t *testing.T) {
 	g := NewWithT(t)
 	b, now := &Backend{}, time.Unix(0, 0)
-	b.Begin(100)
-	b.Begin(50)
-	b.FirstToken(100)
-	b.Report(Load{Running: 3, Slots: 8, At: now})
+	b.BeginRequest(100)
+	b.BeginRequest(50)
+	b.RecordFirstToken(100)
+	b.RecordLoad(Load{Running: 3, Slots: 8, At: now})
 	v := b.View(now)
-	g.Expect(v.Running).To(Equal(2))
-	g.Expect(v.Unread).To(BeEquivalentTo(50))
+	g.Expect(v.InFlight).To(Equal(2))
+	g.Expect(v.UnreadTokens).To(BeEquivalentTo(50))
 	g.Expect(v.Load.Running).To(Equal(3))
-	g.Expect(b.View(now.Add(reportFor)).Load.Running).To(Equal(3))
-	g.Expect(b.View(now.Add(reportFor + time.Millisecond)).Load).To(Equal(Load{}))
-	b.End()
-	g.Expect(b.View(now).Running).To(Equal(1))
+	g.Expect(b.View(now.Add(loadReportTTL)).Load.Running).To(Equal(3))
+	g.Expect(b.View(now.Add(loadReportTTL + time.Millisecond)).Load).To(Equal(Load{}))
+	b.EndRequest()
+	g.Expect(b.View(now).InFlight).To(Equal(1))
 }
 
-// A server that starts again under its ID is another process: nothing that was learnt of
-// the one before counts for it, and what comes late of that one neither.
-func TestAServerThatStartsAgainIsLearntAnew(t *testing.T) {
+// A server that restarts under its ID is another process: nothing observed of the previous instance
+// applies to it, and neither do late results of that instance.
+func TestRestartedServerHasNewState(t *testing.T) {
 	g := NewWithT(t)
 	r, now := New(), time.Now()
-	var ended []string
-	r.OnRestart(func(address string) { ended = append(ended, address) })
+	var restarted []string
+	r.OnRestart(func(address string) { restarted = append(restarted, address) })
 	entry := func(started int64, address string) Change {
-		return Change{ID: "a", Server: &Server{ID: "a", Service: "s", Address: address, Slots: 8, Started: started}}
+		return Change{ID: "a", Server: &Server{ID: "a", Service: "s", Address: address, Slots: 8, StartUnixMs: started}}
 	}
 	r.Apply([]Change{entry(1000, "10.0.0.1:80")}, now, time.Time{})
 	before := r.Ready("s")[0]
-	before.Begin(500)
-	before.Report(Load{Running: 8, Waiting: 3, Slots: 8, At: now})
+	before.BeginRequest(500)
+	before.RecordLoad(Load{Running: 8, Waiting: 3, Slots: 8, At: now})
 	for range 5 {
-		before.Failed(now, true)
+		before.RecordFailure(now, true)
 	}
 	r.Apply([]Change{entry(1000, "10.0.0.1:80")}, now, time.Time{}) // a heartbeat
 	g.Expect(r.Ready("s")[0]).To(BeIdenticalTo(before))
-	g.Expect(ended).To(BeEmpty())
+	g.Expect(restarted).To(BeEmpty())
 
 	r.Apply([]Change{entry(2000, "10.0.0.2:80")}, now, time.Time{})
-	g.Expect(ended).To(Equal([]string{"10.0.0.1:80"}))
+	g.Expect(restarted).To(Equal([]string{"10.0.0.1:80"}))
 	after := r.Ready("s")[0]
 	g.Expect(after.View(now)).To(Equal(View{}))
-	g.Expect(after.Server().Start()).To(Equal("a@2000"))
-	// Late words of the old process.
-	before.Report(Load{Running: 7, Slots: 8, At: now})
-	before.Gone(now)
-	before.End()
+	g.Expect(after.Server().InstanceID()).To(Equal("a@2000"))
+	// Late reports of the previous instance.
+	before.RecordLoad(Load{Running: 7, Slots: 8, At: now})
+	before.RecordReplaced(now)
+	before.EndRequest()
 	g.Expect(after.View(now)).To(Equal(View{}))
 
-	// An entry that does not state its start says nothing of a restart.
+	// An entry without a start time does not indicate a restart.
 	r.Apply([]Change{entry(0, "10.0.0.2:80")}, now, time.Time{})
 	g.Expect(r.Ready("s")[0]).To(BeIdenticalTo(after))
-	g.Expect(after.Server().Start()).To(Equal("a"))
+	g.Expect(after.Server().InstanceID()).To(Equal("a"))
 }
 
-// Whatever starts of a server are listed in whatever order, the state is that of the
-// newest listed one alone.
-func TestStateBelongsToOneStart(t *testing.T) {
+// For any sequence of listed instances, the state is that of the newest listed one only.
+func TestStateBelongsToOneInstance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := New(), time.Unix(0, 0)
 		started, sent := int64(0), 0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "listed") || started == 0 {
 				next := rapid.Int64Range(1, 3).Draw(t, "started")
-				r.Replace([]Server{{ID: "a", Service: "s", Address: "x", Started: next}}, now, time.Time{})
+				r.Replace([]Server{{ID: "a", Service: "s", Address: "x", StartUnixMs: next}}, now, time.Time{})
 				if next != started {
 					started, sent = next, 0
 				}
 			}
-			r.Ready("s")[0].Begin(1)
+			r.Ready("s")[0].BeginRequest(1)
 			sent++
-			if got := r.Ready("s")[0].View(now).Running; got != sent {
-				t.Fatalf("%d requests at start %d, %d were sent to it", got, started, sent)
+			if got := r.Ready("s")[0].View(now).InFlight; got != sent {
+				t.Fatalf("%d requests in flight at the instance started at %d, %d were sent to it", got, started, sent)
 			}
 		}
 	})
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -299,7 +299,7 @@
 	fetched := c.FetchFrom != "" && w.engines[c.FetchFrom].has(firstPart(j), now)
 	_, shared := j.prompt.Shared()
 	unread := j.prompt.Tokens - shared
-	b.Begin(unread)
+	b.BeginRequest(unread)
 	e.take(j, w.rank(j), fetched, now)
 	first := func(f *job, at time.Time) {
 		f.first = at
@@ -314,14 +314,14 @@
 			return
 		}
 		j.ended = true
-		b.End()
+		b.EndRequest()
 		w.desk.End(j.group, j.id, j.seen, now)
 		w.tell(w.desk.Next(now))
 	}
 	w.at(j.arrived.Add(j.class.Deadline), func(now time.Time) { j.onEnd(now) })
 	j.sent = now
 	j.onFirst = func(now time.Time) {
-		b.FirstToken(unread)
+		b.RecordFirstToken(unread)
 	}
 	if !e.busy {
 		e.busy = true
