--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -48,7 +48,7 @@
 	lines := decisionlog.NewWriter(os.Stdout)
 	defer lines.Close()
 	logger := decisionlog.NewLogger(lines)
-	own := platform.Own{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
+	own := platform.Options{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
 	servers := registry.New()
 	g := gateway.New(set.Gateway(own), platform.Dialect{}, servers, logger)
 	others, err := peers.Open(set.Host, set.Peers(), set.Capacity(), g, logger)
