--- a/internal/configshare/configshare.go
+++ b/internal/configshare/configshare.go
@@ -1,12 +1,14 @@
-// Package configshare hands the configuration in force from one gateway to another, as a
-// compressed change against the version that the other has. One gateway has read the value in
-// the store; to the others only what differs is carried, and they need not decode the whole.
+// Package configshare transfers the configuration in force from one gateway to another, as a
+// compressed difference to the version that the other one has. One gateway reads the value from the
+// store; the others receive only the difference and need not decode the whole value.
 //
-// It gains what a large value costs callers: the links that carry it carry answers as well, and
-// decoding takes processor time that the smallest hosts lack. 1,400 routes more than 2,800 are
-// 887 KB in the store, 0.83 to 1.04 s of a link of 10 Mbit/s and 0.14 to 0.2 s of 0.144 cores.
+// This reduces the impact of large values on callers: their links also carry responses to callers,
+// and decoding takes CPU time that the smallest hosts lack. A configuration that grows from 2,800
+// routes by 1,400 has 887 KB in the store, which take 0.83 to 1.04 s on a link of 10 Mbit/s and
+// 0.14 to 0.2 s on 0.144 cores.
 //
-// Nothing rests on it: who is not answered, or told that the other is busy, reads the store.
+// The transfer is optional: a gateway that gets no reply, or a reply that its peer is busy, reads
+// the store.
 package configshare
 
 import (
@@ -26,104 +28,105 @@
 )
 
 const (
-	// kept is how many versions a gateway knows changes from. Who has an older one is handed
-	// the whole. Versions share what did not change.
-	kept = 8
-	// silence is how long the other end of a connection may bring nothing: some round trips of
-	// at most 6 ms and a process with a seventh of a core.
-	silence = 300 * time.Millisecond
-	// longest bounds an exchange whatever comes.
-	longest = 5 * time.Second
-	// queue is the longest that a gateway's link may be taken by what it hands on; who asks
-	// beyond that reads the store over a link of its own. At 200 Mbit/s 7.5 MB, 400
-	// changes of 1,400 routes.
-	queue = 300 * time.Millisecond
-	// mostConns bounds the connections of others, far below a host's descriptors.
-	mostConns = 512
+	// maxEarlierVersions is the number of earlier versions to which a gateway can send the
+	// difference. A gateway with an older version receives the whole configuration. Versions share
+	// their equal parts in memory.
+	maxEarlierVersions = 8
+	// idleTimeout is how long a connection may transfer no data: some round trips of at most 6 ms,
+	// and the delays of a process with a seventh of a core.
+	idleTimeout = 300 * time.Millisecond
+	// exchangeTimeout limits the duration of an exchange.
+	exchangeTimeout = 5 * time.Second
+	// maxSendBacklog is the maximum time for which pending replies may occupy a gateway's link;
+	// further peers are told that it is busy and read the store over their own links. At 200
+	// Mbit/s, it corresponds to 7.5 MB or 400 differences of 1,400 routes.
+	maxSendBacklog = 300 * time.Millisecond
+	// maxConns limits the connections from peers. It is far below the limit of file descriptors.
+	maxConns = 512
 )
 
 // Dial opens a connection to another gateway.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Version is a configuration and where it stands in the store.
+// Version is a configuration with its position in the store.
 type Version struct {
 	Table *routing.Table
-	// Next is where the store's topic goes on behind it.
+	// Next is the position from which to read the store's topic after this version.
 	Next logposition.Position
-	// Bytes is its size in the store.
+	// Bytes is the size of the configuration in the store.
 	Bytes int
 }
 
-// Share hands on the newest version that this gateway has, and fetches those of others. It is
+// Share serves the newest configuration of this gateway to its peers, and fetches theirs. It is
 // safe for concurrent use.
 type Share struct {
 	dial     Dial
-	linkMbps float64 // 0: not known
+	linkMbps float64 // 0 if unknown
 	logger   *slog.Logger
 
-	mu      sync.Mutex
-	newest  Version
-	earlier []*routing.Table // the versions before, oldest first
-	packed  map[int64][]byte // changes to the newest, by the version they are from
-	sending int              // bytes of replies on their way
+	mu             sync.Mutex
+	newest         Version
+	earlier        []*routing.Table // earlier versions, oldest first
+	encodedChanges map[int64][]byte // encoded differences to the newest version, by earlier version
+	bytesInFlight  int              // total size of the replies being sent
 }
 
-// New returns a share without a version, on a host with a link of so many Mbit/s.
+// New returns a share without a version, for a host whose link has the given speed.
 func New(dial Dial, linkMbps float64, logger *slog.Logger) *Share {
-	return &Share{dial: dial, linkMbps: linkMbps, logger: logger, packed: map[int64][]byte{}}
+	return &Share{dial: dial, linkMbps: linkMbps, logger: logger, encodedChanges: map[int64][]byte{}}
 }
 
-// Put takes in the version in force. An older one is left out.
+// Put sets the version in force. It ignores a version that is not newer, except for its position.
 func (s *Share) Put(v Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if was := s.newest.Table; was != nil && v.Table.Version <= was.Version {
+	if current := s.newest.Table; current != nil && v.Table.Version <= current.Version {
 		s.newest.Next = logposition.Later(s.newest.Next, v.Next)
 		return
 	}
 	if s.newest.Table != nil {
 		s.earlier = append(s.earlier, s.newest.Table)
-		s.earlier = s.earlier[max(0, len(s.earlier)-kept):]
+		s.earlier = s.earlier[max(0, len(s.earlier)-maxEarlierVersions):]
 	}
 	s.newest = v
-	clear(s.packed)
+	clear(s.encodedChanges)
 }
 
-// Serve answers other gateways until ctx ends, which closes ln.
+// Serve answers requests of peers until ctx is done; then it closes ln.
 func (s *Share) Serve(ctx context.Context, ln net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() }) // ends Accept
 	defer stop()
-	var answering sync.WaitGroup
-	defer answering.Wait()
-	room := make(chan struct{}, mostConns)
+	var handlers sync.WaitGroup
+	defer handlers.Wait()
+	slots := make(chan struct{}, maxConns)
 	for {
 		conn, err := ln.Accept()
 		switch {
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // such as descriptors that are used up
-			s.logger.Error("a gateway can't ask for the configuration", "error", err)
-			pause(ctx)
+		case err != nil: // for example if there are no file descriptors left
+			s.logger.Error("accepting a connection from a peer failed", "error", err)
+			sleepAfterAcceptError(ctx)
 			continue
 		}
 		select {
-		case room <- struct{}{}:
-			answering.Go(func() {
-				defer func() { <-room }()
-				s.answer(ctx, conn)
+		case slots <- struct{}{}:
+			handlers.Go(func() {
+				defer func() { <-slots }()
+				s.handle(ctx, conn)
 			})
 		default:
 			telemetry.Count("merlinpost_config_handed_total", "result", "overrun")
-			_ = conn.Close() // the other reads the store
+			_ = conn.Close() // the peer reads the store
 		}
 	}
 }
 
-// acceptPause is the time after a connection that could not be taken.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept.
+const acceptRetryDelay = 100 * time.Millisecond
 
-func pause(ctx context.Context) {
-	timer := time.NewTimer(acceptPause)
+func sleepAfterAcceptError(ctx context.Context) {
+	timer := time.NewTimer(acceptRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -131,15 +134,15 @@
 	}
 }
 
-// answer answers one ask.
-func (s *Share) answer(ctx context.Context, conn net.Conn) {
-	defer bounded(ctx, conn)()
+// handle answers the request on a connection.
+func (s *Share) handle(ctx context.Context, conn net.Conn) {
+	defer closeOnTimeout(ctx, conn)()
 	ask, err := read[*wire.TableAsk](conn)
 	if err != nil {
 		telemetry.Count("merlinpost_config_handed_total", "result", "broken")
 		return
 	}
-	reply, done := s.reply(ask.Have)
+	reply, done := s.prepareReply(ask.Have)
 	defer done()
 	if err := send(conn, reply); err != nil {
 		telemetry.Count("merlinpost_config_handed_total", "result", "broken")
@@ -153,32 +156,33 @@
 	telemetry.Add("merlinpost_config_handed_bytes_total", len(reply.Change))
 }
 
-// reply returns what to answer to who has a version; done ends the sending.
-func (s *Share) reply(have int64) (reply *wire.TableReply, done func()) {
+// prepareReply returns the reply to a peer that has the given version. done must be called when it
+// has been sent.
+func (s *Share) prepareReply(have int64) (reply *wire.TableReply, done func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.newest.Table == nil || s.newest.Table.Version <= have {
 		return &wire.TableReply{Busy: true}, func() {}
 	}
-	change, err := s.change(have)
+	change, err := s.encodedChange(have)
 	if err != nil {
-		s.logger.Error("a change of the configuration can't be encoded", "error", err)
+		s.logger.Error("cannot encode configuration difference", "error", err)
 		return &wire.TableReply{Busy: true}, func() {}
 	}
-	if s.linkMbps > 0 && time.Duration(float64(8*(s.sending+len(change)))/(s.linkMbps*1e6)*float64(time.Second)) > queue {
+	if s.linkMbps > 0 && time.Duration(float64(8*(s.bytesInFlight+len(change)))/(s.linkMbps*1e6)*float64(time.Second)) > maxSendBacklog {
 		return &wire.TableReply{Busy: true}, func() {}
 	}
-	s.sending += len(change)
+	s.bytesInFlight += len(change)
 	return &wire.TableReply{Offset: s.newest.Next.Offset, Era: s.newest.Next.Era, Bytes: s.newest.Bytes, Change: change}, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.sending -= len(change)
+		s.bytesInFlight -= len(change)
 	}
 }
 
-// change returns the packed change from a version to the newest, made when it is first asked
-// for.
-func (s *Share) change(have int64) ([]byte, error) {
+// encodedChange returns the encoded difference from a version to the newest one, or the whole
+// newest version if the given one is not available. Results are cached.
+func (s *Share) encodedChange(have int64) ([]byte, error) {
 	var from *routing.Table
 	for _, t := range s.earlier {
 		if t.Version == have {
@@ -188,20 +192,21 @@
 	if from == nil {
 		have = 0
 	}
-	if packed := s.packed[have]; packed != nil {
-		return packed, nil
+	if encoded := s.encodedChanges[have]; encoded != nil {
+		return encoded, nil
 	}
-	packed, err := pack(routing.Diff(from, s.newest.Table))
+	encoded, err := encodeChange(routing.Diff(from, s.newest.Table))
 	if err == nil {
-		s.packed[have] = packed
+		s.encodedChanges[have] = encoded
 	}
-	return packed, err
+	return encoded, err
 }
 
-// Fetch asks the gateway at an address for its version, which is above that of have; have may
-// be nil. Errors have code LinkLost where the other is not reached or breaks off, LinkBusy
-// where it has none or no room, InvalidConfig where the change does not fit.
-func (s *Share) Fetch(ctx context.Context, from netip.AddrPort, have *routing.Table) (v Version, packedBytes int, err error) {
+// Fetch requests the configuration of the gateway at an address, which must be newer than have;
+// have may be nil. It returns the size of the transferred difference too. Errors have code LinkLost
+// if the connection fails, LinkBusy if the peer has no newer version or no capacity, InvalidConfig
+// if the difference does not apply to have.
+func (s *Share) Fetch(ctx context.Context, from netip.AddrPort, have *routing.Table) (v Version, transferredBytes int, err error) {
 	defer func() {
 		result := "fetched"
 		if err != nil {
@@ -209,13 +214,13 @@
 		}
 		telemetry.Count("merlinpost_config_fetched_total", "result", result)
 	}()
-	dialling, cancel := context.WithTimeout(ctx, silence)
+	dialCtx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
-	conn, err := s.dial(dialling, "tcp", from.String())
+	conn, err := s.dial(dialCtx, "tcp", from.String())
 	if err != nil {
 		return Version{}, 0, fault.New(fault.LinkLost, "%w", err)
 	}
-	defer bounded(ctx, conn)()
+	defer closeOnTimeout(ctx, conn)()
 	var ask wire.TableAsk
 	if have != nil {
 		ask.Have = have.Version
@@ -228,9 +233,9 @@
 	case err != nil:
 		return Version{}, 0, err
 	case reply.Busy:
-		return Version{}, 0, fault.New(fault.LinkBusy, "it has no newer version or no room to send it")
+		return Version{}, 0, fault.New(fault.LinkBusy, "peer has no newer version or no capacity to send it")
 	}
-	change, err := unpack(reply.Change)
+	change, err := decodeChange(reply.Change)
 	if err != nil {
 		return Version{}, 0, err
 	}
--- a/internal/configshare/configshare_test.go
+++ b/internal/configshare/configshare_test.go
@@ -24,7 +24,8 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// table is a version with so many routes; the first ones are the same in each version.
+// table returns a version with the given number of routes. The first routes are the same in all
+// versions.
 func table(version int64, routes int) *routing.Table {
 	c := routing.Contents{Version: version, Teams: map[string]*routing.Team{}}
 	for i := range routes {
@@ -41,43 +42,44 @@
 
 const port = 7340
 
-// pair is a gateway that serves and one that asks, on links of so many bits a second.
+// pair is a gateway that serves its configuration and a client, on links with the same rate.
 type pair struct {
-	net           *memnet.Network
-	at, asker     *memnet.Host
-	server, asks  *Share
-	serving       sync.WaitGroup
-	stop          context.CancelFunc
-	serverContext context.Context
+	net                    *memnet.Network
+	serverHost, clientHost *memnet.Host
+	server, client         *Share
+	serving                sync.WaitGroup
+	stop                   context.CancelFunc
+	serverContext          context.Context
 }
 
-// newPair must be called in a synctest bubble; end ends it.
+// newPair starts a pair with links of the given rate in bit/s. It must be called in a synctest
+// bubble; end stops the pair.
 func newPair(rate float64) (p *pair, end func()) {
 	p = &pair{net: memnet.New(time.Millisecond)}
-	p.at, p.asker = p.net.Host(rate), p.net.Host(rate)
-	p.server, p.asks = New(p.at.DialContext, rate/1e6, quiet()), New(p.asker.DialContext, rate/1e6, quiet())
+	p.serverHost, p.clientHost = p.net.Host(rate), p.net.Host(rate)
+	p.server, p.client = New(p.serverHost.DialContext, rate/1e6, quiet()), New(p.clientHost.DialContext, rate/1e6, quiet())
 	p.serverContext, p.stop = context.WithCancel(context.Background())
-	listener := p.at.Listen(port)
+	listener := p.serverHost.Listen(port)
 	p.serving.Go(func() { p.server.Serve(p.serverContext, listener) })
 	return p, func() {
 		p.stop()
 		p.serving.Wait()
 		p.net.Close()
-		time.Sleep(2 * silence) // connections that were being opened
+		time.Sleep(2 * idleTimeout) // for connections that were being opened
 	}
 }
 
 func (p *pair) fetch(have *routing.Table) (Version, int, error) {
-	return p.asks.Fetch(context.Background(), p.at.Address(port), have)
+	return p.client.Fetch(context.Background(), p.serverHost.Address(port), have)
 }
 
-func TestWhatDiffersIsHandedOn(t *testing.T) {
+func TestFetchTransfersDifference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p, end := newPair(10e6)
 		defer end()
 		_, _, err := p.fetch(nil)
-		g.Expect(fault.Is(err, fault.LinkBusy)).To(BeTrue()) // it has none itself
+		g.Expect(fault.Is(err, fault.LinkBusy)).To(BeTrue()) // the server has no version yet
 
 		old, next := table(3, 2800), table(5, 4200)
 		p.server.Put(Version{Table: old, Next: logposition.Position{Offset: 7}, Bytes: 600_000})
@@ -90,7 +92,7 @@
 		g.Expect(v.Bytes).To(Equal(900_000))
 		g.Expect(time.Since(start)).To(BeNumerically("<", 100*time.Millisecond))
 
-		v, whole, err := p.fetch(table(1, 10)) // a version that the other never had
+		v, whole, err := p.fetch(table(1, 10)) // a version that the server never had
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(v.Table.Digest()).To(Equal(next.Digest()))
 		g.Expect(fromOld).To(BeNumerically("<", whole/2))
@@ -100,8 +102,8 @@
 	})
 }
 
-// What a gateway hands on may take its link for 0.3 s; others then read the store.
-func TestAGatewayThatSendsMuchSaysSo(t *testing.T) {
+// Replies may occupy a gateway's link for 0.3 s. Further peers are told that it is busy.
+func TestBusyReplyIfSendBacklogIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p, end := newPair(2e6)
@@ -109,61 +111,61 @@
 		p.server.Put(Version{Table: table(5, 4200), Next: logposition.Position{Offset: 9}})
 		_, bytes, err := p.fetch(nil)
 		g.Expect(err).NotTo(HaveOccurred())
-		const asking = 8
-		room := int(queue.Seconds() * 2e6 / 8 / float64(bytes))
-		g.Expect(room).To(BeNumerically("<", asking))
-		results := make(chan error, asking)
-		for range asking {
+		const clients = 8
+		capacity := int(maxSendBacklog.Seconds() * 2e6 / 8 / float64(bytes))
+		g.Expect(capacity).To(BeNumerically("<", clients))
+		results := make(chan error, clients)
+		for range clients {
 			go func() {
 				_, _, err := p.fetch(nil)
 				results <- err
 			}()
 		}
 		fetched := 0
-		for range asking {
+		for range clients {
 			if err := <-results; err == nil {
 				fetched++
 			} else {
 				g.Expect(fault.Is(err, fault.LinkBusy)).To(BeTrue(), "%v", err)
 			}
 		}
-		g.Expect(fetched).To(Equal(room))
-		_, _, err = p.fetch(nil) // what was sent no longer counts
+		g.Expect(fetched).To(Equal(capacity))
+		_, _, err = p.fetch(nil) // the replies are no longer in flight
 		g.Expect(err).NotTo(HaveOccurred())
 	})
 }
 
-// A gateway that is cut off while it sends is given up after 0.3 s of silence; one over a slow
-// link is not.
-func TestSilenceEndsAFetchAndSlownessDoesNot(t *testing.T) {
+// A fetch fails after 0.3 s without data if the server is disconnected while it sends. A slow link
+// does not make it fail.
+func TestFetchEndsOnIdleTimeoutButNotOnSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p, end := newPair(0.5e6)
 		defer end()
-		p.server.linkMbps = 0 // takes any
+		p.server.linkMbps = 0 // no backlog limit
 		p.server.Put(Version{Table: table(5, 4200), Next: logposition.Position{Offset: 9}})
 		start := time.Now()
 		_, _, err := p.fetch(nil)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(time.Since(start)).To(BeNumerically(">", 2*silence))
+		g.Expect(time.Since(start)).To(BeNumerically(">", 2*idleTimeout))
 
-		time.AfterFunc(100*time.Millisecond, func() { p.net.Cut(p.at, p.asker, true) })
+		time.AfterFunc(100*time.Millisecond, func() { p.net.Cut(p.serverHost, p.clientHost, true) })
 		start = time.Now()
 		_, _, err = p.fetch(nil)
 		g.Expect(fault.Is(err, fault.LinkLost)).To(BeTrue())
-		g.Expect(time.Since(start)).To(BeNumerically("<", 100*time.Millisecond+2*silence))
+		g.Expect(time.Since(start)).To(BeNumerically("<", 100*time.Millisecond+2*idleTimeout))
 
-		_, _, err = p.fetch(nil) // it can't even be dialled
+		_, _, err = p.fetch(nil) // the server can't be dialed
 		g.Expect(fault.Is(err, fault.LinkLost)).To(BeTrue())
 	})
 }
 
-func TestOtherMessagesAreRefused(t *testing.T) {
+func TestUnexpectedReplyIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		network := memnet.New(time.Millisecond)
-		odd, asker := network.Host(0), network.Host(0)
-		listener := odd.Listen(port)
+		server, client := network.Host(0), network.Host(0)
+		listener := server.Listen(port)
 		replies := []wire.Message{&wire.Cancel{}, &wire.TableReply{Change: []byte("no change")}}
 		go func() {
 			for _, reply := range replies {
@@ -177,15 +179,15 @@
 			}
 		}()
 		for range replies {
-			_, _, err := New(asker.DialContext, 0, quiet()).Fetch(context.Background(), odd.Address(port), nil)
+			_, _, err := New(client.DialContext, 0, quiet()).Fetch(context.Background(), server.Address(port), nil)
 			g.Expect(fault.Is(err, fault.BadFrame)).To(BeTrue(), "%v", err)
 		}
 		network.Close()
-		time.Sleep(2 * silence)
+		time.Sleep(2 * idleTimeout)
 	})
 }
 
-// failing is a listener of which each other connection can't be taken.
+// failing is a listener for which every second Accept fails.
 type failing struct {
 	net.Listener
 	calls int
@@ -199,27 +201,27 @@
 	return f.Listener.Accept()
 }
 
-func TestServingGoesOnAfterAConnectionThatCouldNotBeTaken(t *testing.T) {
+func TestServeContinuesAfterAcceptError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		network := memnet.New(time.Millisecond)
-		at, asker := network.Host(0), network.Host(0)
-		share := New(at.DialContext, 0, quiet())
+		server, client := network.Host(0), network.Host(0)
+		share := New(server.DialContext, 0, quiet())
 		share.Put(Version{Table: table(5, 1)})
 		ctx, stop := context.WithCancel(context.Background())
-		listener := &failing{Listener: at.Listen(port)}
+		listener := &failing{Listener: server.Listen(port)}
 		go share.Serve(ctx, listener)
 		for range 3 {
-			_, _, err := New(asker.DialContext, 0, quiet()).Fetch(context.Background(), at.Address(port), nil)
+			_, _, err := New(client.DialContext, 0, quiet()).Fetch(context.Background(), server.Address(port), nil)
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		stop()
 		network.Close()
-		time.Sleep(2 * silence)
+		time.Sleep(2 * idleTimeout)
 	})
 }
 
-func TestServingEndsWithItsContext(t *testing.T) {
+func TestServeEndsWithContext(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -236,43 +238,43 @@
 	g.Eventually(done).Should(BeClosed())
 }
 
-func TestAnyChangeIsDecodedOrRefused(t *testing.T) {
+func TestArbitraryChangeIsDecodedOrRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if _, err := unpack(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")); err != nil && !fault.Is(err, fault.BadFrame) {
+		if _, err := decodeChange(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")); err != nil && !fault.Is(err, fault.BadFrame) {
 			t.Fatalf("untyped error %v", err)
 		}
-		packed, err := pack(routing.Diff(nil, table(1, 3)))
+		encoded, err := encodeChange(routing.Diff(nil, table(1, 3)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		packed[rapid.IntRange(0, len(packed)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
-		c, err := unpack(packed)
+		encoded[rapid.IntRange(0, len(encoded)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
+		c, err := decodeChange(encoded)
 		if err != nil {
 			return
 		}
-		if made, err := (*routing.Table)(nil).Apply(c); err == nil && made.Digest() != table(1, 3).Digest() {
-			t.Fatal("a change that was garbled is applied")
+		if applied, err := (*routing.Table)(nil).Apply(c); err == nil && applied.Digest() != table(1, 3).Digest() {
+			t.Fatal("a corrupted change was applied as a different table")
 		}
 	})
 }
 
-// 1,400 routes and keys more than 2,800: 13 KB, 7.3 ms to make for all who ask, 7.6 ms to take
-// over.
+// The difference for 1,400 routes and keys more than 2,800: 13 KB, 7.3 ms to encode once for all
+// peers, 7.6 ms to decode and apply.
 func BenchmarkHandingOn(b *testing.B) {
 	old, next := table(1, 2800), table(2, 4200)
-	packed, err := pack(routing.Diff(old, next))
+	encoded, err := encodeChange(routing.Diff(old, next))
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Run("make", func(b *testing.B) {
+	b.Run("encode", func(b *testing.B) {
 		for b.Loop() {
-			packed, _ = pack(routing.Diff(old, next))
+			encoded, _ = encodeChange(routing.Diff(old, next))
 		}
-		b.ReportMetric(float64(len(packed)), "bytes")
+		b.ReportMetric(float64(len(encoded)), "bytes")
 	})
-	b.Run("take over", func(b *testing.B) {
+	b.Run("decode and apply", func(b *testing.B) {
 		for b.Loop() {
-			c, err := unpack(packed)
+			c, err := decodeChange(encoded)
 			if err == nil {
 				_, err = old.Apply(c)
 			}
--- a/internal/configshare/conn.go
+++ b/internal/configshare/conn.go
@@ -15,40 +15,42 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// maxUnpacked bounds a change in bytes: 2,500 teams and 10,000 routes are some 2 MB.
-const maxUnpacked = 32 << 20
+// maxDecodedBytes limits the size of a decoded difference. 2,500 teams and 10,000 routes have some
+// 2 MB.
+const maxDecodedBytes = 32 << 20
 
-// bounded closes conn after the longest time or when ctx ends. The returned function closes
-// it at once.
-func bounded(ctx context.Context, conn net.Conn) (end func()) {
-	ctx, cancel := context.WithTimeout(ctx, longest)
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends its reads and writes
+// closeOnTimeout closes conn after exchangeTimeout or when ctx is done. The returned function
+// closes it at once.
+func closeOnTimeout(ctx context.Context, conn net.Conn) (end func()) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // unblocks reads and writes
 	return func() {
 		stop()
 		cancel()
-		_ = conn.Close() // all that was to be said has been
+		_ = conn.Close() // the exchange is complete
 	}
 }
 
-// lively gives up a connection that brings nothing for a while, however long the whole takes.
-type lively struct{ net.Conn }
+// idleTimeoutConn is a connection whose reads and writes fail if no data is transferred for
+// idleTimeout, regardless of the total duration.
+type idleTimeoutConn struct{ net.Conn }
 
-// progress is how much is read or written at once: 13 ms of a link of 10 Mbit/s.
-const progress = 16 << 10
+// maxChunkBytes limits a single read or write. It takes 13 ms on a link of 10 Mbit/s.
+const maxChunkBytes = 16 << 10
 
-func (c lively) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(silence)); err != nil {
+func (c idleTimeoutConn) Read(p []byte) (int, error) {
+	if err := c.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return 0, err
 	}
-	return c.Conn.Read(p[:min(len(p), progress)])
+	return c.Conn.Read(p[:min(len(p), maxChunkBytes)])
 }
 
-func (c lively) Write(p []byte) (sent int, err error) {
+func (c idleTimeoutConn) Write(p []byte) (sent int, err error) {
 	for len(p) > 0 {
-		if err := c.SetWriteDeadline(time.Now().Add(silence)); err != nil {
+		if err := c.SetWriteDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return sent, err
 		}
-		n, err := c.Conn.Write(p[:min(len(p), progress)])
+		n, err := c.Conn.Write(p[:min(len(p), maxChunkBytes)])
 		sent, p = sent+n, p[n:]
 		if err != nil {
 			return sent, err
@@ -59,7 +61,7 @@
 
 // send sends a message. Errors have code LinkLost.
 func send(conn net.Conn, m wire.Message) error {
-	w := wire.NewWriter(lively{conn})
+	w := wire.NewWriter(idleTimeoutConn{conn})
 	err := w.Write(m)
 	if err == nil {
 		err = w.Flush()
@@ -70,33 +72,33 @@
 	return nil
 }
 
-// read reads the one message that is due. Errors have code LinkLost or BadFrame.
+// read reads the next message, which must be of type M. Errors have code LinkLost or BadFrame.
 func read[M wire.Message](conn net.Conn) (M, error) {
-	var none M
-	m, err := wire.NewReader(lively{conn}).Read()
+	var zero M
+	m, err := wire.NewReader(idleTimeoutConn{conn}).Read()
 	if err != nil {
-		return none, fault.New(fault.LinkLost, "%w", err)
+		return zero, fault.New(fault.LinkLost, "%w", err)
 	}
-	due, ok := m.(M)
+	expected, ok := m.(M)
 	if !ok {
-		return none, fault.New(fault.BadFrame, "a message of type %d is not due", m.Type())
+		return zero, fault.New(fault.BadFrame, "unexpected message of type %d", m.Type())
 	}
-	return due, nil
+	return expected, nil
 }
 
-// pack encodes a change: 1,400 routes are 19 KB.
-func pack(c routing.Change) ([]byte, error) {
+// encodeChange encodes and compresses a difference. 1,400 routes have 19 KB.
+func encodeChange(c routing.Change) ([]byte, error) {
 	var buf bytes.Buffer
-	deflate, err := flate.NewWriter(&buf, flate.BestSpeed)
+	compressor, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
 		return nil, fault.New(fault.Internal, "%w", err)
 	}
-	enc := msgpack.NewEncoder(deflate)
+	enc := msgpack.NewEncoder(compressor)
 	enc.UseArrayEncodedStructs(true)
 	enc.UseCompactInts(true)
 	err = enc.Encode(c)
 	if err == nil {
-		err = deflate.Close()
+		err = compressor.Close()
 	}
 	if err != nil {
 		return nil, fault.New(fault.Internal, "%w", err)
@@ -104,16 +106,16 @@
 	return buf.Bytes(), nil
 }
 
-// unpack decodes a change. Errors have code BadFrame.
-func unpack(data []byte) (c routing.Change, err error) {
+// decodeChange decodes a difference. Errors have code BadFrame.
+func decodeChange(data []byte) (c routing.Change, err error) {
 	defer func() {
-		if p := recover(); p != nil { // the decoder's, on hostile input
-			err = fault.New(fault.BadFrame, "decoder: %v", p)
+		if p := recover(); p != nil { // the decoder may panic on malicious input
+			err = fault.New(fault.BadFrame, "decoder panicked: %v", p)
 		}
 	}()
-	inflate := io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxUnpacked)
-	if err := msgpack.NewDecoder(inflate).Decode(&c); err != nil {
-		return routing.Change{}, fault.New(fault.BadFrame, "a change can't be read: %w", err)
+	decompressed := io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxDecodedBytes)
+	if err := msgpack.NewDecoder(decompressed).Decode(&c); err != nil {
+		return routing.Change{}, fault.New(fault.BadFrame, "cannot decode configuration difference: %w", err)
 	}
 	return c, nil
 }
