--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -16,12 +16,12 @@
 // the time within which a change must be in force.
 func (f *Follower) configTopic() topic {
 	set := f.settings.Load()
-	bound := newBound(set.ApplyWithin, 0.7)
+	timing := newTiming(set.ApplyWithin, 0.7)
 	if _, some := f.Peers.Small(); some {
-		bound.Spread += smallHostDelay
+		timing.ReadSpread += smallHostDelay
 	}
-	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: configReadMaxKB, bound: bound, interval: minReadInterval, longPoll: true,
-		slowestTransfer: freshness.Reading(f.configBytes, set.RecordBytes, float64(f.Peers.SlowestLink())),
+	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: configReadMaxKB, timing: timing, interval: minReadInterval, longPoll: true,
+		slowestTransfer: freshness.TransferTime(f.configBytes, set.RecordBytes, float64(f.Peers.SlowestLink())),
 		confirm:         func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, replace: f.applyConfig, apply: f.applyConfig,
 		sharedByPeers: true,
 		fetchFromPeer: f.fetchConfigFromPeer,
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -110,7 +110,7 @@
 		confirmed, changed := f.Peers.Confirmed(t.name)
 		maxAge := t.interval
 		if !primary {
-			maxAge = t.bound.Patience(t.slowestTransfer) + f.readDelay(t)
+			maxAge = t.timing.MaxAge(t.slowestTransfer) + f.readDelay(t)
 		}
 		t.confirm(confirmed, f.graceStart(t.name, r))
 		t.observe(r.lastErr)
--- a/internal/follow/readstate.go
+++ b/internal/follow/readstate.go
@@ -37,7 +37,7 @@
 	if t.longPoll && primary && !r.down && !r.gotRecords {
 		// A read that returned records is followed by one that does not wait, which confirms that
 		// there are no more.
-		wait = t.bound.Wait(t.bound.Patience(t.slowestTransfer))
+		wait = t.timing.PollWait(t.timing.MaxAge(t.slowestTransfer))
 	}
 	sent := time.Now()
 	if r.loaded {
@@ -78,7 +78,7 @@
 	if r.upSince.IsZero() {
 		r.upSince = r.lastSuccess
 	}
-	b := batch{records: records, sentAt: sent, duration: r.lastSuccess.Sub(sent), asOf: freshness.ReadAt(sent, r.lastSuccess, wait, len(records) == 0), byPrimary: primary}
+	b := batch{records: records, sentAt: sent, duration: r.lastSuccess.Sub(sent), asOf: freshness.ConfirmedAt(sent, r.lastSuccess, wait, len(records) == 0), byPrimary: primary}
 	state := apply(b, f.graceStart(t.name, r))
 	r.advance(t, records, next, end)
 	if !r.behind {
--- a/internal/follow/topic.go
+++ b/internal/follow/topic.go
@@ -13,8 +13,8 @@
 // gateway in the topic's order, reads it on behalf of all and announces the state to its peers. They
 // read the store only when the state has changed or has not been confirmed recently.
 type topic struct {
-	name  string
-	bound freshness.Bound
+	name   string
+	timing freshness.Timing
 	// interval is the time between two reads of the primary reader; longPoll makes these reads wait at
 	// the store for a record.
 	interval time.Duration
@@ -59,18 +59,18 @@
 	return n
 }
 
-// newBound returns the timing bound of a topic whose changes must be in force within the given time.
-// The share is far enough below 1 that the loss of a primary reader that was disconnected from the
-// store just before a change is detected in time.
-func newBound(within time.Duration, share float64) freshness.Bound {
-	return freshness.Bound{Within: within, Share: share, Spread: maxReadStagger, Told: peers.NewsBeat, Pause: minReadInterval}
+// newTiming returns the timing of a topic whose changes must be in force within the given time.
+// maxAgeRatio must be far enough below 1 that the loss of a primary reader that was disconnected
+// from the store just before a change is detected in time.
+func newTiming(within time.Duration, maxAgeRatio float64) freshness.Timing {
+	return freshness.Timing{ApplyWithin: within, MaxAgeRatio: maxAgeRatio, ReadSpread: maxReadStagger, AnnounceDelay: peers.NewsBeat, ReadInterval: minReadInterval}
 }
 
 // serversTopic returns how the server list is followed. Its timing is derived from DrainWithin, the
 // time within which a draining server must stop receiving new requests.
 func (f *Follower) serversTopic() topic {
 	within := f.settings.Load().DrainWithin
-	return topic{name: f.Topics.Servers, maxKB: serversReadMaxKB, bound: newBound(within, 0.45), interval: within / 3,
+	return topic{name: f.Topics.Servers, maxKB: serversReadMaxKB, timing: newTiming(within, 0.45), interval: within / 3,
 		confirm: f.confirmServers, replace: f.replaceServers, apply: f.applyServerChanges,
 		fetchFromPeer: func(context.Context, *readState) bool { return false }, publish: func(logposition.Position) {}, observe: func(error) {}}
 }
