--- a/internal/logposition/logposition.go
+++ b/internal/logposition/logposition.go
@@ -1,21 +1,21 @@
-// Package logposition names places in a topic of the platform's store.
+// Package logposition defines positions in a topic of the platform's store.
 package logposition
 
 import "cmp"
 
-// Position is an offset that holds in one era of the store: when the store comes back from an older
-// copy, offsets are given out again.
+// Position is an offset in one era of the store. When the store is restored from an older copy, a
+// new era begins and offsets are reused.
 type Position struct {
 	Era    int64
 	Offset int64
 }
 
-// Compare orders positions: those of a later era are behind all of an earlier one.
+// Compare orders positions by era, then by offset.
 func Compare(a, b Position) int {
 	return cmp.Or(cmp.Compare(a.Era, b.Era), cmp.Compare(a.Offset, b.Offset))
 }
 
-// Later returns the one that is further on.
+// Later returns the later of two positions.
 func Later(a, b Position) Position {
 	if Compare(a, b) >= 0 {
 		return a
