--- a/internal/httpsent/httpsent.go
+++ b/internal/httpsent/httpsent.go
@@ -1,5 +1,5 @@
-// Package httpsent tells whether an HTTP request that failed may have reached
-// the server. That decides between "not run" and "unknown".
+// Package httpsent determines whether a failed HTTP request may have reached the server, which
+// distinguishes "not run" from "unknown".
 package httpsent
 
 import (
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// Trace returns req with a mark that is set before any of it is written to a
-// connection. An unset mark after Do failed means that nothing was sent.
+// Trace returns req with a flag that is set before any part of it is written to a connection. If
+// the flag is not set after the request has failed, nothing was sent.
 func Trace(req *http.Request) (*http.Request, *atomic.Bool) {
 	sent := new(atomic.Bool)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
