--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,4 +1,4 @@
-// Package httpcall makes HTTP calls whose replies may be large and cross slow links.
+// Package httpcall makes HTTP calls whose replies may be large and arrive over slow links.
 package httpcall
 
 import (
@@ -10,56 +10,54 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// Limits bound a call by what comes, not by how long the whole takes: on a connection on which
-// a reply was lost nothing comes any more, but a large reply over a slow link takes its time.
-// A call that was given 0.7 s in all never brought 887 KB over a link of 10 Mbit/s.
+// Limits are the limits of a call. The idle timeout detects a connection on which a reply was lost,
+// while a large reply over a slow link may take longer: a total limit of 0.7 s never let 887 KB
+// through a link of 10 Mbit/s.
 type Limits struct {
-	// Wait is how long the other end may hold the reply back.
-	Wait time.Duration
-	// Silence is the longest that nothing may come beside that.
-	Silence time.Duration
-	// Longest bounds the whole beside Wait.
-	Longest time.Duration
-	// Bytes bounds the reply.
-	Bytes int64
+	// ReplyWait is how long the server may delay its reply.
+	ReplyWait time.Duration
+	// IdleTimeout limits the time without data, in addition to ReplyWait before the reply starts.
+	IdleTimeout time.Duration
+	// Timeout limits the duration of the whole call, in addition to ReplyWait.
+	Timeout time.Duration
+	// MaxBytes limits the size of the reply body.
+	MaxBytes int64
 }
 
-// progressBytes is how much is read at once: a read of a chunked body returns only when
-// its buffer is full, and a buffer of 200 KB takes longer to fill on a slow link than a
-// reply may be silent.
-const progressBytes = 16 << 10
+// maxChunkBytes limits a single read. A read of a chunked body only returns when its buffer is
+// full, and filling 200 KB over a slow link takes longer than the idle timeout.
+const maxChunkBytes = 16 << 10
 
-// Reply is an answer with its whole body, or with an error what has come of it.
+// Reply is a response with its whole body, or, with an error, the part of it that was received.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Do makes a call. Errors have code TooLarge or are the client's.
+// Do makes a call. Errors have code TooLarge or are those of the HTTP client.
 func Do(client *http.Client, req *http.Request, l Limits) (reply Reply, err error) {
-	ctx, cancel := context.WithTimeout(req.Context(), l.Wait+l.Longest)
+	ctx, cancel := context.WithTimeout(req.Context(), l.ReplyWait+l.Timeout)
 	defer cancel()
-	silence := time.AfterFunc(l.Wait+l.Silence, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(l.ReplyWait+l.IdleTimeout, cancel)
+	defer idleTimer.Stop()
 	resp, err := client.Do(req.WithContext(ctx))
 	if err != nil {
 		return Reply{}, err
 	}
-	defer func() { _ = resp.Body.Close() }() // what is wanted of it has been read
-	progress := readerFunc(func(p []byte) (int, error) {
-		silence.Reset(l.Silence)
-		return resp.Body.Read(p[:min(len(p), progressBytes)])
+	defer func() { _ = resp.Body.Close() }() // the body has been read
+	reader := readerFunc(func(p []byte) (int, error) {
+		idleTimer.Reset(l.IdleTimeout)
+		return resp.Body.Read(p[:min(len(p), maxChunkBytes)])
 	})
-	body, err := io.ReadAll(io.LimitReader(progress, l.Bytes+1))
-	if err == nil && int64(len(body)) > l.Bytes {
-		err = fault.New(fault.TooLarge, "a reply of more than %d bytes", l.Bytes)
+	body, err := io.ReadAll(io.LimitReader(reader, l.MaxBytes+1))
+	if err == nil && int64(len(body)) > l.MaxBytes {
+		err = fault.New(fault.TooLarge, "reply exceeds %d bytes", l.MaxBytes)
 	}
 	return Reply{resp.StatusCode, resp.Header, body}, err
 }
 
-// readerFunc is an io.Reader of one function.
+// readerFunc implements io.Reader with a function.
 type readerFunc func([]byte) (int, error)
 
-// Read implements io.Reader.
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -15,10 +15,10 @@
 	"github.com/merlinpost/merlinpost/internal/standin/memnet"
 )
 
-var limits = Limits{Wait: time.Second, Silence: 700 * time.Millisecond, Longest: 15 * time.Second, Bytes: 2 << 20}
+var limits = Limits{ReplyWait: time.Second, IdleTimeout: 700 * time.Millisecond, Timeout: 15 * time.Second, MaxBytes: 2 << 20}
 
-// call calls a handler over a link of 1 Mbit/s and returns how long it took, in a synctest
-// bubble.
+// call calls a handler over a link of 1 Mbit/s and returns how long it took. It must be called in a
+// synctest bubble.
 func call(handler http.HandlerFunc) (status, bytes int, took time.Duration, err error) {
 	network := memnet.New(time.Millisecond)
 	here, there := network.Host(1e6), network.Host(0)
@@ -36,12 +36,12 @@
 	_ = server.Close()
 	network.Close()
 	client.CloseIdleConnections()
-	time.Sleep(time.Second) // the handler ends
+	time.Sleep(time.Second) // until the handler has ended
 	return reply.Status, len(reply.Body), took, err
 }
 
-// In chunks of any size, with a length or without: as long as bytes come, the call goes on.
-func TestALargeReplyTakesItsTime(t *testing.T) {
+// A call continues as long as data arrives, with a chunked body or a stated length.
+func TestLargeReplyOverSlowLinkSucceeds(t *testing.T) {
 	for name, length := range map[string]string{"chunked": "", "with a length": "1000000"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -61,11 +61,11 @@
 	}
 }
 
-func TestSilenceEndsACall(t *testing.T) {
+func TestIdleTimeoutEndsCall(t *testing.T) {
 	for name, c := range map[string]struct {
-		before int // bytes
+		before int // bytes sent before the server stops
 		within time.Duration
-	}{"before the reply": {0, limits.Wait + limits.Silence}, "in the middle of it": {1000, limits.Silence}} {
+	}{"before the reply": {0, limits.ReplyWait + limits.IdleTimeout}, "in the middle of the reply": {1000, limits.IdleTimeout}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
@@ -84,31 +84,31 @@
 	}
 }
 
-func TestAReplyIsBounded(t *testing.T) {
+func TestDurationAndSizeAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		_, _, took, err := call(func(w http.ResponseWriter, r *http.Request) {
-			for r.Context().Err() == nil { // for ever, slowly
+			for r.Context().Err() == nil { // endless data at short intervals
 				_, _ = io.WriteString(w, "x")
 				_ = http.NewResponseController(w).Flush()
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
-		g.Expect(took).To(Equal(limits.Wait + limits.Longest))
+		g.Expect(took).To(Equal(limits.ReplyWait + limits.Timeout))
 	})
 	g := NewWithT(t)
 	limits := limits
-	limits.Bytes = 10
+	limits.MaxBytes = 10
 	req, err := http.NewRequest(http.MethodGet, "http://10.0.0.1/", nil)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = Do(&http.Client{Transport: fixed("12345678901")}, req, limits)
+	_, err = Do(&http.Client{Transport: fixedResponse("12345678901")}, req, limits)
 	g.Expect(fault.Is(err, fault.TooLarge)).To(BeTrue())
 }
 
-// fixed answers every call with its text.
-type fixed string
+// fixedResponse is a round tripper that answers every request with its text.
+type fixedResponse string
 
-func (f fixed) RoundTrip(r *http.Request) (*http.Response, error) {
+func (f fixedResponse) RoundTrip(r *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: 200, Body: io.NopCloser(strings.NewReader(string(f))), Request: r}, nil
 }
