--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership reads the platform's list of live and leaving hosts. The
-// list lags and may be wrong: it is a hint, never a promise.
+// Package membership polls the platform's list of live and leaving hosts. The list is delayed and
+// may be wrong, so it is only a hint.
 package membership
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// State is a member's state on the list.
+// State is the state of a member.
 type State string
 
-// The states.
+// States of a member.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// Member is one process of the system on a host.
+// Member is a router or agent process on a host.
 type Member struct {
 	Name          string `json:"name"`
 	Role          string `json:"role"` // "router" or "agent"
@@ -34,53 +34,53 @@
 	State         State  `json:"state"`
 }
 
-// Reader polls the list. Run is its duty.
+// Reader polls the list and is started with Run.
 type Reader struct {
-	url    string
-	every  time.Duration
-	http   *http.Client
-	logger *slog.Logger
-	last   atomic.Pointer[map[string]Member]
-	etag   string
+	url      string
+	interval time.Duration
+	client   *http.Client
+	logger   *slog.Logger
+	members  atomic.Pointer[map[string]Member]
+	etag     string
 }
 
-// NewReader returns a Reader of the list at an IP address and port; an empty
-// address gives a Reader whose list stays empty. With a name it asks for that
-// member only, which keeps the traffic of many agents small.
-func NewReader(address, only string, every time.Duration, logger *slog.Logger) *Reader {
-	r := &Reader{every: every, http: &http.Client{Timeout: every + time.Second}, logger: logger}
+// NewReader returns a Reader for the list at an IP address and port. If address is empty, the list
+// stays empty. If name is set, only that member is requested, which limits the traffic of large
+// numbers of agents.
+func NewReader(address, name string, interval time.Duration, logger *slog.Logger) *Reader {
+	r := &Reader{interval: interval, client: &http.Client{Timeout: interval + time.Second}, logger: logger}
 	if address != "" {
 		r.url = "http://" + address + "/v1/members"
-		if only != "" {
-			r.url += "?name=" + url.QueryEscape(only)
+		if name != "" {
+			r.url += "?name=" + url.QueryEscape(name)
 		}
 	}
-	r.last.Store(&map[string]Member{})
+	r.members.Store(&map[string]Member{})
 	return r
 }
 
-// Members returns the newest list, by name. It must not be changed.
-func (r *Reader) Members() map[string]Member { return *r.last.Load() }
+// Members returns the members of the newest list by name. The map must not be modified.
+func (r *Reader) Members() map[string]Member { return *r.members.Load() }
 
-// Leaving reports whether the list says that the named member leaves.
+// Leaving reports whether the named member is listed as leaving.
 func (r *Reader) Leaving(name string) bool { return r.Members()[name].State == Leaving }
 
-// Run polls until ctx ends. A list that can't be read keeps its last content.
+// Run polls until ctx is done. If the list can't be read, the last one stays in use.
 func (r *Reader) Run(ctx context.Context) {
 	if r.url == "" {
 		return
 	}
-	up := true
-	tick := time.NewTicker(r.every)
+	reachable := true
+	tick := time.NewTicker(r.interval)
 	defer tick.Stop()
 	for {
 		err := r.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if (err == nil) != up {
-			up = err == nil
-			r.logger.Info("membership list", "reached", up, "error", err)
+		if (err == nil) != reachable {
+			reachable = err == nil
+			r.logger.Info("membership list reachability changed", "reached", reachable, "error", err)
 		}
 		if err != nil {
 			telemetry.Count("merlinpost_membership_read_failures_total")
@@ -96,31 +96,31 @@
 func (r *Reader) poll(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url, nil)
 	if err != nil {
-		return fmt.Errorf("membership: %w", err)
+		return fmt.Errorf("cannot read membership list: %w", err)
 	}
 	if r.etag != "" {
 		req.Header.Set("If-None-Match", r.etag)
 	}
-	resp, err := r.http.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
-		return fmt.Errorf("membership: %w", err)
+		return fmt.Errorf("cannot read membership list: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotModified {
 		return nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fault.New(fault.NotReady, "membership: status %d", resp.StatusCode)
+		return fault.New(fault.NotReady, "membership list: unexpected status %d", resp.StatusCode)
 	}
 	r.etag = resp.Header.Get("ETag")
 	var list []Member
 	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil {
-		return fmt.Errorf("membership: %w", err)
+		return fmt.Errorf("cannot read membership list: %w", err)
 	}
 	byName := make(map[string]Member, len(list))
 	for _, m := range list {
 		byName[m.Name] = m
 	}
-	r.last.Store(&byName)
+	r.members.Store(&byName)
 	return nil
 }
