--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -12,27 +12,27 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// configTopic returns how the configuration topic is followed. Its timing is derived from ApplyWithin,
-// the time within which a change must be in force.
+// configTopic returns how the configuration topic is followed. Its timing is derived from
+// ApplyWithin, the time within which a change must be in force.
 func (f *Follower) configTopic() topic {
-	set := f.settings.Load()
-	timing := newTiming(set.ApplyWithin, 0.7)
-	if _, some := f.Peers.Small(); some {
+	settings := f.settings.Load()
+	timing := newTiming(settings.ApplyWithin, 0.7)
+	if _, anySmall := f.Peers.Small(); anySmall {
 		timing.ReadSpread += smallHostDelay
 	}
 	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: configReadMaxKB, timing: timing, interval: minReadInterval, longPoll: true,
-		slowestTransfer: freshness.TransferTime(f.configBytes, set.RecordBytes, float64(f.Peers.SlowestLink())),
+		slowestTransfer: freshness.TransferTime(f.configBytes, settings.RecordBytes, float64(f.Peers.SlowestLink())),
 		confirm:         func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, replace: f.applyConfig, apply: f.applyConfig,
 		sharedByPeers: true,
 		fetchFromPeer: f.fetchConfigFromPeer,
 		publish:       f.publishConfig,
-		observe: func(failed error) {
-			f.configLag.observe(f.Gateway.ConfigVersion(), int64(f.Peers.Heard(f.Topics.Configuration)), failed, set.ApplyWithin, time.Now())
+		observe: func(err error) {
+			f.configLag.observe(f.Gateway.ConfigVersion(), int64(f.Peers.Heard(f.Topics.Configuration)), err, settings.ApplyWithin, time.Now())
 		}}
 }
 
-// applyConfig applies the last configuration among the records. If it can't be decoded, the previous
-// one stays in force.
+// applyConfig applies the last configuration among the records. If it can't be decoded, the
+// previous one stays in force.
 func (f *Follower) applyConfig(b batch, _ time.Time) uint64 {
 	for _, r := range slices.Backward(b.records) {
 		if r.Key != f.Topics.ConfigurationKey || r.Value == nil {
@@ -54,14 +54,14 @@
 	return uint64(f.Gateway.ConfigVersion())
 }
 
-// shareUnchanged returns the table with the routes and teams of the active one reused where they are
-// equal, so that the earlier versions kept for peers only take memory for what differs.
+// shareUnchanged returns the table with the routes and teams of the active one reused where they
+// are equal, so that the earlier versions kept for peers only take memory for what differs.
 func (f *Follower) shareUnchanged(table *routing.Table) *routing.Table {
-	inForce := f.Gateway.Table()
-	if inForce == nil || inForce.Version >= table.Version {
+	active := f.Gateway.Table()
+	if active == nil || active.Version >= table.Version {
 		return table
 	}
-	shared, err := inForce.Apply(routing.Diff(inForce, table))
+	shared, err := active.Apply(routing.Diff(active, table))
 	if err != nil {
 		f.Logger.Error("cannot reuse unchanged parts of the active configuration", "config", table.Version, "error", err)
 		return table
@@ -69,16 +69,16 @@
 	return shared
 }
 
-// publishConfig makes the active version available to peers; next is the position from which to read
-// the topic after it.
+// publishConfig makes the active version available to peers; next is the position from which to
+// read the topic after it.
 func (f *Follower) publishConfig(next logposition.Position) {
 	if table := f.Gateway.Table(); table != nil {
 		f.Share.Put(configshare.Version{Table: table, Next: next, Bytes: f.configBytes})
 	}
 }
 
-// fetchConfigFromPeer fetches and applies the configuration of a peer that announced a newer version.
-// It reports whether that succeeded.
+// fetchConfigFromPeer fetches and applies the configuration of a peer that announced a newer
+// version. It reports whether that succeeded.
 func (f *Follower) fetchConfigFromPeer(ctx context.Context, r *readState) bool {
 	at, from, newer := f.Peers.Newer(f.Topics.Configuration)
 	if !newer {
--- a/internal/follow/dependencies.go
+++ b/internal/follow/dependencies.go
@@ -23,11 +23,11 @@
 // Store is the metadata store. Its topics keep the newest record of each key permanently, and all
 // other records for a limited time.
 type Store interface {
-	// Read returns the records of a topic from a position on, the position of the next record, and the
-	// end of the topic, which is greater if there are more records than one read returns: up to maxKB,
-	// or a single larger record. It waits up to wait for a record to be written, and fails if no data
-	// arrives for timeout beyond that. Errors have code LogTruncated if the records have been deleted,
-	// LogRestored if the position is of an earlier era, otherwise LogDown.
+	// Read returns the records of a topic from a position on, the position of the next record, and
+	// the end of the topic, which is greater if there are more records than one read returns: up to
+	// maxKB, or a single larger record. It waits up to wait for a record to be written, and fails
+	// if no data arrives for timeout beyond that. Errors have code LogTruncated if the records have
+	// been deleted, LogRestored if the position is of an earlier era, otherwise LogDown.
 	Read(ctx context.Context, topic string, from logposition.Position, maxKB int, wait, timeout time.Duration) (records []Record, next, end logposition.Position, err error)
 	// Newest returns the newest record of each key and the position from which to read changes.
 	// Records written during the call may be returned by both. Errors have the codes of Read.
@@ -48,8 +48,8 @@
 	Servers string
 	// Gateways is the topic with the peer address of each gateway. It is written by the gateways.
 	Gateways string
-	// Quarantine is the topic with the requests that made servers fail, by request ID. It is written
-	// by the gateways.
+	// Quarantine is the topic with the requests that made servers fail, by request digest. It is
+	// written by the gateways.
 	Quarantine string
 }
 
@@ -63,7 +63,8 @@
 type Settings struct {
 	// Address is the address of the store.
 	Address string
-	// DrainWithin is the time within which a draining backend server must stop receiving new requests.
+	// DrainWithin is the time within which a draining backend server must stop receiving new
+	// requests.
 	DrainWithin time.Duration
 	// ApplyWithin is the time within which a configuration must be in force.
 	ApplyWithin time.Duration
@@ -73,11 +74,11 @@
 
 // Peers gives access to the other gateways, which share the state that they have read.
 type Peers interface {
-	// Rank returns the position of this gateway in the read order of a topic. The gateway with rank 0
-	// is the primary reader.
+	// Rank returns the position of this gateway in the read order of a topic. The gateway with rank
+	// 0 is the primary reader.
 	Rank(topic string) int
-	// Find records and announces the state that this gateway has read, and since when its calls to the
-	// store have succeeded without interruption.
+	// Find records and announces the state that this gateway has read, and since when its calls to
+	// the store have succeeded without interruption.
 	Find(topic string, state uint64, at, since time.Time)
 	// StoreUpSince returns since when another gateway's calls to the store have succeeded without
 	// interruption; zero if none has reported it.
@@ -86,16 +87,17 @@
 	Heard(topic string) uint64
 	// Versioned declares that the states of a topic are ordered version numbers.
 	Versioned(topic string)
-	// Newer reports whether a peer announced a newer state than this gateway has, the address of that
-	// peer, and the time at which that state was the newest.
+	// Newer reports whether a peer announced a newer state than this gateway has, the address of
+	// that peer, and the time at which that state was the newest.
 	Newer(topic string) (at time.Time, from netip.AddrPort, newer bool)
-	// Confirmed returns when this gateway's state was last confirmed to be the newest, and a channel
-	// that is closed when a peer announces a newer one.
+	// Confirmed returns when this gateway's state was last confirmed to be the newest, and a
+	// channel that is closed when a peer announces a newer one.
 	Confirmed(topic string) (at time.Time, changed <-chan struct{})
 	// Small returns whether this host has a small processor or link compared with the largest host,
 	// and whether any host has.
 	Small() (self, some bool)
-	// SlowestLink returns the speed of the slowest link of the live gateways in Mbit/s, 0 if unknown.
+	// SlowestLink returns the speed of the slowest link of the live gateways in Mbit/s, 0 if
+	// unknown.
 	SlowestLink() uint32
 	// List sets the gateways that are registered in the store. Self returns this gateway.
 	List([]peers.Member)
--- a/internal/follow/deployment_test.go
+++ b/internal/follow/deployment_test.go
@@ -37,10 +37,10 @@
 
 // deployment is a store and gateways on an in-memory network. It must be used in a synctest bubble.
 type deployment struct {
-	net     *memnet.Network
-	store   *platformstore.Store
-	storeAt *memnet.Host
-	hosts   []*simulatedGateway
+	net       *memnet.Network
+	store     *platformstore.Store
+	storeHost *memnet.Host
+	hosts     []*simulatedGateway
 }
 
 const (
@@ -61,8 +61,8 @@
 // discovered each other. The returned function stops them.
 func deploy(specs []hostSpec, first []byte) (*deployment, func()) {
 	d := &deployment{net: memnet.New(100 * time.Microsecond), store: platformstore.New()}
-	d.storeAt = d.net.Host(0)
-	storeListener := d.storeAt.Listen(storePort)
+	d.storeHost = d.net.Host(0)
+	storeListener := d.storeHost.Listen(storePort)
 	server := &http.Server{Handler: d.store.Handler()}
 	d.store.Put(platformstore.TopicOperator, "config", first)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -79,7 +79,7 @@
 		deps.Connect = func(address string) follow.Store {
 			return platform.NewStoreOver(h.link.DialContext, address, slog.New(slog.DiscardHandler))
 		}
-		f := follow.New(deps, follow.Settings{Address: d.storeAt.Address(storePort).String(), DrainWithin: applyWithin,
+		f := follow.New(deps, follow.Settings{Address: d.storeHost.Address(storePort).String(), DrainWithin: applyWithin,
 			ApplyWithin: applyWithin, RecordBytes: recordBytes})
 		running.Go(func() { h.peers.Run(ctx) })
 		running.Go(func() { deps.Share.Serve(ctx, listener) })
@@ -104,8 +104,10 @@
 // write stores a configuration, which is confirmed on return.
 func (d *deployment) write(value []byte) { d.store.Put(platformstore.TopicOperator, "config", value) }
 
-// cutFromStore interrupts or restores the connection between a host and the store.
-func (d *deployment) cutFromStore(h *simulatedGateway, cut bool) { d.net.Cut(h.link, d.storeAt, cut) }
+// setDisconnected interrupts or restores the connection between a host and the store.
+func (d *deployment) setDisconnected(h *simulatedGateway, disconnected bool) {
+	d.net.Cut(h.link, d.storeHost, disconnected)
+}
 
 // configOfSize returns a configuration of about the given number of bytes.
 func configOfSize(version int64, bytes int) []byte {
@@ -132,11 +134,11 @@
 	return rendezvous.Rank(platform.Topics.Configuration, names)
 }
 
-// Guards against an endlessly repeated read of a large configuration on a slow link. A value of 0.9 MB
-// takes 0.8 to 1.0 s at 10 Mbit/s, but a call to the store was limited to 0.7 s in total, so it was
-// cut off and started again without end. Hosts with such links (13 of 21) never applied the change and
-// logged "lost the store" 0.70 s after the write; the other 8 applied it within 0.3 s. Smaller values
-// of 0.3 and 0.6 MB were not affected.
+// Guards against an endlessly repeated read of a large configuration on a slow link. A value of 0.9
+// MB takes 0.8 to 1.0 s at 10 Mbit/s, but a call to the store was limited to 0.7 s in total, so it
+// was cut off and started again without end. Hosts with such links (13 of 21) never applied the
+// change and logged "lost the store" 0.70 s after the write; the other 8 applied it within 0.3 s.
+// Smaller values of 0.3 and 0.6 MB were not affected.
 func TestLargeConfigurationIsAppliedOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -153,9 +155,9 @@
 	})
 }
 
-// Guards against a confirmation that counts from the arrival of a reply. A large reply that takes long
-// on a slow link only shows that its version was the newest when the request was sent.
-// The primary reader has a congested link. The others do not hear from it and read version 2
+// Guards against a confirmation that counts from the arrival of a reply. A large reply that takes
+// long on a slow link only shows that its version was the newest when the request was sent. The
+// primary reader has a congested link. The others do not hear from it and read version 2
 // themselves; then version 3 is written. The primary reader's reply with version 2 arrives and it
 // announces that version as the newest, although the store produced the reply before version 3, and
 // loses its connection to the store. If the announcement counted from the arrival, the others would
@@ -175,7 +177,7 @@
 		for d.host(names[0]).gateway.ConfigVersion() < 2 { // until the primary reader's reply has arrived
 			time.Sleep(time.Millisecond)
 		}
-		d.cutFromStore(d.host(names[0]), true)
+		d.setDisconnected(d.host(names[0]), true)
 		time.Sleep(applyWithin - time.Since(written))
 		for _, name := range names[1:] {
 			g.Expect(d.host(name).gateway.ConfigVersion()).To(BeEquivalentTo(3), name)
@@ -198,8 +200,8 @@
 }
 
 // Guards against every host reading a large value over the link that also carries responses to
-// callers, which takes 0.8 to 1.0 s at 10 Mbit/s. One large host reads it and the others receive only
-// the difference.
+// callers, which takes 0.8 to 1.0 s at 10 Mbit/s. One large host reads it and the others receive
+// only the difference.
 func TestSmallHostsReceiveDifferenceFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -214,9 +216,9 @@
 	})
 }
 
-// If the primary reader loses its connection to the store right before a change, the other hosts used
-// to read the value all at once. Now a large host reads first, even from a store that takes 0.24 s to
-// reply, and distributes the difference.
+// If the primary reader loses its connection to the store right before a change, the other hosts
+// used to read the value all at once. Now a large host reads first, even from a store that takes
+// 0.24 s to reply, and distributes the difference.
 func TestLargeHostReadsBeforeSmallHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -225,7 +227,7 @@
 		defer end()
 		for _, name := range []string{"c", "d"} {
 			if d.host(name).peers.Rank(platform.Topics.Configuration) == 0 {
-				d.cutFromStore(d.host(name), true)
+				d.setDisconnected(d.host(name), true)
 			}
 		}
 		before := map[string]int{}
@@ -244,20 +246,20 @@
 	})
 }
 
-// A host that is disconnected from the store receives changes from its peers, and continues from their
-// position when it is connected again.
+// A host that is disconnected from the store receives changes from its peers, and continues from
+// their position when it is connected again.
 func TestHostDisconnectedFromStoreReceivesChangesFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d, end := deploy([]hostSpec{{"a", 10e6, 0.3}, {"b", 10e6, 0.3}, {"c", 10e6, 0.3}}, configOfSize(1, 1000))
 		defer end()
 		for i, h := range d.hosts {
-			d.cutFromStore(h, true)
+			d.setDisconnected(h, true)
 			time.Sleep(5 * time.Second)
 			d.write(configOfSize(int64(2+2*i), 20_000))
 			time.Sleep(applyWithin)
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(2+2*i), h.name)
-			d.cutFromStore(h, false)
+			d.setDisconnected(h, false)
 			d.write(configOfSize(int64(3+2*i), 20_000))
 			time.Sleep(applyWithin)
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(3+2*i), h.name)
@@ -265,26 +267,27 @@
 	})
 }
 
-// event is a write of a configuration, or an interruption of a host's connection to the store or its
-// end.
+// event is a write of a configuration, or an interruption of a host's connection to the store or
+// its end.
 type event struct {
-	at    time.Duration
-	bytes int // size of the configuration that is written; 0 if the event concerns a connection
-	host  int // whose connection to the store changes
-	cut   bool
+	at         time.Duration
+	bytes      int // size of the configuration that is written; 0 if the event concerns a connection
+	host       int // whose connection to the store changes
+	disconnect bool
 }
 
-// drawEvents generates writes and interruptions over some seconds. At least one host stays connected.
-func drawEvents(t *rapid.T, hosts int) (events []event) {
+// generateEvents generates writes and interruptions over some seconds. At least one host stays
+// connected.
+func generateEvents(t *rapid.T, hosts int) (events []event) {
 	moment := rapid.IntRange(0, 6000)
 	for range rapid.IntRange(1, 4).Draw(t, "changes") {
 		events = append(events, event{at: time.Duration(moment.Draw(t, "write at ms")) * time.Millisecond,
 			bytes: rapid.SampledFrom([]int{1000, 30_000, 110_000}).Draw(t, "bytes")})
 	}
-	for h := range rapid.IntRange(0, hosts-1).Draw(t, "cut hosts") {
-		from := moment.Draw(t, "cut at ms")
-		events = append(events, event{at: time.Duration(from) * time.Millisecond, host: h, cut: true})
-		if rapid.Bool().Draw(t, "mended") {
+	for h := range rapid.IntRange(0, hosts-1).Draw(t, "disconnected hosts") {
+		from := moment.Draw(t, "disconnect at ms")
+		events = append(events, event{at: time.Duration(from) * time.Millisecond, host: h, disconnect: true})
+		if rapid.Bool().Draw(t, "reconnected") {
 			events = append(events, event{at: time.Duration(from+rapid.IntRange(100, 4000).Draw(t, "for ms")) * time.Millisecond, host: h})
 		}
 	}
@@ -304,8 +307,8 @@
 	for _, name := range hostsInReadOrder(5) {
 		specs = append(specs, hostSpec{name, small.rate, small.cores})
 	}
-	events := []event{{host: 0, cut: true}, {at: time.Millisecond, bytes: 110_000}, {at: time.Millisecond, bytes: 1000}, {at: 2 * time.Millisecond, bytes: 30_000}}
-	if late := playEvents(specs, events); late != "" {
+	events := []event{{host: 0, disconnect: true}, {at: time.Millisecond, bytes: 110_000}, {at: time.Millisecond, bytes: 1000}, {at: 2 * time.Millisecond, bytes: 30_000}}
+	if late := runEvents(specs, events); late != "" {
 		t.Fatal(late)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -318,28 +321,29 @@
 			spec.name = name
 			specs = append(specs, spec)
 		}
-		if late := playEvents(specs, drawEvents(t, len(specs))); late != "" {
+		if late := runEvents(specs, generateEvents(t, len(specs))); late != "" {
 			t.Fatal(late)
 		}
 	})
 }
 
-// playEvents runs the events on a deployment and returns what was applied too late, "" if nothing was.
-func playEvents(specs []hostSpec, events []event) (late string) {
+// runEvents runs the events on a deployment and returns what was applied too late, "" if nothing
+// was.
+func runEvents(specs []hostSpec, events []event) (late string) {
 	bubble := func(*testing.T) {
 		d, end := deploy(specs, configOfSize(1, 1000))
 		defer end()
 		start := time.Now()
-		lastCut := map[int]time.Duration{} // hosts that were never interrupted are absent
-		isCut := map[int]bool{}
+		lastDisconnect := map[int]time.Duration{} // hosts that were never interrupted are absent
+		isDisconnected := map[int]bool{}
 		var checks []func()
 		version := int64(1)
 		for _, e := range events {
 			time.Sleep(e.at - time.Since(start))
 			if e.bytes == 0 {
-				isCut[e.host] = e.cut
-				lastCut[e.host] = e.at
-				d.cutFromStore(d.hosts[e.host], e.cut)
+				isDisconnected[e.host] = e.disconnect
+				lastDisconnect[e.host] = e.at
+				d.setDisconnected(d.hosts[e.host], e.disconnect)
 				continue
 			}
 			version++
@@ -348,8 +352,8 @@
 			checks = append(checks, func() {
 				time.Sleep(at + applyWithin - time.Since(start))
 				for i, h := range d.hosts {
-					_, wasCut := lastCut[i]
-					if got := h.gateway.ConfigVersion(); !wasCut && got < written && late == "" {
+					_, wasDisconnected := lastDisconnect[i]
+					if got := h.gateway.ConfigVersion(); !wasDisconnected && got < written && late == "" {
 						late = fmt.Sprintf("%s has %d in force %v after %d was written", h.name, got, applyWithin, written)
 					}
 				}
--- a/internal/follow/export_test.go
+++ b/internal/follow/export_test.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// This file exports internals to the tests in package follow_test, which import the platform package
-// and its simulated store.
+// This file exports internals to the tests in package follow_test, which import the platform
+// package and its simulated store.
 
-// RecoveryGrace is how long entries that were removed during an outage of the store are kept after it.
+// RecoveryGrace is how long entries that were removed during an outage of the store are kept after
+// it.
 const RecoveryGrace = recoveryGrace
 
 // ReplaceServers replaces the server list with the newest records of all servers.
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps a gateway's configuration and list of backend servers in sync with the metadata
-// store. It decides when and by which gateway the store is read, what is fetched from a peer instead,
-// and how an outage of the store is handled. Records are decoded by a Decoder.
+// Package follow keeps a gateway's configuration and list of backend servers in sync with the
+// metadata store. It decides when and by which gateway the store is read, what is fetched from a
+// peer instead, and how an outage of the store is handled. Records are decoded by a Decoder.
 package follow
 
 import (
@@ -12,34 +12,35 @@
 )
 
 const (
-	// readTimeout limits how long a call may receive no data, in addition to its long-poll wait. The
-	// store usually answers within a few ms; replies that take about a hundred times as long are still
-	// accepted, and a dead connection is replaced early enough for bounds of a few seconds.
+	// readTimeout limits how long a call may receive no data, in addition to its long-poll wait.
+	// The store usually answers within a few ms; replies that take about a hundred times as long
+	// are still accepted, and a dead connection is replaced early enough for bounds of a few
+	// seconds.
 	readTimeout = 700 * time.Millisecond
-	// retryDelay is the delay before the primary reader retries a failed call. Each following gateway
-	// in the order waits one more retryDelay, up to maxRetryDelay.
+	// retryDelay is the delay before the primary reader retries a failed call. Each following
+	// gateway in the order waits one more retryDelay, up to maxRetryDelay.
 	retryDelay, maxRetryDelay = 200 * time.Millisecond, time.Second
-	// recoveryGrace is how long entries that were removed during an outage of the store are kept after
-	// it. Live servers register again within about two seconds.
+	// recoveryGrace is how long entries that were removed during an outage of the store are kept
+	// after it. Live servers register again within about two seconds.
 	recoveryGrace = 2300 * time.Millisecond
-	// readStagger is the extra delay of each gateway in the order, relative to the one before it, when
-	// no confirmation arrived; maxReadStagger limits the sum.
+	// readStagger is the extra delay of each gateway in the order, relative to the one before it,
+	// when no confirmation arrived; maxReadStagger limits the sum.
 	readStagger, maxReadStagger = 60 * time.Millisecond, 300 * time.Millisecond
-	// smallHostDelay is the additional read delay of small hosts, so that a large host can read first
-	// and distribute the difference: 0.24 s for a reply of a store that is 60 times slower than usual,
-	// 0.1 s for 0.9 MB at 200 Mbit/s, and 0.13 s for the distribution.
+	// smallHostDelay is the additional read delay of small hosts, so that a large host can read
+	// first and distribute the difference: 0.24 s for a reply of a store that is 60 times slower
+	// than usual, 0.1 s for 0.9 MB at 200 Mbit/s, and 0.13 s for the distribution.
 	smallHostDelay = 500 * time.Millisecond
 	// graceCheckInterval is how often deferred removals are checked.
 	graceCheckInterval = 200 * time.Millisecond
-	// serversReadMaxKB limits one read of the server list to 0.2 s on the slowest links, which carry
-	// 10 Mbit/s.
+	// serversReadMaxKB limits one read of the server list to 0.2 s on the slowest links, which
+	// carry 10 Mbit/s.
 	serversReadMaxKB = 256
 	// configReadMaxKB limits one read of a topic where only the newest record counts, to a single
 	// record or a few small ones. In a burst of versions of 300 KB, each superseded one would take
 	// 0.24 s on such a link.
 	configReadMaxKB = 16
-	// minReadInterval is the minimum time between two reads of a topic by one gateway, for bursts of
-	// changes.
+	// minReadInterval is the minimum time between two reads of a topic by one gateway, for bursts
+	// of changes.
 	minReadInterval = 150 * time.Millisecond
 )
 
@@ -66,8 +67,8 @@
 }
 
 // New returns a follower, which is started with Run.
-func New(parts Dependencies, s Settings) *Follower {
-	f := &Follower{Dependencies: parts, configLag: lagMonitor{logger: parts.Logger}, entryDigests: map[string]uint64{}}
+func New(deps Dependencies, s Settings) *Follower {
+	f := &Follower{Dependencies: deps, configLag: lagMonitor{logger: deps.Logger}, entryDigests: map[string]uint64{}}
 	f.Peers.Versioned(f.Topics.Configuration)
 	f.SetSettings(s)
 	return f
@@ -114,11 +115,11 @@
 		}
 		t.confirm(confirmed, f.graceStart(t.name, r))
 		t.observe(r.lastErr)
-		left := maxAge - time.Since(confirmed)
-		if left <= 0 {
+		remaining := maxAge - time.Since(confirmed)
+		if remaining <= 0 {
 			return
 		}
-		timer := time.NewTimer(min(left, graceCheckInterval))
+		timer := time.NewTimer(min(remaining, graceCheckInterval))
 		select {
 		case <-ctx.Done():
 		case <-changed:
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -38,7 +38,8 @@
 	return p
 }
 
-// dependencies returns those of a follower of the simulated store, with a share that reaches no peer.
+// dependencies returns those of a follower of the simulated store, with a share that reaches no
+// peer.
 func dependencies(gw *gateway.Gateway, servers *registry.Registry, others follow.Peers) follow.Dependencies {
 	return follow.Dependencies{
 		Connect: func(address string) follow.Store { return platform.NewStore(address, slog.New(slog.DiscardHandler)) }, Topics: platform.Topics, Decoder: platform.Decoder{},
@@ -49,8 +50,8 @@
 // configVersion returns a small configuration.
 func configVersion(version int) []byte { return largeConfig(version, 1, 1) }
 
-// largeConfig returns a configuration with the given number of routes, of 270 bytes each, and teams,
-// of 110 bytes each.
+// largeConfig returns a configuration with the given number of routes, of 270 bytes each, and
+// teams, of 110 bytes each.
 func largeConfig(version, routes, teams int) []byte {
 	type doc = map[string]any
 	c := doc{"version": version}
@@ -130,10 +131,10 @@
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(9))
 	})
 
-	// Guards against a read that restarts forever: reads were limited to 0.7 s in total and returned
-	// up to 1,024 KB, so they were cut off and repeated on a link of 10 Mbit/s of which callers use
-	// half. The configurations have 1,400 routes or 2,500 teams, and several versions are written
-	// while the store is unavailable.
+	// Guards against a read that restarts forever: reads were limited to 0.7 s in total and
+	// returned up to 1,024 KB, so they were cut off and repeated on a link of 10 Mbit/s of which
+	// callers use half. The configurations have 1,400 routes or 2,500 teams, and several versions
+	// are written while the store is unavailable.
 	DescribeTable("has the newest configuration in force over a slow link", func(routes, teams int) {
 		set.ApplyWithin = 2 * time.Second
 		store.SetLink(5e6)
@@ -243,8 +244,8 @@
 	})
 })
 
-// Whatever the order and repetition of the records read, the version in force never decreases, and is
-// at least the version of the last record.
+// Whatever the order and repetition of the records read, the version in force never decreases, and
+// is at least the version of the last record.
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	others := openPeers("h1")
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/follow/gateways.go
+++ b/internal/follow/gateways.go
@@ -10,7 +10,8 @@
 )
 
 // gatewaysInterval is how often the list of gateways is read. Gateways usually discover each other
-// through heartbeats; the list is only needed by gateways that have not received any from each other.
+// through heartbeats; the list is only needed by gateways that have not received any from each
+// other.
 const gatewaysInterval = 20 * time.Second
 
 // gatewayEntry is the stored record of a gateway. Its key is the host name.
--- a/internal/follow/readstate.go
+++ b/internal/follow/readstate.go
@@ -51,8 +51,8 @@
 		return
 	case fault.Is(err, fault.LogRestored):
 		// The restored store reuses offsets. The records after the old end may be as many as were
-		// lost, or none, so reading on from there would miss changes. Entries that the copy lacks are
-		// written again by their owners; they are treated as after an outage.
+		// lost, or none, so reading on from there would miss changes. Entries that the copy lacks
+		// are written again by their owners; they are treated as after an outage.
 		f.Logger.Info("store restored from an older copy; reloading the newest records", "topic", t.name, "from", r.next.Offset, "era", r.next.Era)
 		r.loaded, r.restoredAt = false, time.Now()
 		return
@@ -88,9 +88,9 @@
 }
 
 // advance records the position after a read. In a topic with a single key only the newest record
-// counts, so if there are more records, the last one is read next: this skips superseded versions, and
-// a page of the newest records is a third larger because of its encoding. If that last record has
-// another key, the newest records are loaded instead.
+// counts, so if there are more records, the last one is read next. This skips superseded versions
+// and transfers less than loading the newest records, a page of which is a third larger because of
+// its encoding. If that last record has another key, the newest records are loaded after all.
 func (r *readState) advance(t topic, records []Record, next, end logposition.Position) {
 	wasBehind := r.behind
 	r.next, r.behind = next, t.key != "" && next.Offset < end.Offset
@@ -103,8 +103,8 @@
 }
 
 // graceStart returns when the store came back after an outage. It is zero if another gateway could
-// reach the store during that time: then only this host was disconnected, no entry expired because of
-// an outage, and missing entries will not come back.
+// reach the store during that time: then only this host was disconnected, no entry expired because
+// of an outage, and missing entries will not come back.
 func (f *Follower) graceStart(topic string, r *readState) time.Time {
 	if time.Since(r.restoredAt) < recoveryGrace {
 		return r.restoredAt // entries missing from the copy will be written again
--- a/internal/follow/servers_test.go
+++ b/internal/follow/servers_test.go
@@ -89,14 +89,14 @@
 			slices.SortFunc(out, func(a, b follow.Record) int { return strings.Compare(a.Key, b.Key) })
 			return out
 		}
-		whole, fullList := newOfflineFollower()
-		wholeState := whole.ReplaceServers(newest(written), time.Time{})
+		full, fullList := newOfflineFollower()
+		fullState := full.ReplaceServers(newest(written), time.Time{})
 		changes, changedList := newOfflineFollower()
 		changes.ReplaceServers(newest(written[:split]), time.Time{})
 		changedState := changes.ApplyServerChanges(written[split:], time.Time{})
 		g := NewWithT(t)
 		g.Expect(readyServers(changedList)).To(Equal(readyServers(fullList)))
-		g.Expect(changedState).To(Equal(wholeState))
+		g.Expect(changedState).To(Equal(fullState))
 	})
 }
 
--- a/internal/follow/topic.go
+++ b/internal/follow/topic.go
@@ -10,13 +10,13 @@
 )
 
 // topic describes how a topic of the store is followed. The primary reader, which is the first live
-// gateway in the topic's order, reads it on behalf of all and announces the state to its peers. They
-// read the store only when the state has changed or has not been confirmed recently.
+// gateway in the topic's order, reads it on behalf of all and announces the state to its peers.
+// They read the store only when the state has changed or has not been confirmed recently.
 type topic struct {
 	name   string
 	timing freshness.Timing
-	// interval is the time between two reads of the primary reader; longPoll makes these reads wait at
-	// the store for a record.
+	// interval is the time between two reads of the primary reader; longPoll makes these reads wait
+	// at the store for a record.
 	interval time.Duration
 	longPoll bool
 	// slowestTransfer is how long the transfer of the next value may take on the slowest link.
@@ -28,17 +28,18 @@
 	fetchFromPeer func(context.Context, *readState) bool
 	// publish makes the state available to peers; next is the position from which to read on.
 	publish func(next logposition.Position)
-	// confirm is called with the time at which this gateway's state was last known to be the newest.
+	// confirm is called with the time at which this gateway's state was last known to be the
+	// newest.
 	confirm func(at, graceStart time.Time)
-	// key is the only key of the topic that is used; superseded values are skipped if there are more
-	// records than one read returns. If it is "", the records of all keys are used.
+	// key is the only key of the topic that is used; superseded values are skipped if there are
+	// more records than one read returns. If it is "", the records of all keys are used.
 	key   string
 	maxKB int // maximum size of one read
 	// observe is called with the error of the last read, nil if it succeeded.
-	observe func(failed error)
-	// replace and apply process the newest records of all keys and the changes since, and return the
-	// resulting state of the topic. graceStart is when the store came back after an outage, zero if
-	// removals are not deferred.
+	observe func(err error)
+	// replace and apply process the newest records of all keys and the changes since, and return
+	// the resulting state of the topic. graceStart is when the store came back after an outage,
+	// zero if removals are not deferred.
 	replace, apply func(b batch, graceStart time.Time) uint64
 }
 
