--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -212,9 +212,9 @@
 	return n
 }
 
-// Sample returns a random sample of at most the given number of listed servers that are not
-// draining and that accept returns true for.
-func (r *Registry) Sample(limit int, draw func() float64, accept func(Server) bool) []Server {
+// Sample returns a random sample, drawn with random, of at most limit of listed servers that are
+// not draining and for which accept returns true.
+func (r *Registry) Sample(limit int, random func() float64, accept func(Server) bool) []Server {
 	r.mu.RLock()
 	var out []Server
 	for _, b := range r.backends {
@@ -224,7 +224,7 @@
 	out = slices.DeleteFunc(out, func(s Server) bool { return s.Draining || !accept(s) })
 	slices.SortFunc(out, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
 	for i := range out[:min(limit, len(out))] {
-		j := i + int(draw()*float64(len(out)-i))
+		j := i + int(random()*float64(len(out)-i))
 		out[i], out[j] = out[j], out[i]
 	}
 	return out[:min(limit, len(out))]
