--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -58,7 +58,7 @@
 	g.UsePeers(others)
 	asks, err := net.Listen("tcp", set.Peers())
 	if err != nil {
-		return fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
+		return fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
 	share := configshare.New((&net.Dialer{}).DialContext, set.LinkMbps, logger)
 	ctx, stop := stopSignals(ctx)
@@ -68,7 +68,7 @@
 		Connect: func(address string) follow.Store { return platform.NewStore(address, logger) }, Topics: platform.Topics, Decoder: platform.Decoder{},
 		Gateway: g, Servers: servers, Peers: others, Share: share, Logger: logger,
 	}, set.Follow())
-	keeper := quarantine.NewKeeper(g.Quarantine(), follower.Quarantine(), set.Host, logger)
+	keeper := quarantine.NewPersister(g.Quarantine(), follower.Quarantine(), set.Host, logger)
 	g.UseTrials(keeper)
 	go keeper.Run(ctx)
 	go share.Serve(ctx, asks)
@@ -80,7 +80,7 @@
 	})
 	go func() {
 		<-stop
-		others.Leave()
+		others.AnnounceLeave()
 	}()
 	return g.Serve(ctx, stop)
 }
--- a/internal/configshare/configshare.go
+++ b/internal/configshare/configshare.go
@@ -137,12 +137,12 @@
 // handle answers the request on a connection.
 func (s *Share) handle(ctx context.Context, conn net.Conn) {
 	defer closeOnTimeout(ctx, conn)()
-	ask, err := read[*wire.TableAsk](conn)
+	ask, err := read[*wire.ConfigDeltaRequest](conn)
 	if err != nil {
 		telemetry.Count("merlinpost_config_handed_total", "result", "broken")
 		return
 	}
-	reply, done := s.prepareReply(ask.Have)
+	reply, done := s.prepareReply(ask.HaveVersion)
 	defer done()
 	if err := send(conn, reply); err != nil {
 		telemetry.Count("merlinpost_config_handed_total", "result", "broken")
@@ -153,27 +153,27 @@
 		result = "busy"
 	}
 	telemetry.Count("merlinpost_config_handed_total", "result", result)
-	telemetry.Add("merlinpost_config_handed_bytes_total", len(reply.Change))
+	telemetry.Add("merlinpost_config_handed_bytes_total", len(reply.Delta))
 }
 
 // prepareReply returns the reply to a peer that has the given version. done must be called when it
 // has been sent.
-func (s *Share) prepareReply(have int64) (reply *wire.TableReply, done func()) {
+func (s *Share) prepareReply(have int64) (reply *wire.ConfigDeltaResponse, done func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.newest.Table == nil || s.newest.Table.Version <= have {
-		return &wire.TableReply{Busy: true}, func() {}
+		return &wire.ConfigDeltaResponse{Busy: true}, func() {}
 	}
 	change, err := s.encodedChange(have)
 	if err != nil {
 		s.logger.Error("cannot encode configuration difference", "error", err)
-		return &wire.TableReply{Busy: true}, func() {}
+		return &wire.ConfigDeltaResponse{Busy: true}, func() {}
 	}
 	if s.linkMbps > 0 && time.Duration(float64(8*(s.bytesInFlight+len(change)))/(s.linkMbps*1e6)*float64(time.Second)) > maxSendBacklog {
-		return &wire.TableReply{Busy: true}, func() {}
+		return &wire.ConfigDeltaResponse{Busy: true}, func() {}
 	}
 	s.bytesInFlight += len(change)
-	return &wire.TableReply{Offset: s.newest.Next.Offset, Era: s.newest.Next.Era, Bytes: s.newest.Bytes, Change: change}, func() {
+	return &wire.ConfigDeltaResponse{Offset: s.newest.Next.Offset, Era: s.newest.Next.Era, SnapshotSize: s.newest.Bytes, Delta: change}, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.bytesInFlight -= len(change)
@@ -221,21 +221,21 @@
 		return Version{}, 0, fault.New(fault.LinkLost, "%w", err)
 	}
 	defer closeOnTimeout(ctx, conn)()
-	var ask wire.TableAsk
+	var ask wire.ConfigDeltaRequest
 	if have != nil {
-		ask.Have = have.Version
+		ask.HaveVersion = have.Version
 	}
 	if err := send(conn, &ask); err != nil {
 		return Version{}, 0, err
 	}
-	reply, err := read[*wire.TableReply](conn)
+	reply, err := read[*wire.ConfigDeltaResponse](conn)
 	switch {
 	case err != nil:
 		return Version{}, 0, err
 	case reply.Busy:
 		return Version{}, 0, fault.New(fault.LinkBusy, "peer has no newer version or no capacity to send it")
 	}
-	change, err := decodeChange(reply.Change)
+	change, err := decodeChange(reply.Delta)
 	if err != nil {
 		return Version{}, 0, err
 	}
@@ -246,5 +246,5 @@
 	if err != nil {
 		return Version{}, 0, err
 	}
-	return Version{Table: table, Next: logposition.Position{Era: reply.Era, Offset: reply.Offset}, Bytes: reply.Bytes}, len(reply.Change), nil
+	return Version{Table: table, Next: logposition.Position{Era: reply.Era, Offset: reply.Offset}, Bytes: reply.SnapshotSize}, len(reply.Delta), nil
 }
--- a/internal/follow/topic.go
+++ b/internal/follow/topic.go
@@ -64,7 +64,7 @@
 // maxAgeRatio must be far enough below 1 that the loss of a primary reader that was disconnected
 // from the store just before a change is detected in time.
 func newTiming(within time.Duration, maxAgeRatio float64) freshness.Timing {
-	return freshness.Timing{ApplyWithin: within, MaxAgeRatio: maxAgeRatio, ReadSpread: maxReadStagger, AnnounceDelay: peers.NewsBeat, ReadInterval: minReadInterval}
+	return freshness.Timing{ApplyWithin: within, MaxAgeRatio: maxAgeRatio, ReadSpread: maxReadStagger, AnnounceDelay: peers.ReportInterval, ReadInterval: minReadInterval}
 }
 
 // serversTopic returns how the server list is followed. Its timing is derived from DrainWithin, the
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -28,7 +28,7 @@
 // brokenRun is a run of a request whose connection broke.
 type brokenRun struct {
 	id  quarantine.ID
-	end quarantine.End
+	end quarantine.Crash
 }
 
 const (
@@ -41,7 +41,7 @@
 
 // brokeAt takes in that the connection broke on which a server ran the request, and reports
 // whether the server is known to have ended.
-func (g *Gateway) brokeAt(q *request, server registry.Server, end quarantine.End) bool {
+func (g *Gateway) brokeAt(q *request, server registry.Server, end quarantine.Crash) bool {
 	if g.notices.Draining(server.InstanceID()) {
 		return false // it ends as it said
 	}
@@ -56,11 +56,11 @@
 }
 
 func (g *Gateway) endedWith(r brokenRun) {
-	g.ledger.SetServers(g.servers.Reachable(g.now()))
-	if g.ledger.Ended(r.id, r.end, g.now()) {
+	g.ledger.SetServerCount(g.servers.Reachable(g.now()))
+	if g.ledger.RecordCrash(r.id, r.end, g.now()) {
 		go func() {
 			g.survey()
-			g.ledger.Surveyed(r.id, g.now())
+			g.ledger.Rebroadcast(r.id, g.now())
 		}()
 	}
 }
@@ -86,10 +86,10 @@
 		return
 	}
 	var asked sync.WaitGroup
-	for _, server := range g.servers.Sample(surveyMost, g.draw, func(s registry.Server) bool { return !g.ledger.Known(s.InstanceID()) }) {
+	for _, server := range g.servers.Sample(surveyMost, g.draw, func(s registry.Server) bool { return !g.ledger.KnownCrashed(s.InstanceID()) }) {
 		asked.Go(func() {
 			if g.pool.Refused(context.Background(), server.Address) {
-				g.ledger.ServerEnded(server.InstanceID(), g.now())
+				g.ledger.RecordServerCrash(server.InstanceID(), g.now())
 			}
 		})
 	}
@@ -118,14 +118,14 @@
 		return // it drained, whether the list said so or not
 	}
 	now := g.now()
-	g.ledger.ServerEnded(start, now)
+	g.ledger.RecordServerCrash(start, now)
 	g.ends.mu.Lock()
 	runs := g.ends.unclear[start]
 	delete(g.ends.unclear, start)
 	g.ends.mu.Unlock()
 	for _, r := range runs {
 		if now.Sub(r.end.At) <= unclearFor {
-			g.ledger.Ended(r.id, r.end, now)
+			g.ledger.RecordCrash(r.id, r.end, now)
 		}
 	}
 }
@@ -175,5 +175,5 @@
 // having ended it.
 func broke(ctx context.Context, result outcome, err error) bool {
 	return (result == mayHaveRun || result == brokenOff) && ctx.Err() == nil &&
-		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.ShortAnswer))
+		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.IncompleteResponse))
 }
