--- a/internal/callerapi/api_test.go
+++ b/internal/callerapi/api_test.go
@@ -162,6 +162,6 @@
 	b = &backend{chunks: []string{"ok"}, end: &wire.End{Status: 201, ContentType: "text/plain"}}
 	w = serve(t, b, "/v1/services/receipts", "x", map[string]string{HeaderKey: "k"})
 	g.Expect(w.Code).To(Equal(201))
-	g.Expect(b.got.Key).To(Equal("receipts\x00t\x00k"))
+	g.Expect(b.got.IdempotencyKey).To(Equal("receipts\x00t\x00k"))
 	g.Expect(b.got.MayRepeat).To(BeFalse())
 }
--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -16,30 +16,31 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// attemptID names an attempt on a link.
+// attemptID identifies one attempt of a request on a link.
 type attemptID struct {
 	id      string
 	attempt uint32
 }
 
-// agentLink is the link to one agent and what is known of it. Its run method
-// is a duty; the rest may be called from any goroutine.
+// agentLink is the link to one agent and the agent's last reported state. Its
+// run method needs a goroutine of its own; the other methods are safe for
+// concurrent use.
 type agentLink struct {
 	router *Router
 	server resource.Server
 	cancel context.CancelFunc
 
-	mu          sync.Mutex
-	conn        *link.Conn // nil while down
-	incarnation string
-	revision    uint64
-	load        wire.Load
-	serving     map[string]bool
-	sent        int     // offers since the last report
-	firstMS     float64 // mean time to first token
-	attempts    map[attemptID]*call
-	abandoned   []attemptID
-	used        time.Time
+	mu                sync.Mutex
+	conn              *link.Conn // nil while down
+	incarnation       string
+	revision          uint64
+	load              wire.Load
+	serving           map[string]bool
+	offersSinceReport int     // offers sent since the agent's last load report
+	meanFirstTokenMS  float64 // moving average of the time to first token; 0 before the first sample
+	attempts          map[attemptID]*call
+	pendingCancels    []attemptID // to be sent after a reconnect
+	lastUsed          time.Time
 }
 
 func (l *agentLink) status() ProcessStatus {
@@ -66,35 +67,36 @@
 func (l *agentLink) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.attempts) == 0 && time.Since(l.used) > idleLink
+	return len(l.attempts) == 0 && time.Since(l.lastUsed) > idleLinkTimeout
 }
 
-// run dials the agent again and again until ctx ends.
+// run keeps the agent connected until ctx ends, redialing with exponential backoff.
 func (l *agentLink) run(ctx context.Context) {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = redialFirst, redialMost
+	delay := backoff.NewExponentialBackOff()
+	delay.InitialInterval, delay.MaxInterval = redialMinDelay, redialMaxDelay
 	for ctx.Err() == nil {
-		if err := l.connect(ctx); err == nil {
-			wait.Reset()
+		if err := l.runConnection(ctx); err == nil {
+			delay.Reset()
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait.NextBackOff()):
+		case <-time.After(delay.NextBackOff()):
 		}
 	}
-	l.down()
+	l.markDown()
 }
 
-// connect holds one link until it ends; an error means that it never worked.
-func (l *agentLink) connect(ctx context.Context) error {
-	dialer := net.Dialer{Timeout: settings.Millis(l.router.set.Link.SilentMS)}
+// runConnection opens one connection and serves it until it ends. It returns an
+// error only if the connection was not established.
+func (l *agentLink) runConnection(ctx context.Context) error {
+	dialer := net.Dialer{Timeout: settings.Millis(l.router.settings.Link.SilentMS)}
 	nc, err := dialer.DialContext(ctx, "tcp", l.server.Agent)
 	if err != nil {
 		return err
 	}
 	conn, err := link.Open(nc, l.router.hello(), link.Options{
-		Heartbeat: settings.Millis(l.router.set.Link.HeartbeatMS), Silent: settings.Millis(l.router.set.Link.SilentMS),
+		Heartbeat: settings.Millis(l.router.settings.Link.HeartbeatMS), Silent: settings.Millis(l.router.settings.Link.SilentMS),
 		Beat: func() *wire.Beat { return &wire.Beat{Revision: l.router.Config.View().Revision} }})
 	if err != nil {
 		telemetry.Count("merlinpost_links_failed_total", "code", string(fault.From(err).Code))
@@ -102,40 +104,40 @@
 	}
 	if conn.Peer().Name != l.server.Name {
 		conn.Close()
-		return fault.New(fault.NoServer, "agent %q answers in place of %q", conn.Peer().Name, l.server.Name)
+		return fault.New(fault.NoServer, "agent address %s belongs to %q, expected %q", l.server.Agent, conn.Peer().Name, l.server.Name)
 	}
-	l.up(conn)
-	l.router.links.reached()
-	err = conn.Run(ctx, l.receive)
+	l.markUp(conn)
+	l.router.links.notifyWaiters()
+	err = conn.Run(ctx, l.handleMessage)
 	telemetry.Count("merlinpost_links_ended_total", "code", string(fault.From(err).Code))
-	l.down()
+	l.markDown()
 	l.router.logger.Info("link lost", "server", l.server.Name, "error", err)
 	return nil
 }
 
-func (l *agentLink) up(conn *link.Conn) {
+func (l *agentLink) markUp(conn *link.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	peer := conn.Peer()
-	same := l.incarnation == peer.Incarnation
+	sameProcess := l.incarnation == peer.Incarnation
 	l.conn, l.incarnation, l.revision = conn, peer.Incarnation, peer.Revision
 	conn.Use(int64(len(l.attempts)))
-	l.sent = 0
-	if !same {
+	l.offersSinceReport = 0
+	if !sameProcess {
 		l.serving, l.load = nil, wire.Load{}
-		l.abandoned = nil // the new process knows nothing of them
+		l.pendingCancels = nil // the attempts ended with the old process
 	}
-	for _, a := range l.abandoned {
+	for _, a := range l.pendingCancels {
 		conn.Send(&wire.Cancel{ID: a.id, Attempt: a.attempt})
 	}
-	l.abandoned = nil
+	l.pendingCancels = nil
 	for _, c := range l.attempts {
-		c.post(linkUp{l, l.incarnation})
+		c.enqueue(linkUp{l, l.incarnation})
 	}
-	l.router.logger.Info("link up", "server", l.server.Name, "same_process", same)
+	l.router.logger.Info("link up", "server", l.server.Name, "same_process", sameProcess)
 }
 
-func (l *agentLink) down() {
+func (l *agentLink) markDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
@@ -143,27 +145,27 @@
 	}
 	l.conn = nil
 	for _, c := range l.attempts {
-		c.post(linkDown{l})
+		c.enqueue(linkDown{l})
 	}
 }
 
-// receive takes in a message on the link's reading goroutine.
-func (l *agentLink) receive(m wire.Message) {
+// handleMessage processes a received message on the link's read goroutine.
+func (l *agentLink) handleMessage(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Beat:
-		l.takeBeat(m)
+		l.handleHeartbeat(m)
 	case *wire.Verdict:
-		l.takeLoad(m.Load)
-		l.pass(attemptID{m.ID, m.Attempt}, m)
+		l.updateLoad(m.Load)
+		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
 	case *wire.Chunk:
-		l.pass(attemptID{m.ID, m.Attempt}, m)
+		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
 	case *wire.End:
-		l.takeLoad(m.Load)
-		l.pass(attemptID{m.ID, m.Attempt}, m)
+		l.updateLoad(m.Load)
+		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
 	case *wire.Cancelled:
-		l.pass(attemptID{m.ID, m.Attempt}, m)
+		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
 	case *wire.ConfigPull:
-		l.answerPull(m)
+		l.handleConfigPull(m)
 	case *wire.ConfigState:
 		if len(m.Data) > 0 && l.router.Config.Install(m.Data) != nil {
 			telemetry.Count("merlinpost_config_from_peer_broken_total")
@@ -171,17 +173,17 @@
 	}
 }
 
-func (l *agentLink) pass(id attemptID, m wire.Message) {
+func (l *agentLink) routeToCall(id attemptID, m wire.Message) {
 	l.mu.Lock()
 	c := l.attempts[id]
 	l.mu.Unlock()
 	if c != nil {
-		c.post(m)
+		c.enqueue(m)
 	}
 }
 
-func (l *agentLink) takeBeat(m *wire.Beat) {
-	l.takeLoad(m.Load)
+func (l *agentLink) handleHeartbeat(m *wire.Beat) {
+	l.updateLoad(m.Load)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revision = m.Revision
@@ -191,12 +193,12 @@
 	}
 }
 
-func (l *agentLink) takeLoad(load *wire.Load) {
+func (l *agentLink) updateLoad(load *wire.Load) {
 	if load == nil {
 		return
 	}
 	l.mu.Lock()
-	l.load, l.sent = *load, 0
+	l.load, l.offersSinceReport = *load, 0
 	if load.Serving != nil {
 		l.serving = map[string]bool{}
 		for _, t := range load.Serving {
@@ -205,11 +207,11 @@
 	}
 	l.mu.Unlock()
 	if load.Serving != nil {
-		l.router.links.reached()
+		l.router.links.notifyWaiters()
 	}
 }
 
-func (l *agentLink) answerPull(m *wire.ConfigPull) {
+func (l *agentLink) handleConfigPull(m *wire.ConfigPull) {
 	config := l.router.Config
 	revision, data, err := config.Encode(m.Above)
 	if err != nil || !config.Ready() {
@@ -218,7 +220,7 @@
 	l.send(&wire.ConfigState{Revision: revision, Data: data})
 }
 
-// send sends if the link is up.
+// send sends m and reports whether the link was up and accepted it.
 func (l *agentLink) send(m wire.Message) bool {
 	l.mu.Lock()
 	conn := l.conn
@@ -226,28 +228,29 @@
 	return conn != nil && conn.Send(m)
 }
 
-// register routes the messages of an attempt to c and sends its offer.
-// It returns the identity of the agent's process.
-func (l *agentLink) register(c *call, o *wire.Offer) (string, *fault.Error) {
+// register routes the messages of an attempt to c and sends its offer. It
+// returns the incarnation of the agent process.
+func (l *agentLink) register(c *call, offer *wire.Offer) (string, *fault.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
-		return "", fault.New(fault.LinkBusy, "no link to %q", l.server.Name).With(fault.NotRun)
+		return "", fault.New(fault.LinkBusy, "link to agent %q is down", l.server.Name).With(fault.NotRun)
 	}
-	id := attemptID{o.ID, o.Attempt}
+	id := attemptID{offer.ID, offer.Attempt}
 	l.attempts[id] = c
-	l.used = time.Now()
-	if !l.conn.Send(o) {
+	l.lastUsed = time.Now()
+	if !l.conn.Send(offer) {
 		delete(l.attempts, id)
-		// The ring was full, so the offer is not on the link.
-		return "", fault.New(fault.LinkBusy, "the link to %q is overrun", l.server.Name).With(fault.NotRun)
+		// The send buffer was full, so the offer was not sent.
+		return "", fault.New(fault.LinkBusy, "send buffer of the link to agent %q is full", l.server.Name).With(fault.NotRun)
 	}
-	l.sent++
+	l.offersSinceReport++
 	l.conn.Use(1)
 	return l.incarnation, nil
 }
 
-// state returns the identity of the agent's process and whether it is reached.
+// state returns the incarnation of the agent process last connected to and
+// whether the link is up.
 func (l *agentLink) state() (incarnation string, up bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -257,7 +260,7 @@
 func (l *agentLink) unregister(id attemptID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, known := l.attempts[id]; !known {
+	if _, ok := l.attempts[id]; !ok {
 		return
 	}
 	delete(l.attempts, id)
@@ -266,21 +269,22 @@
 	}
 }
 
-// abandon cancels an attempt now or when the agent is reached again.
-func (l *agentLink) abandon(id attemptID) {
+// cancelAttempt sends a cancel now or, if the link is down, after the next
+// reconnect to the same process.
+func (l *agentLink) cancelAttempt(id attemptID) {
 	if l.send(&wire.Cancel{ID: id.id, Attempt: id.attempt}) {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.abandoned) < maxAbandoned { // else the agent ends it as an orphan
-		l.abandoned = append(l.abandoned, id)
+	if len(l.pendingCancels) < maxPendingCancels { // otherwise the agent ends it by its orphan timeout
+		l.pendingCancels = append(l.pendingCancels, id)
 	}
 }
 
-// replace ends the present connection to the given process, if it still is one;
-// run dials a new one.
-func (l *agentLink) replace(incarnation string) {
+// reconnect closes the connection if it is still to the given agent process;
+// run then dials a new one.
+func (l *agentLink) reconnect(incarnation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil && l.incarnation == incarnation {
@@ -289,17 +293,18 @@
 	}
 }
 
-// firstWeight is the weight of a new sample in the mean time to first token.
-const firstWeight = 0.1
+// firstTokenSampleWeight is the weight of a new sample in the exponentially
+// weighted moving average of the time to first token.
+const firstTokenSampleWeight = 0.1
 
-// firstToken takes in a measured time from offer to first token.
-func (l *agentLink) firstToken(d time.Duration) {
+// recordFirstToken adds a sample of the time from offer to first token.
+func (l *agentLink) recordFirstToken(d time.Duration) {
 	ms := float64(d) / float64(time.Millisecond)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.firstMS == 0 {
-		l.firstMS = ms
+	if l.meanFirstTokenMS == 0 {
+		l.meanFirstTokenMS = ms
 		return
 	}
-	l.firstMS += firstWeight * (ms - l.firstMS)
+	l.meanFirstTokenMS += firstTokenSampleWeight * (ms - l.meanFirstTokenMS)
 }
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -13,55 +13,53 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// Timing of a call.
 const (
-	// cancelWait is how long a caller waits for the agent's word on whether a
+	// cancelTimeout bounds the wait for the agent to confirm whether a
 	// cancelled request had started.
-	cancelWait = 500 * time.Millisecond
-	// answerWait is how long an agent may take for a verdict.
-	answerWait = time.Second
-	// prefixServers is how many servers of a pool keep a prompt prefix.
-	prefixServers = 2
+	cancelTimeout = 500 * time.Millisecond
+	// offerReplyTimeout bounds the wait for an agent to accept or refuse an offer.
+	offerReplyTimeout = time.Second
+	// prefixReplicas is the number of servers of a pool that cache a prompt prefix.
+	prefixReplicas = 2
 )
 
-// Request is one caller's request, checked and classified.
+// Request is a validated request with its class and target.
 type Request struct {
-	ID        string
-	Kind      wire.Kind
-	Endpoint  string
-	Team      string
-	ClassName string
-	Class     *resource.Class
-	Pool      string
-	Target    string // "model@version" or service name
-	MayRepeat bool
-	Key       string // scoped idempotency key, or empty
-	KeyWindow time.Duration
-	Body      []byte
-	MaxTokens int
-	Prefix    string // start of the prompt, for the choice
-	// ContentType is the type of Body.
-	ContentType string
-	// Resumable says that another server can go on with the answer.
+	ID                string
+	Kind              wire.Kind
+	Endpoint          string
+	Team              string
+	ClassName         string
+	Class             *resource.Class
+	Pool              string
+	Target            string // "model@version" or service name
+	MayRepeat         bool
+	IdempotencyKey    string // scoped by service and team; empty if there is none
+	IdempotencyWindow time.Duration
+	Body              []byte
+	MaxTokens         int
+	Prefix            string // start of the prompt, for prefix-cache affinity
+	ContentType       string // of Body
+	// Resumable reports whether another server can continue a partial answer.
 	Resumable bool
 }
 
-// linkUp and linkDown tell a call about its link.
+// linkUp and linkDown notify a call of a change of its link.
 type linkUp struct {
 	link        *agentLink
 	incarnation string
 }
 type linkDown struct{ link *agentLink }
 
-// placeAgain tells a parked call that an agent may be reached now.
-type placeAgain struct{}
+// agentAvailable tells a waiting call that an agent may be reachable now.
+type agentAvailable struct{}
 
-// eventRing is how many messages wait for a call's goroutine: the window of an
-// attempt and the few messages around it.
-const eventRing = 2*relay.Window + 64
+// eventBufferSize is the capacity of a call's event channel. It has room for the
+// chunk window of an attempt and the control messages around it.
+const eventBufferSize = 2*relay.Window + 64
 
-// call runs one request: the goroutine of its caller drives a relay.Machine.
-// It implements relay.Effects; those methods run on that goroutine.
+// call runs one request by driving a relay.Machine on the goroutine of Do. It
+// implements relay.Effects; those methods run on the same goroutine.
 type call struct {
 	router  *Router
 	req     *Request
@@ -70,66 +68,66 @@
 	events  chan any
 	timers  [relay.TimerAnswer + 1]time.Time
 
-	missed atomic.Bool // an event found no room
+	eventsDropped atomic.Bool // the event channel was full
 
 	link *agentLink
-	// incarnation is the agent's process that the attempt was offered to.
-	incarnation string
-	attempt     attemptID
-	offered     time.Time
-	gotFirst    bool
-	tried       map[string]bool // servers that had the request
-	skip        map[string]bool // servers whose link failed at the offer
-	avoid       string          // the server that lost the request last
-	end         *wire.End
-	err         *fault.Error
-	deadSink    bool
+	// incarnation identifies the agent process that the attempt was offered to.
+	incarnation    string
+	attempt        attemptID
+	offeredAt      time.Time
+	firstTokenSeen bool
+	tried          map[string]bool // servers that were offered the request
+	linkFailed     map[string]bool // servers whose link failed when the offer was sent
+	lastFailed     string          // server that failed the request last
+	end            *wire.End
+	err            *fault.Error
+	deliveryFailed bool
 }
 
-// post hands an event to the call without blocking. The ring has room for all
-// that an agent may send ahead; should it not, the call starts over from what
-// it has, as after a broken link.
-func (c *call) post(e any) {
+// enqueue passes an event to the call without blocking. The channel has room for
+// all that an agent may send unacknowledged; if it overflows nevertheless, the
+// call resynchronizes as after a broken link.
+func (c *call) enqueue(e any) {
 	select {
 	case c.events <- e:
 	default:
-		c.missed.Store(true)
+		c.eventsDropped.Store(true)
 		telemetry.Count("merlinpost_router_events_dropped_total")
 	}
 }
 
-// Do runs a request to its end and gives the pieces of its answer to deliver,
-// on the caller's goroutine. An error of deliver means that the caller went
-// away. The fault, if any, has an outcome.
+// Do runs a request to completion and passes the chunks of its answer to deliver
+// on the calling goroutine. An error from deliver means that the client has
+// disconnected. A returned fault always has an outcome.
 func (r *Router) Do(ctx context.Context, req *Request, deliver func([]byte) error) (*wire.End, *fault.Error) {
-	if n := r.open.Add(1); n > int64(r.set.Callers.MaxRequests) {
-		r.open.Add(-1)
-		return nil, fault.New(fault.QueueFull, "this router has %d requests in progress", n-1).
+	if n := r.inProgress.Add(1); n > int64(r.settings.Callers.MaxRequests) {
+		r.inProgress.Add(-1)
+		return nil, fault.New(fault.QueueFull, "router is at its limit of requests in progress: %d", n-1).
 			With(fault.NotRun).After(time.Second)
 	}
-	defer r.open.Add(-1)
+	defer r.inProgress.Add(-1)
 	r.mu.Lock()
 	r.budget.Request(time.Now())
 	r.mu.Unlock()
-	c := &call{router: r, req: req, deliver: deliver, events: make(chan any, eventRing), tried: map[string]bool{}, skip: map[string]bool{}}
-	lost := r.set.Link.LostMS
+	c := &call{router: r, req: req, deliver: deliver, events: make(chan any, eventBufferSize), tried: map[string]bool{}, linkFailed: map[string]bool{}}
+	lostTimeoutMS := r.settings.Link.LostMS
 	if req.MayRepeat {
-		lost = r.set.Link.LostRepeatableMS
+		lostTimeoutMS = r.settings.Link.LostRepeatableMS
 	}
-	c.machine = relay.New(req.ID, relay.Config{MaxAttempts: r.set.Policy.MaxAttempts, MayRepeat: req.MayRepeat,
-		Resumable: req.Resumable, RunWithin: settings.Millis(req.Class.MaxRunMS), Lost: settings.Millis(lost),
-		Cancel: cancelWait, Answer: answerWait}, c)
+	c.machine = relay.New(req.ID, relay.Config{MaxAttempts: r.settings.Policy.MaxAttempts, MayRepeat: req.MayRepeat,
+		Resumable: req.Resumable, RunWithin: settings.Millis(req.Class.MaxRunMS), Lost: settings.Millis(lostTimeoutMS),
+		Cancel: cancelTimeout, Answer: offerReplyTimeout}, c)
 	c.run(ctx)
 	return c.end, c.err
 }
 
 func (c *call) run(ctx context.Context) {
-	defer c.leave()
+	defer c.release()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	c.machine.Start()
 	for !c.machine.Finished() {
-		timer.Reset(c.untilTimer())
+		timer.Reset(c.timeToNextTimer())
 		select {
 		case e := <-c.events:
 			c.handle(e)
@@ -138,17 +136,18 @@
 		case <-ctx.Done():
 			c.machine.CallerGone()
 		}
-		if c.deadSink {
+		if c.deliveryFailed {
 			c.machine.CallerGone()
 		}
-		if len(c.events) == 0 && c.missed.Swap(false) {
-			c.startOver()
+		if len(c.events) == 0 && c.eventsDropped.Swap(false) {
+			c.resync()
 		}
 	}
 }
 
-// startOver brings the machine back in step after events were missed.
-func (c *call) startOver() {
+// resync makes the machine resume from what it has received after events were
+// dropped.
+func (c *call) resync() {
 	if c.link == nil {
 		return
 	}
@@ -158,8 +157,8 @@
 	}
 }
 
-func (c *call) leave() {
-	c.router.links.unpark(c)
+func (c *call) release() {
+	c.router.links.removeWaiter(c)
 	if c.link != nil {
 		c.link.unregister(c.attempt)
 	}
@@ -171,12 +170,12 @@
 func (c *call) handle(e any) {
 	switch e := e.(type) {
 	case *wire.Verdict:
-		c.noteFailure(e.Fault)
+		c.recordFailure(e.Fault)
 		c.machine.Verdict(e)
 	case *wire.Chunk:
 		c.machine.Chunk(e)
 	case *wire.End:
-		c.noteFailure(e.Fault)
+		c.recordFailure(e.Fault)
 		c.machine.End(e)
 	case *wire.Cancelled:
 		c.machine.Cancelled(e)
@@ -184,7 +183,7 @@
 		if e.link == c.link {
 			c.machine.LinkUp(e.incarnation == c.incarnation)
 		}
-	case placeAgain:
+	case agentAvailable:
 		c.machine.Place()
 	case linkDown:
 		if e.link == c.link {
@@ -193,25 +192,24 @@
 	}
 }
 
-// noteFailure remembers what to make of a server that failed the request: one
-// that refused it for load is not asked again, one that lost it is avoided as
-// long as there is another.
-func (c *call) noteFailure(f *wire.Fault) {
+// recordFailure marks the current server for later choices: a server that refused
+// the request because of load is not tried again, and one that failed it is used
+// again only if there is no other.
+func (c *call) recordFailure(f *wire.Fault) {
 	if f == nil || relay.Busy(fault.Code(f.Code)) {
 		return
 	}
-	c.avoidPresent()
+	c.avoidCurrentServer()
 }
 
-func (c *call) avoidPresent() {
+func (c *call) avoidCurrentServer() {
 	if c.link != nil {
 		delete(c.tried, c.link.server.Name)
-		c.avoid = c.link.server.Name
+		c.lastFailed = c.link.server.Name
 	}
 }
 
-// untilTimer returns the time to the next timer.
-func (c *call) untilTimer() time.Duration {
+func (c *call) timeToNextTimer() time.Duration {
 	next := time.Hour
 	for _, due := range c.timers {
 		if !due.IsZero() {
@@ -244,7 +242,7 @@
 	if c.link == nil {
 		return
 	}
-	age := time.Since(c.offered).Milliseconds()
+	age := time.Since(c.offeredAt).Milliseconds()
 	switch m := m.(type) {
 	case *wire.Cancel:
 		m.AgeMS = age
@@ -254,25 +252,25 @@
 	c.link.send(m)
 }
 
-// Abandon implements relay.Effects. A link that is up although its agent gives
-// no answer may have gone silent for good: a new one takes its place, and the
-// requests on it go on there.
+// Abandon implements relay.Effects. A link that is up while its agent does not
+// answer may be stuck for good, so it is replaced by a new one, on which its
+// other requests are resumed.
 func (c *call) Abandon(attempt uint32) {
 	if c.link != nil {
-		c.link.abandon(attemptID{c.req.ID, attempt})
-		c.link.replace(c.incarnation)
-		c.avoidPresent()
+		c.link.cancelAttempt(attemptID{c.req.ID, attempt})
+		c.link.reconnect(c.incarnation)
+		c.avoidCurrentServer()
 	}
 }
 
 // Deliver implements relay.Effects.
 func (c *call) Deliver(data []byte) {
-	if !c.gotFirst {
-		c.gotFirst = true
-		c.link.firstToken(time.Since(c.offered))
+	if !c.firstTokenSeen {
+		c.firstTokenSeen = true
+		c.link.recordFirstToken(time.Since(c.offeredAt))
 	}
-	if !c.deadSink && c.deliver(data) != nil {
-		c.deadSink = true
+	if !c.deliveryFailed && c.deliver(data) != nil {
+		c.deliveryFailed = true
 	}
 }
 
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -17,48 +17,48 @@
 	if c.link != nil {
 		c.link.unregister(c.attempt)
 	}
-	l, e := c.chooseOrPark()
+	l, e := c.chooseOrWait()
 	if e != nil {
 		return e
 	}
-	c.link, c.attempt, c.offered = l, attemptID{c.req.ID, attempt}, time.Now()
+	c.link, c.attempt, c.offeredAt = l, attemptID{c.req.ID, attempt}, time.Now()
 	class := c.req.Class
 	incarnation, e := l.register(c, &wire.Offer{ID: c.req.ID, Attempt: attempt, Kind: c.req.Kind, Endpoint: c.req.Endpoint,
 		Team: c.req.Team, Class: c.req.ClassName, Tier: uint8(class.Tier), Floor: class.Floor, Target: c.req.Target,
 		FirstTokenMS: int64(class.FirstTokenMS), StartWithinMS: int64(class.MaxWaitMS), RunWithinMS: int64(class.MaxRunMS),
-		MayRepeat: c.req.MayRepeat, Preemptible: class.Preemptible, Key: c.req.Key, Digest: xxhash.Sum64(c.req.Body),
-		KeyWindowMS: c.req.KeyWindow.Milliseconds(), Body: c.req.Body, MaxTokens: c.req.MaxTokens,
+		MayRepeat: c.req.MayRepeat, Preemptible: class.Preemptible, Key: c.req.IdempotencyKey, Digest: xxhash.Sum64(c.req.Body),
+		KeyWindowMS: c.req.IdempotencyWindow.Milliseconds(), Body: c.req.Body, MaxTokens: c.req.MaxTokens,
 		Done: done, DoneText: doneText, Window: relay.Window, ContentType: c.req.ContentType})
 	c.incarnation = incarnation
 	if e != nil {
-		c.skip[l.server.Name] = true
+		c.linkFailed[l.server.Name] = true
 		return e
 	}
 	c.tried[l.server.Name] = true
 	return nil
 }
 
-// chooseOrPark chooses a link, or notes that the call waits for one. The second
-// look finds a link that came up just before the note.
-func (c *call) chooseOrPark() (*agentLink, *fault.Error) {
+// chooseOrWait chooses a link or registers the call as a waiter for one. It
+// chooses again after registering because a link may have come up in between.
+func (c *call) chooseOrWait() (*agentLink, *fault.Error) {
 	l, e := c.choose()
 	if e == nil || e.Code != fault.NoLink {
 		return l, e
 	}
-	c.router.links.park(c)
-	clear(c.skip)
+	c.router.links.addWaiter(c)
+	clear(c.linkFailed)
 	if l, e = c.choose(); e == nil {
-		c.router.links.unpark(c)
+		c.router.links.removeWaiter(c)
 	}
 	return l, e
 }
 
-// choose returns the link to offer on.
+// choose returns the link to send the next offer on.
 func (c *call) choose() (*agentLink, *fault.Error) {
-	if c.req.Key != "" {
-		return c.home()
+	if c.req.IdempotencyKey != "" {
+		return c.homeLink()
 	}
-	links := c.router.links.pool(c.req.Pool)
+	links := c.router.links.poolLinks(c.req.Pool)
 	candidates := make([]dispatch.Candidate, len(links))
 	names := make([]string, len(links))
 	for i, l := range links {
@@ -66,68 +66,69 @@
 		names[i] = l.server.Name
 	}
 	if c.req.Prefix != "" && len(names) > 0 {
-		c.markPrefix(candidates, names)
+		c.markPrefixServers(candidates, names)
 	}
 	if i, ok := c.pick(candidates); ok {
 		return links[i], nil
 	}
-	for i := range candidates { // no other is left than the one to be avoided
-		if candidates[i].Name == c.avoid {
-			candidates[i].Tried = c.tried[c.avoid] || c.skip[c.avoid]
+	for i := range candidates { // only the server that failed last is left
+		if candidates[i].Name == c.lastFailed {
+			candidates[i].Tried = c.tried[c.lastFailed] || c.linkFailed[c.lastFailed]
 		}
 	}
 	if i, ok := c.pick(candidates); ok {
 		return links[i], nil
 	}
-	return nil, c.noneFault(candidates)
+	return nil, c.noCandidateFault(candidates)
 }
 
 func (c *call) pick(candidates []dispatch.Candidate) (int, bool) {
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
-	return c.router.picker.Pick(dispatch.Request{FailureDomain: c.router.set.FailureDomain}, candidates, c.router.rnd)
+	return c.router.picker.Pick(dispatch.Request{FailureDomain: c.router.settings.FailureDomain}, candidates, c.router.rng)
 }
 
-// noneFault says why no candidate can take the request: some can't be reached
-// now, or none is left.
-func (c *call) noneFault(candidates []dispatch.Candidate) *fault.Error {
+// noCandidateFault returns NoLink if a candidate is only unreachable at present,
+// and NoServer if none is left to try.
+func (c *call) noCandidateFault(candidates []dispatch.Candidate) *fault.Error {
 	for i := range candidates {
 		if !c.tried[candidates[i].Name] && !candidates[i].Leaving {
-			return fault.New(fault.NoLink, "no backend server for %q can be reached", c.req.Target).
+			return fault.New(fault.NoLink, "no reachable backend server for %q", c.req.Target).
 				With(fault.NotRun).After(time.Second)
 		}
 	}
-	return fault.New(fault.NoServer, "no backend server for %q is left", c.req.Target).With(fault.NotRun).After(time.Second)
+	return fault.New(fault.NoServer, "no backend server left to try for %q", c.req.Target).With(fault.NotRun).After(time.Second)
 }
 
-// home returns the link to the home agent of the request's idempotency key.
-// Only the home may run it, so it is not asked again after a refusal.
-func (c *call) home() (*agentLink, *fault.Error) {
+// homeLink returns the link to the home agent of the request's idempotency key.
+// No other agent may run the request, so a refusal is not retried elsewhere.
+func (c *call) homeLink() (*agentLink, *fault.Error) {
 	pool := c.router.Config.View().Pools[c.req.Pool]
 	if pool == nil {
-		return nil, fault.New(fault.NoServer, "there is no pool %q", c.req.Pool).With(fault.NotRun)
+		return nil, fault.New(fault.NoServer, "unknown pool %q", c.req.Pool).With(fault.NotRun)
 	}
 	names := make([]string, len(pool.Servers))
 	for i, s := range pool.Servers {
 		names[i] = s.Name
 	}
-	l := c.router.links.server(pool.Server(rendezvous.First(c.req.Key, names)))
+	l := c.router.links.linkTo(pool.Server(rendezvous.First(c.req.IdempotencyKey, names)))
 	if _, up := l.state(); !up {
-		return nil, fault.New(fault.NoLink, "the server that keeps this key can't be reached").With(fault.NotRun).After(time.Second)
+		return nil, fault.New(fault.NoLink, "home server of the idempotency key is unreachable").With(fault.NotRun).After(time.Second)
 	}
 	if c.tried[l.server.Name] {
-		return nil, fault.New(fault.NoServer, "the server that keeps this key did not take the call").With(fault.NotRun).After(time.Second)
+		return nil, fault.New(fault.NoServer, "home server of the idempotency key did not accept the request").With(fault.NotRun).After(time.Second)
 	}
 	return l, nil
 }
 
-// markPrefix marks the servers that keep the prompt's prefix: the first by
-// rendezvous of the prefix, so that all routers agree without talking.
-func (c *call) markPrefix(candidates []dispatch.Candidate, names []string) {
+// markPrefixServers marks the servers expected to have the prompt's prefix in
+// their cache. Rendezvous hashing of the prefix makes all routers select the
+// same ones without coordination.
+func (c *call) markPrefixServers(candidates []dispatch.Candidate, names []string) {
 	ranked := rendezvous.Rank(c.req.Prefix, names)
-	for _, holder := range ranked[:min(prefixServers, len(ranked))] {
+	for _, server := range ranked[:min(prefixReplicas, len(ranked))] {
 		for i := range candidates {
-			if candidates[i].Name == holder {
+			if candidates[i].Name == server {
 				candidates[i].PrefixShare = 1
 			}
 		}
@@ -138,13 +139,13 @@
 	leaving := l.router.members.Leaving(l.server.Name)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// Lower tiers do not stand in the way of a higher one: what waits is
-	// passed, what runs gives way.
-	upTo := c.req.Class.Tier + 1
+	// Only load of the request's own and higher tiers counts: the agent puts
+	// the request ahead of queued lower tiers and preempts running ones.
+	tiers := c.req.Class.Tier + 1
 	return dispatch.Candidate{Name: l.server.Name, FailureDomain: l.server.FailureDomain, Up: l.conn != nil,
-		Leaving: leaving || l.load.Draining, Serves: l.serving[c.req.Target], Queued: sum(firstN(l.load.Queued, upTo)), Running: sum(firstN(l.load.Running, upTo)),
-		Slots: l.load.Slots, Sent: l.sent, ServiceMS: float64(l.load.ServiceMS), FirstMS: l.firstMS,
-		Tried: c.tried[l.server.Name] || c.skip[l.server.Name] || c.avoid == l.server.Name}
+		Leaving: leaving || l.load.Draining, Serves: l.serving[c.req.Target], Queued: sum(firstN(l.load.Queued, tiers)), Running: sum(firstN(l.load.Running, tiers)),
+		Slots: l.load.Slots, Sent: l.offersSinceReport, ServiceMS: float64(l.load.ServiceMS), FirstMS: l.meanFirstTokenMS,
+		Tried: c.tried[l.server.Name] || c.linkFailed[l.server.Name] || c.lastFailed == l.server.Name}
 }
 
 func firstN(counts []int, n int) []int { return counts[:min(n, len(counts))] }
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -12,61 +12,61 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// Admit takes a request of the team in if its limits allow. The team's home
-// router decides; while it can't be reached, each router enforces an equal
-// share. The caller calls the returned function when the request has ended.
+// Admit checks a request against the limits of its team. The team's home router
+// decides; while it is unreachable, each router enforces an equal share of the
+// limits. The returned function must be called when the request has ended.
 func (r *Router) Admit(ctx context.Context, name string, team *resource.Team) (func(), *fault.Error) {
 	if team.Rate == 0 && team.Concurrency == 0 {
 		return func() {}, nil
 	}
-	peers := r.peers()
-	home, listed := peers[rendezvous.First(name, names(peers))]
-	if !listed || r.post == nil {
+	peers := r.liveRouters()
+	home, listed := peers[rendezvous.First(name, memberNames(peers))]
+	if !listed || r.lendingEndpoint == nil {
 		return r.quota.Admit(time.Now(), name, team, len(peers))
 	}
-	ask := quota.Ask{Seq: r.askSeq.Add(1), Team: name, Router: r.processName()}
-	var lent quota.Lent
+	request := quota.Ask{Seq: r.quotaRequestSeq.Add(1), Team: name, Router: r.processName()}
+	var reply quota.Lent
 	answered := true
-	if home.Name == r.set.Name {
-		lent = (*teamHome)(r).Lend(ask)
+	if home.Name == r.settings.Name {
+		reply = (*teamHome)(r).Lend(request)
 	} else {
-		lent, answered = r.post.Ask(ctx, home.Address, ask)
+		reply, answered = r.lendingEndpoint.Ask(ctx, home.Address, request)
 	}
 	switch {
 	case !answered:
 		telemetry.Count("merlinpost_lending_fallback_total")
-		r.tellClosed(name, home, r.quota.Drop(name, ask.Seq)) // it may have been granted
+		r.reportEnded(name, home, r.quota.Drop(name, request.Seq)) // the home may have granted it
 		return r.quota.Admit(time.Now(), name, team, len(peers))
-	case lent.Granted:
+	case reply.Granted:
 		r.quota.Use(time.Now(), name)
-		return func() { r.tellClosed(name, home, r.quota.End(name, ask.Seq)) }, nil
+		return func() { r.reportEnded(name, home, r.quota.End(name, request.Seq)) }, nil
 	}
-	return nil, quota.Refusal(lent, team)
+	return nil, quota.Refusal(reply, team)
 }
 
-// processName names this process to the homes of teams.
-func (r *Router) processName() string { return r.set.Name + "/" + r.incarnation }
+// processName identifies this process to the home routers of teams.
+func (r *Router) processName() string { return r.settings.Name + "/" + r.incarnation }
 
-// tellClosed tells a team's home that requests ended.
-func (r *Router) tellClosed(name string, home membership.Member, seqs []uint64) {
+// reportEnded reports ended requests to the team's home router.
+func (r *Router) reportEnded(name string, home membership.Member, seqs []uint64) {
 	closed := quota.Closed{Team: name, Router: r.processName(), Seqs: seqs}
-	if home.Name == r.set.Name {
+	if home.Name == r.settings.Name {
 		(*teamHome)(r).Close(closed)
 		return
 	}
-	r.post.Close(home.Address, closed)
+	r.lendingEndpoint.Close(home.Address, closed)
 }
 
-// teamHome is a router as the home of teams; it implements lending.Home.
+// teamHome is a Router in its role as the home of teams. It implements lending.Home.
 type teamHome Router
 
 // Lend implements lending.Home.
-func (h *teamHome) Lend(ask quota.Ask) quota.Lent {
-	team := h.Config.View().Teams[ask.Team]
+func (h *teamHome) Lend(request quota.Ask) quota.Lent {
+	team := h.Config.View().Teams[request.Team]
 	if team == nil {
-		return quota.Lent{Seq: ask.Seq, WaitMS: time.Second.Milliseconds()}
+		return quota.Lent{Seq: request.Seq, WaitMS: time.Second.Milliseconds()}
 	}
-	return h.ledger.Lend(time.Now(), ask, team, len((*Router)(h).peers()))
+	return h.ledger.Lend(time.Now(), request, team, len((*Router)(h).liveRouters()))
 }
 
 // Close implements lending.Home.
@@ -75,30 +75,31 @@
 // Heard implements lending.Home.
 func (h *teamHome) Heard(router string) { h.ledger.Heard(time.Now(), router) }
 
-// PeersAddress returns the address for the asks of other routers; empty if
-// there is none.
+// PeersAddress returns the address that serves quota requests of other routers,
+// or "" if there is none.
 func (r *Router) PeersAddress() string {
-	if r.post == nil {
+	if r.lendingEndpoint == nil {
 		return ""
 	}
-	return r.post.Address()
+	return r.lendingEndpoint.Address()
 }
 
-// peers returns the live routers of the membership list, and this one.
-func (r *Router) peers() map[string]membership.Member {
+// liveRouters returns the live routers of the membership list. A router with a
+// lending endpoint always includes itself, listed or not.
+func (r *Router) liveRouters() map[string]membership.Member {
 	out := map[string]membership.Member{}
 	for name, m := range r.members.Members() {
 		if m.Role == "router" && m.State == membership.Live {
 			out[name] = m
 		}
 	}
-	if _, listed := out[r.set.Name]; !listed && r.post != nil {
-		out[r.set.Name] = membership.Member{Name: r.set.Name, Role: "router", Address: r.post.Address(), State: membership.Live}
+	if _, listed := out[r.settings.Name]; !listed && r.lendingEndpoint != nil {
+		out[r.settings.Name] = membership.Member{Name: r.settings.Name, Role: "router", Address: r.lendingEndpoint.Address(), State: membership.Live}
 	}
 	return out
 }
 
-func names(members map[string]membership.Member) []string {
+func memberNames(members map[string]membership.Member) []string {
 	out := make([]string, 0, len(members))
 	for n := range members {
 		out = append(out, n)
@@ -106,25 +107,25 @@
 	return out
 }
 
-// pingPeers tells every other router, in turn, that this one reaches it; a
-// router new to the list is told at once.
+// pingPeers pings every live router each quota.PingEvery, and one that is new to
+// the membership list at the next check.
 func (r *Router) pingPeers(ctx context.Context) {
-	told := map[string]time.Time{}
-	tick := time.NewTicker(pingTick)
+	lastPing := map[string]time.Time{}
+	tick := time.NewTicker(pingCheckInterval)
 	defer tick.Stop()
 	for {
 		now := time.Now()
-		peers := r.peers()
+		peers := r.liveRouters()
 		telemetry.Gauge("merlinpost_router_peers", float64(len(peers)))
 		for name, m := range peers {
-			if now.Sub(told[name]) >= quota.PingEvery {
-				told[name] = now
-				r.post.Ping(m.Address, r.processName())
+			if now.Sub(lastPing[name]) >= quota.PingEvery {
+				lastPing[name] = now
+				r.lendingEndpoint.Ping(m.Address, r.processName())
 			}
 		}
-		for name := range told {
+		for name := range lastPing {
 			if _, listed := peers[name]; !listed {
-				delete(told, name)
+				delete(lastPing, name)
 			}
 		}
 		select {
@@ -135,5 +136,5 @@
 	}
 }
 
-// pingTick is how often the list is looked through for routers to ping.
-const pingTick = time.Second
+// pingCheckInterval is how often the membership list is checked for due pings.
+const pingCheckInterval = time.Second
--- a/internal/router/links.go
+++ b/internal/router/links.go
@@ -10,37 +10,36 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-// Timing of links.
 const (
-	reconcileEvery = time.Second
-	redialFirst    = 50 * time.Millisecond
-	redialMost     = 2 * time.Second
-	// idleLink is how long a link outside of the subset is kept unused.
-	idleLink = time.Minute
-	// bootstrapLinks is how many agents of the membership list a router
-	// without a configuration asks for theirs.
-	bootstrapLinks = 3
-	// maxAbandoned bounds the cancels kept for an agent out of reach.
-	maxAbandoned = 10_000
+	reconcileInterval = time.Second
+	redialMinDelay    = 50 * time.Millisecond
+	redialMaxDelay    = 2 * time.Second
+	// idleLinkTimeout is how long an unused link outside the subset stays open.
+	idleLinkTimeout = time.Minute
+	// maxBootstrapLinks bounds the agents that a router without a configuration
+	// connects to in order to get one.
+	maxBootstrapLinks = 3
+	// maxPendingCancels bounds the cancels kept per unreachable agent.
+	maxPendingCancels = 10_000
 )
 
-// linkSet is the set of links of a router.
+// linkSet holds the links of a router.
 type linkSet struct {
 	router *Router
 	mu     sync.Mutex
 	byName map[string]*agentLink
-	subset map[string][]string // names by pool
+	subset map[string][]string // server names by pool
 	ctx    context.Context
 
-	parkMu sync.Mutex
-	parked map[*call]bool // wait for an agent to be reached
+	waitersMu sync.Mutex
+	waiters   map[*call]bool // calls waiting for a reachable agent
 }
 
 func newLinkSet(r *Router) *linkSet {
-	return &linkSet{router: r, byName: map[string]*agentLink{}, subset: map[string][]string{}, parked: map[*call]bool{}}
+	return &linkSet{router: r, byName: map[string]*agentLink{}, subset: map[string][]string{}, waiters: map[*call]bool{}}
 }
 
-// run keeps links to a subset of each pool, spread over failure domains.
+// run maintains links to a subset of each pool, spread over failure domains.
 func (s *linkSet) run(ctx context.Context) {
 	s.mu.Lock()
 	s.ctx = ctx
@@ -52,26 +51,26 @@
 			s.reconcile(s.router.Config.View())
 			if now := s.router.Config.View().Revision; now != revision {
 				revision = now
-				s.pokeAll()
+				s.sendHeartbeats()
 			}
 		} else {
 			s.bootstrap()
 		}
 		select {
 		case <-changed:
-		case <-time.After(reconcileEvery):
+		case <-time.After(reconcileInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// bootstrap opens links to a few listed agents, which bring the configuration
-// while the log is out.
+// bootstrap opens links to a few agents of the membership list, from which the
+// router can get the configuration while the configuration log is unavailable.
 func (s *linkSet) bootstrap() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.router.members.Members() {
-		if len(s.byName) >= bootstrapLinks {
+		if len(s.byName) >= maxBootstrapLinks {
 			return
 		}
 		if m.Role == "agent" && s.byName[m.Name] == nil {
@@ -80,14 +79,14 @@
 	}
 }
 
-// reconcile opens and closes links so that they fit the configuration.
+// reconcile opens and closes links to match the configuration.
 func (s *linkSet) reconcile(v *resource.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	declared := map[string]resource.Server{}
 	wanted := map[string]bool{}
 	for name, pool := range v.Pools {
-		s.subset[name] = s.choose(pool)
+		s.subset[name] = s.chooseSubset(pool)
 		for _, n := range s.subset[name] {
 			wanted[n] = true
 		}
@@ -109,8 +108,9 @@
 	}
 }
 
-// pokeAll tells every agent the revision in force at once.
-func (s *linkSet) pokeAll() {
+// sendHeartbeats announces the current revision to every agent without waiting
+// for the next heartbeat.
+func (s *linkSet) sendHeartbeats() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.byName {
@@ -122,7 +122,7 @@
 	}
 }
 
-func (s *linkSet) choose(pool *resource.Pool) []string {
+func (s *linkSet) chooseSubset(pool *resource.Pool) []string {
 	domains := map[string]string{}
 	for _, server := range pool.Servers {
 		domains[server.Name] = server.FailureDomain
@@ -132,19 +132,19 @@
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	return rendezvous.Spread(s.router.set.Name, names, func(n string) string { return domains[n] }, s.router.set.Policy.Subset)
+	return rendezvous.Spread(s.router.settings.Name, names, func(n string) string { return domains[n] }, s.router.settings.Policy.Subset)
 }
 
 func (s *linkSet) openLocked(server resource.Server) *agentLink {
 	ctx, cancel := context.WithCancel(s.ctx)
-	l := &agentLink{router: s.router, server: server, cancel: cancel, attempts: map[attemptID]*call{}, used: time.Now()}
+	l := &agentLink{router: s.router, server: server, cancel: cancel, attempts: map[attemptID]*call{}, lastUsed: time.Now()}
 	s.byName[server.Name] = l
 	go l.run(ctx)
 	return l
 }
 
-// pool returns the links to the subset of a pool.
-func (s *linkSet) pool(name string) []*agentLink {
+// poolLinks returns the links to the selected servers of a pool.
+func (s *linkSet) poolLinks(name string) []*agentLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]*agentLink, 0, len(s.subset[name]))
@@ -156,32 +156,33 @@
 	return out
 }
 
-// park notes a call that waits for an agent to be reached.
-func (s *linkSet) park(c *call) {
-	s.parkMu.Lock()
-	defer s.parkMu.Unlock()
-	s.parked[c] = true
+// addWaiter registers a call to be notified when an agent becomes available.
+func (s *linkSet) addWaiter(c *call) {
+	s.waitersMu.Lock()
+	defer s.waitersMu.Unlock()
+	s.waiters[c] = true
 }
 
-func (s *linkSet) unpark(c *call) {
-	s.parkMu.Lock()
-	defer s.parkMu.Unlock()
-	delete(s.parked, c)
+func (s *linkSet) removeWaiter(c *call) {
+	s.waitersMu.Lock()
+	defer s.waitersMu.Unlock()
+	delete(s.waiters, c)
 }
 
-// reached tells the parked calls that an agent came back or serves more.
-func (s *linkSet) reached() {
-	s.parkMu.Lock()
-	defer s.parkMu.Unlock()
-	for c := range s.parked {
-		c.post(placeAgain{})
-		delete(s.parked, c)
+// notifyWaiters tells the waiting calls that an agent reconnected or reported
+// what it serves, and removes them.
+func (s *linkSet) notifyWaiters() {
+	s.waitersMu.Lock()
+	defer s.waitersMu.Unlock()
+	for c := range s.waiters {
+		c.enqueue(agentAvailable{})
+		delete(s.waiters, c)
 	}
 }
 
-// server returns the link to one declared server, opening one outside of the
-// subset if need be.
-func (s *linkSet) server(server resource.Server) *agentLink {
+// linkTo returns the link to a declared server and opens one if there is none,
+// also to a server outside the subset.
+func (s *linkSet) linkTo(server resource.Server) *agentLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.byName[server.Name]
@@ -189,7 +190,7 @@
 		l = s.openLocked(server)
 	}
 	l.mu.Lock()
-	l.used = time.Now()
+	l.lastUsed = time.Now()
 	l.mu.Unlock()
 	return l
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,7 +1,8 @@
-// Package router wires the process on an entry host: links to agents, the
-// choice of a backend server for each request, and the relay of answers. What
-// it decides is in packages dispatch, relay and quota; here are sockets, clocks
-// and goroutines. The callers' and operators' APIs are packages of their own.
+// Package router implements the router process of an entry host: it keeps links
+// to agents, chooses a backend server for each request and relays the answer.
+// The decision logic is in packages dispatch, relay and quota; this package adds
+// sockets, clocks and goroutines. The callers' and operators' APIs are in
+// packages of their own.
 package router
 
 import (
@@ -22,33 +23,35 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// Router is the process. Call New, then Run.
+// Router is a router process. Create it with New and start it with Serve or Run.
 type Router struct {
-	set         settings.Router
-	logger      *slog.Logger
-	incarnation string
-	Config      *configlog.Follower
-	members     *membership.Reader
-	links       *linkSet
-	quota       *quota.Teams
-	ledger      *quota.Ledger
-	post        *lending.Post // nil: equal shares only
-	askSeq      atomic.Uint64
+	settings        settings.Router
+	logger          *slog.Logger
+	incarnation     string
+	Config          *configlog.Follower
+	members         *membership.Reader
+	links           *linkSet
+	quota           *quota.Teams
+	ledger          *quota.Ledger
+	lendingEndpoint *lending.Post // nil if every router enforces equal shares only
+	quotaRequestSeq atomic.Uint64
 
-	mu     sync.Mutex // guards picker and rnd
+	mu     sync.Mutex // guards picker, rng and budget
 	picker dispatch.Picker
-	rnd    *rand.Rand
+	rng    *rand.Rand
 	budget *retrybudget.Budget
 
-	open     atomic.Int64 // requests in progress
-	stopping atomic.Bool
+	inProgress atomic.Int64
+	draining   atomic.Bool
 }
 
-// retryWindow is the span over which retries are held to their share of the
-// offers: long enough for some offers at a router with one in ten seconds.
-const retryWindow = 10 * time.Second
+// retryBudgetWindow is the period over which retries are limited to a share of
+// the requests. It is long enough to contain requests even at a router that gets
+// only one in ten seconds.
+const retryBudgetWindow = 10 * time.Second
 
-// New returns a router that has not started yet.
+// New returns a router that is not running yet. If a peer address is configured,
+// its socket is opened here.
 func New(set settings.Router, logger *slog.Logger) (*Router, error) {
 	p := set.Policy
 	picker, err := dispatch.New(p.Choice, dispatch.Options{Prefix: p.Prefix, Domain: p.Domain, Straggler: p.Straggler, Corrected: p.Corrected})
@@ -56,78 +59,77 @@
 		return nil, err
 	}
 	logger = logger.With("router", set.Name)
-	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	log := configlog.NewClient(set.Log.Address, settings.Millis(set.Log.TimeoutMS))
-	r := &Router{set: set, logger: logger, incarnation: configlog.NewID(), picker: picker, rnd: rnd,
-		budget: retrybudget.New(retrybudget.Settings{Ratio: p.RetryShare, Window: retryWindow, Slack: p.RetryBurst}, 1, time.Now()),
+	r := &Router{settings: set, logger: logger, incarnation: configlog.NewID(), picker: picker, rng: rng,
+		budget: retrybudget.New(retrybudget.Settings{Ratio: p.RetryShare, Window: retryBudgetWindow, Slack: p.RetryBurst}, 1, time.Now()),
 		quota:  quota.NewTeams(time.Now()),
 		ledger: quota.NewLedger(time.Now())}
 	r.Config = configlog.NewFollower(log, set.Log, true, logger, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.members = membership.NewReader(set.Members.Address, "", settings.Millis(set.Members.PollMS), logger)
 	r.links = newLinkSet(r)
 	if set.Peers.Listen != "" {
-		if r.post, err = lending.Open(set.Peers.Listen, (*teamHome)(r)); err != nil {
+		if r.lendingEndpoint, err = lending.Open(set.Peers.Listen, (*teamHome)(r)); err != nil {
 			return nil, err
 		}
 	}
 	return r, nil
 }
 
-// Run works until ctx ends.
+// Run runs the background tasks of the router until ctx ends.
 func (r *Router) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { r.Config.Run(ctx) })
-	duties.Go(func() { r.members.Run(ctx) })
-	duties.Go(func() { r.links.run(ctx) })
-	if r.post != nil {
-		duties.Go(func() { r.post.Run(ctx) })
-		duties.Go(func() { r.pingPeers(ctx) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { r.Config.Run(ctx) })
+	tasks.Go(func() { r.members.Run(ctx) })
+	tasks.Go(func() { r.links.run(ctx) })
+	if r.lendingEndpoint != nil {
+		tasks.Go(func() { r.lendingEndpoint.Run(ctx) })
+		tasks.Go(func() { r.pingPeers(ctx) })
 	}
-	duties.Wait()
+	tasks.Wait()
 }
 
-// Ready reports whether callers may be sent here.
-func (r *Router) Ready() bool { return r.Config.Ready() && !r.stopping.Load() }
+// Ready reports whether the router has a configuration and is not draining.
+func (r *Router) Ready() bool { return r.Config.Ready() && !r.draining.Load() }
 
-// Stop fails the readiness check; requests are still served until the process
-// ends.
-func (r *Router) Stop() {
-	if !r.stopping.Swap(true) {
-		r.logger.Info("leaving: the readiness check fails from now on")
+// BeginDrain makes the readiness check fail. Requests are still served until the
+// process ends.
+func (r *Router) BeginDrain() {
+	if !r.draining.Swap(true) {
+		r.logger.Info("draining: readiness check now fails")
 	}
 }
 
-// Open returns the number of requests in progress.
-func (r *Router) Open() int64 { return r.open.Load() }
+func (r *Router) InProgress() int64 { return r.inProgress.Load() }
 
 func (r *Router) hello() wire.Hello {
-	return wire.Hello{Role: "router", Name: r.set.Name, Incarnation: r.incarnation, Domain: r.set.FailureDomain,
+	return wire.Hello{Role: "router", Name: r.settings.Name, Incarnation: r.incarnation, Domain: r.settings.FailureDomain,
 		Revision: r.Config.View().Revision}
 }
 
-// ProcessStatus is what a router knows of one process.
+// ProcessStatus is the state of one process as known to a router.
 type ProcessStatus struct {
 	Name     string `json:"name"`
 	Role     string `json:"role"`
 	Up       bool   `json:"up"`
 	Leaving  bool   `json:"leaving"`
-	Serving  bool   `json:"serving"` // an agent whose backend server has something loaded
+	Serving  bool   `json:"serving"` // for an agent: its backend server has something loaded
 	Revision uint64 `json:"revision"`
 	Running  int    `json:"running"`
 	Queued   int    `json:"queued"`
 }
 
-// Status lists this router and the agents that it has links to.
+// Status returns the state of this router and of the agents it has links to.
 func (r *Router) Status() []ProcessStatus {
-	out := []ProcessStatus{{Name: r.set.Name, Role: "router", Up: true, Serving: true, Leaving: r.stopping.Load(),
-		Revision: r.Config.View().Revision, Running: int(r.Open())}}
+	out := []ProcessStatus{{Name: r.settings.Name, Role: "router", Up: true, Serving: true, Leaving: r.draining.Load(),
+		Revision: r.Config.View().Revision, Running: int(r.InProgress())}}
 	return append(out, r.links.status()...)
 }
 
-// Serves reports whether an agent of the pool is reached that has the target
-// loaded.
+// Serves reports whether a connected, non-draining agent of the pool has the
+// target loaded.
 func (r *Router) Serves(pool, target string) bool {
-	for _, l := range r.links.pool(pool) {
+	for _, l := range r.links.poolLinks(pool) {
 		if l.serves(target) {
 			return true
 		}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -10,13 +10,13 @@
 	"github.com/merlinpost/merlinpost/internal/settings"
 )
 
-// Pages are the two APIs that a router serves.
-type Pages struct{ Callers, Operators http.Handler }
+// Handlers are the HTTP handlers of the callers' and the operators' API.
+type Handlers struct{ Callers, Operators http.Handler }
 
-// Listeners are the open listening sockets of a router.
+// Listeners are the listening sockets of the two APIs.
 type Listeners struct{ Callers, Operators net.Listener }
 
-// Listen opens the settings' addresses.
+// Listen opens the listening sockets at the addresses of the settings.
 func Listen(set settings.Router) (Listeners, error) {
 	callers, err := net.Listen("tcp", set.Callers.Listen)
 	if err != nil {
@@ -30,15 +30,15 @@
 	return Listeners{callers, operators}, nil
 }
 
-// Serve runs the router and its APIs until ctx ends, which cuts off what is in
-// progress, or until stop is closed. Then it is a graceful shutdown: the
-// readiness check fails, requests are still taken for the balancer's lag, and
-// the router ends when its last answer has.
-func (r *Router) Serve(ctx context.Context, stop <-chan struct{}, l Listeners, p Pages) error {
+// Serve runs the router and its APIs until ctx ends or stop is closed. The end of
+// ctx cuts off requests in progress. Closing stop starts a graceful shutdown: the
+// readiness check fails, requests are accepted until the load balancer has had
+// BalancerLagMS to notice, and Serve returns after the last answer.
+func (r *Router) Serve(ctx context.Context, stop <-chan struct{}, l Listeners, h Handlers) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	callers := &http.Server{Handler: p.Callers, ReadHeaderTimeout: settings.Millis(r.set.Callers.HeaderTimeoutMS)}
-	operators := &http.Server{Handler: p.Operators, ReadHeaderTimeout: settings.Millis(r.set.Callers.HeaderTimeoutMS)}
+	callers := &http.Server{Handler: h.Callers, ReadHeaderTimeout: settings.Millis(r.settings.Callers.HeaderTimeoutMS)}
+	operators := &http.Server{Handler: h.Operators, ReadHeaderTimeout: settings.Millis(r.settings.Callers.HeaderTimeoutMS)}
 	go func() { _ = callers.Serve(l.Callers) }()     // ends with ErrServerClosed
 	go func() { _ = operators.Serve(l.Operators) }() // ends with ErrServerClosed
 	done := make(chan struct{})
@@ -49,22 +49,23 @@
 	case <-stop:
 		r.drain(ctx, callers)
 	}
-	_ = callers.Close()   // what is still open is cut off only if ctx ended
-	_ = operators.Close() // a watch does not hold up the end
+	_ = callers.Close()   // after drain, connections are still open only if ctx ended
+	_ = operators.Close() // open watch requests do not delay the shutdown
 	cancel()
 	<-done
 	r.logger.Info("router stopped")
 	return nil
 }
 
-// drain waits for the balancer to notice, then for the last answer.
+// drain waits for the load balancer to notice the failing readiness check, then
+// for the last answer.
 func (r *Router) drain(ctx context.Context, callers *http.Server) {
-	r.Stop()
-	callers.SetKeepAlivesEnabled(false) // each answer now ends its connection
+	r.BeginDrain()
+	callers.SetKeepAlivesEnabled(false) // close each connection after its answer
 	select {
-	case <-time.After(settings.Millis(r.set.Callers.BalancerLagMS)):
+	case <-time.After(settings.Millis(r.settings.Callers.BalancerLagMS)):
 	case <-ctx.Done():
 		return
 	}
-	_ = callers.Shutdown(ctx) // waits without a limit; ends early only if ctx does
+	_ = callers.Shutdown(ctx) // has no time limit of its own
 }
