--- a/internal/relay/cancel.go
+++ b/internal/relay/cancel.go
@@ -5,53 +5,53 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// cancel withdraws the present attempt and ends with cause once the agent has
-// said whether it ran.
+// cancel cancels the current attempt. The request ends with the fault cause when
+// the agent has confirmed whether the attempt ran, or after CancelTimeout.
 func (m *Machine) cancel(cause *fault.Error) {
 	if m.state == cancelling {
 		return
 	}
-	m.cause = cause
-	if m.state == parked {
+	m.pendingFault = cause
+	if m.state == waiting {
 		m.finish(nil, cause)
 		return
 	}
 	m.state = cancelling
-	m.fx.Arm(TimerCancel, m.cfg.Cancel)
-	m.fx.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
+	m.effects.SetTimer(TimerCancel, m.cfg.CancelTimeout)
+	m.effects.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
 	if !m.linkUp {
-		m.fx.Abandon(m.attempt)
-		m.settleCancel(true) // decided: no reason to keep the caller waiting
+		m.effects.Abandon(m.attempt)
+		m.finishCancel(true) // the agent can't confirm now, so do not keep the caller waiting
 	}
 }
 
-// Cancelled takes in the agent's word on a cancel.
-func (m *Machine) Cancelled(c *wire.Cancelled) {
-	if m.mine(c.Attempt) && m.state == cancelling {
-		m.settleCancel(c.Ran)
+// HandleCancelled processes the agent's confirmation of a cancel.
+func (m *Machine) HandleCancelled(c *wire.Cancelled) {
+	if m.isCurrent(c.Attempt) && m.state == cancelling {
+		m.finishCancel(c.Ran)
 	}
 }
 
-func (m *Machine) settleCancel(ran bool) {
+func (m *Machine) finishCancel(ran bool) {
 	if ran {
-		m.unsettled++
+		m.possibleRuns++
 	}
-	m.finish(nil, m.cause)
+	m.finish(nil, m.pendingFault)
 }
 
-// CallerGone says that nobody waits for the answer any more.
-func (m *Machine) CallerGone() {
+// HandleCallerGone cancels the request because its caller has disconnected.
+func (m *Machine) HandleCallerGone() {
 	if m.state == finished {
 		return
 	}
-	if m.state == parked {
-		m.finish(nil, fault.New(fault.Cancelled, "the caller went away"))
+	if m.state == waiting {
+		m.finish(nil, fault.New(fault.Cancelled, "caller disconnected"))
 		return
 	}
-	m.fx.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
+	m.effects.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
 	if !m.linkUp {
-		m.fx.Abandon(m.attempt)
+		m.effects.Abandon(m.attempt)
 	}
-	m.unsettled++
-	m.finish(nil, fault.New(fault.Cancelled, "the caller went away"))
+	m.possibleRuns++
+	m.finish(nil, fault.New(fault.Cancelled, "caller disconnected"))
 }
--- a/internal/relay/linkstate.go
+++ b/internal/relay/linkstate.go
@@ -5,42 +5,42 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// LinkDown says that the link to the agent is gone.
-func (m *Machine) LinkDown() {
-	if m.state == finished || m.state == parked || !m.linkUp {
+// HandleLinkDown notes that the link to the agent is down.
+func (m *Machine) HandleLinkDown() {
+	if m.state == finished || m.state == waiting || !m.linkUp {
 		return
 	}
 	m.linkUp = false
-	m.fx.Arm(TimerAnswer, 0)
+	m.effects.SetTimer(TimerOfferReply, 0)
 	if m.state == cancelling {
-		return // its timer runs
+		return // TimerCancel is running
 	}
-	m.fx.Arm(TimerLost, m.cfg.Lost)
+	m.effects.SetTimer(TimerAgentLost, m.cfg.LostTimeout)
 }
 
-// LinkUp says that the agent is reached again; same is false if it restarted
-// and so forgot the attempt.
-func (m *Machine) LinkUp(same bool) {
-	if m.state == finished || m.state == parked || m.linkUp {
+// HandleLinkUp notes that the link to the agent is up again. sameProcess is false
+// if the agent has restarted and so lost the attempt.
+func (m *Machine) HandleLinkUp(sameProcess bool) {
+	if m.state == finished || m.state == waiting || m.linkUp {
 		return
 	}
 	m.linkUp = true
-	m.fx.Arm(TimerLost, 0)
+	m.effects.SetTimer(TimerAgentLost, 0)
 	switch {
-	case !same && m.state == cancelling:
-		m.settleCancel(true)
-	case !same:
-		m.lost("the agent restarted")
+	case !sameProcess && m.state == cancelling:
+		m.finishCancel(true)
+	case !sameProcess:
+		m.agentLost("agent restarted")
 	case m.state == cancelling:
-		m.fx.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
+		m.effects.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
 	default:
-		m.fx.Arm(TimerAnswer, m.cfg.Answer)
+		m.effects.SetTimer(TimerOfferReply, m.cfg.OfferReplyTimeout)
 		m.resume()
 	}
 }
 
-// lost gives up on the present attempt, which may have run.
-func (m *Machine) lost(why string) {
-	m.fx.Abandon(m.attempt)
-	m.attemptFailed(fault.New(fault.LinkLost, "%s", why).With(fault.Unknown))
+// agentLost abandons the current attempt, which may have run.
+func (m *Machine) agentLost(reason string) {
+	m.effects.Abandon(m.attempt)
+	m.attemptFailed(fault.New(fault.LinkLost, "%s", reason).With(fault.Unknown))
 }
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -7,134 +7,141 @@
 	"pgregory.net/rapid"
 )
 
-// steps is the mix of steps: a name that stands twice comes twice as often.
-var steps = []string{"flow", "flow", "flow", "move", "move", "move", "engine", "engine", "engine", "add", "add", "pass", "pass",
-	"long pass", "break", "break", "break", "heal", "heal", "heal", "kill", "revive", "crash", "gone", "drain"}
+// stepKinds lists the kinds of steps; each is drawn as often as it is listed.
+var stepKinds = []string{
+	"deliver all", "deliver all", "deliver all", "deliver one", "deliver one", "deliver one",
+	"step engines", "step engines", "step engines", "add request", "add request",
+	"advance", "advance", "advance far",
+	"break link", "break link", "break link", "reconnect", "reconnect", "reconnect",
+	"kill", "restart", "crash engine", "caller gone", "drain",
+}
 
-func (w *world) step() {
-	kind := rapid.SampledFrom(steps).Draw(w.t, "step")
-	conns := w.conns()
+func (cl *cluster) step() {
+	kind := rapid.SampledFrom(stepKinds).Draw(cl.t, "step")
+	conns := cl.conns()
 	switch kind {
-	case "add":
-		if len(w.requests) < 6 {
-			w.add(rapid.Bool().Draw(w.t, "repeat"))
-		}
-	case "engine":
-		w.engines()
-	case "pass":
-		w.pass(time.Duration(rapid.IntRange(1, 300).Draw(w.t, "ms")) * time.Millisecond)
-	case "long pass":
-		w.pass(time.Duration(rapid.IntRange(500, 5000).Draw(w.t, "ms")) * time.Millisecond)
-	case "flow":
+	case "add request":
+		if len(cl.requests) < 6 {
+			cl.addRequest(rapid.Bool().Draw(cl.t, "repeat"))
+		}
+	case "step engines":
+		cl.stepEngines()
+	case "advance":
+		cl.advance(time.Duration(rapid.IntRange(1, 300).Draw(cl.t, "ms")) * time.Millisecond)
+	case "advance far":
+		cl.advance(time.Duration(rapid.IntRange(500, 5000).Draw(cl.t, "ms")) * time.Millisecond)
+	case "deliver all":
 		for _, c := range conns {
-			w.move(c)
+			cl.deliverNext(c)
 		}
-	case "kill", "revive", "crash", "drain":
-		a := pick(w, w.agents, "which agent")
-		w.disturb(kind, a)
-	case "gone":
-		if len(w.requests) > 0 {
-			pick(w, w.requests, "which request").m.CallerGone()
+	case "kill", "restart", "crash engine", "drain":
+		a := draw(cl, cl.agents, "which agent")
+		cl.disruptAgent(kind, a)
+	case "caller gone":
+		if len(cl.requests) > 0 {
+			draw(cl, cl.requests, "which request").machine.HandleCallerGone()
 		}
-	case "heal":
-		for _, r := range w.requests {
-			w.heal(r)
+	case "reconnect":
+		for _, r := range cl.requests {
+			cl.reconnect(r)
 		}
 	default:
 		if len(conns) == 0 {
 			return
 		}
-		c := pick(w, conns, "link")
-		if kind == "break" {
-			w.breakLink(c, rapid.Bool().Draw(w.t, "agent sees"))
+		c := draw(cl, conns, "link")
+		if kind == "break link" {
+			cl.breakLink(c, rapid.Bool().Draw(cl.t, "agent notices"))
 		} else {
-			w.move(c)
+			cl.deliverNext(c)
 		}
 	}
 }
 
-func (w *world) disturb(kind string, a *agent) {
+func (cl *cluster) disruptAgent(kind string, a *agent) {
 	switch kind {
 	case "kill":
 		a.down = true
 		a.runs = nil
-		for _, c := range w.conns() {
-			if c.a == a {
-				w.breakLink(c, false)
+		for _, c := range cl.conns() {
+			if c.agent == a {
+				cl.breakLink(c, false)
 			}
 		}
-	case "revive":
+	case "restart":
 		if a.down {
 			a.down = false
 			a.restart()
 		}
-		for _, r := range w.requests {
-			r.m.Place()
+		for _, r := range cl.requests {
+			r.machine.HandleAgentAvailable()
 		}
-	case "crash":
-		a.engineCrash()
+	case "crash engine":
+		a.crashEngine()
 	case "drain":
-		if rapid.IntRange(0, 4).Draw(w.t, "really") == 0 {
+		if rapid.IntRange(0, 4).Draw(cl.t, "really") == 0 {
 			a.core.Drain()
 		}
 	}
 }
 
-// settle lets everything heal and run until each request has its final word.
-func (w *world) settle() {
+// runToCompletion restarts agents, restores links and advances the cluster until
+// every request has finished.
+func (cl *cluster) runToCompletion() {
 	for i := 0; ; i++ {
 		if i > 4000 {
-			w.t.Fatalf("requests never end")
+			cl.t.Fatalf("requests still unfinished after %d steps", i)
 		}
 		open := 0
-		for _, a := range w.agents {
+		for _, a := range cl.agents {
 			if a.down {
 				a.down = false
 				a.restart()
 			}
 		}
-		for _, r := range w.requests {
-			w.heal(r)
-			if r.finished == 0 {
+		for _, r := range cl.requests {
+			cl.reconnect(r)
+			if r.finishCount == 0 {
 				open++
 			}
 		}
 		if open == 0 {
 			return
 		}
-		for _, c := range w.conns() {
-			w.move(c)
+		for _, c := range cl.conns() {
+			cl.deliverNext(c)
 		}
-		w.engines()
-		w.pass(20 * time.Millisecond)
+		cl.stepEngines()
+		cl.advance(20 * time.Millisecond)
 	}
 }
 
-// Over random interleavings of messages, losses, broken links, late messages
-// of old links, crashes and restarts: nobody gets a token missing, doubled or
-// of another request; "not run" is true then and later; what may not be
-// repeated starts at most once; every request gets one final word.
+// Checks over random interleavings of messages, losses, broken links, late
+// messages of old links, crashes and restarts that no caller gets a missing,
+// duplicate or foreign token; that a request reported as "not run" was not and is
+// not started; that a request that must not be repeated starts at most once; and
+// that every request finishes exactly once.
 func TestRequestsOverFailingLinksAndAgents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), starts: map[string]int{}}
+		cl := &cluster{t: t, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), starts: map[string]int{}}
 		for i := range rapid.IntRange(1, 3).Draw(t, "agents") {
-			a := &agent{w: w, index: i}
+			a := &agent{cluster: cl, index: i}
 			a.restart()
-			w.agents = append(w.agents, a)
+			cl.agents = append(cl.agents, a)
 		}
 		for range 3 {
-			w.add(rapid.Bool().Draw(t, "repeat"))
+			cl.addRequest(rapid.Bool().Draw(t, "repeat"))
 		}
 		for range rapid.IntRange(5, 150).Draw(t, "steps") {
-			w.step()
+			cl.step()
 		}
-		w.settle()
-		w.pass(time.Minute)
-		for _, c := range w.conns() { // what was still under way arrives now
+		cl.runToCompletion()
+		cl.advance(time.Minute)
+		for _, c := range cl.conns() { // deliver what is still in transit
 			for len(c.toAgent) > 0 {
-				w.move(c)
+				cl.deliverNext(c)
 			}
 		}
-		w.engines()
+		cl.stepEngines()
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,18 +1,22 @@
-// Package relay is the deciding part of one request at a router: it offers the
-// request to agents one after another, passes the answer on in order, resumes
-// it over new links and at other agents, and ends with one final word. It is
-// pure: events come in by method, effects go out through an interface.
+// Package relay implements the state machine of one request at a router. It
+// offers the request to agents one after another, delivers the answer in order,
+// resumes it over new links and on other agents, and finishes the request exactly
+// once. The package does no I/O: events are method calls, and effects go through
+// the Effects interface.
 //
-// What it holds to:
+// Invariants:
 //
-//   - "not run" is said only when every attempt was refused, or was cancelled
-//     and the agent confirmed that it had not started;
-//   - work that may not be repeated is offered again only after such a word;
-//   - a caller gets each chunk once, in order, and an end only when whole;
-//   - a decided request is answered at once.
+//   - the outcome "not run" is reported only if every attempt was refused, or was
+//     cancelled and the agent confirmed that it had not started;
+//   - a request that may not be repeated is offered again only if the attempts
+//     before are known not to have run;
+//   - a caller gets each chunk once and in order, and a successful end only after
+//     the complete answer;
+//   - a request is answered as soon as its result is decided.
 package relay
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/merlinpost/merlinpost/internal/answer"
@@ -20,158 +24,162 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// ackEvery is how many chunks are acknowledged at a time.
-const ackEvery = 32
+// ackIntervalChunks is the number of chunks covered by one acknowledgement.
+const ackIntervalChunks = 32
 
-// Window is how many chunks an agent may send ahead of acknowledgement; it
-// bounds what a router holds for a slow caller.
-const Window = 128
+// WindowChunks is the flow-control window: the number of unacknowledged chunks an
+// agent may send. It bounds what a router buffers for a slow caller.
+const WindowChunks = 128
 
-// maxBusyLinks bounds the links that are tried in a row for one offer.
+// maxBusyLinks bounds the further links tried for one offer after a busy one.
 const maxBusyLinks = 16
 
-// Timer names a timer of a request.
+// Timer identifies a timer of a request.
 type Timer uint8
 
-// The timers.
 const (
-	TimerLost     Timer = iota // the agent is out of reach for too long
-	TimerCancel                // the agent does not confirm a cancel
-	TimerDeadline              // the whole request is overdue
-	TimerAnswer                // the agent does not answer an offer
+	TimerAgentLost  Timer = iota // the agent or, while waiting, every agent has been unreachable for too long
+	TimerCancel                  // the agent has not confirmed a cancel
+	TimerDeadline                // the request has exceeded RunTimeout
+	TimerOfferReply              // the agent has not replied to an offer
 )
 
-// Effects is what a Machine does to the world.
+// Effects are the side effects of a Machine.
 type Effects interface {
 	// Offer chooses an agent and sends it the attempt. done and doneText are
-	// what the caller has had. A fault means that nothing was sent: NoLink
-	// that an agent may be reached again soon, LinkBusy that this one can't
-	// take it now.
+	// the number and the text of the chunks already delivered to the caller.
+	// A fault means that nothing was sent: NoLink that an agent may become
+	// reachable soon, LinkBusy that the chosen one can't take an offer now.
 	Offer(attempt uint32, done uint32, doneText string) *fault.Error
-	// Send sends to the agent of the present attempt; if its link is down
-	// the message is dropped.
+	// Send sends a message to the agent of the current attempt. The message
+	// is dropped if the link is down.
 	Send(m wire.Message)
-	// Abandon asks for a cancel to be sent to the agent of the present
-	// attempt whenever it is reached again.
+	// Abandon sends a cancel to the agent of the current attempt as soon as
+	// the agent is reachable.
 	Abandon(attempt uint32)
 	// Deliver passes a chunk to the caller.
 	Deliver(data []byte)
-	// Finish gives the final word; e is nil for a whole answer.
+	// Finish reports the result of the request, once; e is nil for a
+	// complete answer.
 	Finish(end *wire.End, e *fault.Error)
-	// Arm starts a timer, replacing one of the same name; 0 stops it.
-	Arm(t Timer, d time.Duration)
-	// Retry takes one retry out of the budget, false if it is spent.
-	Retry() bool
+	// SetTimer starts or restarts a timer; a duration of 0 stops it.
+	SetTimer(t Timer, d time.Duration)
+	// TakeRetry takes one retry from the retry budget and reports whether
+	// one was left.
+	TakeRetry() bool
 }
 
-// Config is the timing and the limits of a request.
+// Config holds the timeouts and limits of a request.
 type Config struct {
 	MaxAttempts int
 	MayRepeat   bool
-	// Resumable says that another agent can go on after delivered chunks.
-	Resumable bool
-	RunWithin time.Duration
-	Lost      time.Duration // how long an agent may be out of reach
-	Cancel    time.Duration // how long a cancel may take to be confirmed
-	Answer    time.Duration // how long a verdict may take
+	// Resumable reports whether another agent can continue a partly delivered
+	// answer.
+	Resumable         bool
+	RunTimeout        time.Duration
+	LostTimeout       time.Duration // how long an agent may be unreachable
+	CancelTimeout     time.Duration // how long a cancel may take to be confirmed
+	OfferReplyTimeout time.Duration // how long the reply to an offer may take
 }
 
 type state uint8
 
 const (
-	parked     state = iota // no agent is reached; waits for one
-	offered                 // sent, no verdict yet
-	accepted                // the agent holds it
-	cancelling              // a cancel was sent; its confirmation decides
+	waiting    state = iota // no agent is reachable
+	offered                 // sent, not accepted or refused yet
+	accepted                // the agent queued or runs it
+	cancelling              // a cancel was sent; the outcome depends on its confirmation
 	finished
 )
 
-// Machine is one request. Call New, then Start; events must come from one
-// goroutine.
+// Machine is the state machine of one request. Create it with New, then call
+// Start. It is not safe for concurrent use.
 type Machine struct {
-	cfg     Config
-	fx      Effects
-	id      string
-	state   state
-	attempt uint32
-	asm     answer.Assembler
-	text    []byte
-	acked   uint32
-	linkUp  bool
-	// unsettled counts earlier attempts that may have run.
-	unsettled int
-	refusal   *fault.Error // the last refusal, said if nothing else is
-	cause     *fault.Error // why the request is being cancelled
-	retries   int
+	cfg          Config
+	effects      Effects
+	id           string
+	state        state
+	attempt      uint32
+	assembler    answer.Assembler
+	text         []byte
+	acked        uint32
+	linkUp       bool
+	possibleRuns int          // number of ended attempts that may have run
+	lastFault    *fault.Error // of the last failed attempt; reported if no other agent takes the request
+	pendingFault *fault.Error // fault to report when the cancel or the wait for an agent ends
+	retries      int
 }
 
 // New returns a Machine for the request with the given id.
-func New(id string, cfg Config, fx Effects) *Machine { return &Machine{cfg: cfg, fx: fx, id: id} }
+func New(id string, cfg Config, effects Effects) *Machine {
+	return &Machine{cfg: cfg, effects: effects, id: id}
+}
 
-// Finished reports whether the final word was given.
+// Finished reports whether Effects.Finish was called.
 func (m *Machine) Finished() bool { return m.state == finished }
 
-// Retries returns how many further offers were made.
+// Retries returns the number of offers made after failed attempts.
 func (m *Machine) Retries() int { return m.retries }
 
-// Delivered returns the number of chunks passed on.
-func (m *Machine) Delivered() uint32 { return m.asm.Next() }
+// Delivered returns the number of chunks delivered to the caller.
+func (m *Machine) Delivered() uint32 { return m.assembler.Next() }
 
 // Start makes the first offer.
 func (m *Machine) Start() {
-	m.fx.Arm(TimerDeadline, m.cfg.RunWithin)
+	m.effects.SetTimer(TimerDeadline, m.cfg.RunTimeout)
 	m.offer()
 }
 
-// offer makes an offer to an agent, and to the next if the link to it fails at
-// that moment. While no agent is reached the request is parked: a network that
-// loses its connections gets them back within moments.
+// offer offers the request to an agent, and to the next one if the link to it is
+// busy. If no agent is reachable, the request waits for one, because after a
+// network failure connections usually come back within moments.
 func (m *Machine) offer() {
 	m.attempt++
-	e := m.fx.Offer(m.attempt, m.asm.Next(), string(m.text))
+	e := m.effects.Offer(m.attempt, m.assembler.Next(), string(m.text))
 	for busyLinks := 0; e != nil && e.Code == fault.LinkBusy && busyLinks < maxBusyLinks; busyLinks++ {
-		// Nothing was sent, so it is the same attempt still.
-		e = m.fx.Offer(m.attempt, m.asm.Next(), string(m.text))
+		// Nothing was sent, so this still counts as the same attempt.
+		e = m.effects.Offer(m.attempt, m.assembler.Next(), string(m.text))
 	}
 	switch {
 	case e == nil:
-	case e.Code == fault.NoLink && (m.refusal == nil || !Busy(m.refusal.Code)):
-		m.state = parked
-		m.cause = e
-		m.fx.Arm(TimerAnswer, 0)
-		m.fx.Arm(TimerLost, m.cfg.Lost)
+	case e.Code == fault.NoLink && (m.lastFault == nil || !IsOverload(m.lastFault.Code)):
+		m.state = waiting
+		m.pendingFault = e
+		m.effects.SetTimer(TimerOfferReply, 0)
+		m.effects.SetTimer(TimerAgentLost, m.cfg.LostTimeout)
 		return
 	default:
-		if m.refusal == nil {
-			m.refusal = e
+		if m.lastFault == nil {
+			m.lastFault = e
 		}
-		m.finish(nil, m.refusal)
+		m.finish(nil, m.lastFault)
 		return
 	}
 	m.state, m.linkUp = offered, true
-	m.fx.Arm(TimerLost, 0)
-	m.fx.Arm(TimerAnswer, m.cfg.Answer)
+	m.effects.SetTimer(TimerAgentLost, 0)
+	m.effects.SetTimer(TimerOfferReply, m.cfg.OfferReplyTimeout)
 }
 
-// Place says that an agent may be reached now.
-func (m *Machine) Place() {
-	if m.state == parked {
-		m.attempt-- // the offer that found no agent was none
+// HandleAgentAvailable offers a waiting request again because an agent may be
+// reachable now.
+func (m *Machine) HandleAgentAvailable() {
+	if m.state == waiting {
+		m.attempt-- // the offer that found no agent does not count
 		m.offer()
 	}
 }
 
-// mine reports whether a message belongs to the present attempt.
-func (m *Machine) mine(attempt uint32) bool {
-	return m.state != finished && m.state != parked && attempt == m.attempt
+// isCurrent reports whether a message belongs to the current attempt.
+func (m *Machine) isCurrent(attempt uint32) bool {
+	return m.state != finished && m.state != waiting && attempt == m.attempt
 }
 
-// Verdict takes in the agent's word on an offer or a resume.
-func (m *Machine) Verdict(v *wire.Verdict) {
-	if !m.mine(v.Attempt) {
+// HandleVerdict processes the agent's reply to an offer or a resume.
+func (m *Machine) HandleVerdict(v *wire.Verdict) {
+	if !m.isCurrent(v.Attempt) {
 		return
 	}
-	m.fx.Arm(TimerAnswer, 0)
+	m.effects.SetTimer(TimerOfferReply, 0)
 	if v.Fault == nil {
 		if m.state == offered {
 			m.state = accepted
@@ -180,27 +188,27 @@
 	}
 	e := v.Fault.Err()
 	if m.state == cancelling {
-		m.settleCancel(e.Outcome != fault.NotRun)
+		m.finishCancel(e.Outcome != fault.NotRun)
 		return
 	}
 	m.attemptFailed(e)
 }
 
-// attemptFailed goes on after an attempt ended without an answer: its outcome
-// says whether it may have run.
+// attemptFailed offers the request again or finishes it after an attempt ended
+// without a complete answer. The outcome of e tells whether it may have run.
 func (m *Machine) attemptFailed(e *fault.Error) {
 	if m.state == offered || m.state == accepted {
-		m.fx.Arm(TimerAnswer, 0)
+		m.effects.SetTimer(TimerOfferReply, 0)
 	}
-	m.refusal = e
+	m.lastFault = e
 	if e.Outcome != fault.NotRun {
-		m.unsettled++
+		m.possibleRuns++
 		if !m.cfg.MayRepeat {
 			m.finish(nil, e)
 			return
 		}
 	}
-	if !m.mayOfferAgain(e) {
+	if !m.canRetry(e) {
 		m.finish(nil, e)
 		return
 	}
@@ -208,37 +216,36 @@
 	m.offer()
 }
 
-// final lists the faults that another agent would give as well.
-var final = map[fault.Code]bool{
+// terminalCodes are the faults that any other agent would return as well.
+var terminalCodes = map[fault.Code]bool{
 	fault.KeyConflict: true, fault.CannotVouch: true, fault.TooLarge: true, fault.BadRequest: true,
 	fault.Expired: true, fault.Deadline: true,
 }
 
-func (m *Machine) mayOfferAgain(e *fault.Error) bool {
-	if final[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
+func (m *Machine) canRetry(e *fault.Error) bool {
+	if terminalCodes[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
 		return false
 	}
-	if m.asm.Next() > 0 && !m.cfg.Resumable {
+	if m.assembler.Next() > 0 && !m.cfg.Resumable {
 		return false
 	}
-	// Refusals for load come when the pool is busy: offering them again is
-	// what could bury it, so the budget bounds it. The rest, offers and work
-	// that were lost on the way, is no more than the lost server and link
-	// held, and MaxAttempts bounds it.
-	return !Busy(e.Code) || m.fx.Retry()
+	// Retries of requests refused because of load could overload a busy pool
+	// further, so the retry budget limits them. Other retries are at most the
+	// requests that the failed server or link held, so MaxAttempts is enough.
+	return !IsOverload(e.Code) || m.effects.TakeRetry()
 }
 
-// Busy reports whether a code is a refusal for load.
-func Busy(c fault.Code) bool {
+// IsOverload reports whether a code is a refusal because of load.
+func IsOverload(c fault.Code) bool {
 	return c == fault.QueueFull || c == fault.WaitTooLong || c == fault.RecordsFull
 }
 
-// Chunk takes in a piece of the answer.
-func (m *Machine) Chunk(c *wire.Chunk) {
-	if !m.mine(c.Attempt) || m.state == cancelling {
+// HandleChunk processes a chunk of the answer.
+func (m *Machine) HandleChunk(c *wire.Chunk) {
+	if !m.isCurrent(c.Attempt) || m.state == cancelling {
 		return
 	}
-	switch m.asm.Accept(c.Seq) {
+	switch m.assembler.Accept(c.Seq) {
 	case answer.Duplicate:
 		return
 	case answer.Gap:
@@ -250,30 +257,30 @@
 	if m.cfg.MayRepeat && m.cfg.Resumable {
 		m.text = append(m.text, c.Data...)
 	}
-	m.fx.Deliver(c.Data)
-	if m.asm.Next()-m.acked >= ackEvery {
+	m.effects.Deliver(c.Data)
+	if m.assembler.Next()-m.acked >= ackIntervalChunks {
 		m.ack(false)
 	}
 }
 
 func (m *Machine) ack(final bool) {
-	m.acked = m.asm.Next()
-	m.fx.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.acked, Final: final})
+	m.acked = m.assembler.Next()
+	m.effects.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.acked, Final: final})
 }
 
 func (m *Machine) resume() {
-	m.fx.Send(&wire.Resume{ID: m.id, Attempt: m.attempt, Next: m.asm.Next()})
+	m.effects.Send(&wire.Resume{ID: m.id, Attempt: m.attempt, Next: m.assembler.Next()})
 }
 
-// End takes in the end of the answer.
-func (m *Machine) End(e *wire.End) {
-	if !m.mine(e.Attempt) {
+// HandleEnd processes the end of the answer.
+func (m *Machine) HandleEnd(e *wire.End) {
+	if !m.isCurrent(e.Attempt) {
 		return
 	}
 	f := e.Fault.Err()
 	if m.state == cancelling {
 		m.ack(true)
-		m.settleCancel(f == nil || f.Outcome != fault.NotRun)
+		m.finishCancel(f == nil || f.Outcome != fault.NotRun)
 		return
 	}
 	if f != nil {
@@ -281,7 +288,7 @@
 		m.attemptFailed(f)
 		return
 	}
-	if e.Total != m.asm.Next() {
+	if e.Total != m.assembler.Next() {
 		m.resume()
 		return
 	}
@@ -289,51 +296,51 @@
 	m.finish(e, nil)
 }
 
-// Timeout takes in a timer that ran out.
-func (m *Machine) Timeout(t Timer) {
+// HandleTimeout processes the expiry of a timer.
+func (m *Machine) HandleTimeout(t Timer) {
 	if m.state == finished {
 		return
 	}
 	switch t {
-	case TimerLost:
-		if m.state == parked {
-			m.finish(nil, m.cause)
+	case TimerAgentLost:
+		if m.state == waiting {
+			m.finish(nil, m.pendingFault)
 			return
 		}
 		if !m.linkUp && m.state != cancelling {
-			m.lost("the agent could not be reached")
+			m.agentLost(fmt.Sprintf("agent unreachable for %v", m.cfg.LostTimeout))
 		}
-	case TimerAnswer:
+	case TimerOfferReply:
 		if m.state == offered {
-			m.lost("the agent did not answer")
+			m.agentLost(fmt.Sprintf("agent did not reply to the offer within %v", m.cfg.OfferReplyTimeout))
 		}
 	case TimerCancel:
 		if m.state == cancelling {
-			m.fx.Abandon(m.attempt)
-			m.settleCancel(true)
+			m.effects.Abandon(m.attempt)
+			m.finishCancel(true)
 		}
 	case TimerDeadline:
-		m.cancel(fault.New(fault.Deadline, "the request took too long"))
+		m.cancel(fault.New(fault.Deadline, "request exceeded its run timeout of %v", m.cfg.RunTimeout))
 	}
 }
 
-// finish gives the final word with the outcome that is true of all attempts.
+// finish ends the request. The outcome of the reported fault covers all attempts.
 func (m *Machine) finish(end *wire.End, e *fault.Error) {
 	m.state = finished
-	for _, t := range []Timer{TimerLost, TimerCancel, TimerDeadline, TimerAnswer} {
-		m.fx.Arm(t, 0)
+	for _, t := range []Timer{TimerAgentLost, TimerCancel, TimerDeadline, TimerOfferReply} {
+		m.effects.SetTimer(t, 0)
 	}
 	if e != nil {
-		final := *e
+		reported := *e
 		switch {
-		case m.asm.Next() > 0:
-			final.Outcome = fault.Partial
-		case m.unsettled > 0:
-			final.Outcome = fault.Unknown
+		case m.assembler.Next() > 0:
+			reported.Outcome = fault.Partial
+		case m.possibleRuns > 0:
+			reported.Outcome = fault.Unknown
 		default:
-			final.Outcome = fault.NotRun
+			reported.Outcome = fault.NotRun
 		}
-		e = &final
+		e = &reported
 	}
-	m.fx.Finish(end, e)
+	m.effects.Finish(end, e)
 }
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -56,7 +56,7 @@
 
 // eventBufferSize is the capacity of a call's event channel. It has room for the
 // chunk window of an attempt and the control messages around it.
-const eventBufferSize = 2*relay.Window + 64
+const eventBufferSize = 2*relay.WindowChunks + 64
 
 // call runs one request by driving a relay.Machine on the goroutine of Do. It
 // implements relay.Effects; those methods run on the same goroutine.
@@ -66,7 +66,7 @@
 	deliver func([]byte) error
 	machine *relay.Machine
 	events  chan any
-	timers  [relay.TimerAnswer + 1]time.Time
+	timers  [relay.TimerOfferReply + 1]time.Time
 
 	eventsDropped atomic.Bool // the event channel was full
 
@@ -115,8 +115,8 @@
 		lostTimeoutMS = r.settings.Link.LostRepeatableMS
 	}
 	c.machine = relay.New(req.ID, relay.Config{MaxAttempts: r.settings.Policy.MaxAttempts, MayRepeat: req.MayRepeat,
-		Resumable: req.Resumable, RunWithin: settings.Millis(req.Class.MaxRunMS), Lost: settings.Millis(lostTimeoutMS),
-		Cancel: cancelTimeout, Answer: offerReplyTimeout}, c)
+		Resumable: req.Resumable, RunTimeout: settings.Millis(req.Class.MaxRunMS), LostTimeout: settings.Millis(lostTimeoutMS),
+		CancelTimeout: cancelTimeout, OfferReplyTimeout: offerReplyTimeout}, c)
 	c.run(ctx)
 	return c.end, c.err
 }
@@ -134,10 +134,10 @@
 		case <-timer.C:
 			c.fireTimers()
 		case <-ctx.Done():
-			c.machine.CallerGone()
+			c.machine.HandleCallerGone()
 		}
 		if c.deliveryFailed {
-			c.machine.CallerGone()
+			c.machine.HandleCallerGone()
 		}
 		if len(c.events) == 0 && c.eventsDropped.Swap(false) {
 			c.resync()
@@ -151,9 +151,9 @@
 	if c.link == nil {
 		return
 	}
-	c.machine.LinkDown()
+	c.machine.HandleLinkDown()
 	if incarnation, up := c.link.state(); up {
-		c.machine.LinkUp(incarnation == c.incarnation)
+		c.machine.HandleLinkUp(incarnation == c.incarnation)
 	}
 }
 
@@ -171,23 +171,23 @@
 	switch e := e.(type) {
 	case *wire.Verdict:
 		c.recordFailure(e.Fault)
-		c.machine.Verdict(e)
+		c.machine.HandleVerdict(e)
 	case *wire.Chunk:
-		c.machine.Chunk(e)
+		c.machine.HandleChunk(e)
 	case *wire.End:
 		c.recordFailure(e.Fault)
-		c.machine.End(e)
+		c.machine.HandleEnd(e)
 	case *wire.Cancelled:
-		c.machine.Cancelled(e)
+		c.machine.HandleCancelled(e)
 	case linkUp:
 		if e.link == c.link {
-			c.machine.LinkUp(e.incarnation == c.incarnation)
+			c.machine.HandleLinkUp(e.incarnation == c.incarnation)
 		}
 	case agentAvailable:
-		c.machine.Place()
+		c.machine.HandleAgentAvailable()
 	case linkDown:
 		if e.link == c.link {
-			c.machine.LinkDown()
+			c.machine.HandleLinkDown()
 		}
 	}
 }
@@ -196,7 +196,7 @@
 // the request because of load is not tried again, and one that failed it is used
 // again only if there is no other.
 func (c *call) recordFailure(f *wire.Fault) {
-	if f == nil || relay.Busy(fault.Code(f.Code)) {
+	if f == nil || relay.IsOverload(fault.Code(f.Code)) {
 		return
 	}
 	c.avoidCurrentServer()
@@ -224,13 +224,13 @@
 	for t := range c.timers {
 		if due := c.timers[t]; !due.IsZero() && !due.After(now) {
 			c.timers[t] = time.Time{}
-			c.machine.Timeout(relay.Timer(t))
+			c.machine.HandleTimeout(relay.Timer(t))
 		}
 	}
 }
 
-// Arm implements relay.Effects.
-func (c *call) Arm(t relay.Timer, d time.Duration) {
+// SetTimer implements relay.Effects.
+func (c *call) SetTimer(t relay.Timer, d time.Duration) {
 	c.timers[t] = time.Time{}
 	if d > 0 {
 		c.timers[t] = time.Now().Add(d)
@@ -277,8 +277,8 @@
 // Finish implements relay.Effects.
 func (c *call) Finish(end *wire.End, e *fault.Error) { c.end, c.err = end, e }
 
-// Retry implements relay.Effects.
-func (c *call) Retry() bool {
+// TakeRetry implements relay.Effects.
+func (c *call) TakeRetry() bool {
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
 	return c.router.budget.Take(time.Now()).Granted
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -28,7 +28,7 @@
 		FirstTokenMS: int64(class.FirstTokenMS), StartWithinMS: int64(class.MaxWaitMS), RunWithinMS: int64(class.MaxRunMS),
 		MayRepeat: c.req.MayRepeat, Preemptible: class.Preemptible, Key: c.req.IdempotencyKey, Digest: xxhash.Sum64(c.req.Body),
 		KeyWindowMS: c.req.IdempotencyWindow.Milliseconds(), Body: c.req.Body, MaxTokens: c.req.MaxTokens,
-		Done: done, DoneText: doneText, Window: relay.Window, ContentType: c.req.ContentType})
+		Done: done, DoneText: doneText, Window: relay.WindowChunks, ContentType: c.req.ContentType})
 	c.incarnation = incarnation
 	if e != nil {
 		c.linkFailed[l.server.Name] = true
