--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -112,11 +112,11 @@
 func (a *Agent) rememberClaims(now time.Time, kept []keptClaim) {
 	book := a.core.core.Book()
 	for _, c := range kept {
-		book.Remember(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
+		book.AddLoggedClaim(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
 	}
 	book.SetLogRead()
 	if a.lease.Newborn() {
-		book.SetNewborn(a.poolsNeverChanged())
+		book.SetFirstProcess(a.poolsNeverChanged())
 	}
 }
 
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -239,11 +239,11 @@
 }
 
 // settleClaim decides on a keyed call with the witness's word.
-func (d *coreDuty) settleClaim(ctx context.Context, k execution.Key, o *wire.Offer, word receipt.Word, moved bool) {
+func (d *coreDuty) settleClaim(ctx context.Context, k execution.Key, o *wire.Offer, word receipt.WitnessReply, moved bool) {
 	d.post(ctx, func(now time.Time) {
 		window := time.Duration(o.KeyWindowMS) * time.Millisecond
 		decision := d.core.Book().Decide(now, window, word, moved)
-		if decision == receipt.RunOnceKept {
+		if decision == receipt.RunAfterLogging {
 			go d.agent.keepClaim(ctx, k, o)
 			return
 		}
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -114,7 +114,7 @@
 	cfg      Config
 	fx       Effects
 	queue    *admission.Queue
-	book     *receipt.Book
+	book     *receipt.Store
 	held     map[Key]*attempt
 	byJob    map[*admission.Job]*attempt
 	waiting  map[string][]*attempt // repeats that wait, by idempotency key
@@ -134,7 +134,7 @@
 // New returns a Core that started at now; serving says whether the backend
 // server has a target loaded.
 func New(cfg Config, now time.Time, fx Effects, serving func(string) bool) *Core {
-	return &Core{cfg: cfg, fx: fx, queue: admission.New(cfg.Admission), book: receipt.NewBook(now),
+	return &Core{cfg: cfg, fx: fx, queue: admission.New(cfg.Admission), book: receipt.NewStore(now),
 		links: map[LinkID]string{}, byPeer: map[string]LinkID{},
 		held: map[Key]*attempt{}, byJob: map[*admission.Job]*attempt{}, waiting: map[string][]*attempt{},
 		tombs: newTombstones(cfg.TombstoneFor, cfg.MaxTombstones), blocked: map[*attempt]struct{}{}, serving: serving,
@@ -142,7 +142,7 @@
 }
 
 // Book returns the memory of idempotency keys.
-func (c *Core) Book() *receipt.Book { return c.book }
+func (c *Core) Book() *receipt.Store { return c.book }
 
 // Counters returns the totals so far.
 func (c *Core) Counters() Counters { return c.counters }
--- a/internal/execution/keyed.go
+++ b/internal/execution/keyed.go
@@ -17,10 +17,10 @@
 		return e
 	}
 	if entry == nil {
-		if c.book.HeldByOther(now, o.Key) {
+		if c.book.ClaimedByOther(now, o.Key) {
 			return alreadyRan()
 		}
-		if entry, e = c.book.Begin(now, o.Key, o.Digest, millis(o.KeyWindowMS)); e != nil {
+		if entry, e = c.book.Reserve(now, o.Key, o.Digest, millis(o.KeyWindowMS)); e != nil {
 			return e
 		}
 		a.entry, a.phase = entry, claiming
@@ -31,7 +31,7 @@
 	switch entry.Phase {
 	case receipt.Done:
 		c.replay(now, a, entry)
-	case receipt.Lost:
+	case receipt.OutcomeUnknown:
 		return alreadyRan()
 	default:
 		c.waiting[o.Key] = append(c.waiting[o.Key], a)
@@ -52,18 +52,18 @@
 	}
 	var e *fault.Error
 	switch d {
-	case receipt.Run, receipt.RunOnceKept:
+	case receipt.Run, receipt.RunAfterLogging:
 		e = c.enqueue(now, a)
 	case receipt.AlreadyRan:
 		e = alreadyRan()
-		a.entry.Phase = receipt.Lost
+		a.entry.Phase = receipt.OutcomeUnknown
 		c.finishKeyed(now, a, e)
 		return
 	default:
-		e = c.book.RefuseFault(now, millis(a.offer.KeyWindowMS))
+		e = c.book.RefusalFault(now, millis(a.offer.KeyWindowMS))
 	}
 	if e != nil {
-		c.book.Forget(a.offer.Key)
+		c.book.Delete(a.offer.Key)
 		c.finishKeyed(now, a, e)
 		return
 	}
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -63,13 +63,13 @@
 func (c *Core) settleEntry(now time.Time, a *attempt, end wire.End, e *fault.Error) {
 	switch {
 	case e == nil:
-		a.entry.Finish(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
+		a.entry.Complete(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
 		c.settleWaiting(a.offer.Key, func(w *attempt) { c.replay(now, w, a.entry) })
 		return
 	case e.Outcome == fault.NotRun:
-		c.book.Forget(a.offer.Key)
+		c.book.Delete(a.offer.Key)
 	default:
-		a.entry.Phase = receipt.Lost
+		a.entry.Phase = receipt.OutcomeUnknown
 	}
 	c.settleWaiting(a.offer.Key, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)}) })
 }
@@ -236,7 +236,7 @@
 // repeat that waits, or forgets the key: the call was not started.
 func (c *Core) passOn(now time.Time, a *attempt) {
 	key := a.offer.Key
-	c.book.Forget(key)
+	c.book.Delete(key)
 	list := c.waiting[key]
 	delete(c.waiting, key)
 	for i, w := range list {
@@ -275,7 +275,7 @@
 		e := fault.New(fault.Expired, "no slot within the time to start").
 			With(fault.NotRun).After(c.queue.RetryAfter(job.Tier))
 		if a.entry != nil {
-			c.book.Forget(a.offer.Key)
+			c.book.Delete(a.offer.Key)
 			c.finishKeyed(now, a, e)
 			continue
 		}
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -1,13 +1,15 @@
-// Package receipt keeps calls that may not be repeated to one run each.
+// Package receipt ensures that a call with an idempotency key runs at most once
+// within the key's window.
 //
-// Each idempotency key has a home agent, which runs its calls and remembers
-// them, and a witness agent, which remembers that the home claimed the key.
-// Both are found by rendezvous hash over the declared servers. A claim is kept
-// by the witness, or on the platform's log while the witness can't be reached.
-// An agent that restarted lost its memory: it then runs a key only on the word
-// of those who kept theirs, and otherwise refuses and says when it can answer.
+// Each key has a home agent, which runs its calls and records them, and a witness
+// agent, which records that the home has claimed the key. Both are chosen by
+// rendezvous hashing over the declared servers. A claim is recorded by the
+// witness, or on the platform's log while the witness is unreachable. Records are
+// kept in memory, so an agent loses them on a restart. It then runs a key only if
+// the witness's record and the log show that this is safe; otherwise it refuses
+// the call and reports when to try again.
 //
-// The package is pure: time comes in as an argument.
+// The package does no I/O, and the current time is passed in as an argument.
 package receipt
 
 import (
@@ -17,198 +19,196 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// Bounds of a Book.
 const (
-	// MaxEntries bounds the keys that are remembered at once.
+	// MaxEntries bounds the number of keys in a Store.
 	MaxEntries = 200_000
-	// MaxKeptBody is the largest answer kept for repeats, bytes.
-	MaxKeptBody = 64 << 10
+	// MaxStoredBodyBytes is the size of the largest answer stored for repeats.
+	MaxStoredBodyBytes = 64 << 10
 )
 
-// Phase is how far the call of a key has come.
+// Phase is the progress of the call of a key.
 type Phase uint8
 
-// The phases.
 const (
-	Claiming Phase = iota // being claimed; not started
-	Running               // started at the backend server
-	Done                  // ended with an answer
-	Lost                  // started, and nobody knows how it ended
+	Claiming       Phase = iota // being claimed, not started
+	Running                     // started at the backend server
+	Done                        // ended with an answer
+	OutcomeUnknown              // may have run, result unknown
 )
 
-// Result is the answer of a finished call.
+// Result is the answer of a completed call.
 type Result struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// BodyDropped says that the answer was too large to keep.
+	// BodyDropped reports that the answer was too large to be stored.
 	BodyDropped bool
 }
 
-// Entry is what an agent remembers of a key.
+// Entry is an agent's record of a key.
 type Entry struct {
 	Digest uint64
 	Phase  Phase
 	Result Result
-	holder string // set on a witness: who claimed the key
-	// vouched says that the witness's memory covered the window when it
-	// recorded the claim. A claim recorded without does not become a grant
-	// by being asked for again.
-	vouched bool
+	holder string // on a witness: who claimed the key; otherwise empty
+	// covered reports whether the witness's records covered the window when
+	// it recorded the claim. If not, repeating the claim does not grant it.
+	covered bool
 	expires time.Time
 }
 
-// Book is an agent's memory of keys, as their home and as a witness.
-type Book struct {
+// Store holds an agent's records of keys, both as their home and as a witness.
+type Store struct {
 	start time.Time
-	// witnessSince is when this agent's role as a witness last changed, as a
-	// change of the pool's servers does. It is after start.
-	witnessSince   time.Time
-	witnessNewborn bool
-	newborn        bool // no earlier process of this agent can have run a key
-	logRead        bool // the claims on the log were read since the start
-	entries        map[string]*Entry
-	claims         map[string]*Entry
-	order          []expiry // in order of insertion; swept from the front
+	// witnessSince is when the set of keys this agent witnesses last changed,
+	// which happens when the servers of a pool change. It is not before start.
+	witnessSince     time.Time
+	witnessFromStart bool
+	firstProcess     bool              // no earlier process of this agent can have run a key
+	logRead          bool              // the claims on the log have been read since start
+	entries          map[string]*Entry // as home, by key
+	claims           map[string]*Entry // as witness, by key
+	expiryQueue      []queuedKey       // in order of insertion
 }
 
-type expiry struct {
+type queuedKey struct {
 	key   string
 	claim bool
 }
 
-// NewBook returns the empty memory of an agent that started at the given time.
-func NewBook(start time.Time) *Book {
-	return &Book{start: start, witnessSince: start, entries: map[string]*Entry{}, claims: map[string]*Entry{}}
+// NewStore returns an empty Store for an agent process started at the given time.
+func NewStore(start time.Time) *Store {
+	return &Store{start: start, witnessSince: start, entries: map[string]*Entry{}, claims: map[string]*Entry{}}
 }
 
-// SetNewborn says that the log shows no earlier process of this agent; witness
-// says that the servers of its pools never changed either, so that it was the
-// witness of its keys from the first.
-func (b *Book) SetNewborn(witness bool) {
-	b.newborn = true
-	b.witnessNewborn = witness && b.witnessSince.Equal(b.start)
+// SetFirstProcess notes that the log shows no earlier process of this agent.
+// serversUnchanged reports that the servers of its pools have never changed
+// either, so that it has been the witness of its keys from the start.
+func (s *Store) SetFirstProcess(serversUnchanged bool) {
+	s.firstProcess = true
+	s.witnessFromStart = serversUnchanged && s.witnessSince.Equal(s.start)
 }
 
-// ServersChanged says that the servers of a pool changed: claims of keys that
-// this agent now witnesses may be with another one until the window has passed.
-func (b *Book) ServersChanged(now time.Time) {
-	b.witnessSince, b.witnessNewborn = now, false
+// ServersChanged notes that the servers of a pool changed. For the length of the
+// window, claims of keys that this agent now witnesses may be recorded by another.
+func (s *Store) ServersChanged(now time.Time) {
+	s.witnessSince, s.witnessFromStart = now, false
 }
 
-// Witnesses reports whether this agent's memory as a witness covers the window.
-func (b *Book) Witnesses(now time.Time, window time.Duration) bool {
-	return b.witnessNewborn || now.Sub(b.witnessSince) >= window
+// WitnessCovers reports whether this agent's records as a witness cover the window.
+func (s *Store) WitnessCovers(now time.Time, window time.Duration) bool {
+	return s.witnessFromStart || now.Sub(s.witnessSince) >= window
 }
 
-// HeldByOther reports whether this agent witnessed that another one claimed
-// the key. Such a key may have run there before its home moved here.
-func (b *Book) HeldByOther(now time.Time, key string) bool {
-	e := b.claims[key]
+// ClaimedByOther reports whether this agent, as a witness, recorded a claim of the
+// key by another agent. The key may have run there before its home moved here.
+func (s *Store) ClaimedByOther(now time.Time, key string) bool {
+	e := s.claims[key]
 	return e != nil && now.Before(e.expires)
 }
 
-// SetLogRead says that the claims on the log were read and given to Remember.
-func (b *Book) SetLogRead() { b.logRead = true }
+// SetLogRead notes that all claims on the log were passed to AddLoggedClaim.
+func (s *Store) SetLogRead() { s.logRead = true }
 
-// Len returns the number of keys remembered.
-func (b *Book) Len() int { return len(b.entries) + len(b.claims) }
+// Len returns the number of recorded keys and claims.
+func (s *Store) Len() int { return len(s.entries) + len(s.claims) }
 
-// Remembers reports whether this process's memory covers the whole window.
-func (b *Book) Remembers(now time.Time, window time.Duration) bool {
-	return b.newborn || now.Sub(b.start) >= window
+// Covers reports whether the records of this process cover the whole window.
+func (s *Store) Covers(now time.Time, window time.Duration) bool {
+	return s.firstProcess || now.Sub(s.start) >= window
 }
 
-// untilRemembers returns how long until the memory covers the window.
-func (b *Book) untilRemembers(now time.Time, window time.Duration) time.Duration {
-	return max(0, window-now.Sub(b.start))
+// timeToCoverage returns the time until the records cover the window.
+func (s *Store) timeToCoverage(now time.Time, window time.Duration) time.Duration {
+	return max(0, window-now.Sub(s.start))
 }
 
-// Lookup returns the entry of a key. Another body under the same key is a
-// fault of code KeyConflict.
-func (b *Book) Lookup(now time.Time, key string, digest uint64) (*Entry, *fault.Error) {
-	b.sweep(now)
-	e := b.entries[key]
+// Lookup returns the entry of a key, or nil if there is none. It returns a fault
+// with code KeyConflict if the key was used with a different body.
+func (s *Store) Lookup(now time.Time, key string, digest uint64) (*Entry, *fault.Error) {
+	s.evictExpired(now)
+	e := s.entries[key]
 	if e == nil || !now.Before(e.expires) {
 		return nil, nil
 	}
 	if e.Digest != digest {
-		return nil, fault.New(fault.KeyConflict, "the key was used with another body").
+		return nil, fault.New(fault.KeyConflict, "idempotency key was already used with a different request body").
 			InField("Idempotency-Key").With(fault.NotRun)
 	}
 	return e, nil
 }
 
-// Begin remembers a key that is about to be claimed.
-func (b *Book) Begin(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
-	if b.Len() >= MaxEntries {
-		return nil, fault.New(fault.RecordsFull, "%d keys are remembered already", b.Len()).
+// Reserve adds an entry for a key that is about to be claimed.
+func (s *Store) Reserve(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
+	if s.Len() >= MaxEntries {
+		return nil, fault.New(fault.RecordsFull, "idempotency store is full: %d keys", s.Len()).
 			With(fault.NotRun).After(window)
 	}
 	e := &Entry{Digest: digest, expires: now.Add(window)}
-	b.entries[key] = e
-	b.order = append(b.order, expiry{key, false})
+	s.entries[key] = e
+	s.expiryQueue = append(s.expiryQueue, queuedKey{key, false})
 	return e, nil
 }
 
-// Remember takes in a claim read from the log: its call may have run.
-func (b *Book) Remember(now time.Time, key string, digest uint64, window time.Duration) {
-	if _, known := b.entries[key]; known || b.Len() >= MaxEntries {
+// AddLoggedClaim adds an entry for a claim read from the log. Its call may have run.
+func (s *Store) AddLoggedClaim(now time.Time, key string, digest uint64, window time.Duration) {
+	if _, known := s.entries[key]; known || s.Len() >= MaxEntries {
 		return
 	}
-	b.entries[key] = &Entry{Digest: digest, Phase: Lost, expires: now.Add(window)}
-	b.order = append(b.order, expiry{key, false})
+	s.entries[key] = &Entry{Digest: digest, Phase: OutcomeUnknown, expires: now.Add(window)}
+	s.expiryQueue = append(s.expiryQueue, queuedKey{key, false})
 }
 
-// Forget drops a key whose call was never started.
-func (b *Book) Forget(key string) { delete(b.entries, key) }
+// Delete removes a key whose call was never started.
+func (s *Store) Delete(key string) { delete(s.entries, key) }
 
-// Finish keeps the answer of a call for repeats.
-func (e *Entry) Finish(r Result) {
-	if len(r.Body) > MaxKeptBody {
+// Complete stores the answer of a call for repeats.
+func (e *Entry) Complete(r Result) {
+	if len(r.Body) > MaxStoredBodyBytes {
 		r.Body, r.BodyDropped = nil, true
 	}
 	e.Phase, e.Result = Done, r
 }
 
-// Grant answers a claim as a witness. A claim is recorded even when the
-// witness can't vouch, so that it can vouch for it later.
-func (b *Book) Grant(now time.Time, c *wire.Claim) *wire.Claimed {
-	b.sweep(now)
+// HandleClaim records a claim as a witness and returns the reply. The claim is
+// recorded even if the witness cannot vouch that the key is new, so that its
+// records are complete for later claims.
+func (s *Store) HandleClaim(now time.Time, c *wire.Claim) *wire.Claimed {
+	s.evictExpired(now)
 	window := time.Duration(c.WindowMS) * time.Millisecond
 	out := &wire.Claimed{Seq: c.Seq, State: wire.ClaimGranted}
-	vouches := b.Witnesses(now, window)
-	if e := b.entries[c.Key]; e != nil && now.Before(e.expires) && e.Phase != Claiming {
-		out.State = wire.ClaimTaken // it ran here while this agent was its home
+	canVouch := s.WitnessCovers(now, window)
+	if e := s.entries[c.Key]; e != nil && now.Before(e.expires) && e.Phase != Claiming {
+		out.State = wire.ClaimTaken // ran here while this agent was the home
 		return out
 	}
-	old := b.claims[c.Key]
+	old := s.claims[c.Key]
 	switch {
 	case old != nil && now.Before(old.expires) && old.holder != c.Holder:
 		out.State = wire.ClaimTaken
 		return out
 	case old != nil && now.Before(old.expires):
-		vouches = old.vouched
-	case b.Len() >= MaxEntries:
-		vouches = false
+		canVouch = old.covered
+	case s.Len() >= MaxEntries:
+		canVouch = false
 	default:
-		b.claims[c.Key] = &Entry{Digest: c.Digest, holder: c.Holder, vouched: vouches, expires: now.Add(window)}
-		b.order = append(b.order, expiry{c.Key, true})
+		s.claims[c.Key] = &Entry{Digest: c.Digest, holder: c.Holder, covered: canVouch, expires: now.Add(window)}
+		s.expiryQueue = append(s.expiryQueue, queuedKey{c.Key, true})
 	}
-	if !vouches {
-		out.State, out.WaitMS = wire.ClaimCannotVouch, max(0, window-now.Sub(b.witnessSince)).Milliseconds()
+	if !canVouch {
+		out.State, out.WaitMS = wire.ClaimCannotVouch, max(0, window-now.Sub(s.witnessSince)).Milliseconds()
 	}
 	return out
 }
 
-// sweep forgets expired keys from the front. Keys with a long window hold
-// back shorter ones behind them; MaxEntries bounds what that costs.
-func (b *Book) sweep(now time.Time) {
-	for len(b.order) > 0 {
-		head := b.order[0]
-		m := b.entries
+// evictExpired removes expired entries in insertion order. An entry with a long
+// window delays the removal of shorter ones after it; MaxEntries bounds the cost.
+func (s *Store) evictExpired(now time.Time) {
+	for len(s.expiryQueue) > 0 {
+		head := s.expiryQueue[0]
+		m := s.entries
 		if head.claim {
-			m = b.claims
+			m = s.claims
 		}
 		if e := m[head.key]; e != nil {
 			if now.Before(e.expires) || e.Phase == Running || (e.Phase == Claiming && e.holder == "") {
@@ -216,73 +216,70 @@
 			}
 			delete(m, head.key)
 		}
-		b.order = b.order[1:]
+		s.expiryQueue = s.expiryQueue[1:]
 	}
 }
 
-// Word is what came of asking the witness.
-type Word uint8
+// WitnessReply is the result of sending a claim to the witness.
+type WitnessReply uint8
 
-// The words.
 const (
-	WitnessGranted Word = iota
+	WitnessGranted WitnessReply = iota
 	WitnessTaken
 	WitnessCannotVouch
 	WitnessUnreachable
-	NoWitness // the pool has one server: claims are always on the log
+	NoWitness // the pool has only one server; claims are always recorded on the log
 )
 
-// Decision is what the home agent does with a key it does not remember.
+// Decision is what the home agent does with a key it has no entry for.
 type Decision uint8
 
-// The decisions.
 const (
-	Run         Decision = iota // start the call
-	RunOnceKept                 // start it once the claim is on the log
-	AlreadyRan                  // an earlier process of the home may have run it
-	Refuse                      // nobody can vouch
+	Run             Decision = iota // start the call
+	RunAfterLogging                 // start the call once the claim is on the log
+	AlreadyRan                      // the call may already have run
+	Refuse                          // nobody can tell whether the call already ran
 )
 
-// Decide is the rule of the home agent. It never gives Run or RunOnceKept when
-// an earlier call of the key within the window could be unknown to it:
+// Decide returns what the home agent must do after asking the witness. It never
+// returns Run or RunAfterLogging if an earlier call of the key within the window
+// could be unknown to the home. Before a call starts, its claim is recorded by the
+// witness or, if the witness is unreachable, on the log. A home whose records do
+// not cover the window therefore needs both the witness's grant and the log.
 //
-//   - a claim is kept by the witness, or on the log when the witness could not
-//     be reached, before the call starts;
-//   - so an agent without memory needs both the witness's word and the log.
-//
-// moved says that another agent was the key's home within the window.
-func (b *Book) Decide(now time.Time, window time.Duration, word Word, moved bool) Decision {
-	remembers := b.Remembers(now, window) && !moved
-	switch word {
+// moved reports that another agent was the home of the key within the window.
+func (s *Store) Decide(now time.Time, window time.Duration, reply WitnessReply, moved bool) Decision {
+	covers := s.Covers(now, window) && !moved
+	switch reply {
 	case WitnessTaken:
 		return AlreadyRan
 	case WitnessGranted:
-		if remembers || b.logRead {
+		if covers || s.logRead {
 			return Run
 		}
 	case WitnessCannotVouch:
-		if remembers {
+		if covers {
 			return Run
 		}
 	case WitnessUnreachable:
-		if remembers {
-			return RunOnceKept
+		if covers {
+			return RunAfterLogging
 		}
 	case NoWitness:
-		if remembers || b.logRead {
-			return RunOnceKept
+		if covers || s.logRead {
+			return RunAfterLogging
 		}
 	}
 	return Refuse
 }
 
-// RefuseFault is the answer to a key that nobody can vouch for.
-func (b *Book) RefuseFault(now time.Time, window time.Duration) *fault.Error {
-	return fault.New(fault.CannotVouch, "after a restart nobody can tell whether the key was used before").
-		InField("Idempotency-Key").With(fault.NotRun).After(max(time.Second, b.untilRemembers(now, window)))
+// RefusalFault returns the fault for the decision Refuse.
+func (s *Store) RefusalFault(now time.Time, window time.Duration) *fault.Error {
+	return fault.New(fault.CannotVouch, "cannot tell after a restart whether the idempotency key was already used").
+		InField("Idempotency-Key").With(fault.NotRun).After(max(time.Second, s.timeToCoverage(now, window)))
 }
 
-// String returns the word for metrics.
-func (w Word) String() string {
-	return [...]string{"granted", "taken", "cannot_vouch", "unreachable", "none"}[w]
+// String returns the label value for metrics.
+func (r WitnessReply) String() string {
+	return [...]string{"granted", "taken", "cannot_vouch", "unreachable", "none"}[r]
 }
--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -16,86 +16,86 @@
 
 const window = time.Minute
 
-func TestAnotherBodyUnderOneKeyIsAConflict(t *testing.T) {
+func TestKeyWithDifferentBodyIsAConflict(t *testing.T) {
 	g := NewWithT(t)
-	b := NewBook(epoch)
-	e, err := b.Begin(epoch, "k", 1, window)
+	s := NewStore(epoch)
+	e, err := s.Reserve(epoch, "k", 1, window)
 	g.Expect(err).To(BeNil())
-	e.Finish(Result{Status: 200, Body: []byte("done")})
-	_, err = b.Lookup(epoch, "k", 2)
+	e.Complete(Result{Status: 200, Body: []byte("done")})
+	_, err = s.Lookup(epoch, "k", 2)
 	g.Expect(err.Code).To(Equal(fault.KeyConflict))
-	same, err := b.Lookup(epoch, "k", 1)
+	same, err := s.Lookup(epoch, "k", 1)
 	g.Expect(err).To(BeNil())
 	g.Expect(same.Result.Body).To(Equal([]byte("done")))
-	gone, _ := b.Lookup(epoch.Add(window), "k", 1)
+	gone, _ := s.Lookup(epoch.Add(window), "k", 1)
 	g.Expect(gone).To(BeNil())
-	g.Expect(b.Len()).To(BeZero())
+	g.Expect(s.Len()).To(BeZero())
 }
 
-func TestABookHasABound(t *testing.T) {
+func TestStoreIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	b := NewBook(epoch)
+	s := NewStore(epoch)
 	for i := range MaxEntries {
-		_, err := b.Begin(epoch, fmt.Sprint(i), 1, window)
+		_, err := s.Reserve(epoch, fmt.Sprint(i), 1, window)
 		g.Expect(err).To(BeNil())
 	}
-	_, err := b.Begin(epoch, "one more", 1, window)
+	_, err := s.Reserve(epoch, "one more", 1, window)
 	g.Expect(err.Code).To(Equal(fault.RecordsFull))
 	g.Expect(err.Outcome).To(Equal(fault.NotRun))
 }
 
-// model is a home and its witness with a log between them, any of which may
-// fail. It counts the runs of one key.
-type model struct {
+// simulation is a home agent, its witness and the log, each of which may fail. It
+// counts the runs of keys.
+type simulation struct {
 	now                  time.Time
-	home, witness        *Book
-	homeLives            int
+	home, witness        *Store
+	homeIncarnation      int
 	log                  []string // keys claimed on the log
 	logDown, witnessDown bool
-	everStarted          bool
+	homeHadLease         bool
 	runs                 int
 	lastRun              time.Time
 }
 
-// restartHome starts the home agent anew, reading the log if it can.
-func (m *model) restartHome() {
-	m.home = NewBook(m.now)
-	m.homeLives++
+// restartHome restarts the home agent, which reads the log if it is available.
+func (m *simulation) restartHome() {
+	m.home = NewStore(m.now)
+	m.homeIncarnation++
 	m.recoverHome()
 }
 
-func (m *model) recoverHome() {
+func (m *simulation) recoverHome() {
 	if m.logDown {
 		return
 	}
-	if !m.everStarted {
-		m.home.SetNewborn(true)
+	if !m.homeHadLease {
+		m.home.SetFirstProcess(true)
 	}
-	m.everStarted = true
+	m.homeHadLease = true
 	for _, k := range m.log {
-		m.home.Remember(m.now, k, 1, window)
+		m.home.AddLoggedClaim(m.now, k, 1, window)
 	}
 	m.home.SetLogRead()
 }
 
-// call is one call of the key at the home agent, crash says whether the home
-// dies right after the start.
-func (m *model) call(key string) {
-	if !m.everStarted {
-		return // no lease on the log yet: no keyed call is taken
+// call makes one call with the key at the home agent. The call runs to its end if
+// the home decides to start it.
+func (m *simulation) call(key string) {
+	if !m.homeHadLease {
+		return // without a lease on the log no call with a key is accepted
 	}
 	e, _ := m.home.Lookup(m.now, key, 1)
 	if e != nil {
 		return
 	}
-	word := WitnessUnreachable
+	reply := WitnessUnreachable
 	if !m.witnessDown {
-		c := m.witness.Grant(m.now, &wire.Claim{Key: key, Holder: fmt.Sprint("home/", m.homeLives), Digest: 1, WindowMS: window.Milliseconds()})
-		word = map[wire.ClaimState]Word{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
+		c := m.witness.HandleClaim(m.now, &wire.Claim{Key: key, Holder: fmt.Sprint("home/", m.homeIncarnation), Digest: 1, WindowMS: window.Milliseconds()})
+		reply = map[wire.ClaimState]WitnessReply{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
 			wire.ClaimCannotVouch: WitnessCannotVouch}[c.State]
 	}
-	switch m.home.Decide(m.now, window, word, false) {
-	case RunOnceKept:
+	switch m.home.Decide(m.now, window, reply, false) {
+	case RunAfterLogging:
 		if m.logDown {
 			return
 		}
@@ -104,32 +104,33 @@
 	default:
 		return
 	}
-	e, err := m.home.Begin(m.now, key, 1, window)
+	e, err := m.home.Reserve(m.now, key, 1, window)
 	if err != nil {
 		return
 	}
 	e.Phase = Running
 	m.runs++
 	m.lastRun = m.now
-	e.Finish(Result{Status: 200})
+	e.Complete(Result{Status: 200})
 }
 
-// Home and witness crash, links and the log fail, in any order, and the caller
-// repeats its key: within a window there is at most one run.
+// Checks that a key runs at most once within its window when home and witness
+// restart, the witness or the log is unavailable, in any order, and the caller
+// repeats the key.
 func TestAKeyRunsAtMostOnceWhateverFails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{now: epoch}
-		m.witness = NewBook(epoch)
-		if rapid.Bool().Draw(t, "witness is new") {
-			m.witness.SetNewborn(true)
+		m := &simulation{now: epoch}
+		m.witness = NewStore(epoch)
+		if rapid.Bool().Draw(t, "witness in its first process") {
+			m.witness.SetFirstProcess(true)
 		}
 		m.restartHome()
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0:
 				m.restartHome()
-			case 1: // a witness that restarts is not new any more
-				m.witness = NewBook(m.now)
+			case 1: // a restarted witness is not in its first process
+				m.witness = NewStore(m.now)
 			case 2:
 				m.logDown = !m.logDown
 				if !m.logDown {
@@ -143,7 +144,7 @@
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds")) * time.Second)
 			}
 			if m.runs > 0 && m.now.Sub(m.lastRun) >= window {
-				return // the key is out of its window
+				return // the window of the key has passed
 			}
 			if m.runs > 1 {
 				t.Fatalf("the key ran %d times", m.runs)
@@ -152,12 +153,12 @@
 	})
 }
 
-// With one of home, witness and log failing, calls go on or are refused with a
-// time to come back; a new deployment vouches from its first call.
-func TestANewDeploymentVouchesAtOnce(t *testing.T) {
+// Checks that a new deployment runs keys from its first call, and still does with
+// the witness or the log unavailable or after a restart of the home agent.
+func TestNewDeploymentRunsKeysAtOnce(t *testing.T) {
 	g := NewWithT(t)
-	m := &model{now: epoch, witness: NewBook(epoch)}
-	m.witness.SetNewborn(true)
+	m := &simulation{now: epoch, witness: NewStore(epoch)}
+	m.witness.SetFirstProcess(true)
 	m.restartHome()
 	m.call("a")
 	m.witnessDown = true
@@ -168,5 +169,5 @@
 	m.logDown = false
 	m.restartHome()
 	m.call("d")
-	g.Expect(m.runs).To(Equal(4), "a restarted home runs new keys on the word of its witness")
+	g.Expect(m.runs).To(Equal(4), "a restarted home agent runs a new key that its witness granted")
 }
