--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -132,8 +132,8 @@
 		return nil, nil
 	}
 	if e.Digest != digest {
-		return nil, fault.New(fault.KeyConflict, "idempotency key was already used with a different request body").
-			InField("Idempotency-Key").With(fault.NotRun)
+		return nil, fault.New(fault.IdempotencyKeyConflict, "idempotency key was already used with a different request body").
+			WithField("Idempotency-Key").WithOutcome(fault.NotRun)
 	}
 	return e, nil
 }
@@ -142,7 +142,7 @@
 func (s *Store) Reserve(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
 	if s.Len() >= MaxEntries {
 		return nil, fault.New(fault.RecordsFull, "idempotency store is full: %d keys", s.Len()).
-			With(fault.NotRun).After(window)
+			WithOutcome(fault.NotRun).WithRetryAfter(window)
 	}
 	e := &Entry{Digest: digest, expires: now.Add(window)}
 	s.entries[key] = e
@@ -173,19 +173,19 @@
 // HandleClaim records a claim as a witness and returns the reply. The claim is
 // recorded even if the witness cannot vouch that the key is new, so that its
 // records are complete for later claims.
-func (s *Store) HandleClaim(now time.Time, c *wire.Claim) *wire.Claimed {
+func (s *Store) HandleClaim(now time.Time, c *wire.ClaimRequest) *wire.ClaimResponse {
 	s.evictExpired(now)
-	window := time.Duration(c.WindowMS) * time.Millisecond
-	out := &wire.Claimed{Seq: c.Seq, State: wire.ClaimGranted}
+	window := time.Duration(c.RetentionMS) * time.Millisecond
+	out := &wire.ClaimResponse{Seq: c.Seq, Result: wire.ClaimGranted}
 	canVouch := s.WitnessCovers(now, window)
 	if e := s.entries[c.Key]; e != nil && now.Before(e.expires) && e.Phase != Claiming {
-		out.State = wire.ClaimTaken // ran here while this agent was the home
+		out.Result = wire.ClaimTaken // ran here while this agent was the home
 		return out
 	}
 	old := s.claims[c.Key]
 	switch {
 	case old != nil && now.Before(old.expires) && old.holder != c.Holder:
-		out.State = wire.ClaimTaken
+		out.Result = wire.ClaimTaken
 		return out
 	case old != nil && now.Before(old.expires):
 		canVouch = old.covered
@@ -196,7 +196,7 @@
 		s.expiryQueue = append(s.expiryQueue, queuedKey{c.Key, true})
 	}
 	if !canVouch {
-		out.State, out.WaitMS = wire.ClaimCannotVouch, max(0, window-now.Sub(s.witnessSince)).Milliseconds()
+		out.Result, out.RetryAfterMS = wire.ClaimNotReady, max(0, window-now.Sub(s.witnessSince)).Milliseconds()
 	}
 	return out
 }
@@ -275,8 +275,8 @@
 
 // RefusalFault returns the fault for the decision Refuse.
 func (s *Store) RefusalFault(now time.Time, window time.Duration) *fault.Error {
-	return fault.New(fault.CannotVouch, "cannot tell after a restart whether the idempotency key was already used").
-		InField("Idempotency-Key").With(fault.NotRun).After(max(time.Second, s.timeToCoverage(now, window)))
+	return fault.New(fault.IdempotentResultUnknown, "cannot tell after a restart whether the idempotency key was already used").
+		WithField("Idempotency-Key").WithOutcome(fault.NotRun).WithRetryAfter(max(time.Second, s.timeToCoverage(now, window)))
 }
 
 // String returns the label value for metrics.
--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -23,7 +23,7 @@
 	g.Expect(err).To(BeNil())
 	e.Complete(Result{Status: 200, Body: []byte("done")})
 	_, err = s.Lookup(epoch, "k", 2)
-	g.Expect(err.Code).To(Equal(fault.KeyConflict))
+	g.Expect(err.Code).To(Equal(fault.IdempotencyKeyConflict))
 	same, err := s.Lookup(epoch, "k", 1)
 	g.Expect(err).To(BeNil())
 	g.Expect(same.Result.Body).To(Equal([]byte("done")))
@@ -90,9 +90,9 @@
 	}
 	reply := WitnessUnreachable
 	if !m.witnessDown {
-		c := m.witness.HandleClaim(m.now, &wire.Claim{Key: key, Holder: fmt.Sprint("home/", m.homeIncarnation), Digest: 1, WindowMS: window.Milliseconds()})
-		reply = map[wire.ClaimState]WitnessReply{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
-			wire.ClaimCannotVouch: WitnessCannotVouch}[c.State]
+		c := m.witness.HandleClaim(m.now, &wire.ClaimRequest{Key: key, Holder: fmt.Sprint("home/", m.homeIncarnation), Digest: 1, RetentionMS: window.Milliseconds()})
+		reply = map[wire.ClaimResult]WitnessReply{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
+			wire.ClaimNotReady: WitnessCannotVouch}[c.Result]
 	}
 	switch m.home.Decide(m.now, window, reply, false) {
 	case RunAfterLogging:
--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -86,7 +86,7 @@
 	a.core = execution.New(execution.Config{
 		Admission: admission.Config{Slots: 2, QueueLimit: 3, MaxPreemptions: 2, FloorWindow: time.Second, Preemption: true,
 			Floors: true, Fairness: true, EarlyRefusal: true},
-		MaxHeld: 20, OrphanAfter: 3 * time.Second, TombstoneFor: 20 * time.Second, MaxTombstones: 30,
+		MaxAttempts: 20, OrphanTimeout: 3 * time.Second, TombstoneRetention: 20 * time.Second, MaxTombstones: 30,
 	}, a.cluster.now, a, func(string) bool { return true })
 	a.links = map[execution.LinkID]*conn{}
 	a.runs = nil
@@ -107,18 +107,18 @@
 }
 
 func (a *agent) Start(r execution.Run) {
-	a.runs = append(a.runs, &run{Run: r, tokens: int(r.Done)})
-	req := a.cluster.requestByID(r.Key.ID)
+	a.runs = append(a.runs, &run{Run: r, tokens: int(r.GeneratedTokens)})
+	req := a.cluster.requestByID(r.Key.RequestID)
 	if req.finishCount > 0 && req.err != nil && req.err.Outcome == fault.NotRun {
-		a.cluster.t.Fatalf("%s was reported as not run and then started", r.Key.ID)
+		a.cluster.t.Fatalf("%s was reported as not run and then started", r.Key.RequestID)
 	}
-	a.cluster.starts[r.Key.ID]++
-	if !req.repeat && a.cluster.starts[r.Key.ID] > 1 {
-		a.cluster.t.Fatalf("%s must not be repeated but was started twice", r.Key.ID)
+	a.cluster.starts[r.Key.RequestID]++
+	if !req.repeat && a.cluster.starts[r.Key.RequestID] > 1 {
+		a.cluster.t.Fatalf("%s must not be repeated but was started twice", r.Key.RequestID)
 	}
 }
 
-func (a *agent) Stop(k execution.Key, number int) {
+func (a *agent) Stop(k execution.AttemptKey, number int) {
 	for _, r := range a.runs {
 		if r.Key == k && r.Number == number {
 			r.stopped = true
@@ -128,7 +128,7 @@
 
 func (a *agent) Use(execution.LinkID, int) {}
 
-func (a *agent) Claim(execution.Key, *wire.Offer) {}
+func (a *agent) Claim(execution.AttemptKey, *wire.Offer) {}
 
 func (cl *cluster) requestByID(id string) *request {
 	for _, r := range cl.requests {
@@ -157,8 +157,8 @@
 func (r *request) Offer(attempt uint32, done uint32, doneText string) *fault.Error {
 	a := draw(r.cluster, r.cluster.agents, "agent")
 	if a.down {
-		code := draw(r.cluster, []fault.Code{fault.NoServer, fault.NoLink, fault.LinkBusy}, "code")
-		return fault.New(code, "no agent reachable").With(fault.NotRun)
+		code := draw(r.cluster, []fault.Code{fault.NoBackendServer, fault.BackendServersUnreachable, fault.LinkBusy}, "code")
+		return fault.New(code, "no agent reachable").WithOutcome(fault.NotRun)
 	}
 	if r.conn != nil {
 		r.oldConns = append(r.oldConns, r.conn)
@@ -166,8 +166,8 @@
 	r.connect(a)
 	r.incarnation, r.offerTime = a.incarnation, r.cluster.now
 	r.conn.toAgent = append(r.conn.toAgent, &wire.Offer{ID: r.id, Attempt: attempt, Team: "t", Tier: uint8(len(r.id) % 3),
-		StartWithinMS: 4000, RunWithinMS: 20000, MayRepeat: r.repeat, Preemptible: r.repeat, MaxTokens: r.length,
-		Done: done, DoneText: doneText, Window: 4})
+		StartTimeoutMS: 4000, RunTimeoutMS: 20000, Retryable: r.repeat, Preemptible: r.repeat, MaxTokens: r.length,
+		ChunksDelivered: done, DeliveredText: doneText, SendWindow: 4})
 	return nil
 }
 
@@ -227,7 +227,7 @@
 
 func (r *request) receive(m wire.Message) {
 	switch m := m.(type) {
-	case *wire.Verdict:
+	case *wire.OfferResponse:
 		r.machine.HandleVerdict(m)
 	case *wire.Chunk:
 		r.machine.HandleChunk(m)
@@ -322,14 +322,14 @@
 			if x.stopped {
 				continue
 			}
-			req := cl.requestByID(x.Key.ID)
+			req := cl.requestByID(x.Key.RequestID)
 			if x.tokens < req.length {
-				a.core.Token(cl.now, x.Key, x.Number, []byte(token(x.Key.ID, x.tokens)), 1)
+				a.core.Output(cl.now, x.Key, x.Number, []byte(token(x.Key.RequestID, x.tokens)), 1)
 				x.tokens++
 			}
 			if x.tokens >= req.length && !x.stopped {
 				x.stopped = true
-				a.core.Ended(cl.now, x.Key, x.Number, wire.End{}, nil)
+				a.core.RunEnded(cl.now, x.Key, x.Number, wire.End{}, nil)
 			}
 		}
 	}
@@ -340,7 +340,7 @@
 	for _, x := range append([]*run(nil), a.runs...) {
 		if !x.stopped {
 			x.stopped = true
-			a.core.Ended(a.cluster.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").With(fault.Unknown))
+			a.core.RunEnded(a.cluster.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").WithOutcome(fault.Unknown))
 		}
 	}
 }
--- a/internal/relay/linkstate.go
+++ b/internal/relay/linkstate.go
@@ -42,5 +42,5 @@
 // agentLost abandons the current attempt, which may have run.
 func (m *Machine) agentLost(reason string) {
 	m.effects.Abandon(m.attempt)
-	m.attemptFailed(fault.New(fault.LinkLost, "%s", reason).With(fault.Unknown))
+	m.attemptFailed(fault.New(fault.LinkLost, "%s", reason).WithOutcome(fault.Unknown))
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -122,7 +122,7 @@
 func (m *Machine) Retries() int { return m.retries }
 
 // Delivered returns the number of chunks delivered to the caller.
-func (m *Machine) Delivered() uint32 { return m.assembler.Next() }
+func (m *Machine) Delivered() uint32 { return m.assembler.NextSeq() }
 
 // Start makes the first offer.
 func (m *Machine) Start() {
@@ -135,14 +135,14 @@
 // network failure connections usually come back within moments.
 func (m *Machine) offer() {
 	m.attempt++
-	e := m.effects.Offer(m.attempt, m.assembler.Next(), string(m.text))
+	e := m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.text))
 	for busyLinks := 0; e != nil && e.Code == fault.LinkBusy && busyLinks < maxBusyLinks; busyLinks++ {
 		// Nothing was sent, so this still counts as the same attempt.
-		e = m.effects.Offer(m.attempt, m.assembler.Next(), string(m.text))
+		e = m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.text))
 	}
 	switch {
 	case e == nil:
-	case e.Code == fault.NoLink && (m.lastFault == nil || !IsOverload(m.lastFault.Code)):
+	case e.Code == fault.BackendServersUnreachable && (m.lastFault == nil || !IsOverload(m.lastFault.Code)):
 		m.state = waiting
 		m.pendingFault = e
 		m.effects.SetTimer(TimerOfferReply, 0)
@@ -175,7 +175,7 @@
 }
 
 // HandleVerdict processes the agent's reply to an offer or a resume.
-func (m *Machine) HandleVerdict(v *wire.Verdict) {
+func (m *Machine) HandleVerdict(v *wire.OfferResponse) {
 	if !m.isCurrent(v.Attempt) {
 		return
 	}
@@ -218,15 +218,15 @@
 
 // terminalCodes are the faults that any other agent would return as well.
 var terminalCodes = map[fault.Code]bool{
-	fault.KeyConflict: true, fault.CannotVouch: true, fault.TooLarge: true, fault.BadRequest: true,
-	fault.Expired: true, fault.Deadline: true,
+	fault.IdempotencyKeyConflict: true, fault.IdempotentResultUnknown: true, fault.TooLarge: true, fault.BadRequest: true,
+	fault.StartDeadlinePassed: true, fault.DeadlinePassed: true,
 }
 
 func (m *Machine) canRetry(e *fault.Error) bool {
 	if terminalCodes[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
 		return false
 	}
-	if m.assembler.Next() > 0 && !m.cfg.Resumable {
+	if m.assembler.NextSeq() > 0 && !m.cfg.Resumable {
 		return false
 	}
 	// Retries of requests refused because of load could overload a busy pool
@@ -258,18 +258,18 @@
 		m.text = append(m.text, c.Data...)
 	}
 	m.effects.Deliver(c.Data)
-	if m.assembler.Next()-m.acked >= ackIntervalChunks {
+	if m.assembler.NextSeq()-m.acked >= ackIntervalChunks {
 		m.ack(false)
 	}
 }
 
 func (m *Machine) ack(final bool) {
-	m.acked = m.assembler.Next()
+	m.acked = m.assembler.NextSeq()
 	m.effects.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.acked, Final: final})
 }
 
 func (m *Machine) resume() {
-	m.effects.Send(&wire.Resume{ID: m.id, Attempt: m.attempt, Next: m.assembler.Next()})
+	m.effects.Send(&wire.Resume{ID: m.id, Attempt: m.attempt, Next: m.assembler.NextSeq()})
 }
 
 // HandleEnd processes the end of the answer.
@@ -288,7 +288,7 @@
 		m.attemptFailed(f)
 		return
 	}
-	if e.Total != m.assembler.Next() {
+	if e.Total != m.assembler.NextSeq() {
 		m.resume()
 		return
 	}
@@ -320,7 +320,7 @@
 			m.finishCancel(true)
 		}
 	case TimerDeadline:
-		m.cancel(fault.New(fault.Deadline, "request exceeded its run timeout of %v", m.cfg.RunTimeout))
+		m.cancel(fault.New(fault.DeadlinePassed, "request exceeded its run timeout of %v", m.cfg.RunTimeout))
 	}
 }
 
@@ -333,7 +333,7 @@
 	if e != nil {
 		reported := *e
 		switch {
-		case m.assembler.Next() > 0:
+		case m.assembler.NextSeq() > 0:
 			reported.Outcome = fault.Partial
 		case m.possibleRuns > 0:
 			reported.Outcome = fault.Unknown
--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -96,15 +96,15 @@
 		return err
 	}
 	conn, err := link.Open(nc, l.router.hello(), link.Options{
-		Heartbeat: settings.Millis(l.router.settings.Link.HeartbeatMS), Silent: settings.Millis(l.router.settings.Link.SilentMS),
-		Beat: func() *wire.Beat { return &wire.Beat{Revision: l.router.Config.View().Revision} }})
+		HeartbeatInterval: settings.Millis(l.router.settings.Link.HeartbeatMS), PeerTimeout: settings.Millis(l.router.settings.Link.SilentMS),
+		NewHeartbeat: func() *wire.Heartbeat { return &wire.Heartbeat{Revision: l.router.Config.View().Revision} }})
 	if err != nil {
 		telemetry.Count("merlinpost_links_failed_total", "code", string(fault.From(err).Code))
 		return err
 	}
 	if conn.Peer().Name != l.server.Name {
 		conn.Close()
-		return fault.New(fault.NoServer, "agent address %s belongs to %q, expected %q", l.server.Agent, conn.Peer().Name, l.server.Name)
+		return fault.New(fault.NoBackendServer, "agent address %s belongs to %q, expected %q", l.server.Agent, conn.Peer().Name, l.server.Name)
 	}
 	l.markUp(conn)
 	l.router.links.notifyWaiters()
@@ -121,7 +121,7 @@
 	peer := conn.Peer()
 	sameProcess := l.incarnation == peer.Incarnation
 	l.conn, l.incarnation, l.revision = conn, peer.Incarnation, peer.Revision
-	conn.Use(int64(len(l.attempts)))
+	conn.AddRequests(int64(len(l.attempts)))
 	l.offersSinceReport = 0
 	if !sameProcess {
 		l.serving, l.load = nil, wire.Load{}
@@ -152,9 +152,9 @@
 // handleMessage processes a received message on the link's read goroutine.
 func (l *agentLink) handleMessage(m wire.Message) {
 	switch m := m.(type) {
-	case *wire.Beat:
+	case *wire.Heartbeat:
 		l.handleHeartbeat(m)
-	case *wire.Verdict:
+	case *wire.OfferResponse:
 		l.updateLoad(m.Load)
 		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
 	case *wire.Chunk:
@@ -164,10 +164,10 @@
 		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
 	case *wire.Cancelled:
 		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
-	case *wire.ConfigPull:
+	case *wire.ConfigRequest:
 		l.handleConfigPull(m)
-	case *wire.ConfigState:
-		if len(m.Data) > 0 && l.router.Config.Install(m.Data) != nil {
+	case *wire.ConfigSnapshot:
+		if len(m.Data) > 0 && l.router.Config.InstallSnapshot(m.Data) != nil {
 			telemetry.Count("merlinpost_config_from_peer_broken_total")
 		}
 	}
@@ -182,14 +182,14 @@
 	}
 }
 
-func (l *agentLink) handleHeartbeat(m *wire.Beat) {
+func (l *agentLink) handleHeartbeat(m *wire.Heartbeat) {
 	l.updateLoad(m.Load)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revision = m.Revision
 	config := l.router.Config
 	if own := config.View().Revision; m.Revision > own && !config.LogUp() && l.conn != nil {
-		l.conn.Send(&wire.ConfigPull{Above: own})
+		l.conn.Send(&wire.ConfigRequest{NewerThan: own})
 	}
 }
 
@@ -211,13 +211,13 @@
 	}
 }
 
-func (l *agentLink) handleConfigPull(m *wire.ConfigPull) {
+func (l *agentLink) handleConfigPull(m *wire.ConfigRequest) {
 	config := l.router.Config
-	revision, data, err := config.Encode(m.Above)
+	revision, data, err := config.EncodeSnapshot(m.NewerThan)
 	if err != nil || !config.Ready() {
 		data = nil
 	}
-	l.send(&wire.ConfigState{Revision: revision, Data: data})
+	l.send(&wire.ConfigSnapshot{Revision: revision, Data: data})
 }
 
 // send sends m and reports whether the link was up and accepted it.
@@ -234,7 +234,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
-		return "", fault.New(fault.LinkBusy, "link to agent %q is down", l.server.Name).With(fault.NotRun)
+		return "", fault.New(fault.LinkBusy, "link to agent %q is down", l.server.Name).WithOutcome(fault.NotRun)
 	}
 	id := attemptID{offer.ID, offer.Attempt}
 	l.attempts[id] = c
@@ -242,10 +242,10 @@
 	if !l.conn.Send(offer) {
 		delete(l.attempts, id)
 		// The send buffer was full, so the offer was not sent.
-		return "", fault.New(fault.LinkBusy, "send buffer of the link to agent %q is full", l.server.Name).With(fault.NotRun)
+		return "", fault.New(fault.LinkBusy, "send buffer of the link to agent %q is full", l.server.Name).WithOutcome(fault.NotRun)
 	}
 	l.offersSinceReport++
-	l.conn.Use(1)
+	l.conn.AddRequests(1)
 	return l.incarnation, nil
 }
 
@@ -265,7 +265,7 @@
 	}
 	delete(l.attempts, id)
 	if l.conn != nil {
-		l.conn.Use(-1)
+		l.conn.AddRequests(-1)
 	}
 }
 
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -103,7 +103,7 @@
 	if n := r.inProgress.Add(1); n > int64(r.settings.Callers.MaxRequests) {
 		r.inProgress.Add(-1)
 		return nil, fault.New(fault.QueueFull, "router is at its limit of requests in progress: %d", n-1).
-			With(fault.NotRun).After(time.Second)
+			WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	defer r.inProgress.Add(-1)
 	r.mu.Lock()
@@ -169,7 +169,7 @@
 
 func (c *call) handle(e any) {
 	switch e := e.(type) {
-	case *wire.Verdict:
+	case *wire.OfferResponse:
 		c.recordFailure(e.Fault)
 		c.machine.HandleVerdict(e)
 	case *wire.Chunk:
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -25,10 +25,10 @@
 	class := c.req.Class
 	incarnation, e := l.register(c, &wire.Offer{ID: c.req.ID, Attempt: attempt, Kind: c.req.Kind, Endpoint: c.req.Endpoint,
 		Team: c.req.Team, Class: c.req.ClassName, Tier: uint8(class.Tier), Floor: class.Floor, Target: c.req.Target,
-		FirstTokenMS: int64(class.FirstTokenMS), StartWithinMS: int64(class.MaxWaitMS), RunWithinMS: int64(class.MaxRunMS),
-		MayRepeat: c.req.MayRepeat, Preemptible: class.Preemptible, Key: c.req.IdempotencyKey, Digest: xxhash.Sum64(c.req.Body),
-		KeyWindowMS: c.req.IdempotencyWindow.Milliseconds(), Body: c.req.Body, MaxTokens: c.req.MaxTokens,
-		Done: done, DoneText: doneText, Window: relay.WindowChunks, ContentType: c.req.ContentType})
+		FirstTokenTargetMS: int64(class.FirstTokenMS), StartTimeoutMS: int64(class.MaxWaitMS), RunTimeoutMS: int64(class.MaxRunMS),
+		Retryable: c.req.MayRepeat, Preemptible: class.Preemptible, IdempotencyKey: c.req.IdempotencyKey, BodyDigest: xxhash.Sum64(c.req.Body),
+		KeyRetentionMS: c.req.IdempotencyWindow.Milliseconds(), Body: c.req.Body, MaxTokens: c.req.MaxTokens,
+		ChunksDelivered: done, DeliveredText: doneText, SendWindow: relay.WindowChunks, ContentType: c.req.ContentType})
 	c.incarnation = incarnation
 	if e != nil {
 		c.linkFailed[l.server.Name] = true
@@ -42,7 +42,7 @@
 // chooses again after registering because a link may have come up in between.
 func (c *call) chooseOrWait() (*agentLink, *fault.Error) {
 	l, e := c.choose()
-	if e == nil || e.Code != fault.NoLink {
+	if e == nil || e.Code != fault.BackendServersUnreachable {
 		return l, e
 	}
 	c.router.links.addWaiter(c)
@@ -73,7 +73,7 @@
 	}
 	for i := range candidates { // only the server that failed last is left
 		if candidates[i].Name == c.lastFailed {
-			candidates[i].Tried = c.tried[c.lastFailed] || c.linkFailed[c.lastFailed]
+			candidates[i].Excluded = c.tried[c.lastFailed] || c.linkFailed[c.lastFailed]
 		}
 	}
 	if i, ok := c.pick(candidates); ok {
@@ -92,12 +92,12 @@
 // and NoServer if none is left to try.
 func (c *call) noCandidateFault(candidates []dispatch.Candidate) *fault.Error {
 	for i := range candidates {
-		if !c.tried[candidates[i].Name] && !candidates[i].Leaving {
-			return fault.New(fault.NoLink, "no reachable backend server for %q", c.req.Target).
-				With(fault.NotRun).After(time.Second)
+		if !c.tried[candidates[i].Name] && !candidates[i].Draining {
+			return fault.New(fault.BackendServersUnreachable, "no reachable backend server for %q", c.req.Target).
+				WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 		}
 	}
-	return fault.New(fault.NoServer, "no backend server left to try for %q", c.req.Target).With(fault.NotRun).After(time.Second)
+	return fault.New(fault.NoBackendServer, "no backend server left to try for %q", c.req.Target).WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 }
 
 // homeLink returns the link to the home agent of the request's idempotency key.
@@ -105,7 +105,7 @@
 func (c *call) homeLink() (*agentLink, *fault.Error) {
 	pool := c.router.Config.View().Pools[c.req.Pool]
 	if pool == nil {
-		return nil, fault.New(fault.NoServer, "unknown pool %q", c.req.Pool).With(fault.NotRun)
+		return nil, fault.New(fault.NoBackendServer, "unknown pool %q", c.req.Pool).WithOutcome(fault.NotRun)
 	}
 	names := make([]string, len(pool.Servers))
 	for i, s := range pool.Servers {
@@ -113,10 +113,10 @@
 	}
 	l := c.router.links.linkTo(pool.Server(rendezvous.First(c.req.IdempotencyKey, names)))
 	if _, up := l.state(); !up {
-		return nil, fault.New(fault.NoLink, "home server of the idempotency key is unreachable").With(fault.NotRun).After(time.Second)
+		return nil, fault.New(fault.BackendServersUnreachable, "home server of the idempotency key is unreachable").WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	if c.tried[l.server.Name] {
-		return nil, fault.New(fault.NoServer, "home server of the idempotency key did not accept the request").With(fault.NotRun).After(time.Second)
+		return nil, fault.New(fault.NoBackendServer, "home server of the idempotency key did not accept the request").WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	return l, nil
 }
@@ -129,7 +129,7 @@
 	for _, server := range ranked[:min(prefixReplicas, len(ranked))] {
 		for i := range candidates {
 			if candidates[i].Name == server {
-				candidates[i].PrefixShare = 1
+				candidates[i].CachedPrefixShare = 1
 			}
 		}
 	}
@@ -142,10 +142,10 @@
 	// Only load of the request's own and higher tiers counts: the agent puts
 	// the request ahead of queued lower tiers and preempts running ones.
 	tiers := c.req.Class.Tier + 1
-	return dispatch.Candidate{Name: l.server.Name, FailureDomain: l.server.FailureDomain, Up: l.conn != nil,
-		Leaving: leaving || l.load.Draining, Serves: l.serving[c.req.Target], Queued: sum(firstN(l.load.Queued, tiers)), Running: sum(firstN(l.load.Running, tiers)),
-		Slots: l.load.Slots, Sent: l.offersSinceReport, ServiceMS: float64(l.load.ServiceMS), FirstMS: l.meanFirstTokenMS,
-		Tried: c.tried[l.server.Name] || c.linkFailed[l.server.Name] || c.lastFailed == l.server.Name}
+	return dispatch.Candidate{Name: l.server.Name, FailureDomain: l.server.FailureDomain, Connected: l.conn != nil,
+		Draining: leaving || l.load.Draining, TargetLoaded: l.serving[c.req.Target], Queued: sum(firstN(l.load.Queued, tiers)), Running: sum(firstN(l.load.Running, tiers)),
+		Slots: l.load.Slots, SentSinceReport: l.offersSinceReport, ServiceMS: float64(l.load.ServiceMS), FirstTokenMS: l.meanFirstTokenMS,
+		Excluded: c.tried[l.server.Name] || c.linkFailed[l.server.Name] || c.lastFailed == l.server.Name}
 }
 
 func firstN(counts []int, n int) []int { return counts[:min(n, len(counts))] }
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -24,24 +24,24 @@
 	if !listed || r.lendingEndpoint == nil {
 		return r.quota.Admit(time.Now(), name, team, len(peers))
 	}
-	request := quota.Ask{Seq: r.quotaRequestSeq.Add(1), Team: name, Router: r.processName()}
-	var reply quota.Lent
+	request := quota.GrantRequest{Seq: r.quotaRequestSeq.Add(1), Team: name, Router: r.processName()}
+	var reply quota.GrantResponse
 	answered := true
 	if home.Name == r.settings.Name {
-		reply = (*teamHome)(r).Lend(request)
+		reply = (*teamHome)(r).Acquire(request)
 	} else {
-		reply, answered = r.lendingEndpoint.Ask(ctx, home.Address, request)
+		reply, answered = r.lendingEndpoint.Acquire(ctx, home.Address, request)
 	}
 	switch {
 	case !answered:
 		telemetry.Count("merlinpost_lending_fallback_total")
-		r.reportEnded(name, home, r.quota.Drop(name, request.Seq)) // the home may have granted it
+		r.reportEnded(name, home, r.quota.DiscardGrant(name, request.Seq)) // the home may have granted it
 		return r.quota.Admit(time.Now(), name, team, len(peers))
 	case reply.Granted:
-		r.quota.Use(time.Now(), name)
-		return func() { r.reportEnded(name, home, r.quota.End(name, request.Seq)) }, nil
+		r.quota.StartGranted(time.Now(), name)
+		return func() { r.reportEnded(name, home, r.quota.EndGranted(name, request.Seq)) }, nil
 	}
-	return nil, quota.Refusal(reply, team)
+	return nil, quota.RefusalError(reply, team)
 }
 
 // processName identifies this process to the home routers of teams.
@@ -49,31 +49,31 @@
 
 // reportEnded reports ended requests to the team's home router.
 func (r *Router) reportEnded(name string, home membership.Member, seqs []uint64) {
-	closed := quota.Closed{Team: name, Router: r.processName(), Seqs: seqs}
+	closed := quota.ReleaseNotice{Team: name, Router: r.processName(), Seqs: seqs}
 	if home.Name == r.settings.Name {
-		(*teamHome)(r).Close(closed)
+		(*teamHome)(r).Release(closed)
 		return
 	}
-	r.lendingEndpoint.Close(home.Address, closed)
+	r.lendingEndpoint.Release(home.Address, closed)
 }
 
 // teamHome is a Router in its role as the home of teams. It implements lending.Home.
 type teamHome Router
 
 // Lend implements lending.Home.
-func (h *teamHome) Lend(request quota.Ask) quota.Lent {
+func (h *teamHome) Acquire(request quota.GrantRequest) quota.GrantResponse {
 	team := h.Config.View().Teams[request.Team]
 	if team == nil {
-		return quota.Lent{Seq: request.Seq, WaitMS: time.Second.Milliseconds()}
+		return quota.GrantResponse{Seq: request.Seq, RetryAfterMS: time.Second.Milliseconds()}
 	}
-	return h.ledger.Lend(time.Now(), request, team, len((*Router)(h).liveRouters()))
+	return h.ledger.Acquire(time.Now(), request, team, len((*Router)(h).liveRouters()))
 }
 
 // Close implements lending.Home.
-func (h *teamHome) Close(c quota.Closed) { h.ledger.Close(c) }
+func (h *teamHome) Release(c quota.ReleaseNotice) { h.ledger.Release(c) }
 
 // Heard implements lending.Home.
-func (h *teamHome) Heard(router string) { h.ledger.Heard(time.Now(), router) }
+func (h *teamHome) MarkReachable(router string) { h.ledger.MarkReachable(time.Now(), router) }
 
 // PeersAddress returns the address that serves quota requests of other routers,
 // or "" if there is none.
@@ -118,7 +118,7 @@
 		peers := r.liveRouters()
 		telemetry.Gauge("merlinpost_router_peers", float64(len(peers)))
 		for name, m := range peers {
-			if now.Sub(lastPing[name]) >= quota.PingEvery {
+			if now.Sub(lastPing[name]) >= quota.PingInterval {
 				lastPing[name] = now
 				r.lendingEndpoint.Ping(m.Address, r.processName())
 			}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -31,9 +31,9 @@
 	Config          *configlog.Follower
 	members         *membership.Reader
 	links           *linkSet
-	quota           *quota.Teams
-	ledger          *quota.Ledger
-	lendingEndpoint *lending.Post // nil if every router enforces equal shares only
+	quota           *quota.LocalLimiter
+	ledger          *quota.HomeLimiter
+	lendingEndpoint *lending.Transport // nil if every router enforces equal shares only
 	quotaRequestSeq atomic.Uint64
 
 	mu     sync.Mutex // guards picker, rng and budget
@@ -54,7 +54,7 @@
 // its socket is opened here.
 func New(set settings.Router, logger *slog.Logger) (*Router, error) {
 	p := set.Policy
-	picker, err := dispatch.New(p.Choice, dispatch.Options{Prefix: p.Prefix, Domain: p.Domain, Straggler: p.Straggler, Corrected: p.Corrected})
+	picker, err := dispatch.New(p.Choice, dispatch.Options{PrefixAffinity: p.Prefix, DomainAffinity: p.Domain, StragglerPenalty: p.Straggler, CountUnreported: p.Corrected})
 	if err != nil {
 		return nil, err
 	}
@@ -63,8 +63,8 @@
 	log := configlog.NewClient(set.Log.Address, settings.Millis(set.Log.TimeoutMS))
 	r := &Router{settings: set, logger: logger, incarnation: configlog.NewID(), picker: picker, rng: rng,
 		budget: retrybudget.New(retrybudget.Settings{Ratio: p.RetryShare, Window: retryBudgetWindow, Slack: p.RetryBurst}, 1, time.Now()),
-		quota:  quota.NewTeams(time.Now()),
-		ledger: quota.NewLedger(time.Now())}
+		quota:  quota.NewLocalLimiter(time.Now()),
+		ledger: quota.NewHomeLimiter(time.Now())}
 	r.Config = configlog.NewFollower(log, set.Log, true, logger, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.members = membership.NewReader(set.Members.Address, "", settings.Millis(set.Members.PollMS), logger)
 	r.links = newLinkSet(r)
@@ -103,7 +103,7 @@
 func (r *Router) InProgress() int64 { return r.inProgress.Load() }
 
 func (r *Router) hello() wire.Hello {
-	return wire.Hello{Role: "router", Name: r.settings.Name, Incarnation: r.incarnation, Domain: r.settings.FailureDomain,
+	return wire.Hello{Role: "router", Name: r.settings.Name, Incarnation: r.incarnation, FailureDomain: r.settings.FailureDomain,
 		Revision: r.Config.View().Revision}
 }
 
