--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -109,7 +109,7 @@
 	case *wire.Resume:
 		d.post(ctx, func(now time.Time) { d.core.Resume(now, p.id, m) })
 	case *wire.Claim:
-		d.post(ctx, func(now time.Time) { p.conn.Send(d.core.Book().Grant(now, m)) })
+		d.post(ctx, func(now time.Time) { p.conn.Send(d.core.Keys().Grant(now, m)) })
 	case *wire.Beat:
 		if m.Revision > a.config.View().Revision && !a.config.LogUp() {
 			p.conn.Send(&wire.ConfigPull{Above: a.config.View().Revision})
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -46,7 +46,7 @@
 	}
 	req.GetBody = nil // never sent a second time
 	req.Header.Set("Content-Type", r.Offer.ContentType)
-	req.Header.Set("Merlinpost-Request-Id", r.Key.ID)
+	req.Header.Set("Merlinpost-Request-Id", r.Key.RequestID)
 	req, sent := httpsent.Trace(req)
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -1,16 +1,17 @@
-// Package execution is the deciding part of an agent: it takes offers,
-// cancels, resumes and acknowledgements from routers and the progress of the
-// backend server, and says what to start, stop and send. It is pure: time comes
-// in as an argument, effects go out through an interface, nothing blocks. One
-// goroutine owns a Core.
+// Package execution implements the agent's state machine. It processes offers,
+// cancels, resumes and acknowledgements from routers and progress from the
+// backend server, and decides what to start, stop and send. It performs no I/O
+// and does not read the clock: callers pass the current time, side effects go
+// through the Effects interface, and no call blocks. A Core is owned by a
+// single goroutine.
 //
-// What it holds to:
+// Invariants:
 //
-//   - an attempt that was said not to have run never runs: its tombstone
-//     refuses an offer that arrives late;
-//   - an answer is kept until the router has acknowledged it, and goes on over
-//     another link at the number the router asks for;
-//   - work that may not be repeated is started at most once here.
+//   - an attempt reported as not run never runs: its tombstone rejects an
+//     offer that arrives late;
+//   - a response is buffered until the router has acknowledged it, and can be
+//     resumed over another link from the sequence number the router requests;
+//   - work that may not be repeated is started at most once by this agent.
 package execution
 
 import (
@@ -23,156 +24,159 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// Key names an attempt of a request.
-type Key struct {
-	ID      string
-	Attempt uint32
+// AttemptKey identifies one attempt of a request.
+type AttemptKey struct {
+	RequestID string
+	Attempt   uint32
 }
 
-// LinkID names a link of this process; 0 is no link.
+// LinkID identifies a link within this process; 0 means no link.
 type LinkID uint64
 
-// Run is one start of an attempt at the backend server. An attempt that is
-// preempted runs again under the next Number; what an earlier run still
-// brings is dropped.
+// Run is one execution of an attempt on the backend server. A preempted attempt
+// runs again with the next Number; late output of earlier runs is discarded.
 type Run struct {
-	Key    Key
+	Key    AttemptKey
 	Number int
 	Offer  *wire.Offer
-	// Done and DoneText are the tokens made before, which are not made again.
-	Done     uint32
-	DoneText string
+	// GeneratedTokens and GeneratedText are the output of earlier runs and
+	// attempts. Generation continues after them.
+	GeneratedTokens uint32
+	GeneratedText   string
 }
 
-// Effects is what a Core does to the world. None of the calls may block.
+// Effects performs the side effects of a Core. None of the methods may block.
 type Effects interface {
-	// Send queues a message on a link; false means no room, or no such link.
+	// Send queues a message on a link. It returns false if the link's send
+	// queue is full or the link does not exist.
 	Send(link LinkID, m wire.Message) bool
-	// Start begins a run; its progress comes back through Token and Ended.
+	// Start begins a run, which is reported through Output and RunEnded.
 	Start(r Run)
-	// Stop ends a run at the backend server.
-	Stop(k Key, number int)
-	// Use counts an attempt onto a link or, with -1, off it, so that a link
-	// without attempts can be kept at a lower cost.
+	// Stop aborts a run on the backend server.
+	Stop(k AttemptKey, number int)
+	// Use adds n, which may be negative, to the number of attempts that use a
+	// link, so that a link without attempts can be maintained at lower cost.
 	Use(link LinkID, n int)
-	// Claim asks the witness of a key, or the log if it can't be reached;
-	// the answer comes back through ClaimSettled.
-	Claim(k Key, o *wire.Offer)
+	// Claim claims an idempotency key with its witness or, if the witness is
+	// unreachable, on the log. The result is reported through ClaimDecided.
+	Claim(k AttemptKey, o *wire.Offer)
 }
 
-// Config is the size of a Core.
+// Config holds the limits of a Core.
 type Config struct {
 	Admission admission.Config
-	// MaxHeld bounds the attempts held, finished answers included.
-	MaxHeld int
-	// OrphanAfter is how long an attempt goes on without a link.
-	OrphanAfter time.Duration
-	// TombstoneFor is how long a refused attempt is remembered. It is above
-	// the longest time that an offer may be under way on an old link.
-	TombstoneFor time.Duration
-	// MaxTombstones bounds the refused attempts remembered.
-	MaxTombstones int
+	// MaxAttempts limits the attempts held, including finished ones whose
+	// response has not been acknowledged yet.
+	MaxAttempts int
+	// OrphanTimeout is how long an attempt without a link is kept.
+	OrphanTimeout time.Duration
+	// TombstoneRetention is how long a tombstone is kept. It must exceed the
+	// longest time an offer can be in flight on an old link.
+	TombstoneRetention time.Duration
+	MaxTombstones      int
 }
 
 type phase uint8
 
 const (
-	claiming phase = iota // a keyed call waits for its claim
-	joined                // a repeat waits for the first call of its key
-	queued
-	running
-	ended
+	phaseClaiming  phase = iota // a call with an idempotency key waits for its claim
+	phaseCoalesced              // a repeated call waits for the first call of its key
+	phaseQueued
+	phaseRunning
+	phaseEnded
 )
 
-// attempt is one offered attempt.
+// attempt is an offered attempt of a request.
 type attempt struct {
-	key      Key
-	offer    *wire.Offer
-	link     LinkID
-	phase    phase
-	job      *admission.Job
-	run      int
-	buf      *answer.Buffer
-	text     []byte // everything made so far, for resume; only if needed
-	made     uint32 // chunks made by all runs, those before the offer included
-	runBy    time.Time
-	orphaned time.Time // since when without a link; zero: has one
-	entry    *receipt.Entry
-	end      *wire.End
-	endSent  bool
+	key           AttemptKey
+	offer         *wire.Offer
+	link          LinkID
+	phase         phase
+	job           *admission.Job
+	runNumber     int
+	buf           *answer.Buffer
+	generatedText []byte // output so far, kept only if the request may be repeated
+	chunkCount    uint32 // chunks produced by all runs, including those before the offer
+	deadline      time.Time
+	orphanedAt    time.Time // start of the orphan timeout; zero while attached to a link
+	keyEntry      *receipt.Entry
+	end           *wire.End
+	endSent       bool
 }
 
-// Counters are the totals a Core keeps for the metrics.
+// Counters are the totals that a Core keeps for metrics.
 type Counters struct {
 	Accepted, Expired, Started, Preempted uint64
 	Cancelled, Orphaned, Tokens           uint64
 	Duplicates, Tombstoned                uint64
 }
 
-// Core is the state of an agent. Call New.
+// Core is the state machine of an agent. Create it with New.
 type Core struct {
-	cfg      Config
-	fx       Effects
-	queue    *admission.Queue
-	book     *receipt.Book
-	held     map[Key]*attempt
-	byJob    map[*admission.Job]*attempt
-	waiting  map[string][]*attempt // repeats that wait, by idempotency key
-	tombs    *tombstones
-	links    map[LinkID]string     // open links and the process at the other end
-	byPeer   map[string]LinkID     // the newest link of each process
-	blocked  map[*attempt]struct{} // have chunks to send but no room on the link
-	draining bool
-	serving  func(target string) bool
-	counters Counters
-	// wasted counts by class the tokens that were made and then dropped.
-	wasted map[string]uint64
-	// refused counts refused offers by code.
-	refused map[fault.Code]uint64
+	cfg           Config
+	effects       Effects
+	queue         *admission.Queue
+	keys          *receipt.Book
+	attempts      map[AttemptKey]*attempt
+	attemptsByJob map[*admission.Job]*attempt
+	coalesced     map[string][]*attempt // repeated calls waiting for the first one, by idempotency key
+	tombstones    *tombstones
+	peerByLink    map[LinkID]string     // peer process of each open link
+	linkByPeer    map[string]LinkID     // newest link of each peer process
+	blocked       map[*attempt]struct{} // messages pending, but the link's send queue is full
+	draining      bool
+	isServing     func(target string) bool
+	counters      Counters
+	// wastedTokens counts the tokens that were generated and then discarded,
+	// by class.
+	wastedTokens map[string]uint64
+	// refusedOffers counts the refused offers by fault code.
+	refusedOffers map[fault.Code]uint64
 }
 
-// New returns a Core that started at now; serving says whether the backend
+// New returns a Core that starts at now. isServing reports whether the backend
 // server has a target loaded.
-func New(cfg Config, now time.Time, fx Effects, serving func(string) bool) *Core {
-	return &Core{cfg: cfg, fx: fx, queue: admission.New(cfg.Admission), book: receipt.NewBook(now),
-		links: map[LinkID]string{}, byPeer: map[string]LinkID{},
-		held: map[Key]*attempt{}, byJob: map[*admission.Job]*attempt{}, waiting: map[string][]*attempt{},
-		tombs: newTombstones(cfg.TombstoneFor, cfg.MaxTombstones), blocked: map[*attempt]struct{}{}, serving: serving,
-		wasted: map[string]uint64{}, refused: map[fault.Code]uint64{}}
+func New(cfg Config, now time.Time, fx Effects, isServing func(string) bool) *Core {
+	return &Core{cfg: cfg, effects: fx, queue: admission.New(cfg.Admission), keys: receipt.NewBook(now),
+		peerByLink: map[LinkID]string{}, linkByPeer: map[string]LinkID{},
+		attempts: map[AttemptKey]*attempt{}, attemptsByJob: map[*admission.Job]*attempt{}, coalesced: map[string][]*attempt{},
+		tombstones: newTombstones(cfg.TombstoneRetention, cfg.MaxTombstones), blocked: map[*attempt]struct{}{}, isServing: isServing,
+		wastedTokens: map[string]uint64{}, refusedOffers: map[fault.Code]uint64{}}
 }
 
-// Book returns the memory of idempotency keys.
-func (c *Core) Book() *receipt.Book { return c.book }
+// Keys returns the store of idempotency keys.
+func (c *Core) Keys() *receipt.Book { return c.keys }
 
-// Counters returns the totals so far.
+// Counters returns the totals since New.
 func (c *Core) Counters() Counters { return c.counters }
 
-// TakeWasted returns the tokens wasted since the last call, by class.
-func (c *Core) TakeWasted() map[string]uint64 {
-	out := c.wasted
-	c.wasted = map[string]uint64{}
+// TakeWastedTokens returns the tokens wasted since the previous call, by class.
+func (c *Core) TakeWastedTokens() map[string]uint64 {
+	out := c.wastedTokens
+	c.wastedTokens = map[string]uint64{}
 	return out
 }
 
-// TakeRefused returns the offers refused since the last call, by code.
-func (c *Core) TakeRefused() map[fault.Code]uint64 {
-	out := c.refused
-	c.refused = map[fault.Code]uint64{}
+// TakeRefusedOffers returns the offers refused since the previous call, by fault
+// code.
+func (c *Core) TakeRefusedOffers() map[fault.Code]uint64 {
+	out := c.refusedOffers
+	c.refusedOffers = map[fault.Code]uint64{}
 	return out
 }
 
-// Held returns the number of attempts held.
-func (c *Core) Held() int { return len(c.held) }
+// AttemptCount returns the number of attempts held, including finished ones
+// whose response has not been acknowledged yet.
+func (c *Core) AttemptCount() int { return len(c.attempts) }
 
-// Tombstones returns the number of refused attempts remembered.
-func (c *Core) Tombstones() int { return c.tombs.len() }
+func (c *Core) TombstoneCount() int { return c.tombstones.len() }
 
-// Idle reports whether nothing is held that a router still waits for.
-func (c *Core) Idle() bool { return len(c.held) == 0 }
+// Idle reports whether no attempts are held.
+func (c *Core) Idle() bool { return len(c.attempts) == 0 }
 
-// Uses reports whether an attempt for the target is held.
-func (c *Core) Uses(target string) bool {
-	for _, a := range c.held {
+// HasAttemptFor reports whether an attempt for the target is held.
+func (c *Core) HasAttemptFor(target string) bool {
+	for _, a := range c.attempts {
 		if a.offer.Target == target {
 			return true
 		}
@@ -180,93 +184,94 @@
 	return false
 }
 
-// Drain refuses offers from now on; what is held goes on to its end.
+// Drain makes the Core refuse new offers. Attempts already held run to completion.
 func (c *Core) Drain() { c.draining = true }
 
-// Load describes the queue for the routers.
+// Load returns the queue state that is reported to the routers.
 func (c *Core) Load() *wire.Load {
 	return &wire.Load{Running: c.queue.RunningByTier(), Slots: c.cfg.Admission.Slots, Queued: c.queue.Waiting(),
 		ServiceMS: int(c.queue.ServiceTime().Milliseconds()), Draining: c.draining}
 }
 
-// LinkUp takes in a new link of the named process. The process's older link is
-// superseded and returned: what it still brings is ignored from now on, so an
-// offer can't overtake the word that it did not arrive.
+// LinkUp registers a new link from the named peer process and returns the older
+// link of that process, which it supersedes. Messages still arriving on the
+// superseded link are ignored, so that a delayed offer is not accepted after
+// the router was told that it did not arrive.
 func (c *Core) LinkUp(now time.Time, link LinkID, peer string) (superseded LinkID) {
-	superseded = c.byPeer[peer]
+	superseded = c.linkByPeer[peer]
 	if superseded != 0 {
 		c.LinkDown(now, superseded)
 	}
-	c.links[link], c.byPeer[peer] = peer, link
+	c.peerByLink[link], c.linkByPeer[peer] = peer, link
 	return superseded
 }
 
-// LinkDown leaves the attempts of a link without one; they run on and can be
-// resumed until OrphanAfter.
+// LinkDown detaches the attempts of a closed link. They continue to run and can
+// be resumed over another link until OrphanTimeout has passed.
 func (c *Core) LinkDown(now time.Time, link LinkID) {
-	if peer, open := c.links[link]; open && c.byPeer[peer] == link {
-		delete(c.byPeer, peer)
+	if peer, open := c.peerByLink[link]; open && c.linkByPeer[peer] == link {
+		delete(c.linkByPeer, peer)
 	}
-	delete(c.links, link)
-	for _, a := range c.held {
+	delete(c.peerByLink, link)
+	for _, a := range c.attempts {
 		if a.link == link {
 			c.attach(a, 0)
-			a.orphaned = now
+			a.orphanedAt = now
 		}
 	}
 }
 
-// open reports whether a link is neither down nor superseded.
-func (c *Core) open(link LinkID) bool {
-	_, ok := c.links[link]
+// isOpen reports whether a link is neither down nor superseded.
+func (c *Core) isOpen(link LinkID) bool {
+	_, ok := c.peerByLink[link]
 	return ok
 }
 
-// Offer takes in an offered attempt and answers with a Verdict.
+// Offer accepts or refuses an offered attempt and replies with a Verdict.
 func (c *Core) Offer(now time.Time, link LinkID, o *wire.Offer) {
-	if !c.open(link) {
+	if !c.isOpen(link) {
 		return
 	}
-	key := Key{o.ID, o.Attempt}
-	if a := c.held[key]; a != nil { // the offer came twice: the first one counts
+	key := AttemptKey{o.ID, o.Attempt}
+	if a := c.attempts[key]; a != nil { // duplicate offer: keep the first
 		c.counters.Duplicates++
 		c.attach(a, link)
-		c.verdict(a.link, key, nil)
+		c.sendVerdict(a.link, key, nil)
 		return
 	}
 	if e := c.admit(now, link, key, o); e != nil {
-		c.refused[e.Code]++
-		c.tombs.add(now, key, false)
-		c.verdict(link, key, e)
+		c.refusedOffers[e.Code]++
+		c.tombstones.add(now, key, false)
+		c.sendVerdict(link, key, e)
 		return
 	}
 	c.counters.Accepted++
-	c.verdict(link, key, nil)
+	c.sendVerdict(link, key, nil)
 	c.schedule(now)
 }
 
-func (c *Core) verdict(link LinkID, key Key, e *fault.Error) {
-	c.fx.Send(link, &wire.Verdict{ID: key.ID, Attempt: key.Attempt, Fault: wire.FaultOf(e), Load: c.Load()})
+func (c *Core) sendVerdict(link LinkID, key AttemptKey, e *fault.Error) {
+	c.effects.Send(link, &wire.Verdict{ID: key.RequestID, Attempt: key.Attempt, Fault: wire.FaultOf(e), Load: c.Load()})
 }
 
-// admit checks an offer and puts it where it waits.
-func (c *Core) admit(now time.Time, link LinkID, key Key, o *wire.Offer) *fault.Error {
-	if c.tombs.has(now, key) {
+// admit checks an offer and, unless it refuses it, starts holding the attempt.
+func (c *Core) admit(now time.Time, link LinkID, key AttemptKey, o *wire.Offer) *fault.Error {
+	if c.tombstones.contains(now, key) {
 		c.counters.Tombstoned++
-		return fault.New(fault.NotHeld, "the attempt was withdrawn before it arrived").With(fault.NotRun)
+		return fault.New(fault.NotHeld, "the attempt was cancelled, refused or finished before this offer arrived").With(fault.NotRun)
 	}
 	if c.draining {
-		return fault.New(fault.Draining, "the backend server is leaving").With(fault.NotRun)
+		return fault.New(fault.Draining, "the backend server is draining").With(fault.NotRun)
 	}
-	if !c.serving(o.Target) {
-		return fault.New(fault.NoServer, "%q is not loaded here", o.Target).With(fault.NotRun)
+	if !c.isServing(o.Target) {
+		return fault.New(fault.NoServer, "target %q is not loaded on this backend server", o.Target).With(fault.NotRun)
 	}
-	if len(c.held) >= c.cfg.MaxHeld {
-		return fault.New(fault.RecordsFull, "%d requests are held already", len(c.held)).
+	if len(c.attempts) >= c.cfg.MaxAttempts {
+		return fault.New(fault.RecordsFull, "the agent already holds its maximum of %d attempts", len(c.attempts)).
 			With(fault.NotRun).After(c.queue.RetryAfter(int(o.Tier)))
 	}
-	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.Done, o.Window), made: o.Done,
-		text: []byte(o.DoneText), runBy: now.Add(millis(o.RunWithinMS))}
+	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.Done, o.Window), chunkCount: o.Done,
+		generatedText: []byte(o.DoneText), deadline: now.Add(millis(o.RunWithinMS))}
 	if o.Key == "" {
 		if e := c.enqueue(now, a); e != nil {
 			return e
@@ -274,21 +279,21 @@
 	} else if e := c.admitKeyed(now, a); e != nil {
 		return e
 	}
-	c.held[key] = a
-	c.fx.Use(link, 1)
+	c.attempts[key] = a
+	c.effects.Use(link, 1)
 	return nil
 }
 
-// attach moves an attempt to a link; 0 leaves it without one.
+// attach moves an attempt to a link; 0 detaches it.
 func (c *Core) attach(a *attempt, link LinkID) {
 	if a.link != 0 {
-		c.fx.Use(a.link, -1)
+		c.effects.Use(a.link, -1)
 	}
 	if link != 0 {
-		c.fx.Use(link, 1)
+		c.effects.Use(link, 1)
 	}
 	a.link = link
-	a.orphaned = time.Time{}
+	a.orphanedAt = time.Time{}
 }
 
 func (c *Core) enqueue(now time.Time, a *attempt) *fault.Error {
@@ -299,37 +304,38 @@
 	if e := c.queue.Offer(now, job); e != nil {
 		return e
 	}
-	a.job, a.phase = job, queued
-	c.byJob[job] = a
+	a.job, a.phase = job, phaseQueued
+	c.attemptsByJob[job] = a
 	return nil
 }
 
-// schedule starts what can start and preempts what must give way.
+// schedule starts queued attempts while slots are free and preempts running
+// attempts in favour of higher tiers.
 func (c *Core) schedule(now time.Time) {
 	for {
 		if job, ok := c.queue.Next(now); ok {
-			c.start(c.byJob[job])
+			c.start(c.attemptsByJob[job])
 			continue
 		}
 		victim := c.queue.Preempt(now)
 		if victim == nil {
 			return
 		}
-		a := c.byJob[victim]
-		c.fx.Stop(a.key, a.run)
-		a.phase = queued
+		a := c.attemptsByJob[victim]
+		c.effects.Stop(a.key, a.runNumber)
+		a.phase = phaseQueued
 		c.counters.Preempted++
 	}
 }
 
 func (c *Core) start(a *attempt) {
-	a.phase = running
-	a.run++
-	if a.entry != nil {
-		a.entry.Phase = receipt.Running
+	a.phase = phaseRunning
+	a.runNumber++
+	if a.keyEntry != nil {
+		a.keyEntry.Phase = receipt.Running
 	}
 	c.counters.Started++
-	c.fx.Start(Run{Key: a.key, Number: a.run, Offer: a.offer, Done: a.made, DoneText: string(a.text)})
+	c.effects.Start(Run{Key: a.key, Number: a.runNumber, Offer: a.offer, GeneratedTokens: a.chunkCount, GeneratedText: string(a.generatedText)})
 }
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/execution/keyed.go
+++ b/internal/execution/keyed.go
@@ -8,46 +8,46 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// admitKeyed takes in a call with an idempotency key: the first is claimed,
-// repeats join it or get its answer.
+// admitKeyed admits a call with an idempotency key. The first call claims the
+// key; a repeated call waits for the first or gets its stored response.
 func (c *Core) admitKeyed(now time.Time, a *attempt) *fault.Error {
 	o := a.offer
-	entry, e := c.book.Lookup(now, o.Key, o.Digest)
+	entry, e := c.keys.Lookup(now, o.Key, o.Digest)
 	if e != nil {
 		return e
 	}
 	if entry == nil {
-		if c.book.HeldByOther(now, o.Key) {
-			return alreadyRan()
+		if c.keys.HeldByOther(now, o.Key) {
+			return mayHaveRunFault()
 		}
-		if entry, e = c.book.Begin(now, o.Key, o.Digest, millis(o.KeyWindowMS)); e != nil {
+		if entry, e = c.keys.Begin(now, o.Key, o.Digest, millis(o.KeyWindowMS)); e != nil {
 			return e
 		}
-		a.entry, a.phase = entry, claiming
-		c.fx.Claim(a.key, o)
+		a.keyEntry, a.phase = entry, phaseClaiming
+		c.effects.Claim(a.key, o)
 		return nil
 	}
-	a.phase = joined
+	a.phase = phaseCoalesced
 	switch entry.Phase {
 	case receipt.Done:
 		c.replay(now, a, entry)
 	case receipt.Lost:
-		return alreadyRan()
+		return mayHaveRunFault()
 	default:
-		c.waiting[o.Key] = append(c.waiting[o.Key], a)
+		c.coalesced[o.Key] = append(c.coalesced[o.Key], a)
 	}
 	return nil
 }
 
-func alreadyRan() *fault.Error {
-	return fault.New(fault.CannotVouch, "a call with this key may have run; its answer is not known").
+func mayHaveRunFault() *fault.Error {
+	return fault.New(fault.CannotVouch, "a call with this key may already have run; its response is unknown").
 		InField("Idempotency-Key").With(fault.Unknown)
 }
 
-// ClaimSettled brings the decision on a keyed call.
-func (c *Core) ClaimSettled(now time.Time, key Key, d receipt.Decision) {
-	a := c.held[key]
-	if a == nil || a.phase != claiming {
+// ClaimDecided applies the decision on a claim requested through Effects.Claim.
+func (c *Core) ClaimDecided(now time.Time, key AttemptKey, d receipt.Decision) {
+	a := c.attempts[key]
+	if a == nil || a.phase != phaseClaiming {
 		return
 	}
 	var e *fault.Error
@@ -55,47 +55,48 @@
 	case receipt.Run, receipt.RunOnceKept:
 		e = c.enqueue(now, a)
 	case receipt.AlreadyRan:
-		e = alreadyRan()
-		a.entry.Phase = receipt.Lost
-		c.finishKeyed(now, a, e)
+		e = mayHaveRunFault()
+		a.keyEntry.Phase = receipt.Lost
+		c.failKeyed(now, a, e)
 		return
 	default:
-		e = c.book.RefuseFault(now, millis(a.offer.KeyWindowMS))
+		e = c.keys.RefuseFault(now, millis(a.offer.KeyWindowMS))
 	}
 	if e != nil {
-		c.book.Forget(a.offer.Key)
-		c.finishKeyed(now, a, e)
+		c.keys.Forget(a.offer.Key)
+		c.failKeyed(now, a, e)
 		return
 	}
 	c.schedule(now)
 }
 
-// finishKeyed ends a keyed attempt that did not run to an answer, and the
-// repeats that wait for it, with the same fault.
-func (c *Core) finishKeyed(now time.Time, a *attempt, e *fault.Error) {
+// failKeyed ends a keyed attempt that produced no response, and the repeated
+// calls waiting for it, with the given fault.
+func (c *Core) failKeyed(now time.Time, a *attempt, e *fault.Error) {
 	c.finish(now, a, &wire.End{Fault: wire.FaultOf(e)})
-	c.settleWaiting(a.offer.Key, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)}) })
+	c.releaseCoalesced(a.offer.Key, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)}) })
 }
 
-// settleWaiting gives each repeat that waits for the key's first call to f.
-func (c *Core) settleWaiting(key string, f func(*attempt)) {
-	list := c.waiting[key]
-	delete(c.waiting, key)
+// releaseCoalesced calls f for each repeated call that waits for the key's first
+// call, and removes them from the waiting list.
+func (c *Core) releaseCoalesced(key string, f func(*attempt)) {
+	list := c.coalesced[key]
+	delete(c.coalesced, key)
 	for _, w := range list {
-		if c.held[w.key] == w && w.phase == joined {
+		if c.attempts[w.key] == w && w.phase == phaseCoalesced {
 			f(w)
 		}
 	}
 }
 
-// replay answers a repeat with the kept answer of the first call.
+// replay answers a repeated call with the stored response of the first.
 func (c *Core) replay(now time.Time, a *attempt, e *receipt.Entry) {
 	if e.Result.BodyDropped {
-		f := fault.New(fault.CannotVouch, "the call ran, but its answer was too large to keep").With(fault.Unknown)
+		f := fault.New(fault.CannotVouch, "the call ran, but its response was too large to store for replay").With(fault.Unknown)
 		c.finish(now, a, &wire.End{Fault: wire.FaultOf(f)})
 		return
 	}
 	a.buf.Append(e.Result.Body)
-	a.made++
+	a.chunkCount++
 	c.finish(now, a, &wire.End{Status: e.Result.Status, ContentType: e.Result.ContentType})
 }
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -9,72 +9,76 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// current returns the attempt if the run is its present one.
-func (c *Core) current(k Key, number int) *attempt {
-	a := c.held[k]
-	if a == nil || a.phase != running || a.run != number {
+// runningAttempt returns the attempt if it is running and number is its latest
+// run, otherwise nil.
+func (c *Core) runningAttempt(k AttemptKey, number int) *attempt {
+	a := c.attempts[k]
+	if a == nil || a.phase != phaseRunning || a.runNumber != number {
 		return nil
 	}
 	return a
 }
 
-// Token takes in a piece of an answer, made of tokens tokens.
-func (c *Core) Token(now time.Time, k Key, number int, data []byte, tokens int) {
-	a := c.current(k, number)
+// Output appends data, generated as the given number of tokens, to the response
+// of a run.
+func (c *Core) Output(now time.Time, k AttemptKey, number int, data []byte, tokens int) {
+	a := c.runningAttempt(k, number)
 	if a == nil {
-		c.waste(k, tokens)
+		c.countWasted(k, tokens)
 		return
 	}
 	c.counters.Tokens += uint64(tokens)
 	a.buf.Append(data)
-	a.made++
+	a.chunkCount++
 	if a.offer.MayRepeat {
-		a.text = append(a.text, data...)
+		a.generatedText = append(a.generatedText, data...)
 	}
 	c.queue.Progress(now, a.job, tokens)
-	c.pump(a)
+	c.sendPending(a)
 }
 
-// waste counts tokens of a run that was stopped.
-func (c *Core) waste(k Key, tokens int) {
+// countWasted counts output that arrives after its run was stopped.
+func (c *Core) countWasted(k AttemptKey, tokens int) {
 	class := "gone"
-	if a := c.held[k]; a != nil {
+	if a := c.attempts[k]; a != nil {
 		class = a.offer.Class
 	}
-	c.wasted[class] += uint64(tokens)
+	c.wastedTokens[class] += uint64(tokens)
 }
 
-// Ended takes in the end of a run. A fault with outcome not run means that the
-// backend server did not start the work.
-func (c *Core) Ended(now time.Time, k Key, number int, end wire.End, e *fault.Error) {
-	a := c.current(k, number)
+// RunEnded processes the end of a run. A fault with outcome NotRun means that
+// the backend server did not start the work.
+func (c *Core) RunEnded(now time.Time, k AttemptKey, number int, end wire.End, e *fault.Error) {
+	a := c.runningAttempt(k, number)
 	if a == nil {
 		return
 	}
 	end.Fault = wire.FaultOf(e)
-	if a.entry != nil {
-		c.settleEntry(now, a, end, e)
+	if a.keyEntry != nil {
+		c.recordKeyOutcome(now, a, end, e)
 	}
 	c.finish(now, a, &end)
 	c.schedule(now)
 }
 
-// settleEntry keeps the outcome of a keyed call and passes it to its repeats.
-func (c *Core) settleEntry(now time.Time, a *attempt, end wire.End, e *fault.Error) {
+// recordKeyOutcome stores the outcome of a keyed call and completes the repeated
+// calls that wait for it.
+func (c *Core) recordKeyOutcome(now time.Time, a *attempt, end wire.End, e *fault.Error) {
 	switch {
 	case e == nil:
-		a.entry.Finish(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
-		c.settleWaiting(a.offer.Key, func(w *attempt) { c.replay(now, w, a.entry) })
+		a.keyEntry.Finish(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
+		c.releaseCoalesced(a.offer.Key, func(w *attempt) { c.replay(now, w, a.keyEntry) })
 		return
 	case e.Outcome == fault.NotRun:
-		c.book.Forget(a.offer.Key)
+		c.keys.Forget(a.offer.Key)
 	default:
-		a.entry.Phase = receipt.Lost
+		a.keyEntry.Phase = receipt.Lost
 	}
-	c.settleWaiting(a.offer.Key, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)}) })
+	c.releaseCoalesced(a.offer.Key, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)}) })
 }
 
-// lastChunk returns the body of a plain service's answer, which is one chunk.
+// lastChunk returns the body of a plain service's response, which is a single
+// chunk.
 func lastChunk(b *answer.Buffer) []byte {
 	if _, data, ok := b.Last(); ok {
 		return data
@@ -82,30 +86,31 @@
 	return nil
 }
 
-// finish ends an attempt and sends what is left of its answer.
+// finish ends an attempt and sends the rest of its response.
 func (c *Core) finish(now time.Time, a *attempt, end *wire.End) {
 	c.leaveQueue(now, a)
-	a.phase = ended
-	end.ID, end.Attempt, end.Total = a.key.ID, a.key.Attempt, a.made
+	a.phase = phaseEnded
+	end.ID, end.Attempt, end.Total = a.key.RequestID, a.key.Attempt, a.chunkCount
 	a.end = end
-	c.pump(a)
+	c.sendPending(a)
 	if a.link == 0 {
-		a.orphaned = now
+		a.orphanedAt = now
 	}
 }
 
-// leaveQueue frees the attempt's slot or place.
+// leaveQueue releases the attempt's slot or its place in the queue.
 func (c *Core) leaveQueue(now time.Time, a *attempt) {
 	if a.job == nil {
 		return
 	}
 	c.queue.Done(now, a.job)
-	delete(c.byJob, a.job)
+	delete(c.attemptsByJob, a.job)
 	a.job = nil
 }
 
-// pump sends what the window and the link have room for.
-func (c *Core) pump(a *attempt) {
+// sendPending sends chunks, and then the End message, as far as the flow-control
+// window and the link's send queue allow.
+func (c *Core) sendPending(a *attempt) {
 	if a.link == 0 {
 		return
 	}
@@ -114,7 +119,7 @@
 		if !ok {
 			break
 		}
-		if !c.fx.Send(a.link, &wire.Chunk{ID: a.key.ID, Attempt: a.key.Attempt, Seq: seq, Data: data}) {
+		if !c.effects.Send(a.link, &wire.Chunk{ID: a.key.RequestID, Attempt: a.key.Attempt, Seq: seq, Data: data}) {
 			c.blocked[a] = struct{}{}
 			return
 		}
@@ -122,7 +127,7 @@
 	}
 	if a.end != nil && !a.endSent && a.buf.AllSent() {
 		a.end.Load = c.Load()
-		if !c.fx.Send(a.link, a.end) {
+		if !c.effects.Send(a.link, a.end) {
 			c.blocked[a] = struct{}{}
 			return
 		}
@@ -131,129 +136,132 @@
 	delete(c.blocked, a)
 }
 
-// Ack takes in an acknowledgement.
+// Ack processes an acknowledgement.
 func (c *Core) Ack(now time.Time, link LinkID, m *wire.Ack) {
-	a := c.held[Key{m.ID, m.Attempt}]
+	a := c.attempts[AttemptKey{m.ID, m.Attempt}]
 	if a == nil || a.link != link {
 		return
 	}
 	a.buf.Ack(m.Next)
-	if m.Final && a.phase == ended {
+	if m.Final && a.phase == phaseEnded {
 		a.buf.Ack(a.buf.Total())
-		c.forget(now, a)
+		c.remove(now, a)
 		return
 	}
-	c.pump(a)
+	c.sendPending(a)
 }
 
-// forget drops an attempt; its tombstone refuses late messages. What of its
-// answer was not acknowledged was made for nothing.
-func (c *Core) forget(now time.Time, a *attempt) {
+// remove replaces an attempt by a tombstone. Generated chunks that were not
+// acknowledged are counted as wasted tokens.
+func (c *Core) remove(now time.Time, a *attempt) {
 	if n := a.buf.Held(); n > 0 && a.offer.Kind == wire.Generate {
-		c.wasted[a.offer.Class] += uint64(n)
+		c.wastedTokens[a.offer.Class] += uint64(n)
 	}
 	c.leaveQueue(now, a)
 	c.attach(a, 0)
-	delete(c.held, a.key)
+	delete(c.attempts, a.key)
 	delete(c.blocked, a)
-	c.tombs.add(now, a.key, a.mayHaveRun())
+	c.tombstones.add(now, a.key, a.mayHaveRun())
 }
 
-// mayHaveRun reports whether the work of the attempt was started. A repeat
-// that waits for the first call of its key can't say that it was not.
+// mayHaveRun reports whether the work of the attempt may have been started. It
+// is true for a repeated call that waits for the first call of its key, because
+// the first call may have started.
 func (a *attempt) mayHaveRun() bool {
 	switch {
-	case a.run > 0 || a.phase == joined || a.made > a.offer.Done:
+	case a.runNumber > 0 || a.phase == phaseCoalesced || a.chunkCount > a.offer.Done:
 		return true
-	case a.phase == ended:
+	case a.phase == phaseEnded:
 		return a.end.Fault == nil || fault.Outcome(a.end.Fault.Outcome) != fault.NotRun
 	}
 	return false
 }
 
-// Resume lets an answer go on over a new link.
+// Resume continues sending a response over a new link.
 func (c *Core) Resume(now time.Time, link LinkID, m *wire.Resume) {
-	if !c.open(link) {
+	if !c.isOpen(link) {
 		return
 	}
-	key := Key{m.ID, m.Attempt}
-	a := c.held[key]
+	key := AttemptKey{m.ID, m.Attempt}
+	a := c.attempts[key]
 	if a == nil {
 		outcome := fault.NotRun
-		if c.tombs.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombs.add(now, key, false) {
+		if c.tombstones.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombstones.add(now, key, false) {
 			outcome = fault.Unknown
 		}
-		c.verdict(link, key, fault.New(fault.NotHeld, "this agent does not hold the attempt").With(outcome))
+		c.sendVerdict(link, key, fault.New(fault.NotHeld, "this agent does not hold the attempt").With(outcome))
 		return
 	}
 	c.attach(a, link)
 	a.endSent = false
 	if err := a.buf.Rewind(m.Next); err != nil {
-		c.verdict(link, key, fault.From(err).With(fault.Unknown))
+		c.sendVerdict(link, key, fault.From(err).With(fault.Unknown))
 		return
 	}
-	c.verdict(link, key, nil)
-	c.pump(a)
+	c.sendVerdict(link, key, nil)
+	c.sendPending(a)
 }
 
-// Cancel withdraws an attempt. Its answer says whether the work was started.
-// A call with an idempotency key that runs already runs on to its end, so that
-// a repeat can get its answer.
+// Cancel cancels an attempt and replies whether its work may have been started.
+// A running call with an idempotency key is not stopped, so that a repeated call
+// can get its response.
 func (c *Core) Cancel(now time.Time, link LinkID, m *wire.Cancel) {
-	if !c.open(link) {
+	if !c.isOpen(link) {
 		return
 	}
-	key := Key{m.ID, m.Attempt}
-	a := c.held[key]
-	ran := false
+	key := AttemptKey{m.ID, m.Attempt}
+	a := c.attempts[key]
+	mayHaveRun := false
 	if a == nil {
-		// Without room for a tombstone a late offer could still run.
-		ran = c.tombs.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombs.add(now, key, false)
+		// Without a tombstone, a late offer could still be accepted and run.
+		mayHaveRun = c.tombstones.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombstones.add(now, key, false)
 	} else {
-		ran = a.mayHaveRun()
+		mayHaveRun = a.mayHaveRun()
 		c.cancel(now, a)
 	}
-	c.fx.Send(link, &wire.Cancelled{ID: m.ID, Attempt: m.Attempt, Ran: ran})
+	c.effects.Send(link, &wire.Cancelled{ID: m.ID, Attempt: m.Attempt, Ran: mayHaveRun})
 	c.schedule(now)
 }
 
 func (c *Core) cancel(now time.Time, a *attempt) {
 	c.counters.Cancelled++
 	switch {
-	case a.phase == running && a.entry != nil:
-		c.attach(a, 0) // runs on; the orphan's answer is kept in the book
-		a.orphaned = now
+	case a.phase == phaseRunning && a.keyEntry != nil:
+		c.attach(a, 0) // keeps running; its response is stored under its key
+		a.orphanedAt = now
 		return
-	case a.phase == running:
-		c.fx.Stop(a.key, a.run)
-	case a.entry != nil && (a.phase == queued || a.phase == claiming):
-		c.passOn(now, a)
+	case a.phase == phaseRunning:
+		c.effects.Stop(a.key, a.runNumber)
+	case a.keyEntry != nil && (a.phase == phaseQueued || a.phase == phaseClaiming):
+		c.promoteCoalesced(now, a)
 	}
-	c.forget(now, a)
+	c.remove(now, a)
 }
 
-// passOn gives the place of a cancelled first call of a key to the first
-// repeat that waits, or forgets the key: the call was not started.
-func (c *Core) passOn(now time.Time, a *attempt) {
+// promoteCoalesced handles the cancellation of a key's first call before it was
+// started: the first repeated call that waits takes its place; without one, the
+// key is forgotten.
+func (c *Core) promoteCoalesced(now time.Time, a *attempt) {
 	key := a.offer.Key
-	c.book.Forget(key)
-	list := c.waiting[key]
-	delete(c.waiting, key)
+	c.keys.Forget(key)
+	list := c.coalesced[key]
+	delete(c.coalesced, key)
 	for i, w := range list {
-		if c.held[w.key] != w || w.phase != joined {
+		if c.attempts[w.key] != w || w.phase != phaseCoalesced {
 			continue
 		}
 		if e := c.admitKeyed(now, w); e != nil {
 			c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)})
 			continue
 		}
-		c.waiting[key] = append(c.waiting[key], list[i+1:]...)
+		c.coalesced[key] = append(c.coalesced[key], list[i+1:]...)
 		return
 	}
 }
 
-// Busy reports whether something may become due within milliseconds.
-func (c *Core) Busy() bool {
+// NeedsFrequentTick reports whether Tick must be called every few milliseconds,
+// because attempts are queued or blocked on a full link.
+func (c *Core) NeedsFrequentTick() bool {
 	if len(c.blocked) > 0 {
 		return true
 	}
@@ -265,57 +273,59 @@
 	return false
 }
 
-// Tick does what is due: preemption, expiry, deadlines, orphans, and chunks
-// that found no room. Call it every few milliseconds.
+// Tick schedules and preempts attempts, expires queued ones and retries sends
+// that were blocked by a full link. Call it every few milliseconds while
+// NeedsFrequentTick reports true, and at a lower rate otherwise.
 func (c *Core) Tick(now time.Time) {
 	c.schedule(now)
 	for _, job := range c.queue.Expire(now) {
-		a := c.byJob[job]
+		a := c.attemptsByJob[job]
 		c.counters.Expired++
-		e := fault.New(fault.Expired, "no slot within the time to start").
+		e := fault.New(fault.Expired, "no execution slot became free before the start deadline").
 			With(fault.NotRun).After(c.queue.RetryAfter(job.Tier))
-		if a.entry != nil {
-			c.book.Forget(a.offer.Key)
-			c.finishKeyed(now, a, e)
+		if a.keyEntry != nil {
+			c.keys.Forget(a.offer.Key)
+			c.failKeyed(now, a, e)
 			continue
 		}
 		c.finish(now, a, &wire.End{Fault: wire.FaultOf(e)})
 	}
 	for a := range c.blocked {
-		c.pump(a)
+		c.sendPending(a)
 	}
 	c.schedule(now)
 }
 
-// Sweep ends what is overdue or has no router any more. It looks at every
-// attempt held: call it about once a second.
+// Sweep ends attempts that are past their deadline or orphaned, and removes
+// expired tombstones. It does not end a running call that holds an idempotency
+// key. It visits every attempt held: call it about once a second.
 func (c *Core) Sweep(now time.Time) {
-	for _, a := range c.held {
+	for _, a := range c.attempts {
 		switch {
-		case !a.orphaned.IsZero() && now.Sub(a.orphaned) >= c.cfg.OrphanAfter:
-			if a.phase == running && a.entry != nil {
+		case !a.orphanedAt.IsZero() && now.Sub(a.orphanedAt) >= c.cfg.OrphanTimeout:
+			if a.phase == phaseRunning && a.keyEntry != nil {
 				continue
 			}
 			c.counters.Orphaned++
 			c.cancel(now, a)
-		case a.phase != ended && now.After(a.runBy) && a.entry == nil:
-			c.overdue(now, a)
+		case a.phase != phaseEnded && now.After(a.deadline) && a.keyEntry == nil:
+			c.failOverdue(now, a)
 		}
 	}
-	c.tombs.sweep(now)
+	c.tombstones.removeExpired(now)
 	c.schedule(now)
 }
 
-func (c *Core) overdue(now time.Time, a *attempt) {
+func (c *Core) failOverdue(now time.Time, a *attempt) {
 	outcome := fault.NotRun
-	if a.run > 0 || a.phase == joined {
+	if a.runNumber > 0 || a.phase == phaseCoalesced {
 		outcome = fault.Unknown
 	}
-	if a.made > 0 {
+	if a.chunkCount > 0 {
 		outcome = fault.Partial
 	}
-	if a.phase == running {
-		c.fx.Stop(a.key, a.run)
+	if a.phase == phaseRunning {
+		c.effects.Stop(a.key, a.runNumber)
 	}
-	c.finish(now, a, &wire.End{Fault: wire.FaultOf(fault.New(fault.Deadline, "the request took too long").With(outcome))})
+	c.finish(now, a, &wire.End{Fault: wire.FaultOf(fault.New(fault.Deadline, "the request exceeded its deadline").With(outcome))})
 }
--- a/internal/execution/tombstone.go
+++ b/internal/execution/tombstone.go
@@ -2,67 +2,69 @@
 
 import "time"
 
-// tombstone is what is remembered of an attempt that is gone.
+// tombstone records an attempt that is no longer held.
 type tombstone struct {
-	until time.Time
-	ran   bool
+	expires    time.Time
+	mayHaveRun bool
 }
 
-// tombstones remembers refused and finished attempts for a time, so that a
-// late offer of one is refused and a late question about one is answered with
-// the truth. Memory is bounded; after something had to be left out, the answer
-// to a question about an unknown attempt is "may have run" for as long.
+// tombstones records refused, cancelled and finished attempts for the retention
+// period, so that a late offer of one is refused and a late cancel or resume
+// gets the correct outcome. The number of tombstones is limited. For one
+// retention period after a tombstone could not be stored, every unknown attempt
+// is reported as one that may have run.
 type tombstones struct {
-	keep       time.Duration
-	limit      int
-	byKey      map[Key]tombstone
-	order      []Key // by time of insertion
-	lossyUntil time.Time
+	retention       time.Duration
+	limit           int
+	byKey           map[AttemptKey]tombstone
+	insertionOrder  []AttemptKey // oldest first
+	incompleteUntil time.Time
 }
 
-func newTombstones(keep time.Duration, limit int) *tombstones {
-	return &tombstones{keep: keep, limit: limit, byKey: map[Key]tombstone{}}
+func newTombstones(retention time.Duration, limit int) *tombstones {
+	return &tombstones{retention: retention, limit: limit, byKey: map[AttemptKey]tombstone{}}
 }
 
 func (t *tombstones) len() int { return len(t.byKey) }
 
-// add remembers k and reports whether there was room.
-func (t *tombstones) add(now time.Time, k Key, ran bool) bool {
+// add records k and reports whether there was room.
+func (t *tombstones) add(now time.Time, k AttemptKey, mayHaveRun bool) bool {
 	if old, known := t.byKey[k]; known {
-		old.ran = old.ran || ran
+		old.mayHaveRun = old.mayHaveRun || mayHaveRun
 		t.byKey[k] = old
 		return true
 	}
-	t.sweep(now)
+	t.removeExpired(now)
 	if len(t.byKey) >= t.limit {
-		t.lossyUntil = now.Add(t.keep)
+		t.incompleteUntil = now.Add(t.retention)
 		return false
 	}
-	t.byKey[k] = tombstone{now.Add(t.keep), ran}
-	t.order = append(t.order, k)
+	t.byKey[k] = tombstone{now.Add(t.retention), mayHaveRun}
+	t.insertionOrder = append(t.insertionOrder, k)
 	return true
 }
 
-func (t *tombstones) has(now time.Time, k Key) bool {
+func (t *tombstones) contains(now time.Time, k AttemptKey) bool {
 	s, ok := t.byKey[k]
-	return ok && now.Before(s.until)
+	return ok && now.Before(s.expires)
 }
 
-// mayHaveRun answers a question about an attempt that is not held and was
-// offered age ago.
-func (t *tombstones) mayHaveRun(now time.Time, k Key, age time.Duration) bool {
+// mayHaveRun reports whether an attempt that is not held, and was offered age
+// ago, may have run.
+func (t *tombstones) mayHaveRun(now time.Time, k AttemptKey, age time.Duration) bool {
 	if s, ok := t.byKey[k]; ok {
-		return s.ran
+		return s.mayHaveRun
 	}
-	// Half the time is left as a margin for what was under way.
-	return age >= t.keep/2 || now.Before(t.lossyUntil)
+	// The tombstone of an older attempt may have expired. Half the retention
+	// period is a safety margin for messages in flight.
+	return age >= t.retention/2 || now.Before(t.incompleteUntil)
 }
 
-func (t *tombstones) sweep(now time.Time) {
+func (t *tombstones) removeExpired(now time.Time) {
 	n := 0
-	for n < len(t.order) && !now.Before(t.byKey[t.order[n]].until) {
-		delete(t.byKey, t.order[n])
+	for n < len(t.insertionOrder) && !now.Before(t.byKey[t.insertionOrder[n]].expires) {
+		delete(t.byKey, t.insertionOrder[n])
 		n++
 	}
-	t.order = t.order[n:]
+	t.insertionOrder = t.insertionOrder[n:]
 }
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -86,7 +86,7 @@
 	a.core = execution.New(execution.Config{
 		Admission: admission.Config{Slots: 2, QueueLimit: 3, MaxPreemptions: 2, FloorWindow: time.Second, Preemption: true,
 			Floors: true, Fairness: true, EarlyRefusal: true},
-		MaxHeld: 20, OrphanAfter: 3 * time.Second, TombstoneFor: 20 * time.Second, MaxTombstones: 30,
+		MaxAttempts: 20, OrphanTimeout: 3 * time.Second, TombstoneRetention: 20 * time.Second, MaxTombstones: 30,
 	}, a.w.now, a, func(string) bool { return true })
 	a.links = map[execution.LinkID]*conn{}
 	a.runs = nil
@@ -107,18 +107,18 @@
 }
 
 func (a *agent) Start(r execution.Run) {
-	a.runs = append(a.runs, &run{Run: r, made: int(r.Done)})
-	req := a.w.byID(r.Key.ID)
+	a.runs = append(a.runs, &run{Run: r, made: int(r.GeneratedTokens)})
+	req := a.w.byID(r.Key.RequestID)
 	if req.finished > 0 && req.err != nil && req.err.Outcome == fault.NotRun {
-		a.w.t.Fatalf("%s was told not run and then started", r.Key.ID)
+		a.w.t.Fatalf("%s was told not run and then started", r.Key.RequestID)
 	}
-	a.w.starts[r.Key.ID]++
-	if !req.repeat && a.w.starts[r.Key.ID] > 1 {
-		a.w.t.Fatalf("%s may not be repeated and ran twice", r.Key.ID)
+	a.w.starts[r.Key.RequestID]++
+	if !req.repeat && a.w.starts[r.Key.RequestID] > 1 {
+		a.w.t.Fatalf("%s may not be repeated and ran twice", r.Key.RequestID)
 	}
 }
 
-func (a *agent) Stop(k execution.Key, number int) {
+func (a *agent) Stop(k execution.AttemptKey, number int) {
 	for _, r := range a.runs {
 		if r.Key == k && r.Number == number {
 			r.stopped = true
@@ -128,7 +128,7 @@
 
 func (a *agent) Use(execution.LinkID, int) {}
 
-func (a *agent) Claim(execution.Key, *wire.Offer) {}
+func (a *agent) Claim(execution.AttemptKey, *wire.Offer) {}
 
 func (w *world) byID(id string) *request {
 	for _, r := range w.requests {
@@ -321,14 +321,14 @@
 			if x.stopped {
 				continue
 			}
-			req := w.byID(x.Key.ID)
+			req := w.byID(x.Key.RequestID)
 			if x.made < req.length {
-				a.core.Token(w.now, x.Key, x.Number, []byte(token(x.Key.ID, x.made)), 1)
+				a.core.Output(w.now, x.Key, x.Number, []byte(token(x.Key.RequestID, x.made)), 1)
 				x.made++
 			}
 			if x.made >= req.length && !x.stopped {
 				x.stopped = true
-				a.core.Ended(w.now, x.Key, x.Number, wire.End{}, nil)
+				a.core.RunEnded(w.now, x.Key, x.Number, wire.End{}, nil)
 			}
 		}
 	}
@@ -339,7 +339,7 @@
 	for _, x := range append([]*run(nil), a.runs...) {
 		if !x.stopped {
 			x.stopped = true
-			a.core.Ended(a.w.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").With(fault.Unknown))
+			a.core.RunEnded(a.w.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").With(fault.Unknown))
 		}
 	}
 }
