--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,8 @@
-// Package agent wires the process beside a backend server: a goroutine for
-// each duty, joined by bounded rings. What it decides is in packages execution
-// and receipt; here are sockets, clocks and calls.
+// Package agent implements the process that runs next to each backend server. It
+// does the I/O: links to routers and other agents, calls to the backend server,
+// timers and the configuration log. The decisions are made by packages
+// execution and receipt. Each task runs in its own goroutine; tasks communicate
+// over bounded queues.
 package agent
 
 import (
@@ -25,100 +27,101 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// renewLease is how often the lease is renewed on the log; the log's retention
-// must be well above it.
-const renewLease = 10 * time.Minute
+// leaseRenewInterval is how often the lease is renewed on the log. It must be
+// well below the log's retention period.
+const leaseRenewInterval = 10 * time.Minute
 
-// Agent is the process. Call New, then Run.
+// Agent is an agent process. Create it with New and start it with Run.
 type Agent struct {
-	set         settings.Agent
-	logger      *slog.Logger
-	incarnation string
-	log         configlog.Log
-	config      *configlog.Follower
-	members     *membership.Reader
-	lease       *lease.Lease
-	core        *coreDuty
-	engine      *engineClient
-	service     *serviceClient
-	witness     *witnessLinks
-	serving     servingSet
-	listener    net.Listener
-	metrics     net.Listener
-	stopping    atomic.Bool
-	stop        chan struct{} // closed when the agent is to leave
-	stopOnce    sync.Once
+	settings        settings.Agent
+	logger          *slog.Logger
+	incarnation     string
+	configLog       configlog.Log
+	config          *configlog.Follower
+	members         *membership.Reader
+	lease           *lease.Lease
+	loop            *coreLoop
+	engine          *engineClient
+	service         *serviceClient
+	witnesses       *witnessClient
+	servingTargets  targetSet
+	listener        net.Listener
+	metricsListener net.Listener
+	draining        atomic.Bool
+	stop            chan struct{} // closed by Stop
+	stopOnce        sync.Once
 }
 
-// New listens on the settings' addresses and returns an agent that has not
-// started yet.
-func New(set settings.Agent, logger *slog.Logger) (*Agent, error) {
-	a := &Agent{set: set, logger: logger.With("agent", set.Name), incarnation: configlog.NewID(), stop: make(chan struct{})}
-	a.log = configlog.NewClient(set.Log.Address, settings.Millis(set.Log.TimeoutMS))
+// New listens on the configured addresses and returns an agent that has not been
+// started.
+func New(cfg settings.Agent, logger *slog.Logger) (*Agent, error) {
+	a := &Agent{settings: cfg, logger: logger.With("agent", cfg.Name), incarnation: configlog.NewID(), stop: make(chan struct{})}
+	a.configLog = configlog.NewClient(cfg.Log.Address, settings.Millis(cfg.Log.TimeoutMS))
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	a.config = configlog.NewFollower(a.log, set.Log, false, a.logger, rnd)
-	a.members = membership.NewReader(set.Members.Address, set.Name, settings.Millis(set.Members.PollMS), a.logger)
-	a.lease = lease.New(a.log, set.Name, a.incarnation, renewLease, a.logger)
-	a.engine = newEngineClient(set.Server)
-	a.service = newServiceClient(set.Server)
-	a.witness = newWitnessLinks(a)
-	a.core = newCoreDuty(a)
+	a.config = configlog.NewFollower(a.configLog, cfg.Log, false, a.logger, rnd)
+	a.members = membership.NewReader(cfg.Members.Address, cfg.Name, settings.Millis(cfg.Members.PollMS), a.logger)
+	a.lease = lease.New(a.configLog, cfg.Name, a.incarnation, leaseRenewInterval, a.logger)
+	a.engine = newEngineClient(cfg.Server)
+	a.service = newServiceClient(cfg.Server)
+	a.witnesses = newWitnessClient(a)
+	a.loop = newCoreLoop(a)
 	var err error
-	if a.listener, err = net.Listen("tcp", set.Listen); err != nil {
+	if a.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fault.New(fault.BadSettings, "%w", err).InField("listen")
 	}
-	if a.metrics, err = net.Listen("tcp", set.Metrics); err != nil {
+	if a.metricsListener, err = net.Listen("tcp", cfg.Metrics); err != nil {
 		_ = a.listener.Close() // the listen error is the one to report
 		return nil, fault.New(fault.BadSettings, "%w", err).InField("metrics")
 	}
 	return a, nil
 }
 
-// Address returns the address that routers dial.
+// Address returns the address that routers and other agents connect to.
 func (a *Agent) Address() string { return a.listener.Addr().String() }
 
-// MetricsAddress returns the address of the metrics and health pages.
-func (a *Agent) MetricsAddress() string { return a.metrics.Addr().String() }
+// MetricsAddress returns the address of the metrics, health and status endpoints.
+func (a *Agent) MetricsAddress() string { return a.metricsListener.Addr().String() }
 
-// Stop begins a graceful shutdown: no new work is taken, what is held goes on
-// to its end, then Run returns.
+// Stop starts a graceful shutdown: the agent refuses new work and completes the
+// attempts it holds, then Run returns.
 func (a *Agent) Stop() { a.stopOnce.Do(func() { close(a.stop) }) }
 
-// Run works until ctx ends, which cuts off what is in progress, or until a
-// graceful shutdown has finished.
+// Run runs the agent until a graceful shutdown is complete or ctx is cancelled.
+// Cancelling ctx aborts the work in progress.
 func (a *Agent) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var duties sync.WaitGroup
-	duties.Go(func() { a.config.Run(ctx) })
-	duties.Go(func() { a.members.Run(ctx) })
-	duties.Go(func() { a.lease.Run(ctx, a.Stop) })
-	duties.Go(func() { a.core.run(ctx) })
-	duties.Go(func() { a.acceptLinks(ctx) })
-	duties.Go(func() { a.watchServing(ctx) })
-	duties.Go(func() { a.recoverClaims(ctx) })
-	duties.Go(func() { a.watchServers(ctx) })
-	if a.set.Server.Kind == "engine" {
-		duties.Go(func() { a.converge(ctx) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { a.config.Run(ctx) })
+	tasks.Go(func() { a.members.Run(ctx) })
+	tasks.Go(func() { a.lease.Run(ctx, a.Stop) })
+	tasks.Go(func() { a.loop.run(ctx) })
+	tasks.Go(func() { a.acceptLinks(ctx) })
+	tasks.Go(func() { a.watchServing(ctx) })
+	tasks.Go(func() { a.recoverClaims(ctx) })
+	tasks.Go(func() { a.watchPools(ctx) })
+	if a.settings.Server.Kind == "engine" {
+		tasks.Go(func() { a.reconcileTargets(ctx) })
 	}
-	server := &http.Server{Handler: a.pages(), ReadHeaderTimeout: 5 * time.Second}
-	duties.Go(func() { _ = server.Serve(a.metrics) }) // ends with ErrServerClosed
+	server := &http.Server{Handler: a.httpHandler(), ReadHeaderTimeout: 5 * time.Second}
+	tasks.Go(func() { _ = server.Serve(a.metricsListener) }) // returns ErrServerClosed on shutdown
 	a.logger.Info("agent started", "listen", a.Address(), "incarnation", a.incarnation)
-	a.waitForStop(ctx)
+	a.waitUntilDrained(ctx)
 	cancel()
-	_ = a.listener.Close() // ends acceptLinks
-	_ = server.Close()     // ends the pages
-	duties.Wait()
+	_ = a.listener.Close() // makes acceptLinks return
+	_ = server.Close()     // makes Serve return
+	tasks.Wait()
 	a.logger.Info("agent stopped")
 	return nil
 }
 
-// leavingPoll is how often a stopping agent looks whether it is done, and a
-// running one whether the membership list says that it leaves.
-const leavingPoll = 50 * time.Millisecond
+// drainPollInterval is how often a running agent checks whether the membership
+// list marks it as leaving, and a draining one whether it still holds attempts.
+// It is also the retry interval of recoverClaims.
+const drainPollInterval = 50 * time.Millisecond
 
-func (a *Agent) waitForStop(ctx context.Context) {
-	tick := time.NewTicker(leavingPoll)
+func (a *Agent) waitUntilDrained(ctx context.Context) {
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -127,11 +130,11 @@
 		case <-a.stop:
 			a.drain()
 		case <-tick.C:
-			if a.members.Leaving(a.set.Name) {
+			if a.members.Leaving(a.settings.Name) {
 				a.drain()
 			}
 		}
-		if !a.stopping.Load() {
+		if !a.draining.Load() {
 			continue
 		}
 		select {
@@ -139,47 +142,47 @@
 			return
 		case <-tick.C:
 		}
-		if a.core.idle(ctx) {
+		if a.loop.isIdle(ctx) {
 			return
 		}
 	}
 }
 
 func (a *Agent) drain() {
-	if a.stopping.Swap(true) {
+	if a.draining.Swap(true) {
 		return
 	}
-	a.logger.Info("leaving: no new work is taken")
-	a.core.drain()
+	a.logger.Info("draining: refusing new work")
+	a.loop.drain()
 }
 
 func (a *Agent) hello(role string) wire.Hello {
-	return wire.Hello{Role: role, Name: a.set.Name, Incarnation: a.incarnation, Domain: a.set.FailureDomain,
+	return wire.Hello{Role: role, Name: a.settings.Name, Incarnation: a.incarnation, Domain: a.settings.FailureDomain,
 		Revision: a.config.View().Revision}
 }
 
-func (a *Agent) linkOptions(beat func() *wire.Beat) link.Options {
-	return link.Options{Heartbeat: settings.Millis(a.set.Link.HeartbeatMS), Silent: settings.Millis(a.set.Link.SilentMS), Beat: beat}
+func (a *Agent) linkOptions(heartbeat func() *wire.Beat) link.Options {
+	return link.Options{Heartbeat: settings.Millis(a.settings.Link.HeartbeatMS), Silent: settings.Millis(a.settings.Link.SilentMS), Beat: heartbeat}
 }
 
-// pages serves metrics, health and the agent's own status.
-func (a *Agent) pages() http.Handler {
+// httpHandler serves the metrics, health and status endpoints.
+func (a *Agent) httpHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", telemetry.Handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if !a.config.Ready() || a.stopping.Load() {
+		if !a.config.Ready() || a.draining.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(a.status()) // a client that went away is its own matter
+		_ = json.NewEncoder(w).Encode(a.status()) // fails only if the client has disconnected
 	})
 	return mux
 }
 
-// Status is what an agent says of itself.
+// Status is the response of GET /v1/status.
 type Status struct {
 	Name        string   `json:"name"`
 	Incarnation string   `json:"incarnation"`
@@ -191,6 +194,6 @@
 }
 
 func (a *Agent) status() Status {
-	return Status{a.set.Name, a.incarnation, a.config.View().Revision, a.lease.Fence(), a.config.LogUp(),
-		a.stopping.Load(), a.serving.list()}
+	return Status{a.settings.Name, a.incarnation, a.config.View().Revision, a.lease.Fence(), a.config.LogUp(),
+		a.draining.Load(), a.servingTargets.list()}
 }
--- a/internal/agent/calls_test.go
+++ b/internal/agent/calls_test.go
@@ -17,34 +17,36 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// serve starts a backend server and returns the settings to call it.
-func serve(t *testing.T, h http.HandlerFunc) settings.Server {
+// startServer starts a backend server with the given handler and returns the
+// settings to call it.
+func startServer(t *testing.T, h http.HandlerFunc) settings.Server {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return settings.Server{Address: strings.TrimPrefix(s.URL, "http://"), Slots: 4, StallMS: 300}
 }
 
-func serviceRun() execution.Run {
+func newServiceRun() execution.Run {
 	return execution.Run{Key: execution.AttemptKey{RequestID: "x", Attempt: 1}, Offer: &wire.Offer{Kind: wire.Service, Endpoint: "/do", Body: []byte("b"),
 		RunWithinMS: 5000, ContentType: "text/plain"}}
 }
 
-// net/http repeats a request by itself when a kept connection turns out to be
-// closed; a call that may not be repeated must reach the service once.
-func TestAServiceCallIsNeverRepeatedByTheClient(t *testing.T) {
+// Guards against calls that are sent twice: on a kept-alive connection that turns out
+// to be closed, net/http resends the request by itself. The service closes the
+// connection of every second call without a response.
+func TestServiceCallIsSentOnce(t *testing.T) {
 	g := NewWithT(t)
 	var calls atomic.Int64
-	set := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	cfg := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1)%2 == 0 {
-			panic(http.ErrAbortHandler) // the connection ends without an answer
+			panic(http.ErrAbortHandler) // closes the connection without a response
 		}
-		_, _ = fmt.Fprint(w, "done") // the test's own client reads it
+		_, _ = fmt.Fprint(w, "done") // the body is checked by the caller below
 	})
-	c := newServiceClient(set)
+	c := newServiceClient(cfg)
 	for i := range 6 {
 		before := calls.Load()
-		body, end, e := c.call(context.Background(), serviceRun())
-		g.Expect(calls.Load()).To(Equal(before+1), "each call reaches the service once")
+		body, end, e := c.call(context.Background(), newServiceRun())
+		g.Expect(calls.Load()).To(Equal(before+1), "each call must reach the service exactly once")
 		if i%2 == 0 {
 			g.Expect(e).To(BeNil())
 			g.Expect(string(body)).To(Equal("done"))
@@ -55,16 +57,16 @@
 	}
 }
 
-func TestACallThatIsNotSentIsNotRun(t *testing.T) {
+func TestUnsentCallReportsNotRun(t *testing.T) {
 	g := NewWithT(t)
 	closed := settings.Server{Address: "127.0.0.1:1", Slots: 1, StallMS: 300}
-	_, _, e := newServiceClient(closed).call(context.Background(), serviceRun())
+	_, _, e := newServiceClient(closed).call(context.Background(), newServiceRun())
 	g.Expect(e.Outcome).To(Equal(fault.NotRun))
-	_, e = newEngineClient(closed).generate(context.Background(), engineRun(`{}`), func([]byte) {})
+	_, e = newEngineClient(closed).generate(context.Background(), newEngineRun(`{}`), func([]byte) {})
 	g.Expect(e.Outcome).To(Equal(fault.NotRun))
 }
 
-func engineRun(body string) execution.Run {
+func newEngineRun(body string) execution.Run {
 	return execution.Run{Key: execution.AttemptKey{RequestID: "x", Attempt: 1}, GeneratedTokens: 2, GeneratedText: "a b ", Offer: &wire.Offer{Endpoint: "/v1/completions",
 		Target: "m@v2", Tier: 3, Body: []byte(body)}}
 }
@@ -78,30 +80,30 @@
 		code    fault.Code
 		outcome fault.Outcome
 	}{
-		"whole": {func(w http.ResponseWriter, _ *http.Request) {
+		"complete": {func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = fmt.Fprintf(w, textEvent+": a comment\n\n"+textEvent+"data: [DONE]\n\n", "a", "b")
 		}, "ab", "", ""},
-		"no end mark": {func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprintf(w, textEvent, "a") },
+		"no end marker": {func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprintf(w, textEvent, "a") },
 			"a", fault.EngineFailed, fault.Unknown},
-		"broken event": {func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "data: {\n\n") },
+		"malformed event": {func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "data: {\n\n") },
 			"", fault.EngineFailed, fault.Unknown},
 		"error event": {func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = fmt.Fprintf(w, textEvent+"data: {\"error\":{\"message\":\"out of memory\"}}\n\n", "a")
 		}, "a", fault.EngineFailed, fault.Unknown},
 		"stall": {func(w http.ResponseWriter, r *http.Request) {
 			_, _ = fmt.Fprintf(w, textEvent, "a")
-			_ = http.NewResponseController(w).Flush() // the stream is open
+			_ = http.NewResponseController(w).Flush() // sends the event before the stall
 			<-r.Context().Done()
 		}, "a", fault.EngineFailed, fault.Unknown},
-		"not loaded": {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusNotFound) }, "", fault.NoServer, fault.NotRun},
-		"busy":       {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusServiceUnavailable) }, "", fault.QueueFull, fault.NotRun},
-		"bad":        {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadRequest) }, "", fault.BadRequest, fault.NotRun},
-		"failed":     {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusInternalServerError) }, "", fault.EngineFailed, fault.Unknown},
+		"not loaded":     {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusNotFound) }, "", fault.NoServer, fault.NotRun},
+		"busy":           {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusServiceUnavailable) }, "", fault.QueueFull, fault.NotRun},
+		"bad request":    {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadRequest) }, "", fault.BadRequest, fault.NotRun},
+		"internal error": {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusInternalServerError) }, "", fault.EngineFailed, fault.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			text := ""
-			_, e := newEngineClient(serve(t, c.answer)).generate(context.Background(), engineRun(`{"prompt":"p"}`),
+			_, e := newEngineClient(startServer(t, c.answer)).generate(context.Background(), newEngineRun(`{"prompt":"p"}`),
 				func(data []byte) { text += string(data) })
 			g.Expect(text).To(Equal(c.text))
 			if c.code == "" {
@@ -114,13 +116,13 @@
 	}
 }
 
-// The caller's body passes through; the agent sets its own fields.
-func TestRequestBody(t *testing.T) {
+// The caller's fields must be passed on, except those that the agent sets itself.
+func TestCompletionRequestBody(t *testing.T) {
 	g := NewWithT(t)
-	body, err := requestBody(engineRun(`{"model":"m","temperature":0.5,"stream":false}`))
+	body, err := completionRequestBody(newEngineRun(`{"model":"m","temperature":0.5,"stream":false}`))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(MatchJSON(`{"model":"m@v2","temperature":0.5,"stream":true,"stream_options":{"include_usage":true},"priority":3,
 		"request_id":"x","resume":{"tokens":2,"text":"a b "}}`))
-	_, err = requestBody(engineRun(`[]`))
+	_, err = completionRequestBody(newEngineRun(`[]`))
 	g.Expect(fault.Is(err, fault.BadRequest)).To(BeTrue())
 }
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -15,36 +15,38 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// claimTimeout is how long a witness may take before the log is used instead.
+// claimTimeout limits how long a claim waits for the witness before it is made on
+// the log.
 const claimTimeout = 300 * time.Millisecond
 
-// claim asks the witness of a key and lets the core decide on its word.
-func (a *Agent) claim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
+// claimKey claims a key with its witness and passes the result to the core, which
+// decides on it.
+func (a *Agent) claimKey(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
 	select {
 	case <-a.lease.Held():
-	default: // without a lease on the log nobody could tell a later process of this one
-		a.core.settleClaim(ctx, k, o, receipt.WitnessUnreachable, true)
+	default: // without a lease on the log, a later process could not know of this one
+		a.loop.decideClaim(ctx, k, o, receipt.WitnessUnreachable, true)
 		return
 	}
-	pool := poolOf(a.config.View(), o.Target)
+	pool := poolOfService(a.config.View(), o.Target)
 	names := serverNames(pool)
 	ranked := rendezvous.Rank(o.Key, names)
-	if len(ranked) == 0 || ranked[0] != a.set.Name { // a router with an older configuration
-		a.core.settleClaim(ctx, k, o, receipt.WitnessUnreachable, true)
+	if len(ranked) == 0 || ranked[0] != a.settings.Name { // the router used an older configuration
+		a.loop.decideClaim(ctx, k, o, receipt.WitnessUnreachable, true)
 		return
 	}
 	moved := a.homeMoved(o)
 	if len(ranked) < 2 {
-		a.core.settleClaim(ctx, k, o, receipt.NoWitness, moved)
+		a.loop.decideClaim(ctx, k, o, receipt.NoWitness, moved)
 		return
 	}
-	word := a.witness.ask(ctx, pool.Server(ranked[1]), &wire.Claim{Key: o.Key, Holder: a.set.Name + "/" + a.incarnation,
+	answer := a.witnesses.claim(ctx, pool.Server(ranked[1]), &wire.Claim{Key: o.Key, Holder: a.settings.Name + "/" + a.incarnation,
 		Digest: o.Digest, WindowMS: o.KeyWindowMS})
-	telemetry.Count("merlinpost_agent_claims_total", "word", word.String())
-	a.core.settleClaim(ctx, k, o, word, moved)
+	telemetry.Count("merlinpost_agent_claims_total", "word", answer.String())
+	a.loop.decideClaim(ctx, k, o, answer, moved)
 }
 
-func poolOf(v *resource.View, service string) *resource.Pool {
+func poolOfService(v *resource.View, service string) *resource.Pool {
 	if s := v.Services[service]; s != nil {
 		return v.Pools[s.Pool]
 	}
@@ -62,28 +64,29 @@
 	return names
 }
 
-// keptClaim is a record of an agent's claims stream.
-type keptClaim struct {
+// loggedClaim is a record in an agent's claim stream on the log.
+type loggedClaim struct {
 	Key      string `json:"key"`
 	Digest   uint64 `json:"digest"`
 	WindowMS int64  `json:"window_ms"`
 }
 
-// keepClaim puts a claim on the log, then lets the call start.
-func (a *Agent) keepClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
+// logClaim appends a claim to the log and then lets the call start. The call is
+// refused if the append fails.
+func (a *Agent) logClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
 	decision := receipt.Run
-	data, err := json.Marshal(keptClaim{o.Key, o.Digest, o.KeyWindowMS})
+	data, err := json.Marshal(loggedClaim{o.Key, o.Digest, o.KeyWindowMS})
 	if err == nil {
-		_, err = a.log.Append(ctx, configlog.ClaimStream(a.set.Name), data)
+		_, err = a.configLog.Append(ctx, configlog.ClaimStream(a.settings.Name), data)
 	}
 	if err != nil {
 		decision = receipt.Refuse
 	}
 	telemetry.Count("merlinpost_agent_claims_on_log_total")
-	a.core.post(ctx, func(now time.Time) { a.core.core.ClaimDecided(now, k, decision) })
+	a.loop.post(ctx, func(now time.Time) { a.loop.core.ClaimDecided(now, k, decision) })
 }
 
-// recoverClaims reads the claims that an earlier process left on the log.
+// recoverClaims reads the claims of earlier processes of this agent from the log.
 func (a *Agent) recoverClaims(ctx context.Context) {
 	select {
 	case <-a.lease.Held():
@@ -91,40 +94,40 @@
 		return
 	}
 	for ctx.Err() == nil {
-		var kept []keptClaim
-		_, _, err := configlog.ReadAll(ctx, a.log, configlog.ClaimStream(a.set.Name), func(e configlog.Entry) {
-			var c keptClaim
+		var claims []loggedClaim
+		_, _, err := configlog.ReadAll(ctx, a.configLog, configlog.ClaimStream(a.settings.Name), func(e configlog.Entry) {
+			var c loggedClaim
 			if json.Unmarshal(e.Data, &c) == nil {
-				kept = append(kept, c)
+				claims = append(claims, c)
 			}
 		})
 		if err == nil {
-			a.core.post(ctx, func(now time.Time) { a.rememberClaims(now, kept) })
+			a.loop.post(ctx, func(now time.Time) { a.restoreClaims(now, claims) })
 			return
 		}
 		select {
-		case <-time.After(leavingPoll):
+		case <-time.After(drainPollInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (a *Agent) rememberClaims(now time.Time, kept []keptClaim) {
-	book := a.core.core.Keys()
-	for _, c := range kept {
-		book.Remember(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
+func (a *Agent) restoreClaims(now time.Time, claims []loggedClaim) {
+	keys := a.loop.core.Keys()
+	for _, c := range claims {
+		keys.Remember(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
 	}
-	book.SetLogRead()
+	keys.SetLogRead()
 	if a.lease.Newborn() {
-		book.SetNewborn(a.poolsNeverChanged())
+		keys.SetNewborn(a.poolsUnchanged())
 	}
 }
 
-// poolsNeverChanged reports whether the pools that this server is in are still
-// as they were first declared.
-func (a *Agent) poolsNeverChanged() bool {
+// poolsUnchanged reports whether none of the pools that this server is in was
+// changed since it was first declared.
+func (a *Agent) poolsUnchanged() bool {
 	v := a.config.View()
-	for _, name := range v.PoolsOf(a.set.Name) {
+	for _, name := range v.PoolsOf(a.settings.Name) {
 		if r, ok := v.Get(resource.Ref{Kind: resource.KindPool, Name: name}); ok && len(r.Versions) > 1 {
 			return false
 		}
--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -19,27 +19,27 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// engineClient calls the engine by the published completion protocol.
+// engineClient calls an inference engine over its HTTP completion API.
 type engineClient struct {
-	base  string
-	stall time.Duration
-	http  *http.Client
+	baseURL      string
+	stallTimeout time.Duration
+	http         *http.Client
 }
 
-// maxEvent bounds one line of an engine's event stream, bytes.
-const maxEvent = 1 << 20
+// maxEventBytes limits a line of the engine's event stream.
+const maxEventBytes = 1 << 20
 
-func newEngineClient(set settings.Server) *engineClient {
-	return &engineClient{base: "http://" + set.Address, stall: settings.Millis(set.StallMS),
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: set.Slots, DisableCompression: true}}}
+func newEngineClient(cfg settings.Server) *engineClient {
+	return &engineClient{baseURL: "http://" + cfg.Address, stallTimeout: settings.Millis(cfg.StallMS),
+		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: cfg.Slots, DisableCompression: true}}}
 }
 
-// requestBody is the caller's body with the fields that the agent sets.
-func requestBody(r execution.Run) ([]byte, error) {
+// completionRequestBody returns the caller's body with the fields set by the agent.
+func completionRequestBody(r execution.Run) ([]byte, error) {
 	fields := map[string]any{}
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(r.Offer.Body, &raw); err != nil {
-		return nil, fault.New(fault.BadRequest, "the body is no JSON object: %w", err).With(fault.NotRun)
+		return nil, fault.New(fault.BadRequest, "the request body is not a JSON object: %w", err).With(fault.NotRun)
 	}
 	for k, v := range raw {
 		fields[k] = v
@@ -59,40 +59,40 @@
 	return data, nil
 }
 
-// generate runs a request and gives each piece of text to token. An engine
-// that gives nothing for the stall time counts as failed.
-func (c *engineClient) generate(ctx context.Context, r execution.Run, token func([]byte)) (wire.End, *fault.Error) {
-	body, err := requestBody(r)
+// generate runs a request and passes each piece of generated text to onText. The
+// call fails if the engine sends no text for the stall timeout.
+func (c *engineClient) generate(ctx context.Context, r execution.Run, onText func([]byte)) (wire.End, *fault.Error) {
+	body, err := completionRequestBody(r)
 	if err != nil {
 		return wire.End{}, fault.From(err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var stalled atomic.Bool
-	watch := time.AfterFunc(c.stall, func() { stalled.Store(true); cancel() })
-	defer watch.Stop()
-	resp, e := c.open(ctx, r.Offer.Endpoint, body)
+	stallTimer := time.AfterFunc(c.stallTimeout, func() { stalled.Store(true); cancel() })
+	defer stallTimer.Stop()
+	resp, e := c.postCompletion(ctx, r.Offer.Endpoint, body)
 	if e != nil {
 		return wire.End{}, e
 	}
 	defer resp.Body.Close()
 	end, err := readStream(resp.Body, func(data []byte) {
-		watch.Reset(c.stall)
-		token(data)
+		stallTimer.Reset(c.stallTimeout)
+		onText(data)
 	})
 	if err != nil {
-		cause := "the stream broke"
+		cause := "read the engine's event stream"
 		if stalled.Load() {
-			cause = "the stream stalled"
+			cause = fmt.Sprintf("the engine sent no text for %s", c.stallTimeout)
 		}
 		return end, fault.New(fault.EngineFailed, "%s: %w", cause, err).With(fault.Unknown)
 	}
 	return end, nil
 }
 
-// open sends the request and checks the answer's status.
-func (c *engineClient) open(ctx context.Context, endpoint string, body []byte) (*http.Response, *fault.Error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+endpoint, bytes.NewReader(body))
+// postCompletion sends the request and checks the response status.
+func (c *engineClient) postCompletion(ctx context.Context, endpoint string, body []byte) (*http.Response, *fault.Error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+endpoint, bytes.NewReader(body))
 	if err != nil {
 		return nil, fault.New(fault.Internal, "engine request: %w", err).With(fault.NotRun)
 	}
@@ -110,13 +110,14 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // the status alone says enough
-	return nil, statusFault(resp.StatusCode, string(bytes.TrimSpace(text)))
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // on an error the status is reported without the text
+	return nil, faultFromStatus(resp.StatusCode, string(bytes.TrimSpace(text)))
 }
 
-// statusFault types an engine's refusal. Only a refusal before the work is
-// sure not to have run.
-func statusFault(status int, text string) *fault.Error {
+// faultFromStatus converts an error status of the engine to a fault. Only the
+// statuses with which an engine rejects a request before starting it give the
+// outcome NotRun.
+func faultFromStatus(status int, text string) *fault.Error {
 	code, outcome := fault.EngineFailed, fault.Unknown
 	switch {
 	case status == http.StatusNotFound:
@@ -126,17 +127,17 @@
 	case status >= 400 && status < 500:
 		code, outcome = fault.BadRequest, fault.NotRun
 	}
-	return fault.New(code, "the engine answered %d: %s", status, text).With(outcome)
+	return fault.New(code, "the engine returned status %d: %s", status, text).With(outcome)
 }
 
-// streamEvent is the part of a published stream event that matters here.
+// streamEvent holds the fields used of an event of the completion stream.
 type streamEvent struct {
 	Choices []struct {
 		Text  string `json:"text"`
 		Delta struct {
 			Content string `json:"content"`
 		} `json:"delta"`
-		Finish string `json:"finish_reason"`
+		FinishReason string `json:"finish_reason"`
 	} `json:"choices"`
 	Usage *struct {
 		Prompt     int `json:"prompt_tokens"`
@@ -148,22 +149,22 @@
 }
 
 var (
-	dataPrefix = []byte("data: ")
-	doneMark   = []byte("[DONE]")
-	errNoEnd   = errors.New("the stream ended without its end mark")
+	dataPrefix          = []byte("data: ")
+	endMarker           = []byte("[DONE]")
+	errMissingEndMarker = errors.New("the event stream ended without [DONE]")
 )
 
-// readStream reads server-sent events up to the end mark.
-func readStream(r io.Reader, token func([]byte)) (wire.End, error) {
+// readStream reads server-sent events up to the end marker.
+func readStream(r io.Reader, onText func([]byte)) (wire.End, error) {
 	var end wire.End
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, 4096), maxEvent)
+	lines.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for lines.Scan() {
 		data, ok := bytes.CutPrefix(lines.Bytes(), dataPrefix)
 		if !ok {
 			continue
 		}
-		if bytes.Equal(data, doneMark) {
+		if bytes.Equal(data, endMarker) {
 			return end, nil
 		}
 		var ev streamEvent
@@ -173,31 +174,31 @@
 		if ev.Error != nil {
 			return end, fault.New(fault.EngineFailed, "%s", ev.Error.Message)
 		}
-		takeEvent(&ev, &end, token)
+		applyEvent(&ev, &end, onText)
 	}
 	if err := lines.Err(); err != nil {
 		return end, err
 	}
-	return end, errNoEnd
+	return end, errMissingEndMarker
 }
 
-func takeEvent(ev *streamEvent, end *wire.End, token func([]byte)) {
+func applyEvent(ev *streamEvent, end *wire.End, onText func([]byte)) {
 	if ev.Usage != nil {
 		end.PromptTokens, end.OutputTokens = ev.Usage.Prompt, ev.Usage.Completion
 	}
 	for _, c := range ev.Choices {
 		if text := c.Text + c.Delta.Content; text != "" {
-			token([]byte(text))
+			onText([]byte(text))
 		}
-		if c.Finish != "" {
-			end.Finish = c.Finish
+		if c.FinishReason != "" {
+			end.Finish = c.FinishReason
 		}
 	}
 }
 
-// loaded asks the engine which targets it has loaded.
-func (c *engineClient) loaded(ctx context.Context) ([]string, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v1/models", nil)
+// loadedTargets queries the engine for the targets it has loaded.
+func (c *engineClient) loadedTargets(ctx context.Context) ([]string, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/v1/models", nil)
 	if err != nil {
 		return nil, fmt.Errorf("engine models: %w", err)
 	}
@@ -212,13 +213,14 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fault.New(fault.EngineFailed, "engine models: status %d", resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxEvent)).Decode(&out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxEventBytes)).Decode(&out); err != nil {
 		return nil, fmt.Errorf("engine models: %w", err)
 	}
 	return out.Loaded, nil
 }
 
-// order is the body of an order to the engine.
+// order is the request body of POST /v1/orders, which makes the engine load or
+// unload a target.
 type order struct {
 	Op      string `json:"op"`
 	Target  string `json:"target"`
@@ -227,13 +229,13 @@
 	By      string `json:"by"`
 }
 
-// give sends an order; it returns when the engine has carried it out.
-func (c *engineClient) give(ctx context.Context, o order) error {
+// postOrder sends an order and waits until the engine has carried it out.
+func (c *engineClient) postOrder(ctx context.Context, o order) error {
 	data, err := json.Marshal(o)
 	if err != nil {
 		return fmt.Errorf("engine order: %w", err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/orders", bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+"/v1/orders", bytes.NewReader(data))
 	if err != nil {
 		return fmt.Errorf("engine order: %w", err)
 	}
@@ -243,7 +245,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // the status alone says enough
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // on an error the status is reported without the text
 		return fault.New(fault.EngineFailed, "engine order: status %d: %s", resp.StatusCode, bytes.TrimSpace(text))
 	}
 	return nil
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -13,38 +13,40 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// maxLinks bounds the links that others may open to this agent.
-const maxLinks = 4096
+// maxAcceptedLinks limits the links opened to this agent by routers and other
+// agents.
+const maxAcceptedLinks = 4096
 
-// acceptLinks takes links until the listener is closed.
+// acceptLinks accepts links until the listener is closed and returns when all
+// accepted links have ended.
 func (a *Agent) acceptLinks(ctx context.Context) {
 	var links sync.WaitGroup
 	defer links.Wait()
-	room := make(chan struct{}, maxLinks)
+	slots := make(chan struct{}, maxAcceptedLinks)
 	for {
 		nc, err := a.listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return
 			}
-			time.Sleep(tickEvery) // out of file descriptors, most likely
+			time.Sleep(tickInterval) // most likely out of file descriptors
 			continue
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			telemetry.Count("merlinpost_links_refused_total")
-			_ = nc.Close() // refused
+			_ = nc.Close() // over the limit
 			continue
 		}
 		links.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			a.serveLink(ctx, nc)
 		})
 	}
 }
 
-// peerLink is one accepted link and what it was last told.
+// peerLink is an accepted link from a router or another agent.
 type peerLink struct {
 	agent *Agent
 	id    execution.LinkID
@@ -52,80 +54,82 @@
 }
 
 func (a *Agent) serveLink(ctx context.Context, nc net.Conn) {
-	p := &peerLink{agent: a, id: execution.LinkID(a.core.lastID.Add(1))}
-	conn, err := link.Open(nc, a.hello("agent"), a.linkOptions(p.beat))
+	p := &peerLink{agent: a, id: execution.LinkID(a.loop.lastLinkID.Add(1))}
+	conn, err := link.Open(nc, a.hello("agent"), a.linkOptions(p.heartbeat))
 	if err != nil {
 		telemetry.Count("merlinpost_links_failed_total", "code", string(fault.From(err).Code))
 		return
 	}
 	p.conn = conn
-	a.core.post(ctx, func(now time.Time) { p.up(now) })
-	err = conn.Run(ctx, func(m wire.Message) { p.receive(ctx, m) })
+	a.loop.post(ctx, func(now time.Time) { p.onOpen(now) })
+	err = conn.Run(ctx, func(m wire.Message) { p.dispatch(ctx, m) })
 	telemetry.Count("merlinpost_links_ended_total", "code", string(fault.From(err).Code))
-	a.core.post(ctx, func(now time.Time) { p.down(now) })
+	a.loop.post(ctx, func(now time.Time) { p.onClose(now) })
 }
 
-func (p *peerLink) up(now time.Time) {
-	d := p.agent.core
-	d.conns[p.id] = p.conn
-	// Only now: what changes from here on is told by a poke of all links, which would
-	// have passed this one by before.
-	p.conn.Send(p.beat())
+func (p *peerLink) onOpen(now time.Time) {
+	l := p.agent.loop
+	l.conns[p.id] = p.conn
+	// The first heartbeat must follow the registration in conns. A change before
+	// it is included in the heartbeat; a later one reaches this link through
+	// sendHeartbeats, which only covers registered links.
+	p.conn.Send(p.heartbeat())
 	if p.conn.Peer().Role == "router" {
-		if old := d.core.LinkUp(now, p.id, p.conn.Peer().Name+"/"+p.conn.Peer().Incarnation); old != 0 {
-			if c := d.conns[old]; c != nil {
+		if old := l.core.LinkUp(now, p.id, p.conn.Peer().Name+"/"+p.conn.Peer().Incarnation); old != 0 {
+			if c := l.conns[old]; c != nil {
 				c.Close()
 			}
 		}
 	}
 }
 
-func (p *peerLink) down(now time.Time) {
-	d := p.agent.core
-	delete(d.conns, p.id)
-	d.core.LinkDown(now, p.id)
+func (p *peerLink) onClose(now time.Time) {
+	l := p.agent.loop
+	delete(l.conns, p.id)
+	l.core.LinkDown(now, p.id)
 }
 
-// beat makes a heartbeat with the list of targets. The list comes with each, so
-// that whatever was lost or overtaken is right again with the next.
-func (p *peerLink) beat() *wire.Beat {
-	b := p.agent.core.beat()
+// heartbeat returns a heartbeat with the complete list of targets, so that each
+// heartbeat corrects lost or reordered ones.
+func (p *peerLink) heartbeat() *wire.Beat {
+	b := p.agent.loop.heartbeat()
 	load := *b.Load
-	load.Serving = p.agent.serving.list()
+	load.Serving = p.agent.servingTargets.list()
 	b.Load = &load
 	return b
 }
 
-// receive hands a message to the duty that it is for.
-func (p *peerLink) receive(ctx context.Context, m wire.Message) {
-	a, d := p.agent, p.agent.core
+// dispatch passes a received message to the component that handles it.
+func (p *peerLink) dispatch(ctx context.Context, m wire.Message) {
+	a, l := p.agent, p.agent.loop
 	switch m := m.(type) {
 	case *wire.Offer:
-		d.post(ctx, func(now time.Time) { d.core.Offer(now, p.id, m) })
+		l.post(ctx, func(now time.Time) { l.core.Offer(now, p.id, m) })
 	case *wire.Ack:
-		d.post(ctx, func(now time.Time) { d.core.Ack(now, p.id, m) })
+		l.post(ctx, func(now time.Time) { l.core.Ack(now, p.id, m) })
 	case *wire.Cancel:
-		d.post(ctx, func(now time.Time) { d.core.Cancel(now, p.id, m) })
+		l.post(ctx, func(now time.Time) { l.core.Cancel(now, p.id, m) })
 	case *wire.Resume:
-		d.post(ctx, func(now time.Time) { d.core.Resume(now, p.id, m) })
+		l.post(ctx, func(now time.Time) { l.core.Resume(now, p.id, m) })
 	case *wire.Claim:
-		d.post(ctx, func(now time.Time) { p.conn.Send(d.core.Keys().Grant(now, m)) })
+		l.post(ctx, func(now time.Time) { p.conn.Send(l.core.Keys().Grant(now, m)) })
 	case *wire.Beat:
 		if m.Revision > a.config.View().Revision && !a.config.LogUp() {
 			p.conn.Send(&wire.ConfigPull{Above: a.config.View().Revision})
 		}
 	case *wire.ConfigPull:
-		a.answerPull(p.conn, m)
+		a.sendConfig(p.conn, m)
 	case *wire.ConfigState:
 		a.installConfig(m)
 	}
 }
 
-// answerPull gives a peer the configuration if this process has a newer one.
-func (a *Agent) answerPull(conn *link.Conn, m *wire.ConfigPull) {
+// sendConfig sends the configuration to a peer, without data if the one held here
+// is not ready.
+func (a *Agent) sendConfig(conn *link.Conn, m *wire.ConfigPull) {
 	revision, data, err := a.config.Encode(m.Above)
 	if err != nil {
-		a.logger.Error("configuration not encoded", "error", err)
+		a.logger.Error("failed to encode the configuration for a peer", "error", err)
 		return
 	}
 	if !a.config.Ready() {
--- a/internal/agent/links_test.go
+++ b/internal/agent/links_test.go
@@ -14,37 +14,38 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// A list of targets that changes while a router's link is being taken in reaches that
-// router: between the heartbeat that greets it and its entry among the links, a poke of
-// all links passes it by, and an idle link's next heartbeat is 20 s away.
+// A change of the served targets while a link is being opened must reach the router.
+// If the first heartbeat were sent before the link is registered, a change between the
+// two would be in neither that heartbeat nor the one sent on all registered links, and
+// the router would miss it until the next periodic heartbeat, 20 s later on an idle link.
 func TestALinkThatIsTakenInHearsOfTargetsThatChangeMeanwhile(t *testing.T) {
 	g := NewWithT(t)
-	set := settings.Agent{Name: "a", Listen: "127.0.0.1:0", Metrics: "127.0.0.1:0", Link: settings.Link{HeartbeatMS: 20000, SilentMS: 60000}}
-	a, err := New(set, slog.New(slog.DiscardHandler))
+	cfg := settings.Agent{Name: "a", Listen: "127.0.0.1:0", Metrics: "127.0.0.1:0", Link: settings.Link{HeartbeatMS: 20000, SilentMS: 60000}}
+	a, err := New(cfg, slog.New(slog.DiscardHandler))
 	g.Expect(err).NotTo(HaveOccurred())
-	defer func() { _, _ = a.listener.Close(), a.metrics.Close() }()
+	defer func() { _, _ = a.listener.Close(), a.metricsListener.Close() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	there, err := net.Dial("tcp", a.Address())
+	routerConn, err := net.Dial("tcp", a.Address())
 	g.Expect(err).NotTo(HaveOccurred())
-	here, err := a.listener.Accept()
+	agentConn, err := a.listener.Accept()
 	g.Expect(err).NotTo(HaveOccurred())
-	go a.serveLink(ctx, here)
-	router, err := link.Open(there, wire.Hello{Role: "router", Name: "r", Incarnation: "1"},
+	go a.serveLink(ctx, agentConn)
+	router, err := link.Open(routerConn, wire.Hello{Role: "router", Name: "r", Incarnation: "1"},
 		link.Options{Heartbeat: 20 * time.Second, Silent: time.Minute, Beat: func() *wire.Beat { return &wire.Beat{} }})
 	g.Expect(err).NotTo(HaveOccurred())
-	told := make(chan []string, 10)
+	received := make(chan []string, 10)
 	go func() {
 		_ = router.Run(ctx, func(m wire.Message) { // ends with ctx
 			if b, ok := m.(*wire.Beat); ok && b.Load != nil {
-				told <- b.Load.Serving
+				received <- b.Load.Serving
 			}
 		})
 	}()
-	// The core's goroutine does not run yet: the link's entry waits in its inbox.
-	entry := <-a.core.inbox
-	a.serving.set([]string{"model/x"})
-	a.core.pokeAll()
-	entry(time.Now())
-	g.Eventually(told, 5*time.Second).Should(Receive(Equal([]string{"model/x"})))
+	// The core loop is not running, so the link's registration stays in its inbox.
+	register := <-a.loop.inbox
+	a.servingTargets.set([]string{"model/x"})
+	a.loop.sendHeartbeats()
+	register(time.Now())
+	g.Eventually(received, 5*time.Second).Should(Receive(Equal([]string{"model/x"})))
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -11,23 +11,25 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// Timing of orders.
+// Intervals and timeouts of loading and unloading targets.
 const (
-	convergeEvery = time.Second
-	loadTimeout   = 10 * time.Minute
-	// unloadAfter is how long a version stays loaded that the configuration
-	// no longer wants: longer than a router may go on sending to it.
-	unloadAfter = 15 * time.Second
+	reconcileInterval = time.Second
+	orderTimeout      = 10 * time.Minute
+	// unloadDelay is how long a version stays loaded after the configuration
+	// dropped it. It must be longer than a router may continue to send
+	// requests for it.
+	unloadDelay = 15 * time.Second
 )
 
-// target is a model version that the engine should have loaded.
+// target is a model version to be loaded by the engine.
 type target struct {
 	name    string // "model@version"
 	adapter bool
 }
 
-// desired lists what the configuration wants loaded on a server.
-func desired(v *resource.View, server string) []target {
+// desiredTargets lists the targets that the configuration assigns to a server,
+// sorted by name.
+func desiredTargets(v *resource.View, server string) []target {
 	var out []target
 	for name, m := range v.Models {
 		if pool := v.Pools[m.Pool]; pool == nil || !pool.Has(server) {
@@ -47,85 +49,88 @@
 	return out
 }
 
-// converge brings the engine to what the configuration wants, one order at a
-// time, and repairs what a stale agent ordered.
-func (a *Agent) converge(ctx context.Context) {
-	since := map[string]time.Time{} // when a wrong target was first seen
+// reconcileTargets keeps the engine's loaded targets equal to the configured
+// ones, with one order at a time. It also reverts orders of a stale agent.
+func (a *Agent) reconcileTargets(ctx context.Context) {
+	since := map[string]time.Time{} // when each missing or unwanted target was first seen
 	for ctx.Err() == nil {
 		changed := a.config.Changed()
-		if a.config.Ready() && !a.stopping.Load() {
-			a.convergeOnce(ctx, since)
+		if a.config.Ready() && !a.draining.Load() {
+			a.reconcileOnce(ctx, since)
 		}
 		select {
 		case <-changed:
-		case <-time.After(convergeEvery):
+		case <-time.After(reconcileInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (a *Agent) convergeOnce(ctx context.Context, since map[string]time.Time) {
+func (a *Agent) reconcileOnce(ctx context.Context, since map[string]time.Time) {
 	v := a.config.View()
-	loaded, err := a.engine.loaded(ctx)
+	loaded, err := a.engine.loadedTargets(ctx)
 	if err != nil {
 		return
 	}
-	want := desired(v, a.set.Name)
-	for _, t := range want {
+	wanted := desiredTargets(v, a.settings.Name)
+	for _, t := range wanted {
 		if slices.Contains(loaded, t.name) {
 			delete(since, t.name)
-		} else if waited(since, t.name) >= a.turn(v, t.name) {
-			a.order(ctx, order{Op: "load", Target: t.name, Adapter: t.adapter})
+		} else if mismatchAge(since, t.name) >= a.loadDelay(v, t.name) {
+			a.sendOrder(ctx, order{Op: "load", Target: t.name, Adapter: t.adapter})
 		}
 	}
 	for _, name := range loaded {
-		unwanted := len(want) > 0 && !slices.ContainsFunc(want, func(t target) bool { return t.name == name })
-		if unwanted && waited(since, name) >= unloadAfter && !a.core.uses(ctx, name) {
-			a.order(ctx, order{Op: "unload", Target: name})
+		unwanted := len(wanted) > 0 && !slices.ContainsFunc(wanted, func(t target) bool { return t.name == name })
+		if unwanted && mismatchAge(since, name) >= unloadDelay && !a.loop.hasAttemptFor(ctx, name) {
+			a.sendOrder(ctx, order{Op: "unload", Target: name})
 			delete(since, name)
 		}
 	}
 }
 
-// waited returns how long ago a target was first found wrong.
-func waited(since map[string]time.Time, name string) time.Duration {
+// mismatchAge returns how long ago a target was first seen missing or unwanted. It
+// records the current time on the first call for a target.
+func mismatchAge(since map[string]time.Time, name string) time.Duration {
 	if _, known := since[name]; !known {
 		since[name] = time.Now()
 	}
 	return time.Since(since[name])
 }
 
-// turn returns how long this server waits for its turn at the weight store:
-// the servers of the pool go in rendezvous order of the target.
-func (a *Agent) turn(v *resource.View, name string) time.Duration {
-	if a.set.Weights.TurnMS == 0 {
+// loadDelay returns how long this server waits before it loads a target, so that
+// the servers of a pool don't all read from the weight store at once. They load
+// in rendezvous order of the target.
+func (a *Agent) loadDelay(v *resource.View, name string) time.Duration {
+	if a.settings.Weights.TurnMS == 0 {
 		return 0
 	}
-	place := 0
-	for _, pool := range v.PoolsOf(a.set.Name) {
-		place = max(place, slices.Index(rendezvous.Rank(name, serverNames(v.Pools[pool])), a.set.Name))
+	rank := 0
+	for _, pool := range v.PoolsOf(a.settings.Name) {
+		rank = max(rank, slices.Index(rendezvous.Rank(name, serverNames(v.Pools[pool])), a.settings.Name))
 	}
-	return time.Duration(place/a.set.Weights.AtOnce) * settings.Millis(a.set.Weights.TurnMS)
+	return time.Duration(rank/a.settings.Weights.AtOnce) * settings.Millis(a.settings.Weights.TurnMS)
 }
 
-// order gives one order if this process still holds the lease. The engine
-// checks the fencing number where it can; where it can't, the log is asked
-// just before, and the state is looked at again at the next turn.
-func (a *Agent) order(ctx context.Context, o order) {
-	if a.lease.Fence() == 0 || (!a.set.Server.Fencing && !a.lease.Current(ctx)) {
+// sendOrder sends an order to the engine if this process holds the lease. An
+// engine that supports fencing rejects orders with an outdated fencing number.
+// For other engines the lease is checked on the log just before the order, and
+// the next reconciliation corrects the effect of an order sent too late.
+func (a *Agent) sendOrder(ctx context.Context, o order) {
+	if a.lease.Fence() == 0 || (!a.settings.Server.Fencing && !a.lease.Current(ctx)) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	o.Fence, o.By = a.lease.Fence(), a.incarnation
-	err := a.engine.give(ctx, o)
+	err := a.engine.postOrder(ctx, o)
 	telemetry.Count("merlinpost_agent_orders_total", "op", o.Op)
 	if err != nil {
 		telemetry.Count("merlinpost_agent_orders_failed_total", "op", o.Op)
 		return
 	}
-	a.logger.Info("order carried out", "op", o.Op, "target", o.Target, "fence", o.Fence)
+	a.logger.Info("engine carried out order", "op", o.Op, "target", o.Target, "fence", o.Fence)
 	if err := a.refreshServing(ctx); err != nil {
-		a.logger.Debug("engine not asked again", "error", err)
+		a.logger.Debug("failed to refresh the loaded targets after an order", "error", err)
 	}
 }
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"context"
-	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -16,35 +16,35 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// maxServiceAnswer bounds a plain service's answer, bytes.
-const maxServiceAnswer = 1 << 20
+// maxServiceResponseBytes limits the response body of a plain service.
+const maxServiceResponseBytes = 1 << 20
 
-// serviceClient calls the plain service beside the agent.
+// serviceClient calls a plain service over HTTP.
 type serviceClient struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
-// newServiceClient returns a client that opens a connection for each call:
-// net/http repeats a request by itself when a kept connection turns out to be
-// closed, which a call that may not be repeated must never meet.
-func newServiceClient(set settings.Server) *serviceClient {
-	dial := &net.Dialer{Timeout: settings.Millis(set.StallMS)}
-	return &serviceClient{base: "http://" + set.Address,
-		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial.DialContext},
+// newServiceClient returns a client that opens a new connection for each call.
+// On a kept-alive connection that turns out to be closed, net/http resends the
+// request by itself, but a call that may not be repeated must not be sent twice.
+func newServiceClient(cfg settings.Server) *serviceClient {
+	dialer := &net.Dialer{Timeout: settings.Millis(cfg.StallMS)}
+	return &serviceClient{baseURL: "http://" + cfg.Address,
+		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialer.DialContext},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// call makes one call and returns the whole answer. An answer with an error
-// status of the service's own is an answer, not a failure.
+// call sends one request and returns the complete response. An HTTP error status
+// from the service is returned as a response, not as a fault.
 func (c *serviceClient) call(ctx context.Context, r execution.Run) ([]byte, wire.End, *fault.Error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Offer.RunWithinMS)*time.Millisecond)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+r.Offer.Endpoint, bytes.NewReader(r.Offer.Body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+r.Offer.Endpoint, bytes.NewReader(r.Offer.Body))
 	if err != nil {
 		return nil, wire.End{}, fault.New(fault.Internal, "service call: %w", err).With(fault.NotRun)
 	}
-	req.GetBody = nil // never sent a second time
+	req.GetBody = nil // prevents a retry by net/http
 	req.Header.Set("Content-Type", r.Offer.ContentType)
 	req.Header.Set("Merlinpost-Request-Id", r.Key.RequestID)
 	req, sent := httpsent.Trace(req)
@@ -57,12 +57,12 @@
 		return nil, wire.End{}, fault.New(fault.EngineFailed, "call the service: %w", err).With(outcome)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceAnswer+1))
-	if err == nil && len(body) > maxServiceAnswer {
-		err = errors.New("the answer is too large")
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceResponseBytes+1))
+	if err == nil && len(body) > maxServiceResponseBytes {
+		err = fmt.Errorf("the response exceeds the limit of %d bytes", maxServiceResponseBytes)
 	}
 	if err != nil {
-		return nil, wire.End{}, fault.New(fault.EngineFailed, "read the service's answer: %w", err).With(fault.Unknown)
+		return nil, wire.End{}, fault.New(fault.EngineFailed, "read the service's response: %w", err).With(fault.Unknown)
 	}
 	return body, wire.End{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type")}, nil
 }
--- a/internal/agent/serving.go
+++ b/internal/agent/serving.go
@@ -9,35 +9,36 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-// servingSet is the list of targets that the backend server has loaded. The
-// zero value is empty and usable from any goroutine.
-type servingSet struct{ targets atomic.Pointer[[]string] }
+// targetSet is the set of targets that the backend server serves. The zero value
+// is empty. It is safe for concurrent use.
+type targetSet struct{ targets atomic.Pointer[[]string] }
 
-func (s *servingSet) list() []string {
+func (s *targetSet) list() []string {
 	if p := s.targets.Load(); p != nil {
 		return *p
 	}
 	return []string{}
 }
 
-// set replaces the list and reports whether it changed.
-func (s *servingSet) set(targets []string) bool {
+// set replaces the targets and reports whether they changed. It sorts the slice
+// and keeps it.
+func (s *targetSet) set(targets []string) bool {
 	slices.Sort(targets)
 	changed := !slices.Equal(s.list(), targets)
 	s.targets.Store(&targets)
 	return changed
 }
 
-func (s *servingSet) has(target string) bool {
+func (s *targetSet) has(target string) bool {
 	_, found := slices.BinarySearch(s.list(), target)
 	return found
 }
 
-// servingPoll is how often an engine is asked what it has loaded.
-const servingPoll = time.Second
+// servingPollInterval is how often the engine is queried for its loaded targets.
+const servingPollInterval = time.Second
 
-// watchServing keeps the list of targets: an engine is asked, a plain service
-// serves the services whose pool it is in.
+// watchServing keeps the served targets up to date. An engine is queried for its
+// loaded targets; a plain service serves the services of the pools it is in.
 func (a *Agent) watchServing(ctx context.Context) {
 	up := true
 	revision := uint64(0)
@@ -45,54 +46,55 @@
 		changed := a.config.Changed()
 		if now := a.config.View().Revision; now != revision {
 			revision = now
-			a.tellRouters(ctx)
+			a.notifyPeers(ctx)
 		}
 		err := a.refreshServing(ctx)
 		if (err == nil) != up && ctx.Err() == nil {
 			up = err == nil
-			a.logger.Info("backend server", "reached", up, "error", err)
+			a.logger.Info("backend server reachability changed", "reached", up, "error", err)
 		}
 		select {
 		case <-changed:
-		case <-time.After(servingPoll):
+		case <-time.After(servingPollInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// tellRouters sends every router a heartbeat with what changed.
-func (a *Agent) tellRouters(ctx context.Context) {
-	a.core.post(ctx, func(time.Time) { a.core.pokeAll() })
+// notifyPeers sends a heartbeat on every link immediately.
+func (a *Agent) notifyPeers(ctx context.Context) {
+	a.loop.post(ctx, func(time.Time) { a.loop.sendHeartbeats() })
 }
 
-// nowServes takes in the list of targets and tells the routers if it changed.
-func (a *Agent) nowServes(ctx context.Context, targets []string) {
-	if a.serving.set(targets) {
-		a.tellRouters(ctx)
+// updateServing sets the served targets and notifies the peers of a change.
+func (a *Agent) updateServing(ctx context.Context, targets []string) {
+	if a.servingTargets.set(targets) {
+		a.notifyPeers(ctx)
 	}
 }
 
 func (a *Agent) refreshServing(ctx context.Context) error {
-	if a.set.Server.Kind == "service" {
-		a.nowServes(ctx, servicesOf(a.config.View(), a.set.Name))
+	if a.settings.Server.Kind == "service" {
+		a.updateServing(ctx, assignedServices(a.config.View(), a.settings.Name))
 		return nil
 	}
-	asking, cancel := context.WithTimeout(ctx, servingPoll)
+	queryCtx, cancel := context.WithTimeout(ctx, servingPollInterval)
 	defer cancel()
-	loaded, err := a.engine.loaded(asking)
+	loaded, err := a.engine.loadedTargets(queryCtx)
 	if err != nil {
-		// A crashed engine serves nothing; a frozen one keeps its list, and
-		// its stalled streams speak for themselves.
-		if asking.Err() == nil {
-			a.nowServes(ctx, []string{})
+		// An engine that fails the query serves nothing. If the query timed out,
+		// the engine may only be frozen: it keeps its targets, and its requests
+		// fail by the stall timeout.
+		if queryCtx.Err() == nil {
+			a.updateServing(ctx, []string{})
 		}
 		return err
 	}
-	a.nowServes(ctx, loaded)
+	a.updateServing(ctx, loaded)
 	return nil
 }
 
-func servicesOf(v *resource.View, server string) []string {
+func assignedServices(v *resource.View, server string) []string {
 	out := []string{}
 	for name, s := range v.Services {
 		if pool := v.Pools[s.Pool]; pool != nil && pool.Has(server) {
--- a/internal/agent/witness.go
+++ b/internal/agent/witness.go
@@ -12,38 +12,41 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// witnessLinks keeps links to the agents that witness this one's keys.
-type witnessLinks struct {
+// witnessClient sends claims to the agents that are witnesses of this agent's
+// keys. It keeps one link to each.
+type witnessClient struct {
 	agent   *Agent
-	history serverHistory
+	history poolHistory
 	mu      sync.Mutex
 	links   map[string]*witnessLink // by address
 }
 
-// witnessLink is one link and the claims that wait for an answer on it.
+// witnessLink is a link to a witness and the claims awaiting a reply on it, by
+// sequence number.
 type witnessLink struct {
 	conn    *link.Conn
 	mu      sync.Mutex
 	seq     uint64
-	waiting map[uint64]chan *wire.Claimed
+	pending map[uint64]chan *wire.Claimed
 }
 
-func newWitnessLinks(a *Agent) *witnessLinks {
-	return &witnessLinks{agent: a, links: map[string]*witnessLink{},
-		history: serverHistory{current: map[string][]string{}, before: map[string][]string{}, changed: map[string]time.Time{}}}
+func newWitnessClient(a *Agent) *witnessClient {
+	return &witnessClient{agent: a, links: map[string]*witnessLink{},
+		history: poolHistory{current: map[string][]string{}, previous: map[string][]string{}, changedAt: map[string]time.Time{}}}
 }
 
-// ask sends a claim and waits for the witness's word.
-func (w *witnessLinks) ask(ctx context.Context, s resource.Server, c *wire.Claim) receipt.Word {
+// claim sends a claim to the agent of server s and waits up to claimTimeout for
+// the reply.
+func (w *witnessClient) claim(ctx context.Context, s resource.Server, c *wire.Claim) receipt.Word {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	l := w.get(ctx, s.Agent)
+	l := w.connect(ctx, s.Agent)
 	if l == nil {
 		return receipt.WitnessUnreachable
 	}
-	answer := l.send(c)
+	reply := l.send(c)
 	select {
-	case m, ok := <-answer:
+	case m, ok := <-reply:
 		if !ok {
 			return receipt.WitnessUnreachable
 		}
@@ -59,8 +62,9 @@
 	}
 }
 
-// get returns the open link to an address, dialling if there is none.
-func (w *witnessLinks) get(ctx context.Context, address string) *witnessLink {
+// connect returns the open link to an address, dialling if there is none. It
+// returns nil if the connection fails.
+func (w *witnessClient) connect(ctx context.Context, address string) *witnessLink {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l := w.links[address]; l != nil {
@@ -75,36 +79,36 @@
 	if err != nil {
 		return nil
 	}
-	conn, err := link.Open(nc, w.agent.hello("agent"), w.agent.linkOptions(w.agent.core.beat))
+	conn, err := link.Open(nc, w.agent.hello("agent"), w.agent.linkOptions(w.agent.loop.heartbeat))
 	if err != nil {
 		return nil
 	}
-	l := &witnessLink{conn: conn, waiting: map[uint64]chan *wire.Claimed{}}
+	l := &witnessLink{conn: conn, pending: map[uint64]chan *wire.Claimed{}}
 	w.links[address] = l
-	go l.run(w.agent.core.ctx)
+	go l.run(w.agent.loop.ctx)
 	return l
 }
 
 func (l *witnessLink) run(ctx context.Context) {
-	_ = l.conn.Run(ctx, func(m wire.Message) { // its end shows in the claims that fail
+	_ = l.conn.Run(ctx, func(m wire.Message) { // pending claims fail when the link ends
 		if c, ok := m.(*wire.Claimed); ok {
-			l.settle(c)
+			l.deliver(c)
 		}
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for seq, ch := range l.waiting {
+	for seq, ch := range l.pending {
 		close(ch)
-		delete(l.waiting, seq)
+		delete(l.pending, seq)
 	}
 }
 
-func (l *witnessLink) settle(c *wire.Claimed) {
+func (l *witnessLink) deliver(c *wire.Claimed) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if ch := l.waiting[c.Seq]; ch != nil {
-		ch <- c // has room for its one answer
-		delete(l.waiting, c.Seq)
+	if ch := l.pending[c.Seq]; ch != nil {
+		ch <- c // does not block: the buffer holds the only reply
+		delete(l.pending, c.Seq)
 	}
 }
 
@@ -118,6 +122,6 @@
 		close(ch)
 		return ch
 	}
-	l.waiting[c.Seq] = ch
+	l.pending[c.Seq] = ch
 	return ch
 }
