--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -67,11 +67,11 @@
 	a.loop = newCoreLoop(a)
 	var err error
 	if a.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("listen")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("listen")
 	}
 	if a.metricsListener, err = net.Listen("tcp", cfg.Metrics); err != nil {
 		_ = a.listener.Close() // the listen error is the one to report
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("metrics")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("metrics")
 	}
 	return a, nil
 }
@@ -157,12 +157,12 @@
 }
 
 func (a *Agent) hello(role string) wire.Hello {
-	return wire.Hello{Role: role, Name: a.settings.Name, Incarnation: a.incarnation, Domain: a.settings.FailureDomain,
+	return wire.Hello{Role: role, Name: a.settings.Name, Incarnation: a.incarnation, FailureDomain: a.settings.FailureDomain,
 		Revision: a.config.View().Revision}
 }
 
-func (a *Agent) linkOptions(heartbeat func() *wire.Beat) link.Options {
-	return link.Options{Heartbeat: settings.Millis(a.settings.Link.HeartbeatMS), Silent: settings.Millis(a.settings.Link.SilentMS), Beat: heartbeat}
+func (a *Agent) linkOptions(heartbeat func() *wire.Heartbeat) link.Options {
+	return link.Options{HeartbeatInterval: settings.Millis(a.settings.Link.HeartbeatMS), PeerTimeout: settings.Millis(a.settings.Link.SilentMS), NewHeartbeat: heartbeat}
 }
 
 // httpHandler serves the metrics, health and status endpoints.
@@ -194,6 +194,6 @@
 }
 
 func (a *Agent) status() Status {
-	return Status{a.settings.Name, a.incarnation, a.config.View().Revision, a.lease.Fence(), a.config.LogUp(),
+	return Status{a.settings.Name, a.incarnation, a.config.View().Revision, a.lease.FencingToken(), a.config.LogUp(),
 		a.draining.Load(), a.servingTargets.list()}
 }
--- a/internal/agent/calls_test.go
+++ b/internal/agent/calls_test.go
@@ -26,8 +26,8 @@
 }
 
 func newServiceRun() execution.Run {
-	return execution.Run{Key: execution.AttemptKey{RequestID: "x", Attempt: 1}, Offer: &wire.Offer{Kind: wire.Service, Endpoint: "/do", Body: []byte("b"),
-		RunWithinMS: 5000, ContentType: "text/plain"}}
+	return execution.Run{Key: execution.AttemptKey{RequestID: "x", Attempt: 1}, Offer: &wire.Offer{Kind: wire.KindService, Endpoint: "/do", Body: []byte("b"),
+		RunTimeoutMS: 5000, ContentType: "text/plain"}}
 }
 
 // Guards against calls that are sent twice: on a kept-alive connection that turns out
@@ -95,7 +95,7 @@
 			_ = http.NewResponseController(w).Flush() // sends the event before the stall
 			<-r.Context().Done()
 		}, "a", fault.EngineFailed, fault.Unknown},
-		"not loaded":     {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusNotFound) }, "", fault.NoServer, fault.NotRun},
+		"not loaded":     {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusNotFound) }, "", fault.NoBackendServer, fault.NotRun},
 		"busy":           {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusServiceUnavailable) }, "", fault.QueueFull, fault.NotRun},
 		"bad request":    {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadRequest) }, "", fault.BadRequest, fault.NotRun},
 		"internal error": {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusInternalServerError) }, "", fault.EngineFailed, fault.Unknown},
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -30,7 +30,7 @@
 	}
 	pool := poolOfService(a.config.View(), o.Target)
 	names := serverNames(pool)
-	ranked := rendezvous.Rank(o.Key, names)
+	ranked := rendezvous.Rank(o.IdempotencyKey, names)
 	if len(ranked) == 0 || ranked[0] != a.settings.Name { // the router used an older configuration
 		a.loop.decideClaim(ctx, k, o, receipt.WitnessUnreachable, true)
 		return
@@ -40,8 +40,8 @@
 		a.loop.decideClaim(ctx, k, o, receipt.NoWitness, moved)
 		return
 	}
-	answer := a.witnesses.claim(ctx, pool.Server(ranked[1]), &wire.Claim{Key: o.Key, Holder: a.settings.Name + "/" + a.incarnation,
-		Digest: o.Digest, WindowMS: o.KeyWindowMS})
+	answer := a.witnesses.claim(ctx, pool.Server(ranked[1]), &wire.ClaimRequest{Key: o.IdempotencyKey, Holder: a.settings.Name + "/" + a.incarnation,
+		Digest: o.BodyDigest, RetentionMS: o.KeyRetentionMS})
 	telemetry.Count("merlinpost_agent_claims_total", "word", answer.String())
 	a.loop.decideClaim(ctx, k, o, answer, moved)
 }
@@ -75,7 +75,7 @@
 // refused if the append fails.
 func (a *Agent) logClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
 	decision := receipt.Run
-	data, err := json.Marshal(loggedClaim{o.Key, o.Digest, o.KeyWindowMS})
+	data, err := json.Marshal(loggedClaim{o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS})
 	if err == nil {
 		_, err = a.configLog.Append(ctx, configlog.ClaimStream(a.settings.Name), data)
 	}
@@ -115,11 +115,11 @@
 func (a *Agent) restoreClaims(now time.Time, claims []loggedClaim) {
 	keys := a.loop.core.Keys()
 	for _, c := range claims {
-		keys.Remember(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
+		keys.AddLoggedClaim(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
 	}
 	keys.SetLogRead()
-	if a.lease.Newborn() {
-		keys.SetNewborn(a.poolsUnchanged())
+	if a.lease.FirstHolder() {
+		keys.SetFirstProcess(a.poolsUnchanged())
 	}
 }
 
@@ -127,7 +127,7 @@
 // changed since it was first declared.
 func (a *Agent) poolsUnchanged() bool {
 	v := a.config.View()
-	for _, name := range v.PoolsOf(a.settings.Name) {
+	for _, name := range v.PoolsWithServer(a.settings.Name) {
 		if r, ok := v.Get(resource.Ref{Kind: resource.KindPool, Name: name}); ok && len(r.Versions) > 1 {
 			return false
 		}
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -91,7 +91,7 @@
 
 // heartbeat returns a heartbeat with the complete list of targets, so that each
 // heartbeat corrects lost or reordered ones.
-func (p *peerLink) heartbeat() *wire.Beat {
+func (p *peerLink) heartbeat() *wire.Heartbeat {
 	b := p.agent.loop.heartbeat()
 	load := *b.Load
 	load.Serving = p.agent.servingTargets.list()
@@ -111,23 +111,23 @@
 		l.post(ctx, func(now time.Time) { l.core.Cancel(now, p.id, m) })
 	case *wire.Resume:
 		l.post(ctx, func(now time.Time) { l.core.Resume(now, p.id, m) })
-	case *wire.Claim:
-		l.post(ctx, func(now time.Time) { p.conn.Send(l.core.Keys().Grant(now, m)) })
-	case *wire.Beat:
+	case *wire.ClaimRequest:
+		l.post(ctx, func(now time.Time) { p.conn.Send(l.core.Keys().HandleClaim(now, m)) })
+	case *wire.Heartbeat:
 		if m.Revision > a.config.View().Revision && !a.config.LogUp() {
-			p.conn.Send(&wire.ConfigPull{Above: a.config.View().Revision})
+			p.conn.Send(&wire.ConfigRequest{NewerThan: a.config.View().Revision})
 		}
-	case *wire.ConfigPull:
+	case *wire.ConfigRequest:
 		a.sendConfig(p.conn, m)
-	case *wire.ConfigState:
+	case *wire.ConfigSnapshot:
 		a.installConfig(m)
 	}
 }
 
 // sendConfig sends the configuration to a peer, without data if the one held here
 // is not ready.
-func (a *Agent) sendConfig(conn *link.Conn, m *wire.ConfigPull) {
-	revision, data, err := a.config.Encode(m.Above)
+func (a *Agent) sendConfig(conn *link.Conn, m *wire.ConfigRequest) {
+	revision, data, err := a.config.EncodeSnapshot(m.NewerThan)
 	if err != nil {
 		a.logger.Error("failed to encode the configuration for a peer", "error", err)
 		return
@@ -135,14 +135,14 @@
 	if !a.config.Ready() {
 		data = nil
 	}
-	conn.Send(&wire.ConfigState{Revision: revision, Data: data})
+	conn.Send(&wire.ConfigSnapshot{Revision: revision, Data: data})
 }
 
-func (a *Agent) installConfig(m *wire.ConfigState) {
+func (a *Agent) installConfig(m *wire.ConfigSnapshot) {
 	if len(m.Data) == 0 {
 		return
 	}
-	if err := a.config.Install(m.Data); err != nil {
+	if err := a.config.InstallSnapshot(m.Data); err != nil {
 		telemetry.Count("merlinpost_config_from_peer_broken_total")
 	}
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -146,13 +146,13 @@
 // sendHeartbeats sends a heartbeat on every link immediately.
 func (l *coreLoop) sendHeartbeats() {
 	for _, c := range l.conns {
-		c.Poke()
+		c.TriggerHeartbeat()
 	}
 }
 
 // heartbeat returns a heartbeat without the list of targets.
-func (l *coreLoop) heartbeat() *wire.Beat {
-	return &wire.Beat{Revision: l.agent.config.View().Revision, Load: l.load.Load()}
+func (l *coreLoop) heartbeat() *wire.Heartbeat {
+	return &wire.Heartbeat{Revision: l.agent.config.View().Revision, Load: l.load.Load()}
 }
 
 // reportMetrics adds the changes since the previous call to the metrics.
@@ -188,7 +188,7 @@
 // Use implements execution.Effects.
 func (l *coreLoop) Use(id execution.LinkID, n int) {
 	if c := l.conns[id]; c != nil {
-		c.Use(int64(n))
+		c.AddRequests(int64(n))
 	}
 }
 
@@ -197,7 +197,7 @@
 	ctx, cancel := context.WithCancel(l.ctx)
 	id := runID{r.Key, r.Number}
 	l.calls[id] = cancel
-	if r.Offer.Kind == wire.Service {
+	if r.Offer.Kind == wire.KindService {
 		go l.callService(ctx, id, r)
 		return
 	}
@@ -243,11 +243,11 @@
 
 // decideClaim decides, from the witness's answer, whether a keyed call may start.
 // moved reports whether another agent was the key's home within its window.
-func (l *coreLoop) decideClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer, answer receipt.Word, moved bool) {
+func (l *coreLoop) decideClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer, answer receipt.WitnessReply, moved bool) {
 	l.post(ctx, func(now time.Time) {
-		window := time.Duration(o.KeyWindowMS) * time.Millisecond
+		window := time.Duration(o.KeyRetentionMS) * time.Millisecond
 		decision := l.core.Keys().Decide(now, window, answer, moved)
-		if decision == receipt.RunOnceKept {
+		if decision == receipt.RunAfterLogging {
 			go l.agent.logClaim(ctx, k, o)
 			return
 		}
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		out = append(out, target{name + "@" + resource.BaseVersion, false})
-		for _, r := range v.RolloutsOf(name) {
+		for _, r := range v.RolloutsForModel(name) {
 			out = append(out, target{name + "@" + r.Version, r.Adapter})
 		}
 	}
@@ -106,7 +106,7 @@
 		return 0
 	}
 	rank := 0
-	for _, pool := range v.PoolsOf(a.settings.Name) {
+	for _, pool := range v.PoolsWithServer(a.settings.Name) {
 		rank = max(rank, slices.Index(rendezvous.Rank(name, serverNames(v.Pools[pool])), a.settings.Name))
 	}
 	return time.Duration(rank/a.settings.Weights.AtOnce) * settings.Millis(a.settings.Weights.TurnMS)
@@ -117,12 +117,12 @@
 // For other engines the lease is checked on the log just before the order, and
 // the next reconciliation corrects the effect of an order sent too late.
 func (a *Agent) sendOrder(ctx context.Context, o order) {
-	if a.lease.Fence() == 0 || (!a.settings.Server.Fencing && !a.lease.Current(ctx)) {
+	if a.lease.FencingToken() == 0 || (!a.settings.Server.Fencing && !a.lease.VerifyHeld(ctx)) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	o.Fence, o.By = a.lease.Fence(), a.incarnation
+	o.Fence, o.By = a.lease.FencingToken(), a.incarnation
 	err := a.engine.postOrder(ctx, o)
 	telemetry.Count("merlinpost_agent_orders_total", "op", o.Op)
 	if err != nil {
--- a/internal/agent/pools.go
+++ b/internal/agent/pools.go
@@ -42,7 +42,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	changed := false
-	for _, pool := range v.PoolsOf(self) {
+	for _, pool := range v.PoolsWithServer(self) {
 		names := serverNames(v.Pools[pool])
 		slices.Sort(names)
 		before, known := h.current[pool]
@@ -65,6 +65,6 @@
 		return true
 	}
 	before := h.previous[s.Pool]
-	return before != nil && time.Since(h.changedAt[s.Pool]) < settings.Millis(int(o.KeyWindowMS)) &&
-		rendezvous.First(o.Key, before) != a.settings.Name
+	return before != nil && time.Since(h.changedAt[s.Pool]) < settings.Millis(int(o.KeyRetentionMS)) &&
+		rendezvous.First(o.IdempotencyKey, before) != a.settings.Name
 }
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -38,11 +38,11 @@
 // call sends one request and returns the complete response. An HTTP error status
 // from the service is returned as a response, not as a fault.
 func (c *serviceClient) call(ctx context.Context, r execution.Run) ([]byte, wire.End, *fault.Error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Offer.RunWithinMS)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Offer.RunTimeoutMS)*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+r.Offer.Endpoint, bytes.NewReader(r.Offer.Body))
 	if err != nil {
-		return nil, wire.End{}, fault.New(fault.Internal, "service call: %w", err).With(fault.NotRun)
+		return nil, wire.End{}, fault.New(fault.Internal, "service call: %w", err).WithOutcome(fault.NotRun)
 	}
 	req.GetBody = nil // prevents a retry by net/http
 	req.Header.Set("Content-Type", r.Offer.ContentType)
@@ -54,7 +54,7 @@
 		if !sent.Load() {
 			outcome = fault.NotRun
 		}
-		return nil, wire.End{}, fault.New(fault.EngineFailed, "call the service: %w", err).With(outcome)
+		return nil, wire.End{}, fault.New(fault.EngineFailed, "call the service: %w", err).WithOutcome(outcome)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceResponseBytes+1))
@@ -62,7 +62,7 @@
 		err = fmt.Errorf("the response exceeds the limit of %d bytes", maxServiceResponseBytes)
 	}
 	if err != nil {
-		return nil, wire.End{}, fault.New(fault.EngineFailed, "read the service's response: %w", err).With(fault.Unknown)
+		return nil, wire.End{}, fault.New(fault.EngineFailed, "read the service's response: %w", err).WithOutcome(fault.Unknown)
 	}
 	return body, wire.End{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type")}, nil
 }
--- a/internal/agent/witness.go
+++ b/internal/agent/witness.go
@@ -27,7 +27,7 @@
 	conn    *link.Conn
 	mu      sync.Mutex
 	seq     uint64
-	pending map[uint64]chan *wire.Claimed
+	pending map[uint64]chan *wire.ClaimResponse
 }
 
 func newWitnessClient(a *Agent) *witnessClient {
@@ -37,7 +37,7 @@
 
 // claim sends a claim to the agent of server s and waits up to claimTimeout for
 // the reply.
-func (w *witnessClient) claim(ctx context.Context, s resource.Server, c *wire.Claim) receipt.Word {
+func (w *witnessClient) claim(ctx context.Context, s resource.Server, c *wire.ClaimRequest) receipt.WitnessReply {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	l := w.connect(ctx, s.Agent)
@@ -50,7 +50,7 @@
 		if !ok {
 			return receipt.WitnessUnreachable
 		}
-		switch m.State {
+		switch m.Result {
 		case wire.ClaimGranted:
 			return receipt.WitnessGranted
 		case wire.ClaimTaken:
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil
 	}
-	l := &witnessLink{conn: conn, pending: map[uint64]chan *wire.Claimed{}}
+	l := &witnessLink{conn: conn, pending: map[uint64]chan *wire.ClaimResponse{}}
 	w.links[address] = l
 	go l.run(w.agent.loop.ctx)
 	return l
@@ -91,7 +91,7 @@
 
 func (l *witnessLink) run(ctx context.Context) {
 	_ = l.conn.Run(ctx, func(m wire.Message) { // pending claims fail when the link ends
-		if c, ok := m.(*wire.Claimed); ok {
+		if c, ok := m.(*wire.ClaimResponse); ok {
 			l.deliver(c)
 		}
 	})
@@ -103,7 +103,7 @@
 	}
 }
 
-func (l *witnessLink) deliver(c *wire.Claimed) {
+func (l *witnessLink) deliver(c *wire.ClaimResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ch := l.pending[c.Seq]; ch != nil {
@@ -112,12 +112,12 @@
 	}
 }
 
-func (l *witnessLink) send(c *wire.Claim) <-chan *wire.Claimed {
+func (l *witnessLink) send(c *wire.ClaimRequest) <-chan *wire.ClaimResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seq++
 	c.Seq = l.seq
-	ch := make(chan *wire.Claimed, 1)
+	ch := make(chan *wire.ClaimResponse, 1)
 	if !l.conn.Send(c) {
 		close(ch)
 		return ch
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -116,7 +116,7 @@
 	cfg           Config
 	effects       Effects
 	queue         *admission.Queue
-	keys          *receipt.Book
+	keys          *receipt.Store
 	attempts      map[AttemptKey]*attempt
 	attemptsByJob map[*admission.Job]*attempt
 	coalesced     map[string][]*attempt // repeated calls waiting for the first one, by idempotency key
@@ -137,7 +137,7 @@
 // New returns a Core that starts at now. isServing reports whether the backend
 // server has a target loaded.
 func New(cfg Config, now time.Time, fx Effects, isServing func(string) bool) *Core {
-	return &Core{cfg: cfg, effects: fx, queue: admission.New(cfg.Admission), keys: receipt.NewBook(now),
+	return &Core{cfg: cfg, effects: fx, queue: admission.New(cfg.Admission), keys: receipt.NewStore(now),
 		peerByLink: map[LinkID]string{}, linkByPeer: map[string]LinkID{},
 		attempts: map[AttemptKey]*attempt{}, attemptsByJob: map[*admission.Job]*attempt{}, coalesced: map[string][]*attempt{},
 		tombstones: newTombstones(cfg.TombstoneRetention, cfg.MaxTombstones), blocked: map[*attempt]struct{}{}, isServing: isServing,
@@ -145,7 +145,7 @@
 }
 
 // Keys returns the store of idempotency keys.
-func (c *Core) Keys() *receipt.Book { return c.keys }
+func (c *Core) Keys() *receipt.Store { return c.keys }
 
 // Counters returns the totals since New.
 func (c *Core) Counters() Counters { return c.counters }
@@ -251,28 +251,28 @@
 }
 
 func (c *Core) sendVerdict(link LinkID, key AttemptKey, e *fault.Error) {
-	c.effects.Send(link, &wire.Verdict{ID: key.RequestID, Attempt: key.Attempt, Fault: wire.FaultOf(e), Load: c.Load()})
+	c.effects.Send(link, &wire.OfferResponse{ID: key.RequestID, Attempt: key.Attempt, Fault: wire.EncodeFault(e), Load: c.Load()})
 }
 
 // admit checks an offer and, unless it refuses it, starts holding the attempt.
 func (c *Core) admit(now time.Time, link LinkID, key AttemptKey, o *wire.Offer) *fault.Error {
 	if c.tombstones.contains(now, key) {
 		c.counters.Tombstoned++
-		return fault.New(fault.NotHeld, "the attempt was cancelled, refused or finished before this offer arrived").With(fault.NotRun)
+		return fault.New(fault.RequestNotHeld, "the attempt was cancelled, refused or finished before this offer arrived").WithOutcome(fault.NotRun)
 	}
 	if c.draining {
-		return fault.New(fault.Draining, "the backend server is draining").With(fault.NotRun)
+		return fault.New(fault.Draining, "the backend server is draining").WithOutcome(fault.NotRun)
 	}
 	if !c.isServing(o.Target) {
-		return fault.New(fault.NoServer, "target %q is not loaded on this backend server", o.Target).With(fault.NotRun)
+		return fault.New(fault.NoBackendServer, "target %q is not loaded on this backend server", o.Target).WithOutcome(fault.NotRun)
 	}
 	if len(c.attempts) >= c.cfg.MaxAttempts {
 		return fault.New(fault.RecordsFull, "the agent already holds its maximum of %d attempts", len(c.attempts)).
-			With(fault.NotRun).After(c.queue.RetryAfter(int(o.Tier)))
+			WithOutcome(fault.NotRun).WithRetryAfter(c.queue.RetryAfter(int(o.Tier)))
 	}
-	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.Done, o.Window), chunkCount: o.Done,
-		generatedText: []byte(o.DoneText), deadline: now.Add(millis(o.RunWithinMS))}
-	if o.Key == "" {
+	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.ChunksDelivered, o.SendWindow), chunkCount: o.ChunksDelivered,
+		generatedText: []byte(o.DeliveredText), deadline: now.Add(millis(o.RunTimeoutMS))}
+	if o.IdempotencyKey == "" {
 		if e := c.enqueue(now, a); e != nil {
 			return e
 		}
@@ -299,9 +299,9 @@
 func (c *Core) enqueue(now time.Time, a *attempt) *fault.Error {
 	o := a.offer
 	job := &admission.Job{ID: o.ID, Tier: min(int(o.Tier), admission.Tiers-1), Flow: o.Team, Cost: float64(o.MaxTokens),
-		Floor: o.Floor, FirstToken: millis(o.FirstTokenMS), Preemptible: o.Preemptible && o.MayRepeat,
-		StartBy: now.Add(millis(o.StartWithinMS))}
-	if e := c.queue.Offer(now, job); e != nil {
+		Floor: o.Floor, FirstTokenTarget: millis(o.FirstTokenTargetMS), Preemptible: o.Preemptible && o.Retryable,
+		StartDeadline: now.Add(millis(o.StartTimeoutMS))}
+	if e := c.queue.Enqueue(now, job); e != nil {
 		return e
 	}
 	a.job, a.phase = job, phaseQueued
--- a/internal/execution/keyed.go
+++ b/internal/execution/keyed.go
@@ -12,15 +12,15 @@
 // key; a repeated call waits for the first or gets its stored response.
 func (c *Core) admitKeyed(now time.Time, a *attempt) *fault.Error {
 	o := a.offer
-	entry, e := c.keys.Lookup(now, o.Key, o.Digest)
+	entry, e := c.keys.Lookup(now, o.IdempotencyKey, o.BodyDigest)
 	if e != nil {
 		return e
 	}
 	if entry == nil {
-		if c.keys.HeldByOther(now, o.Key) {
+		if c.keys.ClaimedByOther(now, o.IdempotencyKey) {
 			return mayHaveRunFault()
 		}
-		if entry, e = c.keys.Begin(now, o.Key, o.Digest, millis(o.KeyWindowMS)); e != nil {
+		if entry, e = c.keys.Reserve(now, o.IdempotencyKey, o.BodyDigest, millis(o.KeyRetentionMS)); e != nil {
 			return e
 		}
 		a.keyEntry, a.phase = entry, phaseClaiming
@@ -31,17 +31,17 @@
 	switch entry.Phase {
 	case receipt.Done:
 		c.replay(now, a, entry)
-	case receipt.Lost:
+	case receipt.OutcomeUnknown:
 		return mayHaveRunFault()
 	default:
-		c.coalesced[o.Key] = append(c.coalesced[o.Key], a)
+		c.coalesced[o.IdempotencyKey] = append(c.coalesced[o.IdempotencyKey], a)
 	}
 	return nil
 }
 
 func mayHaveRunFault() *fault.Error {
-	return fault.New(fault.CannotVouch, "a call with this key may already have run; its response is unknown").
-		InField("Idempotency-Key").With(fault.Unknown)
+	return fault.New(fault.IdempotentResultUnknown, "a call with this key may already have run; its response is unknown").
+		WithField("Idempotency-Key").WithOutcome(fault.Unknown)
 }
 
 // ClaimDecided applies the decision on a claim requested through Effects.Claim.
@@ -52,18 +52,18 @@
 	}
 	var e *fault.Error
 	switch d {
-	case receipt.Run, receipt.RunOnceKept:
+	case receipt.Run, receipt.RunAfterLogging:
 		e = c.enqueue(now, a)
 	case receipt.AlreadyRan:
 		e = mayHaveRunFault()
-		a.keyEntry.Phase = receipt.Lost
+		a.keyEntry.Phase = receipt.OutcomeUnknown
 		c.failKeyed(now, a, e)
 		return
 	default:
-		e = c.keys.RefuseFault(now, millis(a.offer.KeyWindowMS))
+		e = c.keys.RefusalFault(now, millis(a.offer.KeyRetentionMS))
 	}
 	if e != nil {
-		c.keys.Forget(a.offer.Key)
+		c.keys.Delete(a.offer.IdempotencyKey)
 		c.failKeyed(now, a, e)
 		return
 	}
@@ -73,8 +73,8 @@
 // failKeyed ends a keyed attempt that produced no response, and the repeated
 // calls waiting for it, with the given fault.
 func (c *Core) failKeyed(now time.Time, a *attempt, e *fault.Error) {
-	c.finish(now, a, &wire.End{Fault: wire.FaultOf(e)})
-	c.releaseCoalesced(a.offer.Key, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)}) })
+	c.finish(now, a, &wire.End{Fault: wire.EncodeFault(e)})
+	c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)}) })
 }
 
 // releaseCoalesced calls f for each repeated call that waits for the key's first
@@ -92,8 +92,8 @@
 // replay answers a repeated call with the stored response of the first.
 func (c *Core) replay(now time.Time, a *attempt, e *receipt.Entry) {
 	if e.Result.BodyDropped {
-		f := fault.New(fault.CannotVouch, "the call ran, but its response was too large to store for replay").With(fault.Unknown)
-		c.finish(now, a, &wire.End{Fault: wire.FaultOf(f)})
+		f := fault.New(fault.IdempotentResultUnknown, "the call ran, but its response was too large to store for replay").WithOutcome(fault.Unknown)
+		c.finish(now, a, &wire.End{Fault: wire.EncodeFault(f)})
 		return
 	}
 	a.buf.Append(e.Result.Body)
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -30,10 +30,10 @@
 	c.counters.Tokens += uint64(tokens)
 	a.buf.Append(data)
 	a.chunkCount++
-	if a.offer.MayRepeat {
+	if a.offer.Retryable {
 		a.generatedText = append(a.generatedText, data...)
 	}
-	c.queue.Progress(now, a.job, tokens)
+	c.queue.AddTokens(now, a.job, tokens)
 	c.sendPending(a)
 }
 
@@ -53,7 +53,7 @@
 	if a == nil {
 		return
 	}
-	end.Fault = wire.FaultOf(e)
+	end.Fault = wire.EncodeFault(e)
 	if a.keyEntry != nil {
 		c.recordKeyOutcome(now, a, end, e)
 	}
@@ -66,15 +66,15 @@
 func (c *Core) recordKeyOutcome(now time.Time, a *attempt, end wire.End, e *fault.Error) {
 	switch {
 	case e == nil:
-		a.keyEntry.Finish(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
-		c.releaseCoalesced(a.offer.Key, func(w *attempt) { c.replay(now, w, a.keyEntry) })
+		a.keyEntry.Complete(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
+		c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.replay(now, w, a.keyEntry) })
 		return
 	case e.Outcome == fault.NotRun:
-		c.keys.Forget(a.offer.Key)
+		c.keys.Delete(a.offer.IdempotencyKey)
 	default:
-		a.keyEntry.Phase = receipt.Lost
+		a.keyEntry.Phase = receipt.OutcomeUnknown
 	}
-	c.releaseCoalesced(a.offer.Key, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)}) })
+	c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)}) })
 }
 
 // lastChunk returns the body of a plain service's response, which is a single
@@ -103,7 +103,7 @@
 	if a.job == nil {
 		return
 	}
-	c.queue.Done(now, a.job)
+	c.queue.Remove(now, a.job)
 	delete(c.attemptsByJob, a.job)
 	a.job = nil
 }
@@ -123,7 +123,7 @@
 			c.blocked[a] = struct{}{}
 			return
 		}
-		a.buf.Sent()
+		a.buf.MarkSent()
 	}
 	if a.end != nil && !a.endSent && a.buf.AllSent() {
 		a.end.Load = c.Load()
@@ -144,7 +144,7 @@
 	}
 	a.buf.Ack(m.Next)
 	if m.Final && a.phase == phaseEnded {
-		a.buf.Ack(a.buf.Total())
+		a.buf.Ack(a.buf.EndSeq())
 		c.remove(now, a)
 		return
 	}
@@ -154,7 +154,7 @@
 // remove replaces an attempt by a tombstone. Generated chunks that were not
 // acknowledged are counted as wasted tokens.
 func (c *Core) remove(now time.Time, a *attempt) {
-	if n := a.buf.Held(); n > 0 && a.offer.Kind == wire.Generate {
+	if n := a.buf.Unacknowledged(); n > 0 && a.offer.Kind == wire.KindGenerate {
 		c.wastedTokens[a.offer.Class] += uint64(n)
 	}
 	c.leaveQueue(now, a)
@@ -169,7 +169,7 @@
 // the first call may have started.
 func (a *attempt) mayHaveRun() bool {
 	switch {
-	case a.runNumber > 0 || a.phase == phaseCoalesced || a.chunkCount > a.offer.Done:
+	case a.runNumber > 0 || a.phase == phaseCoalesced || a.chunkCount > a.offer.ChunksDelivered:
 		return true
 	case a.phase == phaseEnded:
 		return a.end.Fault == nil || fault.Outcome(a.end.Fault.Outcome) != fault.NotRun
@@ -189,13 +189,13 @@
 		if c.tombstones.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombstones.add(now, key, false) {
 			outcome = fault.Unknown
 		}
-		c.sendVerdict(link, key, fault.New(fault.NotHeld, "this agent does not hold the attempt").With(outcome))
+		c.sendVerdict(link, key, fault.New(fault.RequestNotHeld, "this agent does not hold the attempt").WithOutcome(outcome))
 		return
 	}
 	c.attach(a, link)
 	a.endSent = false
 	if err := a.buf.Rewind(m.Next); err != nil {
-		c.sendVerdict(link, key, fault.From(err).With(fault.Unknown))
+		c.sendVerdict(link, key, fault.From(err).WithOutcome(fault.Unknown))
 		return
 	}
 	c.sendVerdict(link, key, nil)
@@ -242,8 +242,8 @@
 // started: the first repeated call that waits takes its place; without one, the
 // key is forgotten.
 func (c *Core) promoteCoalesced(now time.Time, a *attempt) {
-	key := a.offer.Key
-	c.keys.Forget(key)
+	key := a.offer.IdempotencyKey
+	c.keys.Delete(key)
 	list := c.coalesced[key]
 	delete(c.coalesced, key)
 	for i, w := range list {
@@ -251,7 +251,7 @@
 			continue
 		}
 		if e := c.admitKeyed(now, w); e != nil {
-			c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)})
+			c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)})
 			continue
 		}
 		c.coalesced[key] = append(c.coalesced[key], list[i+1:]...)
@@ -281,14 +281,14 @@
 	for _, job := range c.queue.Expire(now) {
 		a := c.attemptsByJob[job]
 		c.counters.Expired++
-		e := fault.New(fault.Expired, "no execution slot became free before the start deadline").
-			With(fault.NotRun).After(c.queue.RetryAfter(job.Tier))
+		e := fault.New(fault.StartDeadlinePassed, "no execution slot became free before the start deadline").
+			WithOutcome(fault.NotRun).WithRetryAfter(c.queue.RetryAfter(job.Tier))
 		if a.keyEntry != nil {
-			c.keys.Forget(a.offer.Key)
+			c.keys.Delete(a.offer.IdempotencyKey)
 			c.failKeyed(now, a, e)
 			continue
 		}
-		c.finish(now, a, &wire.End{Fault: wire.FaultOf(e)})
+		c.finish(now, a, &wire.End{Fault: wire.EncodeFault(e)})
 	}
 	for a := range c.blocked {
 		c.sendPending(a)
@@ -327,5 +327,5 @@
 	if a.phase == phaseRunning {
 		c.effects.Stop(a.key, a.runNumber)
 	}
-	c.finish(now, a, &wire.End{Fault: wire.FaultOf(fault.New(fault.Deadline, "the request exceeded its deadline").With(outcome))})
+	c.finish(now, a, &wire.End{Fault: wire.EncodeFault(fault.New(fault.DeadlinePassed, "the request exceeded its deadline").WithOutcome(outcome))})
 }
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -156,8 +156,8 @@
 func (r *request) Offer(attempt uint32, done uint32, doneText string) *fault.Error {
 	a := pick(r.w, r.w.agents, "agent")
 	if a.down {
-		code := pick(r.w, []fault.Code{fault.NoServer, fault.NoLink, fault.LinkBusy}, "code")
-		return fault.New(code, "no agent is reached").With(fault.NotRun)
+		code := pick(r.w, []fault.Code{fault.NoBackendServer, fault.BackendServersUnreachable, fault.LinkBusy}, "code")
+		return fault.New(code, "no agent is reached").WithOutcome(fault.NotRun)
 	}
 	if r.conn != nil {
 		r.old = append(r.old, r.conn)
@@ -165,8 +165,8 @@
 	r.open(a)
 	r.life, r.offerTime = a.life, r.w.now
 	r.conn.toAgent = append(r.conn.toAgent, &wire.Offer{ID: r.id, Attempt: attempt, Team: "t", Tier: uint8(len(r.id) % 3),
-		StartWithinMS: 4000, RunWithinMS: 20000, MayRepeat: r.repeat, Preemptible: r.repeat, MaxTokens: r.length,
-		Done: done, DoneText: doneText, Window: 4})
+		StartTimeoutMS: 4000, RunTimeoutMS: 20000, Retryable: r.repeat, Preemptible: r.repeat, MaxTokens: r.length,
+		ChunksDelivered: done, DeliveredText: doneText, SendWindow: 4})
 	return nil
 }
 
@@ -214,7 +214,7 @@
 }
 
 // Arm implements Effects.
-func (r *request) Arm(t Timer, d time.Duration) {
+func (r *request) SetTimer(t Timer, d time.Duration) {
 	delete(r.timers, t)
 	if d > 0 {
 		r.timers[t] = r.w.now.Add(d)
@@ -222,18 +222,18 @@
 }
 
 // Retry implements Effects.
-func (r *request) Retry() bool { return true }
+func (r *request) TakeRetry() bool { return true }
 
 func (r *request) receive(m wire.Message) {
 	switch m := m.(type) {
-	case *wire.Verdict:
-		r.m.Verdict(m)
+	case *wire.OfferResponse:
+		r.m.HandleVerdict(m)
 	case *wire.Chunk:
-		r.m.Chunk(m)
+		r.m.HandleChunk(m)
 	case *wire.End:
-		r.m.End(m)
+		r.m.HandleEnd(m)
 	case *wire.Cancelled:
-		r.m.Cancelled(m)
+		r.m.HandleCancelled(m)
 	}
 }
 
@@ -294,7 +294,7 @@
 		c.a.core.LinkDown(w.now, c.id)
 	}
 	if c.req.conn == c {
-		c.req.m.LinkDown()
+		c.req.m.HandleLinkDown()
 	}
 }
 
@@ -308,7 +308,7 @@
 		r.old = append(r.old, old)
 	}
 	r.open(old.a)
-	r.m.LinkUp(old.a.life == r.life)
+	r.m.HandleLinkUp(old.a.life == r.life)
 }
 
 // step is one step of every engine.
@@ -339,7 +339,7 @@
 	for _, x := range append([]*run(nil), a.runs...) {
 		if !x.stopped {
 			x.stopped = true
-			a.core.RunEnded(a.w.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").With(fault.Unknown))
+			a.core.RunEnded(a.w.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").WithOutcome(fault.Unknown))
 		}
 	}
 }
@@ -353,10 +353,10 @@
 		}
 	}
 	for _, r := range w.requests {
-		for t := TimerLost; t <= TimerAnswer; t++ {
+		for t := TimerAgentLost; t <= TimerOfferReply; t++ {
 			if due, ok := r.timers[t]; ok && !due.After(w.now) {
 				delete(r.timers, t)
-				r.m.Timeout(t)
+				r.m.HandleTimeout(t)
 			}
 		}
 	}
@@ -365,8 +365,8 @@
 func (w *world) add(repeat bool) {
 	r := &request{w: w, id: fmt.Sprintf("r%d", len(w.requests)), repeat: repeat, timers: map[Timer]time.Time{},
 		length: rapid.IntRange(0, 12).Draw(w.t, "length")}
-	r.m = New(r.id, Config{MaxAttempts: 4, MayRepeat: repeat, Resumable: repeat, RunWithin: 15 * time.Second,
-		Lost: time.Second, Cancel: 500 * time.Millisecond, Answer: time.Second}, r)
+	r.m = New(r.id, Config{MaxAttempts: 4, MayRepeat: repeat, Resumable: repeat, RunTimeout: 15 * time.Second,
+		LostTimeout: time.Second, CancelTimeout: 500 * time.Millisecond, OfferReplyTimeout: time.Second}, r)
 	w.requests = append(w.requests, r)
 	r.m.Start()
 }
