--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -26,16 +26,16 @@
 // message is an ask, an answer, the end of a request, or the name of a router
 // that is there.
 type message struct {
-	Ask    *quota.Ask
-	Lent   *quota.Lent
-	Closed *quota.Closed
+	Ask    *quota.GrantRequest
+	Lent   *quota.GrantResponse
+	Closed *quota.ReleaseNotice
 	Ping   string
 }
 
 // Home is what answers the other routers; its methods must not block.
 type Home interface {
-	Lend(quota.Ask) quota.Lent
-	Close(quota.Closed)
+	Lend(quota.GrantRequest) quota.GrantResponse
+	Close(quota.ReleaseNotice)
 	Heard(router string)
 }
 
@@ -45,7 +45,7 @@
 	home   Home
 
 	mu      sync.Mutex
-	waiting map[uint64]chan quota.Lent
+	waiting map[uint64]chan quota.GrantResponse
 }
 
 // Open listens on an IP address and port; home takes in what others send.
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Post{socket: socket, home: home, waiting: map[uint64]chan quota.Lent{}}, nil
+	return &Post{socket: socket, home: home, waiting: map[uint64]chan quota.GrantResponse{}}, nil
 }
 
 // Address returns the address in use.
@@ -62,7 +62,7 @@
 
 // asked is an ask and where to send the answer.
 type asked struct {
-	ask  quota.Ask
+	ask  quota.GrantRequest
 	from netip.AddrPort
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-func (p *Post) settle(l quota.Lent) {
+func (p *Post) settle(l quota.GrantResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if ch := p.waiting[l.Seq]; ch != nil {
@@ -115,7 +115,7 @@
 }
 
 // Close tells the home at an address that a request ended.
-func (p *Post) Close(address string, c quota.Closed) {
+func (p *Post) Close(address string, c quota.ReleaseNotice) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
 		p.socket.Send(message{Closed: &c}, to)
 	}
@@ -123,12 +123,12 @@
 
 // Ask asks the home at an address; false if it does not answer in time. The Seq
 // of an ask is used once.
-func (p *Post) Ask(ctx context.Context, home string, ask quota.Ask) (quota.Lent, bool) {
+func (p *Post) Ask(ctx context.Context, home string, ask quota.GrantRequest) (quota.GrantResponse, bool) {
 	to, err := netip.ParseAddrPort(home)
 	if err != nil {
-		return quota.Lent{}, false
+		return quota.GrantResponse{}, false
 	}
-	ch := make(chan quota.Lent, 1)
+	ch := make(chan quota.GrantResponse, 1)
 	p.mu.Lock()
 	p.waiting[ask.Seq] = ch
 	p.mu.Unlock()
@@ -144,5 +144,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, ask.Seq)
-	return quota.Lent{}, false
+	return quota.GrantResponse{}, false
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,11 +1,12 @@
-// Package quota enforces teams' limits over all routers without a shared store.
-// A team's home router keeps its account (Ledger) and answers the asks of the
-// others; a router that can't reach the home enforces an equal share (Teams).
-// It is pure: time comes in as an argument.
+// Package quota enforces the teams' rate and concurrency limits across all routers
+// without a shared store. The home router of a team grants requests to the other
+// routers (HomeLimiter); a router that cannot reach the home enforces an equal share
+// of the limits itself (LocalLimiter). The package does no I/O and reads no clock:
+// the current time is an argument.
 //
-// The bound of equal shares: while all routers see the same number n of
-// routers, they admit together at most rate*t + burst + n requests in a time t,
-// and at most concurrency + n - 1 at once (each share is at least 1).
+// Bound for equal shares: while all routers see the same number n of routers, they
+// admit together at most rate*t + burst + n requests in a time t, and have at most
+// concurrency + n - 1 requests in flight (each share is at least 1).
 package quota
 
 import (
@@ -17,150 +18,155 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-// Teams holds the use of all teams. It is safe for concurrent use.
-type Teams struct {
-	mu    sync.Mutex
-	teams map[string]*use
-	swept time.Time
+// LocalLimiter enforces this router's share of the teams' limits. It also counts the
+// requests that the teams' home routers granted. It is safe for concurrent use.
+type LocalLimiter struct {
+	mu           sync.Mutex
+	teams        map[string]*usage
+	lastEviction time.Time
 }
 
-// use is one team's token bucket and requests in progress.
-type use struct {
-	tokens float64
-	last   time.Time
-	open   int
-	closed []uint64 // the newest grants of the home that ended
+// usage is one team's token bucket and number of requests in flight.
+type usage struct {
+	tokens     float64
+	lastRefill time.Time
+	inFlight   int
+	released   []uint64 // the most recently ended grants of the home
 }
 
-// forgetAfter is how long an idle team is remembered. A bucket is full again
-// long before, so forgetting it changes nothing.
-const forgetAfter = 10 * time.Minute
+// idleTimeout is how long the state of an idle team is kept. The bucket is full again
+// long before, so eviction does not change any decision.
+const idleTimeout = 10 * time.Minute
 
-// NewTeams returns limits with nothing used.
-func NewTeams(now time.Time) *Teams { return &Teams{teams: map[string]*use{}, swept: now} }
+func NewLocalLimiter(now time.Time) *LocalLimiter {
+	return &LocalLimiter{teams: map[string]*usage{}, lastEviction: now}
+}
 
-// Admit takes one request of the team in, for a router that is one of
-// routers. The caller calls the returned function when the request has ended.
-func (t *Teams) Admit(now time.Time, name string, team *resource.Team, routers int) (func(), *fault.Error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sweep(now)
+// Admit admits a request under this router's share of the team's limits. routers is
+// the number of live routers. The caller must call the returned function when the
+// request has ended.
+func (l *LocalLimiter) Admit(now time.Time, name string, team *resource.Team, routers int) (func(), *fault.Error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.evictIdle(now)
 	share := 1 / float64(max(1, routers))
-	u := t.teams[name]
+	u := l.teams[name]
 	burst := math.Max(1, float64(team.Burst)*share)
 	if u == nil {
-		u = &use{tokens: burst, last: now}
-		t.teams[name] = u
+		u = &usage{tokens: burst, lastRefill: now}
+		l.teams[name] = u
 	}
-	if e := u.concurrency(team, share); e != nil {
+	if e := u.checkConcurrency(team, share); e != nil {
 		return nil, e
 	}
-	if e := u.rate(now, team, share, burst); e != nil {
+	if e := u.takeToken(now, team, share, burst); e != nil {
 		return nil, e
 	}
-	u.open++
-	return func() { t.done(u) }, nil
+	u.inFlight++
+	return func() { l.release(u) }, nil
 }
 
-// Use counts a request that the team's home admitted.
-func (t *Teams) Use(now time.Time, name string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sweep(now)
-	u := t.of(name)
-	u.last = now // the equal share starts from here if the home is lost
-	u.open++
+// StartGranted counts a request that the team's home router granted.
+func (l *LocalLimiter) StartGranted(now time.Time, name string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.evictIdle(now)
+	u := l.usageOf(name)
+	u.lastRefill = now // if the home becomes unreachable, the local bucket refills from here
+	u.inFlight++
 }
 
-// End counts the end of such a request and returns the newest few that ended.
-func (t *Teams) End(name string, seq uint64) []uint64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	u := t.of(name)
-	u.open--
-	return u.ended(seq)
+// EndGranted counts the end of a request that the home router granted, and returns the
+// sequence numbers for the ReleaseNotice.
+func (l *LocalLimiter) EndGranted(name string, seq uint64) []uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	u := l.usageOf(name)
+	u.inFlight--
+	return u.recordReleased(seq)
 }
 
-// Drop notes a grant that was not used, as End does.
-func (t *Teams) Drop(name string, seq uint64) []uint64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.of(name).ended(seq)
+// DiscardGrant records a grant that was not used, and returns the sequence numbers for
+// the ReleaseNotice.
+func (l *LocalLimiter) DiscardGrant(name string, seq uint64) []uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.usageOf(name).recordReleased(seq)
 }
 
-func (t *Teams) of(name string) *use {
-	u := t.teams[name]
+func (l *LocalLimiter) usageOf(name string) *usage {
+	u := l.teams[name]
 	if u == nil {
-		u = &use{}
-		t.teams[name] = u
+		u = &usage{}
+		l.teams[name] = u
 	}
 	return u
 }
 
-func (u *use) ended(seq uint64) []uint64 {
-	u.closed = append(u.closed, seq)
-	if len(u.closed) > closedKept {
-		u.closed = u.closed[len(u.closed)-closedKept:]
+func (u *usage) recordReleased(seq uint64) []uint64 {
+	u.released = append(u.released, seq)
+	if len(u.released) > maxReleaseSeqs {
+		u.released = u.released[len(u.released)-maxReleaseSeqs:]
 	}
-	return append([]uint64(nil), u.closed...)
+	return append([]uint64(nil), u.released...)
 }
 
-// Refusal is the fault that a home's refusal means.
-func Refusal(l Lent, team *resource.Team) *fault.Error {
-	wait := time.Duration(l.WaitMS) * time.Millisecond
-	if l.Rate {
-		return fault.New(fault.TeamRate, "the team is over its rate of %g a second", team.Rate).With(fault.NotRun).After(wait)
+// RefusalError converts a refusal by the home router to a typed error.
+func RefusalError(resp GrantResponse, team *resource.Team) *fault.Error {
+	wait := time.Duration(resp.RetryAfterMS) * time.Millisecond
+	if resp.RateLimited {
+		return fault.New(fault.TeamRate, "team exceeds its rate limit of %g requests per second", team.Rate).With(fault.NotRun).After(wait)
 	}
-	return fault.New(fault.TeamConcurrency, "the team has %d requests in progress already", team.Concurrency).
+	return fault.New(fault.TeamConcurrency, "team has reached its concurrency limit of %d requests", team.Concurrency).
 		With(fault.NotRun).After(wait)
 }
 
-func (u *use) concurrency(team *resource.Team, share float64) *fault.Error {
+func (u *usage) checkConcurrency(team *resource.Team, share float64) *fault.Error {
 	if team.Concurrency == 0 {
 		return nil
 	}
 	limit := max(1, int(math.Ceil(float64(team.Concurrency)*share)))
-	if u.open < limit {
+	if u.inFlight < limit {
 		return nil
 	}
-	return fault.New(fault.TeamConcurrency, "the team has %d requests in progress here", u.open).
+	return fault.New(fault.TeamConcurrency, "team has reached its concurrency limit on this router with %d requests in flight", u.inFlight).
 		With(fault.NotRun).After(time.Second)
 }
 
-func (u *use) rate(now time.Time, team *resource.Team, share, burst float64) *fault.Error {
+func (u *usage) takeToken(now time.Time, team *resource.Team, share, burst float64) *fault.Error {
 	if team.Rate == 0 {
-		u.last = now
+		u.lastRefill = now
 		return nil
 	}
 	rate := team.Rate * share
-	if dt := now.Sub(u.last).Seconds(); dt > 0 {
+	if dt := now.Sub(u.lastRefill).Seconds(); dt > 0 {
 		u.tokens = math.Min(burst, u.tokens+dt*rate)
-		u.last = now
+		u.lastRefill = now
 	}
 	if u.tokens < 1 {
 		wait := max(time.Millisecond, time.Duration((1-u.tokens)/rate*float64(time.Second)))
-		return fault.New(fault.TeamRate, "the team is over its rate of %g a second", team.Rate).
+		return fault.New(fault.TeamRate, "team exceeds its rate limit of %g requests per second", team.Rate).
 			With(fault.NotRun).After(wait)
 	}
 	u.tokens--
 	return nil
 }
 
-func (t *Teams) done(u *use) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	u.open--
+func (l *LocalLimiter) release(u *usage) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	u.inFlight--
 }
 
-// sweep forgets idle teams now and then.
-func (t *Teams) sweep(now time.Time) {
-	if now.Sub(t.swept) < forgetAfter {
+// evictIdle removes idle teams, at most once per idleTimeout.
+func (l *LocalLimiter) evictIdle(now time.Time) {
+	if now.Sub(l.lastEviction) < idleTimeout {
 		return
 	}
-	t.swept = now
-	for name, u := range t.teams {
-		if u.open == 0 && now.Sub(u.last) >= forgetAfter {
-			delete(t.teams, name)
+	l.lastEviction = now
+	for name, u := range l.teams {
+		if u.inFlight == 0 && now.Sub(u.lastRefill) >= idleTimeout {
+			delete(l.teams, name)
 		}
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,22 +13,22 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The bound on what n routers admit together, over random arrivals.
+// Checks the bound on what n routers admit together, over random arrivals.
 func TestRoutersTogetherStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		n := rapid.IntRange(1, 8).Draw(t, "routers")
 		team := &resource.Team{Rate: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: rapid.IntRange(1, 50).Draw(t, "burst"),
 			Concurrency: rapid.IntRange(0, 20).Draw(t, "concurrency")}
-		routers := make([]*Teams, n)
+		routers := make([]*LocalLimiter, n)
 		for i := range routers {
-			routers[i] = NewTeams(epoch)
+			routers[i] = NewLocalLimiter(epoch)
 		}
 		now, admitted := epoch, 0
 		var open []func()
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
-			if len(open) > 0 && rapid.Bool().Draw(t, "one ends") {
+			if len(open) > 0 && rapid.Bool().Draw(t, "end one") {
 				open[0]()
 				open = open[1:]
 			}
@@ -49,9 +49,9 @@
 	})
 }
 
-func TestARefusedTeamIsToldWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	g := NewWithT(t)
-	q := NewTeams(epoch)
+	q := NewLocalLimiter(epoch)
 	team := &resource.Team{Rate: 2, Burst: 1}
 	_, e := q.Admit(epoch, "a", team, 1)
 	g.Expect(e).To(BeNil())
@@ -60,57 +60,57 @@
 	_, e = q.Admit(epoch.Add(e.RetryAfter), "a", team, 1)
 	g.Expect(e).To(BeNil())
 	_, e = q.Admit(epoch, "b", team, 1)
-	g.Expect(e).To(BeNil(), "another team has limits of its own")
+	g.Expect(e).To(BeNil(), "limits are per team")
 }
 
-func TestIdleTeamsAreForgotten(t *testing.T) {
+func TestIdleTeamsAreEvicted(t *testing.T) {
 	g := NewWithT(t)
-	q := NewTeams(epoch)
+	q := NewLocalLimiter(epoch)
 	release, _ := q.Admit(epoch, "a", &resource.Team{}, 1)
 	release()
-	_, _ = q.Admit(epoch.Add(2*forgetAfter), "b", &resource.Team{}, 1)
+	_, _ = q.Admit(epoch.Add(2*idleTimeout), "b", &resource.Team{}, 1)
 	g.Expect(q.teams).To(HaveLen(1))
 }
 
-// cluster is routers with a home that some of them reach.
+// cluster is a set of routers of which some can reach the home.
 type cluster struct {
-	n       int
-	home    *Ledger
-	routers []*Teams
-	cut     []bool
-	seq     uint64
+	n           int
+	home        *HomeLimiter
+	routers     []*LocalLimiter
+	partitioned []bool
+	seq         uint64
 }
 
 func (c *cluster) admit(now time.Time, i int, team *resource.Team) (func(), bool) {
 	r := c.routers[i]
-	if c.cut[i] {
+	if c.partitioned[i] {
 		release, e := r.Admit(now, "team", team, c.n)
 		return release, e == nil
 	}
 	c.seq++
-	ask := Ask{Seq: c.seq, Team: "team", Router: string(rune('a' + i))}
-	if !c.home.Lend(now, ask, team, c.n).Granted {
+	req := GrantRequest{Seq: c.seq, Team: "team", Router: string(rune('a' + i))}
+	if !c.home.Acquire(now, req, team, c.n).Granted {
 		return nil, false
 	}
-	r.Use(now, "team")
+	r.StartGranted(now, "team")
 	return func() {
-		closed := Closed{Team: "team", Router: ask.Router, Seqs: r.End("team", ask.Seq)}
-		if !c.cut[i] { // else it is lost on the way
-			c.home.Close(closed)
+		notice := ReleaseNotice{Team: "team", Router: req.Router, Seqs: r.EndGranted("team", req.Seq)}
+		if !c.partitioned[i] { // otherwise the notice is lost
+			c.home.Release(notice)
 		}
 	}, true
 }
 
-// While all reach the home, no more are in progress than the team may have,
-// however asks and ends follow each other.
+// While all routers reach the home, a request is admitted exactly if the team is below
+// its concurrency limit, for any order of starts and ends.
 func TestConcurrencyHoldsOverRouters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "routers")
 		team := &resource.Team{Concurrency: rapid.IntRange(1, 10).Draw(t, "limit")}
-		c := &cluster{n: n, home: NewLedger(epoch), cut: make([]bool, n)}
+		c := &cluster{n: n, home: NewHomeLimiter(epoch), partitioned: make([]bool, n)}
 		for i := range n {
-			c.routers = append(c.routers, NewTeams(epoch))
-			c.home.Heard(epoch, string(rune('a'+i)))
+			c.routers = append(c.routers, NewLocalLimiter(epoch))
+			c.home.MarkReachable(epoch, string(rune('a'+i)))
 		}
 		var open []func()
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -129,27 +129,27 @@
 	})
 }
 
-// Routers that reach the home and routers that are cut off stay together within
-// the bound, and a home that is lost and starts anew does not lend twice.
+// Routers that reach the home and partitioned routers together stay within the bound,
+// and a restarted home does not grant the same burst again.
 func TestLendingStaysWithinTheBoundUnderLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		n := rapid.IntRange(1, 8).Draw(t, "routers")
 		team := &resource.Team{Rate: float64(rapid.IntRange(1, 100).Draw(t, "rate")), Burst: rapid.IntRange(1, 30).Draw(t, "burst")}
-		c := &cluster{n: n, home: NewLedger(epoch), cut: make([]bool, n)}
+		c := &cluster{n: n, home: NewHomeLimiter(epoch), partitioned: make([]bool, n)}
 		for range n {
-			c.routers = append(c.routers, NewTeams(epoch))
+			c.routers = append(c.routers, NewLocalLimiter(epoch))
 		}
 		now, admitted, changes := epoch, 0, 0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 60).Draw(t, "what") {
 			case 0:
-				c.home = NewLedger(now)
+				c.home = NewHomeLimiter(now)
 				changes++
 			case 1:
 				i := rapid.IntRange(0, n-1).Draw(t, "cut")
-				c.cut[i] = !c.cut[i]
+				c.partitioned[i] = !c.partitioned[i]
 				changes++
 			default:
 				if release, ok := c.admit(now, rapid.IntRange(0, n-1).Draw(t, "router"), team); ok {
@@ -158,39 +158,39 @@
 				}
 			}
 		}
-		// Each cut or heal shifts a share of the burst between home and
-		// router; until the home notices (heardFor) a cut router's share
+		// Each partition or heal moves a share of the burst between home and
+		// router, and until reachableTimeout a partitioned router's share
 		// counts twice. So each change costs at most one burst and
-		// heardFor of one router's rate.
-		change := float64(team.Burst) + 1 + team.Rate/float64(n)*heardFor.Seconds()
+		// reachableTimeout of one router's rate.
+		change := float64(team.Burst) + 1 + team.Rate/float64(n)*reachableTimeout.Seconds()
 		bound := team.Rate*now.Sub(epoch).Seconds() + float64(team.Burst) + float64(n) + float64(changes)*change
 		g.Expect(float64(admitted)).To(BeNumerically("<=", bound+1e-6))
 	})
 }
 
-// A low rate over many routers is admitted in full by the home, where equal
-// shares refuse too early.
+// The home grants the full rate of a team with a low limit and many routers, where
+// equal shares refuse too early.
 func TestTheHomeServesALowRateOverManyRouters(t *testing.T) {
 	g := NewWithT(t)
 	const n = 390
 	team := &resource.Team{Rate: 10, Burst: 10}
-	home, equal := NewLedger(epoch), make([]*Teams, n)
+	home, equal := NewHomeLimiter(epoch), make([]*LocalLimiter, n)
 	for i := range n {
-		home.Heard(epoch, string(rune(0x4e00+i)))
-		equal[i] = NewTeams(epoch)
+		home.MarkReachable(epoch, string(rune(0x4e00+i)))
+		equal[i] = NewLocalLimiter(epoch)
 	}
-	lent, shared := 0, 0
-	for k := range 100 { // 10 s at the rate, each request at another router
+	byHome, byShares := 0, 0
+	for k := range 100 { // 10 s at the rate limit
 		now := epoch.Add(time.Duration(k) * 100 * time.Millisecond)
-		router := (k * 7) % 5 // a balancer that keeps a team to few routers
-		if home.Lend(now, Ask{Seq: uint64(k), Team: "t", Router: string(rune(0x4e00 + router))}, team, n).Granted {
-			lent++
+		router := (k * 7) % 5 // a load balancer that sends a team to five routers
+		if home.Acquire(now, GrantRequest{Seq: uint64(k), Team: "t", Router: string(rune(0x4e00 + router))}, team, n).Granted {
+			byHome++
 		}
 		if release, e := equal[router].Admit(now, "t", team, n); e == nil {
-			shared++
+			byShares++
 			release()
 		}
 	}
-	g.Expect(lent).To(BeNumerically(">=", 98))
-	g.Expect(shared).To(BeNumerically("<=", 10))
+	g.Expect(byHome).To(BeNumerically(">=", 98))
+	g.Expect(byShares).To(BeNumerically("<=", 10))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,8 +30,8 @@
 	Config      *configlog.Follower
 	members     *membership.Reader
 	links       *linkSet
-	quota       *quota.Teams
-	ledger      *quota.Ledger
+	quota       *quota.LocalLimiter
+	ledger      *quota.HomeLimiter
 	post        *lending.Post // nil: equal shares only
 	askSeq      atomic.Uint64
 
@@ -60,8 +60,8 @@
 	log := configlog.NewClient(set.Log.Address, settings.Millis(set.Log.TimeoutMS))
 	r := &Router{set: set, logger: logger, incarnation: configlog.NewID(), picker: picker, rnd: rnd,
 		budget: retrybudget.New(retrybudget.Settings{Ratio: p.RetryShare, Window: retryWindow, Slack: p.RetryBurst}, 1, time.Now()),
-		quota:  quota.NewTeams(time.Now()),
-		ledger: quota.NewLedger(time.Now())}
+		quota:  quota.NewLocalLimiter(time.Now()),
+		ledger: quota.NewHomeLimiter(time.Now())}
 	r.Config = configlog.NewFollower(log, set.Log, true, logger, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.members = membership.NewReader(set.Members.Address, "", settings.Millis(set.Members.PollMS), logger)
 	r.links = newLinkSet(r)
