--- a/internal/admission/measure.go
+++ b/internal/admission/measure.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// ewmaWeight is the weight of a new sample in a moving mean.
+// ewmaWeight is the weight of a new sample.
 const ewmaWeight = 0.1
 
-// ewma is an exponentially weighted moving mean of durations.
+// ewma is an exponentially weighted moving average of durations.
 type ewma struct {
-	mean  float64 // seconds
-	known bool
+	mean        float64 // seconds
+	initialized bool
 }
 
 func (e *ewma) add(d time.Duration) {
-	if !e.known {
-		e.mean, e.known = d.Seconds(), true
+	if !e.initialized {
+		e.mean, e.initialized = d.Seconds(), true
 		return
 	}
 	e.mean += ewmaWeight * (d.Seconds() - e.mean)
@@ -24,15 +24,15 @@
 
 func (e *ewma) duration() time.Duration { return time.Duration(e.mean * float64(time.Second)) }
 
-// shares measures each tier's share of the tokens over a sliding window, with
-// sums that decay by the factor e in one window.
-type shares struct {
+// tokenShares measures each tier's share of the generated tokens. The sums decay
+// exponentially, by a factor of e per window.
+type tokenShares struct {
 	window time.Duration
 	last   time.Time
 	sums   [Tiers]float64
 }
 
-func (s *shares) decay(now time.Time) {
+func (s *tokenShares) decay(now time.Time) {
 	if s.last.IsZero() {
 		s.last = now
 		return
@@ -46,13 +46,13 @@
 	}
 }
 
-func (s *shares) add(now time.Time, tier int, tokens float64) {
+func (s *tokenShares) add(now time.Time, tier int, tokens float64) {
 	s.decay(now)
 	s.sums[tier] += tokens
 }
 
-// of returns the tier's share, 0 to 1; 0 when nothing ran.
-func (s *shares) of(now time.Time, tier int) float64 {
+// share returns the tier's share, from 0 to 1; 0 when no tokens were counted.
+func (s *tokenShares) share(now time.Time, tier int) float64 {
 	s.decay(now)
 	total := 0.0
 	for _, v := range s.sums {
--- a/internal/admission/preempt.go
+++ b/internal/admission/preempt.go
@@ -2,69 +2,69 @@
 
 import "time"
 
-// urgentMargin is how long before its start bound a waiting job becomes
-// urgent. It covers a few ticks of the agent's clock.
-const urgentMargin = 50 * time.Millisecond
+// deadlineMargin is how long before its start deadline a waiting job becomes
+// urgent. It covers a few ticks of the agent's timer.
+const deadlineMargin = 50 * time.Millisecond
 
 // Preempt moves one running job of a lower tier back to the front of its queue
-// to make room for a waiting one, and returns it. The caller stops it at the
-// backend server and calls Next. It returns nil when nothing is to be
-// preempted; call it until then.
+// to free a slot for a waiting job of a higher tier, and returns the preempted job.
+// The caller stops that job at the backend server and calls Next. Preempt returns nil
+// when there is nothing to preempt; the caller repeats both calls until then.
 func (q *Queue) Preempt(now time.Time) *Job {
 	if !q.cfg.Preemption || q.cfg.FIFO || len(q.running) < q.cfg.Slots {
 		return nil
 	}
-	ahead := 0
+	waitingAhead := 0
 	for t := range q.tiers {
 		head := q.tiers[t].head()
 		if head == nil {
 			continue
 		}
-		ahead += q.tiers[t].order.Len()
-		if v := q.victimFor(now, t, head, ahead); v != nil {
-			q.putBack(v)
-			q.claimed = true
+		waitingAhead += q.tiers[t].order.Len()
+		if v := q.findVictim(now, t, head, waitingAhead); v != nil {
+			q.requeue(v)
+			q.slotReserved = true
 			return v
 		}
 	}
 	return nil
 }
 
-func (q *Queue) victimFor(now time.Time, t int, head *Job, ahead int) *Job {
+func (q *Queue) findVictim(now time.Time, t int, head *Job, waitingAhead int) *Job {
 	urgent := q.urgent(now, t)
-	if !urgent && !q.misses(now, head, ahead) {
+	if !urgent && !q.willMissFirstToken(now, head, waitingAhead) {
 		return nil
 	}
-	return q.victim(t, urgent)
+	return q.selectVictim(t, urgent)
 }
 
-// urgent reports whether a job of tier t is about to be shed: its start bound
+// urgent reports whether a job of tier t is about to be shed: its start deadline
 // is near, or its queue is over the limit.
 func (q *Queue) urgent(now time.Time, t int) bool {
-	due, ok := q.tiers[t].earliest()
-	return (ok && due.Sub(now) < urgentMargin) || q.tiers[t].order.Len() > q.cfg.QueueLimit
+	deadline, ok := q.tiers[t].earliestDeadline()
+	return (ok && deadline.Sub(now) < deadlineMargin) || q.tiers[t].order.Len() > q.cfg.QueueLimit
 }
 
-// misses reports whether the head would use up half of its first-token target
-// before a slot falls free by itself.
-func (q *Queue) misses(now time.Time, head *Job, ahead int) bool {
-	if head.FirstToken <= 0 {
+// willMissFirstToken reports whether the head job would wait for more than half of its
+// first-token target before a slot becomes free without preemption.
+func (q *Queue) willMissFirstToken(now time.Time, head *Job, waitingAhead int) bool {
+	if head.FirstTokenTarget <= 0 {
 		return false
 	}
-	natural := time.Duration(ahead) * q.serviceAll.duration() / time.Duration(q.cfg.Slots)
-	return now.Sub(head.arrived)+natural > head.FirstToken/2
+	untilFree := time.Duration(waitingAhead) * q.serviceTimeAll.duration() / time.Duration(q.cfg.Slots)
+	return now.Sub(head.arrived)+untilFree > head.FirstTokenTarget/2
 }
 
-// victim chooses the running job that gives way to tier t: of the lowest tier,
-// the one that made the fewest tokens. A job that its floor started, or that
-// was preempted often enough, gives way only to urgent need.
-func (q *Queue) victim(t int, urgent bool) *Job {
+// selectVictim chooses the running job to preempt for tier t: in the lowest tier, the
+// job that has generated the fewest tokens. A job that was started by its floor, or
+// that has reached MaxPreemptions, is preempted only for an urgent job.
+func (q *Queue) selectVictim(t int, urgent bool) *Job {
 	var best *Job
 	for j := range q.running {
 		if j.Tier <= t || !j.Preemptible {
 			continue
 		}
-		if !urgent && (j.floorRun || j.preemptions >= q.cfg.MaxPreemptions) {
+		if !urgent && (j.startedByFloor || j.preemptions >= q.cfg.MaxPreemptions) {
 			continue
 		}
 		if best == nil || j.Tier > best.Tier ||
@@ -75,8 +75,8 @@
 	return best
 }
 
-// victims counts the running jobs that an urgent job of tier t may displace.
-func (q *Queue) victims(t int) int {
+// countVictims counts the running jobs that an urgent job of tier t may preempt.
+func (q *Queue) countVictims(t int) int {
 	if !q.cfg.Preemption || q.cfg.FIFO {
 		return 0
 	}
@@ -89,11 +89,11 @@
 	return n
 }
 
-func (q *Queue) putBack(j *Job) {
-	q.leaveSlot(j)
+func (q *Queue) requeue(j *Job) {
+	q.releaseSlot(j)
 	j.state = Waiting
 	j.preemptions++
-	j.StartBy = time.Time{} // it has started: it does not expire any more
-	j.tag = preemptedTag
+	j.StartDeadline = time.Time{} // a job that has started once does not expire
+	j.startTag = preemptedTag
 	q.tiers[j.Tier].insert(j)
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,16 +1,17 @@
 // Package admission decides which waiting request an agent starts next at its
-// backend server. It is pure: time comes in as an argument, nothing blocks.
+// backend server. It does no I/O, does not block and reads no clock: the current time
+// is an argument.
 //
-// The order is strict by tier; within a tier, teams share by start-time fair
-// queueing. A lower tier's floor and the end of a long request give way in one
-// direction only. The rule, held by construction and checked at each refusal and
-// expiry by the property tests:
+// Tiers have strict priority; within a tier, teams share by start-time fair queueing.
+// A floor guarantees a lower tier a share of the tokens, but yields to a higher tier
+// that is about to be shed. The following invariant holds by construction, and the
+// property tests check it at each refusal and expiry:
 //
 //	A request is refused or expires only while no preemptible request of a
-//	lower tier runs here.
+//	lower tier is running on this backend server.
 //
-// So no helpline call is shed to serve a report, while reports keep their floor
-// for as long as nothing above them is about to be shed.
+// So no helpline call is shed to serve a report, and reports keep their floor as long
+// as no higher tier is about to be shed.
 package admission
 
 import (
@@ -20,92 +21,89 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// Tiers is the number of tiers; 0 is the highest.
+// Tiers is the number of priority tiers; tier 0 is the highest.
 const Tiers = 5
 
 // Config is the size and policy of a Queue.
 type Config struct {
-	Slots          int // requests that run at once
-	QueueLimit     int // waiting requests of each tier
-	MaxPreemptions int // ordinary preemptions of one request
+	Slots          int // requests that run concurrently
+	QueueLimit     int // waiting requests per tier
+	MaxPreemptions int // preemptions of one request, not counting those for urgent jobs
 	FloorWindow    time.Duration
 
-	// FIFO is the baseline: one queue in order of arrival.
+	// FIFO selects the baseline policy: a single queue in order of arrival.
 	FIFO bool
-	// The parts of the policy, each of which can be switched off.
+	// The parts of the policy, each of which can be disabled.
 	Preemption   bool
 	Floors       bool
 	Fairness     bool
 	EarlyRefusal bool
 }
 
-// Job is one request in the queue or in a slot. The caller fills the exported
-// fields and does not change them afterwards.
+// Job is one request in the queue or in a slot. The caller sets the exported fields
+// before Enqueue and does not change them afterwards.
 type Job struct {
-	ID          string
-	Tier        int
-	Flow        string        // the team
-	Cost        float64       // expected tokens, for fairness
-	Floor       float64       // share of tokens owed to the tier
-	FirstToken  time.Duration // target, 0: none
-	Preemptible bool
-	StartBy     time.Time
-
-	arrived     time.Time
-	started     time.Time // of the present run
-	seq         uint64
-	tag         float64 // fair queueing start tag; preempted jobs go first
-	preemptions int
-	tokens      int
-	state       State
-	floorRun    bool // started by its floor
-	orderPos    int  // in the tier's order heap, -1 when not there
-	duePos      int  // in the tier's deadline heap, -1 when not there
+	ID               string
+	Tier             int
+	Flow             string        // team name
+	Cost             float64       // expected tokens, for fairness
+	Floor            float64       // minimum share of tokens guaranteed to the tier
+	FirstTokenTarget time.Duration // 0: no target
+	Preemptible      bool
+	StartDeadline    time.Time
+
+	arrived        time.Time
+	started        time.Time // start of the current run
+	seq            uint64
+	startTag       float64 // fair queueing start tag
+	preemptions    int
+	tokens         int
+	state          State
+	startedByFloor bool
+	orderIndex     int // in the tier's order heap, -1 if absent
+	deadlineIndex  int // in the tier's deadline heap, -1 if absent
 }
 
-// State is where a Job is.
+// State is the state of a Job.
 type State uint8
 
-// The states.
 const (
 	Waiting State = iota
 	Running
-	Gone
+	Removed
 )
 
-// State returns where the job is.
 func (j *Job) State() State { return j.state }
 
-// Preemptions returns how often the job was preempted.
+// Preemptions returns the number of times that the job was preempted.
 func (j *Job) Preemptions() int { return j.preemptions }
 
 // Queue holds the waiting and running jobs of one backend server. It is not
 // safe for concurrent use.
 type Queue struct {
-	cfg     Config
-	tiers   [Tiers]tier
-	running map[*Job]struct{}
-	seq     uint64
-	shares  shares
-	// service is the mean time in a slot by tier, and over all tiers.
-	service    [Tiers]ewma
-	serviceAll ewma
-	floorRuns  int
-	// claimed says that a slot was freed by preemption for the head of the
-	// strict order, so that no floor takes it.
-	claimed bool
+	cfg         Config
+	tiers       [Tiers]tier
+	running     map[*Job]struct{}
+	seq         uint64
+	tokenShares tokenShares
+	// serviceTime is the mean time in a slot by tier, serviceTimeAll over all tiers.
+	serviceTime    [Tiers]ewma
+	serviceTimeAll ewma
+	floorRuns      int // running jobs that were started by a floor
+	// slotReserved is set when preemption has freed a slot for the waiting job of
+	// highest priority, so that floors do not take it.
+	slotReserved bool
 }
 
-// New returns an empty Queue.
 func New(cfg Config) *Queue {
-	q := &Queue{cfg: cfg, running: map[*Job]struct{}{}, shares: shares{window: cfg.FloorWindow}}
+	q := &Queue{cfg: cfg, running: map[*Job]struct{}{}, tokenShares: tokenShares{window: cfg.FloorWindow}}
 	for i := range q.tiers {
-		q.tiers[i] = tier{order: newOrder(), due: newDue(), flows: map[string]*flow{}}
+		q.tiers[i] = tier{order: newOrderHeap(), deadlines: newDeadlineHeap(), flows: map[string]*flow{}}
 	}
 	return q
 }
 
-// Waiting returns the number of waiting jobs of each tier.
+// Waiting returns the number of waiting jobs by tier.
 func (q *Queue) Waiting() []int {
 	out := make([]int, Tiers)
 	for i := range q.tiers {
@@ -114,10 +112,10 @@
 	return out
 }
 
-// Running returns the number of jobs in slots.
+// Running returns the number of running jobs.
 func (q *Queue) Running() int { return len(q.running) }
 
-// RunningByTier returns the number of jobs in slots of each tier.
+// RunningByTier returns the number of running jobs by tier.
 func (q *Queue) RunningByTier() []int {
 	out := make([]int, Tiers)
 	for j := range q.running {
@@ -126,29 +124,29 @@
 	return out
 }
 
-// ServiceTime returns the mean time of a job in a slot; 0 when not measured.
-func (q *Queue) ServiceTime() time.Duration { return q.serviceAll.duration() }
+// ServiceTime returns the mean time of a job in a slot; 0 until a job has finished.
+func (q *Queue) ServiceTime() time.Duration { return q.serviceTimeAll.duration() }
 
-// tierOf returns the queue that the job belongs to; the baseline has only one.
-func (q *Queue) tierOf(j *Job) int {
+// queueIndex returns the index of the tier queue for the job. FIFO uses only the first.
+func (q *Queue) queueIndex(j *Job) int {
 	if q.cfg.FIFO {
 		return 0
 	}
 	return j.Tier
 }
 
-// Offer takes a job into the queue or refuses it. A refusal is a typed error
-// with outcome not run and the time to come back.
-func (q *Queue) Offer(now time.Time, j *Job) *fault.Error {
-	t := q.tierOf(j)
-	victims := q.victims(t)
+// Enqueue adds a job to the queue or refuses it. A refusal is a typed error with
+// outcome NotRun and a retry delay.
+func (q *Queue) Enqueue(now time.Time, j *Job) *fault.Error {
+	t := q.queueIndex(j)
+	victims := q.countVictims(t)
 	if q.tiers[t].order.Len() >= q.cfg.QueueLimit+victims {
-		return fault.New(fault.QueueFull, "%d requests of tier %d wait already", q.tiers[t].order.Len(), j.Tier).
+		return fault.New(fault.QueueFull, "queue of tier %d is full with %d waiting requests", j.Tier, q.tiers[t].order.Len()).
 			With(fault.NotRun).After(q.RetryAfter(j.Tier))
 	}
 	wait := q.expectedWait(t)
-	if q.cfg.EarlyRefusal && victims == 0 && !j.StartBy.IsZero() && now.Add(wait).After(j.StartBy) {
-		return fault.New(fault.WaitTooLong, "the wait for a start is about %s", wait.Round(time.Millisecond)).
+	if q.cfg.EarlyRefusal && victims == 0 && !j.StartDeadline.IsZero() && now.Add(wait).After(j.StartDeadline) {
+		return fault.New(fault.WaitTooLong, "expected queue wait of %s exceeds the start deadline", wait.Round(time.Millisecond)).
 			With(fault.NotRun).After(q.RetryAfter(j.Tier))
 	}
 	q.seq++
@@ -157,23 +155,23 @@
 	return nil
 }
 
-// expectedWait estimates how long a new job of queue t waits for a slot.
+// expectedWait estimates how long a new job in queue t would wait for a slot.
 func (q *Queue) expectedWait(t int) time.Duration {
 	if len(q.running) < q.cfg.Slots && q.tiers[t].order.Len() == 0 {
 		return 0
 	}
-	work := q.serviceAll.duration() / 2 // what is left of the job that ends next
+	work := q.serviceTimeAll.duration() / 2 // mean remaining time of a running job
 	for u := 0; u <= t; u++ {
-		work += time.Duration(q.tiers[u].order.Len()) * q.service[u].duration()
+		work += time.Duration(q.tiers[u].order.Len()) * q.serviceTime[u].duration()
 	}
 	return work / time.Duration(q.cfg.Slots)
 }
 
-// minRetryAfter is the least time that a refused caller is told to stay away.
+// minRetryAfter is the shortest retry delay in a refusal.
 const minRetryAfter = time.Second
 
-// RetryAfter tells a refused caller of the tier when the queue ahead of it
-// will have drained, by the measured service times.
+// RetryAfter returns the retry delay for a refused job of the tier: the time until the
+// queue ahead of it has drained, estimated from the measured service times.
 func (q *Queue) RetryAfter(tier int) time.Duration {
 	if q.cfg.FIFO {
 		tier = 0
@@ -181,25 +179,25 @@
 	return max(minRetryAfter, q.expectedWait(tier))
 }
 
-// Next takes the job to start now, if a slot is free and a job waits.
+// Next returns the job to start now, if a slot is free and a job is waiting.
 func (q *Queue) Next(now time.Time) (*Job, bool) {
 	if len(q.running) >= q.cfg.Slots {
 		return nil, false
 	}
 	var j *Job
-	if !q.claimed {
+	if !q.slotReserved {
 		j = q.floorCandidate(now)
 	}
 	byFloor := j != nil
 	if j == nil {
-		j = q.strictCandidate()
+		j = q.priorityCandidate()
 	}
-	q.claimed = false
+	q.slotReserved = false
 	if j == nil {
 		return nil, false
 	}
-	q.tiers[q.tierOf(j)].remove(j)
-	j.state, j.started, j.floorRun = Running, now, byFloor
+	q.tiers[q.queueIndex(j)].remove(j)
+	j.state, j.started, j.startedByFloor = Running, now, byFloor
 	if byFloor {
 		q.floorRuns++
 	}
@@ -207,7 +205,7 @@
 	return j, true
 }
 
-func (q *Queue) strictCandidate() *Job {
+func (q *Queue) priorityCandidate() *Job {
 	for i := range q.tiers {
 		if j := q.tiers[i].head(); j != nil {
 			return j
@@ -216,25 +214,26 @@
 	return nil
 }
 
-// floorCandidate returns a job of a lower tier that is owed a slot although a
-// higher tier waits. Nothing above it may come close to its start bound by it.
+// floorCandidate returns a job of a tier that is below its floor and gets a slot even
+// though a higher tier is waiting. It must not bring a job of a higher tier close to
+// its start deadline.
 func (q *Queue) floorCandidate(now time.Time) *Job {
 	if !q.cfg.Floors || q.cfg.FIFO {
 		return nil
 	}
 	for t := Tiers - 1; t > 0; t-- {
 		j := q.tiers[t].head()
-		if j == nil || j.Floor <= 0 || !q.higherWaits(t) || q.shares.of(now, t) >= j.Floor {
+		if j == nil || j.Floor <= 0 || !q.higherTierWaiting(t) || q.tokenShares.share(now, t) >= j.Floor {
 			continue
 		}
-		if q.floorRuns < q.floorSlots(j.Floor) && q.slack(now, t) {
+		if q.floorRuns < q.floorSlots(j.Floor) && q.hasSlack(now, t) {
 			return j
 		}
 	}
 	return nil
 }
 
-func (q *Queue) higherWaits(t int) bool {
+func (q *Queue) higherTierWaiting(t int) bool {
 	for u := range t {
 		if q.tiers[u].order.Len() > 0 {
 			return true
@@ -243,20 +242,20 @@
 	return false
 }
 
-// floorSlots bounds the slots that floors take at once.
+// floorSlots returns the limit on slots held by jobs that were started by a floor.
 func (q *Queue) floorSlots(floor float64) int {
 	return max(1, int(math.Ceil(floor*float64(q.cfg.Slots))))
 }
 
-// slack reports whether every waiting job above tier t would still start in
-// the first half of its remaining time if a job of tier t took a slot now.
-func (q *Queue) slack(now time.Time, t int) bool {
+// hasSlack reports whether every waiting job above tier t would still start within
+// half of its remaining time if a job of tier t took a slot now.
+func (q *Queue) hasSlack(now time.Time, t int) bool {
 	left := q.cfg.Slots - q.floorRuns - 1
 	for u := range t {
 		if q.urgent(now, u) {
 			return false
 		}
-		due, ok := q.tiers[u].earliest()
+		deadline, ok := q.tiers[u].earliestDeadline()
 		if !ok {
 			continue
 		}
@@ -264,57 +263,57 @@
 		if left > 0 {
 			wait = wait * time.Duration(q.cfg.Slots) / time.Duration(left)
 		} else {
-			wait += q.service[t].duration()
+			wait += q.serviceTime[t].duration()
 		}
-		if wait > due.Sub(now)/2 {
+		if wait > deadline.Sub(now)/2 {
 			return false
 		}
 	}
 	return true
 }
 
-// Progress counts tokens that a running job has made.
-func (q *Queue) Progress(now time.Time, j *Job, tokens int) {
+// AddTokens counts tokens that a running job has generated.
+func (q *Queue) AddTokens(now time.Time, j *Job, tokens int) {
 	j.tokens += tokens
-	q.shares.add(now, j.Tier, float64(tokens))
+	q.tokenShares.add(now, j.Tier, float64(tokens))
 }
 
-// Done takes a job out of its slot or out of the queue for good.
-func (q *Queue) Done(now time.Time, j *Job) {
+// Remove permanently removes a job from its slot or from the queue.
+func (q *Queue) Remove(now time.Time, j *Job) {
 	switch j.state {
 	case Waiting:
-		q.tiers[q.tierOf(j)].remove(j)
+		q.tiers[q.queueIndex(j)].remove(j)
 	case Running:
-		q.leaveSlot(j)
+		q.releaseSlot(j)
 		took := now.Sub(j.started)
-		q.service[q.tierOf(j)].add(took)
-		q.serviceAll.add(took)
+		q.serviceTime[q.queueIndex(j)].add(took)
+		q.serviceTimeAll.add(took)
 	}
-	j.state = Gone
+	j.state = Removed
 }
 
-func (q *Queue) leaveSlot(j *Job) {
+func (q *Queue) releaseSlot(j *Job) {
 	delete(q.running, j)
-	if j.floorRun {
+	if j.startedByFloor {
 		q.floorRuns--
-		j.floorRun = false
+		j.startedByFloor = false
 	}
 }
 
-// Expire takes out the jobs whose start bound has passed. A job that was
-// started once does not expire. Call Preempt first: it serves the jobs that
-// are about to expire as long as a lower tier runs.
+// Expire removes and returns the jobs whose start deadline has passed. A job that has
+// started once does not expire. Call Preempt first: it frees slots for jobs that are
+// about to expire while a lower tier is running.
 func (q *Queue) Expire(now time.Time) []*Job {
 	var out []*Job
 	for i := range q.tiers {
 		for {
-			due, ok := q.tiers[i].earliest()
-			if !ok || due.After(now) {
+			deadline, ok := q.tiers[i].earliestDeadline()
+			if !ok || deadline.After(now) {
 				break
 			}
-			j := q.tiers[i].due.first()
+			j := q.tiers[i].deadlines.first()
 			q.tiers[i].remove(j)
-			j.state = Gone
+			j.state = Removed
 			out = append(out, j)
 		}
 	}
--- a/internal/admission/tier.go
+++ b/internal/admission/tier.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// preemptedTag puts a preempted job before all others of its tier.
+// preemptedTag sorts a preempted job before all other jobs of its tier.
 const preemptedTag = -1
 
-// flow is one team's place in a tier's fair order.
+// flow is the fair queueing state of one team in a tier.
 type flow struct {
-	finish  float64 // tag at which its last job is served
-	waiting int
+	finishTag float64 // finish tag of its last job
+	waiting   int
 }
 
 // tier holds the waiting jobs of one tier.
 type tier struct {
-	order jobHeap
-	due   jobHeap
-	flows map[string]*flow
-	now   float64 // virtual time: start tag of the job last taken
+	order       jobHeap
+	deadlines   jobHeap
+	flows       map[string]*flow
+	virtualTime float64 // highest start tag of the jobs taken so far
 }
 
-// push gives the job its fair tag and inserts it.
+// push assigns the job its start tag and inserts it.
 func (t *tier) push(j *Job, cfg Config) {
 	if cfg.Fairness && !cfg.FIFO {
 		f := t.flows[j.Flow]
@@ -31,10 +31,10 @@
 			f = &flow{}
 			t.flows[j.Flow] = f
 		}
-		j.tag = math.Max(t.now, f.finish)
-		f.finish = j.tag + math.Max(1, j.Cost)
+		j.startTag = math.Max(t.virtualTime, f.finishTag)
+		f.finishTag = j.startTag + math.Max(1, j.Cost)
 	} else {
-		j.tag = 0 // order of arrival
+		j.startTag = 0 // jobs with equal tags keep their order of arrival
 	}
 	t.insert(j)
 }
@@ -44,58 +44,58 @@
 		f.waiting++
 	}
 	heap.Push(&t.order, j)
-	j.duePos = -1
-	if !j.StartBy.IsZero() {
-		heap.Push(&t.due, j)
+	j.deadlineIndex = -1
+	if !j.StartDeadline.IsZero() {
+		heap.Push(&t.deadlines, j)
 	}
 }
 
-// remove takes the job out; a flow with nothing waiting whose turn has passed
-// is forgotten, so that the map holds only active teams.
+// remove takes the job out. A flow with no waiting jobs whose finish tag has passed is
+// deleted, so that the map holds only active teams.
 func (t *tier) remove(j *Job) {
-	heap.Remove(&t.order, j.orderPos)
-	if j.duePos >= 0 {
-		heap.Remove(&t.due, j.duePos)
+	heap.Remove(&t.order, j.orderIndex)
+	if j.deadlineIndex >= 0 {
+		heap.Remove(&t.deadlines, j.deadlineIndex)
 	}
-	t.now = math.Max(t.now, j.tag)
+	t.virtualTime = math.Max(t.virtualTime, j.startTag)
 	f := t.flows[j.Flow]
 	if f == nil {
 		return
 	}
 	f.waiting--
-	if f.waiting <= 0 && (f.finish <= t.now || t.order.Len() == 0) {
+	if f.waiting <= 0 && (f.finishTag <= t.virtualTime || t.order.Len() == 0) {
 		delete(t.flows, j.Flow)
 	}
 }
 
 func (t *tier) head() *Job { return t.order.first() }
 
-// earliest returns the first start bound of the waiting jobs.
-func (t *tier) earliest() (time.Time, bool) {
-	if j := t.due.first(); j != nil {
-		return j.StartBy, true
+// earliestDeadline returns the earliest start deadline of the waiting jobs.
+func (t *tier) earliestDeadline() (time.Time, bool) {
+	if j := t.deadlines.first(); j != nil {
+		return j.StartDeadline, true
 	}
 	return time.Time{}, false
 }
 
-// jobHeap is a heap of jobs that know their place in it, so that any of them can
-// be taken out.
+// jobHeap is a heap of jobs that store their index in it, so that any job can be
+// removed.
 type jobHeap struct {
 	jobs []*Job
 	less func(a, b *Job) bool
-	// pos returns where a job keeps its place in this heap.
-	pos func(*Job) *int
+	// index returns the field that holds a job's index in this heap.
+	index func(*Job) *int
 }
 
-// newOrder orders jobs by fair tag, then arrival.
-func newOrder() jobHeap {
-	return jobHeap{less: func(a, b *Job) bool { return a.tag < b.tag || (a.tag == b.tag && a.seq < b.seq) },
-		pos: func(j *Job) *int { return &j.orderPos }}
+// newOrderHeap orders jobs by start tag, then by arrival.
+func newOrderHeap() jobHeap {
+	return jobHeap{less: func(a, b *Job) bool { return a.startTag < b.startTag || (a.startTag == b.startTag && a.seq < b.seq) },
+		index: func(j *Job) *int { return &j.orderIndex }}
 }
 
-// newDue orders jobs by start bound.
-func newDue() jobHeap {
-	return jobHeap{less: func(a, b *Job) bool { return a.StartBy.Before(b.StartBy) }, pos: func(j *Job) *int { return &j.duePos }}
+// newDeadlineHeap orders jobs by start deadline.
+func newDeadlineHeap() jobHeap {
+	return jobHeap{less: func(a, b *Job) bool { return a.StartDeadline.Before(b.StartDeadline) }, index: func(j *Job) *int { return &j.deadlineIndex }}
 }
 
 // Len implements heap.Interface.
@@ -107,13 +107,13 @@
 // Swap implements heap.Interface.
 func (h *jobHeap) Swap(i, j int) {
 	h.jobs[i], h.jobs[j] = h.jobs[j], h.jobs[i]
-	*h.pos(h.jobs[i]), *h.pos(h.jobs[j]) = i, j
+	*h.index(h.jobs[i]), *h.index(h.jobs[j]) = i, j
 }
 
 // Push implements heap.Interface.
 func (h *jobHeap) Push(x any) {
 	j := x.(*Job)
-	*h.pos(j) = len(h.jobs)
+	*h.index(j) = len(h.jobs)
 	h.jobs = append(h.jobs, j)
 }
 
@@ -123,11 +123,11 @@
 	j := h.jobs[n]
 	h.jobs[n] = nil
 	h.jobs = h.jobs[:n]
-	*h.pos(j) = -1
+	*h.index(j) = -1
 	return j
 }
 
-// first returns the job at the top; nil if there is none.
+// first returns the first job, or nil if the heap is empty.
 func (h *jobHeap) first() *Job {
 	if len(h.jobs) == 0 {
 		return nil
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -294,9 +294,9 @@
 func (c *Core) enqueue(now time.Time, a *attempt) *fault.Error {
 	o := a.offer
 	job := &admission.Job{ID: o.ID, Tier: min(int(o.Tier), admission.Tiers-1), Flow: o.Team, Cost: float64(o.MaxTokens),
-		Floor: o.Floor, FirstToken: millis(o.FirstTokenMS), Preemptible: o.Preemptible && o.MayRepeat,
-		StartBy: now.Add(millis(o.StartWithinMS))}
-	if e := c.queue.Offer(now, job); e != nil {
+		Floor: o.Floor, FirstTokenTarget: millis(o.FirstTokenMS), Preemptible: o.Preemptible && o.MayRepeat,
+		StartDeadline: now.Add(millis(o.StartWithinMS))}
+	if e := c.queue.Enqueue(now, job); e != nil {
 		return e
 	}
 	a.job, a.phase = job, queued
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -31,7 +31,7 @@
 	if a.offer.MayRepeat {
 		a.text = append(a.text, data...)
 	}
-	c.queue.Progress(now, a.job, tokens)
+	c.queue.AddTokens(now, a.job, tokens)
 	c.pump(a)
 }
 
@@ -99,7 +99,7 @@
 	if a.job == nil {
 		return
 	}
-	c.queue.Done(now, a.job)
+	c.queue.Remove(now, a.job)
 	delete(c.byJob, a.job)
 	a.job = nil
 }
