--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -1,8 +1,8 @@
-// Package lending carries the asks of routers to the homes of teams' limits and
-// their answers, one datagram each way. Datagrams instead of links: with 390
-// routers nearly every request is the first of its team at its router, so there
-// is one small question for each request and no state worth a connection. A
-// lost datagram costs a wait of askTimeout and the fallback to an equal share.
+// Package lending carries grant requests from routers to the home routers of the teams,
+// and the responses, with one datagram each way. It uses datagrams instead of links
+// because with 390 routers nearly every request is the first of its team at its router:
+// each request needs one small exchange, and there is no state worth a connection. A
+// lost datagram costs a wait of requestTimeout and the fallback to an equal share.
 package lending
 
 import (
@@ -17,30 +17,30 @@
 )
 
 const (
-	// askTimeout bounds the wait for the home on the request path.
-	askTimeout = 100 * time.Millisecond
-	// askRing is how many asks wait for the ledger.
-	askRing = 1024
+	// requestTimeout limits the wait for the home router on the request path.
+	requestTimeout = 100 * time.Millisecond
+	// requestQueueSize is the number of received requests that can wait for the Home.
+	requestQueueSize = 1024
 )
 
-// message is an ask, an answer, the end of a request, or the name of a router
-// that is there.
+// message is a datagram; exactly one field is set. Ping is the name of a live router.
+// Fields are encoded by name; the tags keep the outer names of renamed fields.
 type message struct {
-	Ask    *quota.GrantRequest
-	Lent   *quota.GrantResponse
-	Closed *quota.ReleaseNotice
-	Ping   string
+	Request  *quota.GrantRequest  `msgpack:"Ask"`
+	Response *quota.GrantResponse `msgpack:"Lent"`
+	Release  *quota.ReleaseNotice `msgpack:"Closed"`
+	Ping     string
 }
 
-// Home is what answers the other routers; its methods must not block.
+// Home answers the messages of other routers. Its methods must not block.
 type Home interface {
-	Lend(quota.GrantRequest) quota.GrantResponse
-	Close(quota.ReleaseNotice)
-	Heard(router string)
+	Acquire(quota.GrantRequest) quota.GrantResponse
+	Release(quota.ReleaseNotice)
+	MarkReachable(router string)
 }
 
-// Post sends and receives asks on one UDP socket.
-type Post struct {
+// Transport sends and receives the messages of this router on one UDP socket.
+type Transport struct {
 	socket *datagram.Socket[message]
 	home   Home
 
@@ -48,101 +48,101 @@
 	waiting map[uint64]chan quota.GrantResponse
 }
 
-// Open listens on an IP address and port; home takes in what others send.
-func Open(address string, home Home) (*Post, error) {
+// Open listens on an IP address and port. home handles the messages of other routers.
+func Open(address string, home Home) (*Transport, error) {
 	socket, err := datagram.Open[message](address, "merlinpost_lending")
 	if err != nil {
 		return nil, err
 	}
-	return &Post{socket: socket, home: home, waiting: map[uint64]chan quota.GrantResponse{}}, nil
+	return &Transport{socket: socket, home: home, waiting: map[uint64]chan quota.GrantResponse{}}, nil
 }
 
-// Address returns the address in use.
-func (p *Post) Address() string { return p.socket.Address().String() }
+// Address returns the address that the socket is bound to.
+func (t *Transport) Address() string { return t.socket.Address().String() }
 
-// asked is an ask and where to send the answer.
-type asked struct {
-	ask  quota.GrantRequest
+// pendingRequest is a received request and the address to respond to.
+type pendingRequest struct {
+	req  quota.GrantRequest
 	from netip.AddrPort
 }
 
-// Run receives until ctx ends: one goroutine reads, one answers.
-func (p *Post) Run(ctx context.Context) {
-	asks := make(chan asked, askRing)
-	var answering sync.WaitGroup
-	answering.Go(func() {
-		for a := range asks {
-			lent := p.home.Lend(a.ask)
-			p.socket.Send(message{Lent: &lent}, a.from)
+// Run receives messages until ctx ends: one goroutine reads, another one responds.
+func (t *Transport) Run(ctx context.Context) {
+	requests := make(chan pendingRequest, requestQueueSize)
+	var responding sync.WaitGroup
+	responding.Go(func() {
+		for pending := range requests {
+			resp := t.home.Acquire(pending.req)
+			t.socket.Send(message{Response: &resp}, pending.from)
 		}
 	})
-	p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.take(m, from, asks) })
-	close(asks)
-	answering.Wait()
+	t.socket.Receive(ctx, func(m message, from netip.AddrPort) { t.handle(m, from, requests) })
+	close(requests)
+	responding.Wait()
 }
 
-func (p *Post) take(m message, from netip.AddrPort, asks chan<- asked) {
+func (t *Transport) handle(m message, from netip.AddrPort, requests chan<- pendingRequest) {
 	switch {
 	case m.Ping != "":
-		p.home.Heard(m.Ping)
-	case m.Closed != nil:
-		p.home.Close(*m.Closed)
-	case m.Lent != nil:
-		p.settle(*m.Lent)
-	case m.Ask != nil:
+		t.home.MarkReachable(m.Ping)
+	case m.Release != nil:
+		t.home.Release(*m.Release)
+	case m.Response != nil:
+		t.deliver(*m.Response)
+	case m.Request != nil:
 		select {
-		case asks <- asked{*m.Ask, from}:
+		case requests <- pendingRequest{*m.Request, from}:
 		default:
 			telemetry.Count("merlinpost_lending_overrun_total")
 		}
 	}
 }
 
-func (p *Post) settle(l quota.GrantResponse) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if ch := p.waiting[l.Seq]; ch != nil {
-		ch <- l // has room for its one answer
-		delete(p.waiting, l.Seq)
+func (t *Transport) deliver(resp quota.GrantResponse) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if ch := t.waiting[resp.Seq]; ch != nil {
+		ch <- resp // does not block: the channel has room for its only response
+		delete(t.waiting, resp.Seq)
 	}
 }
 
-// Ping tells the router at an address that the named one reaches it.
-func (p *Post) Ping(address, self string) {
+// Ping tells the router at address that the router self can reach it.
+func (t *Transport) Ping(address, self string) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
-		p.socket.Send(message{Ping: self}, to)
+		t.socket.Send(message{Ping: self}, to)
 	}
 }
 
-// Close tells the home at an address that a request ended.
-func (p *Post) Close(address string, c quota.ReleaseNotice) {
+// Release sends a release notice to the home router at address.
+func (t *Transport) Release(address string, n quota.ReleaseNotice) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
-		p.socket.Send(message{Closed: &c}, to)
+		t.socket.Send(message{Release: &n}, to)
 	}
 }
 
-// Ask asks the home at an address; false if it does not answer in time. The Seq
-// of an ask is used once.
-func (p *Post) Ask(ctx context.Context, home string, ask quota.GrantRequest) (quota.GrantResponse, bool) {
+// Acquire sends a grant request to the home router at an address. It returns false if
+// no response arrives in time. Each request needs a Seq of its own.
+func (t *Transport) Acquire(ctx context.Context, home string, req quota.GrantRequest) (quota.GrantResponse, bool) {
 	to, err := netip.ParseAddrPort(home)
 	if err != nil {
 		return quota.GrantResponse{}, false
 	}
 	ch := make(chan quota.GrantResponse, 1)
-	p.mu.Lock()
-	p.waiting[ask.Seq] = ch
-	p.mu.Unlock()
-	p.socket.Send(message{Ask: &ask}, to)
-	timer := time.NewTimer(askTimeout)
+	t.mu.Lock()
+	t.waiting[req.Seq] = ch
+	t.mu.Unlock()
+	t.socket.Send(message{Request: &req}, to)
+	timer := time.NewTimer(requestTimeout)
 	defer timer.Stop()
 	select {
-	case l := <-ch:
-		return l, true
+	case resp := <-ch:
+		return resp, true
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.waiting, ask.Seq)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.waiting, req.Seq)
 	return quota.GrantResponse{}, false
 }
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -6,19 +6,20 @@
 	"testing"
 
 	. "github.com/onsi/gomega"
+	"github.com/vmihailenco/msgpack/v5"
 
 	"github.com/merlinpost/merlinpost/internal/quota"
 )
 
-// home is a fake ledger.
-type home func(quota.GrantRequest) quota.GrantResponse
+// fakeHome answers grant requests with a function.
+type fakeHome func(quota.GrantRequest) quota.GrantResponse
 
-func (h home) Lend(a quota.GrantRequest) quota.GrantResponse { return h(a) }
-func (home) Close(quota.ReleaseNotice)                       {}
-func (home) Heard(string)                                    {}
+func (h fakeHome) Acquire(req quota.GrantRequest) quota.GrantResponse { return h(req) }
+func (fakeHome) Release(quota.ReleaseNotice)                          {}
+func (fakeHome) MarkReachable(string)                                 {}
 
-func open(t *testing.T, lend home) *Post {
-	p, err := Open("127.0.0.1:0", lend)
+func startTransport(t *testing.T, acquire fakeHome) *Transport {
+	p, err := Open("127.0.0.1:0", acquire)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,32 +30,51 @@
 	return p
 }
 
-func TestAskIsAnsweredByTheHome(t *testing.T) {
+func TestAcquireReturnsTheResponseOfTheHome(t *testing.T) {
 	g := NewWithT(t)
-	home := open(t, func(a quota.GrantRequest) quota.GrantResponse {
-		return quota.GrantResponse{Seq: a.Seq, Granted: a.Team == "known", RetryAfterMS: 7}
+	home := startTransport(t, func(req quota.GrantRequest) quota.GrantResponse {
+		return quota.GrantResponse{Seq: req.Seq, Granted: req.Team == "known", RetryAfterMS: 7}
 	})
-	router := open(t, nil)
-	lent, ok := router.Ask(context.Background(), home.Address(), quota.GrantRequest{Seq: 1, Team: "known", Router: "r"})
-	g.Expect(ok && lent.Granted).To(BeTrue())
-	lent, ok = router.Ask(context.Background(), home.Address(), quota.GrantRequest{Seq: 2, Team: "other", Router: "r"})
+	router := startTransport(t, nil)
+	resp, ok := router.Acquire(context.Background(), home.Address(), quota.GrantRequest{Seq: 1, Team: "known", Router: "r"})
+	g.Expect(ok && resp.Granted).To(BeTrue())
+	resp, ok = router.Acquire(context.Background(), home.Address(), quota.GrantRequest{Seq: 2, Team: "other", Router: "r"})
 	g.Expect(ok).To(BeTrue())
-	g.Expect(lent.Granted).To(BeFalse())
-	g.Expect(lent.RetryAfterMS).To(BeEquivalentTo(7))
+	g.Expect(resp.Granted).To(BeFalse())
+	g.Expect(resp.RetryAfterMS).To(BeEquivalentTo(7))
 }
 
-func TestALostHomeGivesNoAnswerAndBrokenDatagramsNoHarm(t *testing.T) {
+// A home that receives a malformed datagram still answers the next request, and a request
+// to an unreachable home times out without leaving state behind.
+func TestAcquireSurvivesMalformedDatagramsAndTimesOut(t *testing.T) {
 	g := NewWithT(t)
-	home := open(t, func(a quota.GrantRequest) quota.GrantResponse { return quota.GrantResponse{Seq: a.Seq, Granted: true} })
-	router := open(t, nil)
+	home := startTransport(t, func(req quota.GrantRequest) quota.GrantResponse {
+		return quota.GrantResponse{Seq: req.Seq, Granted: true}
+	})
+	router := startTransport(t, nil)
 	conn, err := net.Dial("udp", home.Address())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
 	_, err = conn.Write([]byte{0xc1, 0xff, 0x00})
 	g.Expect(err).NotTo(HaveOccurred())
-	_, ok := router.Ask(context.Background(), home.Address(), quota.GrantRequest{Seq: 3, Team: "t"})
+	_, ok := router.Acquire(context.Background(), home.Address(), quota.GrantRequest{Seq: 3, Team: "t"})
 	g.Expect(ok).To(BeTrue())
-	_, ok = router.Ask(context.Background(), "127.0.0.1:1", quota.GrantRequest{Seq: 4, Team: "t"})
+	_, ok = router.Acquire(context.Background(), "127.0.0.1:1", quota.GrantRequest{Seq: 4, Team: "t"})
 	g.Expect(ok).To(BeFalse())
 	g.Expect(router.waiting).To(BeEmpty())
 }
+
+// Datagrams are encoded by field name. A renamed field without a tag would make routers of
+// different releases ignore each other's messages.
+func TestFieldNamesInDatagramsAreStable(t *testing.T) {
+	g := NewWithT(t)
+	data, err := msgpack.Marshal(message{Request: &quota.GrantRequest{}, Response: &quota.GrantResponse{},
+		Release: &quota.ReleaseNotice{}})
+	g.Expect(err).NotTo(HaveOccurred())
+	var fields map[string]any
+	g.Expect(msgpack.Unmarshal(data, &fields)).To(Succeed())
+	g.Expect(fields).To(And(HaveLen(4), HaveKeyWithValue("Ping", "")))
+	g.Expect(fields["Ask"]).To(And(HaveLen(3), HaveKey("Seq"), HaveKey("Team"), HaveKey("Router")))
+	g.Expect(fields["Lent"]).To(And(HaveLen(4), HaveKey("Seq"), HaveKey("Granted"), HaveKey("Rate"), HaveKey("WaitMS")))
+	g.Expect(fields["Closed"]).To(And(HaveLen(3), HaveKey("Team"), HaveKey("Router"), HaveKey("Seqs")))
+}
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -28,9 +28,9 @@
 	var lent quota.GrantResponse
 	answered := true
 	if home.Name == r.set.Name {
-		lent = (*teamHome)(r).Lend(ask)
+		lent = (*teamHome)(r).Acquire(ask)
 	} else {
-		lent, answered = r.post.Ask(ctx, home.Address, ask)
+		lent, answered = r.post.Acquire(ctx, home.Address, ask)
 	}
 	switch {
 	case !answered:
@@ -51,17 +51,17 @@
 func (r *Router) tellClosed(name string, home membership.Member, seqs []uint64) {
 	closed := quota.ReleaseNotice{Team: name, Router: r.processName(), Seqs: seqs}
 	if home.Name == r.set.Name {
-		(*teamHome)(r).Close(closed)
+		(*teamHome)(r).Release(closed)
 		return
 	}
-	r.post.Close(home.Address, closed)
+	r.post.Release(home.Address, closed)
 }
 
 // teamHome is a router as the home of teams; it implements lending.Home.
 type teamHome Router
 
 // Lend implements lending.Home.
-func (h *teamHome) Lend(ask quota.GrantRequest) quota.GrantResponse {
+func (h *teamHome) Acquire(ask quota.GrantRequest) quota.GrantResponse {
 	team := h.Config.View().Teams[ask.Team]
 	if team == nil {
 		return quota.GrantResponse{Seq: ask.Seq, RetryAfterMS: time.Second.Milliseconds()}
@@ -70,10 +70,10 @@
 }
 
 // Close implements lending.Home.
-func (h *teamHome) Close(c quota.ReleaseNotice) { h.ledger.Release(c) }
+func (h *teamHome) Release(c quota.ReleaseNotice) { h.ledger.Release(c) }
 
 // Heard implements lending.Home.
-func (h *teamHome) Heard(router string) { h.ledger.MarkReachable(time.Now(), router) }
+func (h *teamHome) MarkReachable(router string) { h.ledger.MarkReachable(time.Now(), router) }
 
 // PeersAddress returns the address for the asks of other routers; empty if
 // there is none.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -32,7 +32,7 @@
 	links       *linkSet
 	quota       *quota.LocalLimiter
 	ledger      *quota.HomeLimiter
-	post        *lending.Post // nil: equal shares only
+	post        *lending.Transport // nil: equal shares only
 	askSeq      atomic.Uint64
 
 	mu     sync.Mutex // guards picker and rnd
