--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -191,6 +191,6 @@
 }
 
 func (a *Agent) status() Status {
-	return Status{a.set.Name, a.incarnation, a.config.View().Revision, a.lease.Fence(), a.config.LogUp(),
+	return Status{a.set.Name, a.incarnation, a.config.View().Revision, a.lease.FencingToken(), a.config.LogUp(),
 		a.stopping.Load(), a.serving.list()}
 }
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -115,7 +115,7 @@
 		book.Remember(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
 	}
 	book.SetLogRead()
-	if a.lease.Newborn() {
+	if a.lease.FirstHolder() {
 		book.SetNewborn(a.poolsNeverChanged())
 	}
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease records on the log which process acts as an agent. The offset
-// of a process's lease record is its fencing number: a later process has a
-// higher one, and an engine that checks refuses the orders of the earlier.
+// Package lease records in the log which process acts as an agent. The offset of a
+// process's lease record is its fencing token: a later process has a higher token, and
+// an engine that checks fencing tokens rejects the commands of earlier processes.
 package lease
 
 import (
@@ -20,60 +20,61 @@
 	Renewal     bool   `json:"renewal,omitempty"`
 }
 
-// Lease is one process's lease. Run is its duty.
+// Lease is the lease of one process. Run acquires and maintains it.
 type Lease struct {
-	log         configlog.Log
-	stream      string
-	incarnation string
-	renewEvery  time.Duration
-	logger      *slog.Logger
-
-	fence      atomic.Uint64 // 0: not held yet
-	newborn    atomic.Bool
-	superseded atomic.Bool
-	held       chan struct{}
+	log           configlog.Log
+	stream        string
+	incarnation   string
+	renewInterval time.Duration
+	logger        *slog.Logger
+
+	fencingToken atomic.Uint64 // 0 until the lease is held
+	firstHolder  atomic.Bool
+	superseded   atomic.Bool
+	held         chan struct{}
 }
 
 const (
-	retryEvery = 100 * time.Millisecond
-	pollFor    = 10 * time.Second
+	retryInterval = 100 * time.Millisecond
+	pollTimeout   = 10 * time.Second
 )
 
-// New returns a Lease that is not held yet. Renewals keep a record of the
-// agent on the log within its retention; renewEvery must be well below that.
-func New(log configlog.Log, agent, incarnation string, renewEvery time.Duration, logger *slog.Logger) *Lease {
-	return &Lease{log: log, stream: configlog.LeaseStream(agent), incarnation: incarnation, renewEvery: renewEvery,
+// New returns a Lease that is not held yet. Renewals keep a record of the agent within
+// the retention time of the log, so renewInterval must be well below that time.
+func New(log configlog.Log, agent, incarnation string, renewInterval time.Duration, logger *slog.Logger) *Lease {
+	return &Lease{log: log, stream: configlog.LeaseStream(agent), incarnation: incarnation, renewInterval: renewInterval,
 		logger: logger, held: make(chan struct{})}
 }
 
-// Fence returns the fencing number; 0 while the lease is not held.
-func (l *Lease) Fence() uint64 { return l.fence.Load() }
+// FencingToken returns the fencing token, or 0 while the lease is not held.
+func (l *Lease) FencingToken() uint64 { return l.fencingToken.Load() }
 
-// Held is closed when the lease's record is on the log.
+// Held returns a channel that is closed when the log contains the lease record.
 func (l *Lease) Held() <-chan struct{} { return l.held }
 
-// Newborn reports, once held, whether the log shows no earlier process.
-func (l *Lease) Newborn() bool { return l.newborn.Load() }
+// FirstHolder reports whether the log contains no record of an earlier process. The
+// result is valid once the lease is held.
+func (l *Lease) FirstHolder() bool { return l.firstHolder.Load() }
 
-// Superseded reports whether another process took the lease over.
+// Superseded reports whether another process has taken over the lease.
 func (l *Lease) Superseded() bool { return l.superseded.Load() }
 
-// Run takes the lease, renews it and watches for a successor until ctx ends.
-// onLost is called once if another process takes over.
+// Run acquires the lease, renews it and watches for a successor until ctx ends or
+// another process takes over. In the latter case it calls onLost once.
 func (l *Lease) Run(ctx context.Context, onLost func()) {
 	next, ok := l.acquire(ctx)
 	if !ok {
 		return
 	}
-	renewed := time.Now()
+	lastRenewal := time.Now()
 	for ctx.Err() == nil {
-		batch, err := l.log.Read(ctx, l.stream, next, min(pollFor, l.renewEvery))
+		batch, err := l.log.Read(ctx, l.stream, next, min(pollTimeout, l.renewInterval))
 		if fault.Is(err, fault.LogTruncated) {
 			next = batch.First
 			continue
 		}
 		if err != nil {
-			wait(ctx, retryEvery)
+			sleep(ctx, retryInterval)
 			continue
 		}
 		for _, e := range batch.Entries {
@@ -85,77 +86,79 @@
 				return
 			}
 		}
-		if time.Since(renewed) >= l.renewEvery && l.append(ctx, true) == nil {
-			renewed = time.Now()
+		if time.Since(lastRenewal) >= l.renewInterval && l.appendRecord(ctx, true) == nil {
+			lastRenewal = time.Now()
 		}
 	}
 }
 
-// acquire appends the lease's record and finds it on the log, which settles an
-// append whose answer was lost.
+// acquire appends the lease record and reads it back from the log. Reading before each
+// append avoids a second record if the response to the first append was lost. It returns
+// the offset from which to watch for a successor.
 func (l *Lease) acquire(ctx context.Context) (next uint64, ok bool) {
 	for ctx.Err() == nil {
-		earlier := false
-		mine := uint64(0)
+		hasEarlier := false
+		own := uint64(0)
 		next, truncated, err := configlog.ReadAll(ctx, l.log, l.stream, func(e configlog.Entry) {
 			var r Record
 			switch {
 			case json.Unmarshal(e.Data, &r) != nil:
-			case r.Incarnation == l.incarnation && mine == 0:
-				mine = e.Offset
-			case r.Incarnation != l.incarnation && mine == 0:
-				earlier = true
+			case r.Incarnation == l.incarnation && own == 0:
+				own = e.Offset
+			case r.Incarnation != l.incarnation && own == 0:
+				hasEarlier = true
 			}
 		})
-		if err == nil && mine > 0 {
-			l.fence.Store(mine)
-			l.newborn.Store(!earlier && !truncated)
-			l.logger.Info("lease held", "fence", mine, "newborn", l.newborn.Load())
+		if err == nil && own > 0 {
+			l.fencingToken.Store(own)
+			l.firstHolder.Store(!hasEarlier && !truncated)
+			l.logger.Info("lease held", "fence", own, "newborn", l.firstHolder.Load())
 			close(l.held)
 			return next, true
 		}
 		if err == nil {
-			err = l.append(ctx, false)
+			err = l.appendRecord(ctx, false)
 		}
 		if err != nil {
-			wait(ctx, retryEvery)
+			sleep(ctx, retryInterval)
 		}
 	}
 	return 0, false
 }
 
-func (l *Lease) append(ctx context.Context, renewal bool) error {
+func (l *Lease) appendRecord(ctx context.Context, renewal bool) error {
 	data, err := json.Marshal(Record{l.incarnation, renewal})
 	if err != nil {
-		return fault.New(fault.Internal, "encode lease: %w", err)
+		return fault.New(fault.Internal, "encode lease record: %w", err)
 	}
 	_, err = l.log.Append(ctx, l.stream, data)
 	return err
 }
 
-// isSuccessor reports whether the entry is a later process's lease. A renewal
-// of an earlier process that is on its way out does not count.
+// isSuccessor reports whether the entry is the lease record of a later process. It
+// ignores renewals, which an earlier process may still append until it notices that it
+// was superseded.
 func (l *Lease) isSuccessor(e configlog.Entry) bool {
 	var r Record
 	return json.Unmarshal(e.Data, &r) == nil && r.Incarnation != l.incarnation && !r.Renewal
 }
 
-// Current asks the log whether the lease is still this process's own. It is
-// for orders to engines that do not check fencing numbers.
-func (l *Lease) Current(ctx context.Context) bool {
-	if l.Fence() == 0 || l.Superseded() {
+// VerifyHeld reads the log to verify that this process still holds the lease. It is
+// required before commands to engines that do not check fencing tokens.
+func (l *Lease) VerifyHeld(ctx context.Context) bool {
+	if l.FencingToken() == 0 || l.Superseded() {
 		return false
 	}
-	current := true
+	held := true
 	_, _, err := configlog.ReadAll(ctx, l.log, l.stream, func(e configlog.Entry) {
-		if e.Offset > l.Fence() && l.isSuccessor(e) {
-			current = false
+		if e.Offset > l.FencingToken() && l.isSuccessor(e) {
+			held = false
 		}
 	})
-	return err == nil && current
+	return err == nil && held
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,8 +14,8 @@
 	"github.com/merlinpost/merlinpost/internal/standin/logservice"
 )
 
-// logClient starts a stand-in log and returns a client of it.
-func logClient(t *testing.T) (*logservice.Service, configlog.Log) {
+// startLog starts a fake log service and returns it with a client.
+func startLog(t *testing.T) (*logservice.Service, configlog.Log) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	s := logservice.New()
@@ -26,52 +26,54 @@
 	return s, configlog.NewClient(address, time.Second)
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// hold takes a lease and returns a channel that is closed when it is lost.
-func hold(t *testing.T, g Gomega, log configlog.Log, incarnation string) (*Lease, <-chan struct{}) {
+// acquireLease acquires a lease and returns it with a channel that is closed when the
+// lease is lost.
+func acquireLease(t *testing.T, g Gomega, log configlog.Log, incarnation string) (*Lease, <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	l := New(log, "agent", incarnation, time.Hour, quiet())
+	l := New(log, "agent", incarnation, time.Hour, discardLogger())
 	lost := make(chan struct{})
 	go l.Run(ctx, func() { close(lost) })
 	g.Eventually(l.Held()).Should(BeClosed())
 	return l, lost
 }
 
-func TestALaterProcessTakesOver(t *testing.T) {
+func TestLaterProcessTakesOver(t *testing.T) {
 	g := NewWithT(t)
-	_, log := logClient(t)
-	first, lost := hold(t, g, log, "one")
-	g.Expect(first.Newborn()).To(BeTrue())
-	g.Expect(first.Current(context.Background())).To(BeTrue())
-	second, _ := hold(t, g, log, "two")
-	g.Expect(second.Newborn()).To(BeFalse())
-	g.Expect(second.Fence()).To(BeNumerically(">", first.Fence()))
+	_, log := startLog(t)
+	first, lost := acquireLease(t, g, log, "one")
+	g.Expect(first.FirstHolder()).To(BeTrue())
+	g.Expect(first.VerifyHeld(context.Background())).To(BeTrue())
+	second, _ := acquireLease(t, g, log, "two")
+	g.Expect(second.FirstHolder()).To(BeFalse())
+	g.Expect(second.FencingToken()).To(BeNumerically(">", first.FencingToken()))
 	g.Eventually(lost).Should(BeClosed())
 	g.Expect(first.Superseded()).To(BeTrue())
-	g.Expect(first.Current(context.Background())).To(BeFalse())
-	g.Expect(second.Current(context.Background())).To(BeTrue())
+	g.Expect(first.VerifyHeld(context.Background())).To(BeFalse())
+	g.Expect(second.VerifyHeld(context.Background())).To(BeTrue())
 }
 
-// A lost answer does not make a second lease of the same process.
-func TestALostAnswerIsSettledByReading(t *testing.T) {
+// If the response to an append is lost, the process finds its record by reading the log
+// and does not append a second one.
+func TestLostAppendResponseCreatesNoSecondRecord(t *testing.T) {
 	g := NewWithT(t)
-	s, log := logClient(t)
+	s, log := startLog(t)
 	s.SetFaults(logservice.Faults{LoseAnswers: true})
-	l, _ := hold(t, g, log, "one")
-	g.Expect(l.Fence()).To(Equal(uint64(1)))
+	l, _ := acquireLease(t, g, log, "one")
+	g.Expect(l.FencingToken()).To(Equal(uint64(1)))
 	_, _, err := configlog.ReadAll(context.Background(), log, configlog.LeaseStream("agent"), func(e configlog.Entry) {
 		g.Expect(e.Offset).To(Equal(uint64(1)))
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// While the log is out nothing is current: no order is given.
-func TestNothingIsCurrentDuringAnOutage(t *testing.T) {
+// While the log is unavailable the lease cannot be verified, so no command may be sent.
+func TestVerifyHeldFailsDuringLogOutage(t *testing.T) {
 	g := NewWithT(t)
-	s, log := logClient(t)
-	l, _ := hold(t, g, log, "one")
+	s, log := startLog(t)
+	l, _ := acquireLease(t, g, log, "one")
 	s.SetFaults(logservice.Faults{Down: true})
-	g.Expect(l.Current(context.Background())).To(BeFalse())
+	g.Expect(l.VerifyHeld(context.Background())).To(BeFalse())
 }
