--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -159,7 +159,7 @@
 }
 
 func (a *Agent) linkOptions(beat func() *wire.Beat) link.Options {
-	return link.Options{Heartbeat: settings.Millis(a.set.Link.HeartbeatMS), Silent: settings.Millis(a.set.Link.SilentMS), Beat: beat}
+	return link.Options{HeartbeatInterval: settings.Millis(a.set.Link.HeartbeatMS), PeerTimeout: settings.Millis(a.set.Link.SilentMS), NewHeartbeat: beat}
 }
 
 // pages serves metrics, health and the agent's own status.
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -144,7 +144,7 @@
 // pokeAll sends every router a heartbeat at once.
 func (d *coreDuty) pokeAll() {
 	for _, c := range d.conns {
-		c.Poke()
+		c.TriggerHeartbeat()
 	}
 }
 
@@ -186,7 +186,7 @@
 // Use implements execution.Effects.
 func (d *coreDuty) Use(id execution.LinkID, n int) {
 	if c := d.conns[id]; c != nil {
-		c.Use(int64(n))
+		c.AddRequests(int64(n))
 	}
 }
 
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,6 +1,6 @@
-// Package link runs one TCP connection of the wire protocol: the exchange of
-// Hello, a writer goroutine fed by a bounded ring, heartbeats, and the end of
-// a link that went silent.
+// Package link runs one TCP connection of the wire protocol: the Hello handshake, a
+// writer goroutine with a bounded send queue, heartbeats, and the detection of a peer
+// that no longer sends.
 package link
 
 import (
@@ -19,51 +19,53 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// ringSize is how many messages wait for the writer. Chunks leave reserved
-// places free for the messages that must not be dropped.
+// sendQueueSize is the number of messages that can wait for the writer. Chunks leave
+// reservedSlots of it free for messages that must not be dropped.
 const (
-	ringSize = 2048
-	reserved = 512
+	sendQueueSize = 2048
+	reservedSlots = 512
 )
 
-// idleFactor is how much rarer the heartbeats of a link without requests are:
-// nobody waits for an answer on it, and an offer finds out by itself.
-const idleFactor = 20
+// idleIntervalFactor lengthens the heartbeat interval and the peer timeout of a link
+// without requests. No caller waits for an answer on such a link, and the next offer
+// detects a broken one.
+const idleIntervalFactor = 20
 
-// Options is the timing of a link.
+// Options configures a link.
 type Options struct {
-	// Heartbeat is the longest time that a link with requests on it sends
-	// nothing, Silent the longest that it may bring nothing.
-	Heartbeat time.Duration
-	Silent    time.Duration
-	// Beat makes the heartbeat; the link fills in NextMS.
-	Beat func() *wire.Beat
+	// HeartbeatInterval is the longest time without a sent message on a link with
+	// requests. PeerTimeout is the longest time without a received message before the
+	// link is closed; it also limits the handshake and each write.
+	HeartbeatInterval time.Duration
+	PeerTimeout       time.Duration
+	// NewHeartbeat returns the next heartbeat to send; the link sets NextMS.
+	NewHeartbeat func() *wire.Beat
 }
 
-// Conn is a link after the exchange of Hello.
+// Conn is a link after a successful handshake.
 type Conn struct {
-	peer wire.Hello
-	nc   *countingConn
-	r    *wire.Reader
-	w    *wire.Writer
-	opts Options
-	ring chan wire.Message
-	once sync.Once
-	done chan struct{}
-	// open counts the requests on the link; peerBusy is what the peer's last
-	// heartbeat implied of its own count.
-	open     atomic.Int64
-	peerBusy atomic.Bool
-	wake     chan struct{} // a heartbeat is due at once
-	// announced is the time to the next message that the peer was told; it
-	// belongs to the writer.
-	announced time.Duration
+	peer      wire.Hello
+	nc        *countingConn
+	r         *wire.Reader
+	w         *wire.Writer
+	opts      Options
+	sendQueue chan wire.Message
+	once      sync.Once
+	done      chan struct{}
+	// inFlight counts the requests on the link. peerBusy reports whether, by its last
+	// heartbeat, the peer has requests on the link.
+	inFlight     atomic.Int64
+	peerBusy     atomic.Bool
+	heartbeatNow chan struct{} // signals the writer to send a heartbeat immediately
+	// announcedInterval is the time until the next message that the last heartbeat
+	// announced to the peer. Only the writer goroutine uses it.
+	announcedInterval time.Duration
 }
 
-// countingConn counts the bytes of all links of the process.
+// countingConn adds the bytes that it reads and writes to bytesIn and bytesOut.
 type countingConn struct{ net.Conn }
 
-// bytesIn and bytesOut count the bytes of all links.
+// bytesIn and bytesOut count the bytes of all links of the process.
 var bytesIn, bytesOut atomic.Uint64
 
 // Read implements net.Conn.
@@ -85,21 +87,21 @@
 	_ = metrics.NewGauge(`merlinpost_link_bytes{direction="out"}`, func() float64 { return float64(bytesOut.Load()) })
 )
 
-// Open exchanges Hello with the peer. It closes nc on failure.
+// Open performs the handshake with the peer. It closes nc on failure.
 func Open(nc net.Conn, self wire.Hello, opts Options) (*Conn, error) {
-	c := &Conn{nc: &countingConn{nc}, opts: opts, ring: make(chan wire.Message, ringSize), done: make(chan struct{}),
-		wake: make(chan struct{}, 1)}
+	c := &Conn{nc: &countingConn{nc}, opts: opts, sendQueue: make(chan wire.Message, sendQueueSize), done: make(chan struct{}),
+		heartbeatNow: make(chan struct{}, 1)}
 	c.r, c.w = wire.NewReader(c.nc), wire.NewWriter(c.nc)
 	self.Version = wire.Version
 	if err := c.handshake(&self); err != nil {
-		_ = nc.Close() // the handshake's error is the one to report
+		_ = nc.Close() // the handshake error is the one to report
 		return nil, err
 	}
 	return c, nil
 }
 
 func (c *Conn) handshake(self *wire.Hello) error {
-	if err := c.nc.SetDeadline(time.Now().Add(c.opts.Silent)); err != nil {
+	if err := c.nc.SetDeadline(time.Now().Add(c.opts.PeerTimeout)); err != nil {
 		return fault.New(fault.LinkLost, "set deadline: %w", err)
 	}
 	if err := c.w.Write(self); err != nil {
@@ -114,10 +116,10 @@
 	}
 	hello, ok := m.(*wire.Hello)
 	if !ok {
-		return fault.New(fault.BadFrame, "the first message has type %d, not hello", m.Type())
+		return fault.New(fault.BadFrame, "first message has type %d, want hello", m.Type())
 	}
 	if hello.Version != wire.Version {
-		return fault.New(fault.BadVersion, "peer %q speaks version %d, this process %d", hello.Name, hello.Version, wire.Version)
+		return fault.New(fault.BadVersion, "peer %q uses protocol version %d, this process uses %d", hello.Name, hello.Version, wire.Version)
 	}
 	c.peer = *hello
 	if err := c.nc.SetDeadline(time.Time{}); err != nil {
@@ -126,56 +128,56 @@
 	return nil
 }
 
-// Peer returns the other end's Hello.
+// Peer returns the Hello message of the peer.
 func (c *Conn) Peer() wire.Hello { return c.peer }
 
-// Use counts n requests onto the link or, if negative, off it.
-func (c *Conn) Use(n int64) {
-	if now := c.open.Add(n); n > 0 && now == n {
-		c.Poke()
-		// The peer's next message is due soon now.
-		_ = c.nc.SetReadDeadline(time.Now().Add(c.opts.Silent)) // a closed link ends by itself
+// AddRequests adds n, which may be negative, to the number of requests on the link.
+func (c *Conn) AddRequests(n int64) {
+	if now := c.inFlight.Add(n); n > 0 && now == n {
+		c.TriggerHeartbeat()
+		// A link with requests has a shorter timeout, so replace the pending read deadline.
+		_ = c.nc.SetReadDeadline(time.Now().Add(c.opts.PeerTimeout)) // fails only on a closed link, which ends by itself
 	}
 }
 
-// Poke sends a heartbeat at once, because what it says has changed.
-func (c *Conn) Poke() {
+// TriggerHeartbeat sends a heartbeat immediately, because its content has changed.
+func (c *Conn) TriggerHeartbeat() {
 	select {
-	case c.wake <- struct{}{}:
-	default: // one is due already
+	case c.heartbeatNow <- struct{}{}:
+	default: // a heartbeat is already pending
 	}
 }
 
-// beatEvery returns the present time between heartbeats.
-func (c *Conn) beatEvery() time.Duration {
-	if c.open.Load() > 0 {
-		return c.opts.Heartbeat
+// heartbeatInterval returns the current time between heartbeats.
+func (c *Conn) heartbeatInterval() time.Duration {
+	if c.inFlight.Load() > 0 {
+		return c.opts.HeartbeatInterval
 	}
-	return idleFactor * c.opts.Heartbeat
+	return idleIntervalFactor * c.opts.HeartbeatInterval
 }
 
-// silentFor returns how long the link may bring nothing.
-func (c *Conn) silentFor() time.Duration {
-	if c.open.Load() > 0 || c.peerBusy.Load() {
-		return c.opts.Silent
+// readTimeout returns how long to wait for a message before closing the link.
+func (c *Conn) readTimeout() time.Duration {
+	if c.inFlight.Load() > 0 || c.peerBusy.Load() {
+		return c.opts.PeerTimeout
 	}
-	return idleFactor * c.opts.Silent
+	return idleIntervalFactor * c.opts.PeerTimeout
 }
 
 // Done is closed when the link is closed.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Send queues a message without blocking. A chunk that finds no room is
-// refused and can be sent later. Any other message that finds no room closes
-// the link: its state is settled again over the next one.
+// Send queues a message without blocking and reports whether it was queued. If the queue
+// has no room for a chunk, the caller can send it later. If it has no room for any other
+// message, the link is closed, and the peers resynchronize over the next link.
 func (c *Conn) Send(m wire.Message) bool {
-	if _, isChunk := m.(*wire.Chunk); isChunk && len(c.ring) >= ringSize-reserved {
+	if _, isChunk := m.(*wire.Chunk); isChunk && len(c.sendQueue) >= sendQueueSize-reservedSlots {
 		return false
 	}
 	select {
 	case <-c.done:
 		return false
-	case c.ring <- m:
+	case c.sendQueue <- m:
 		return true
 	default:
 		telemetry.Count("merlinpost_links_overrun_total")
@@ -184,16 +186,15 @@
 	}
 }
 
-// Close ends the link.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		close(c.done)
-		_ = c.nc.Close() // there is nothing to do about a failed close
+		_ = c.nc.Close() // nothing can be done about a failed close
 	})
 }
 
-// Run reads messages until the link ends and gives each to handle, but for
-// heartbeats of no load. It starts the writer and waits for it.
+// Run starts the writer and passes each received message, including heartbeats, to handle
+// until the link ends. It returns when the writer has ended too.
 func (c *Conn) Run(ctx context.Context, handle func(wire.Message)) error {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
@@ -207,7 +208,7 @@
 
 func (c *Conn) read(handle func(wire.Message)) error {
 	for {
-		if err := c.nc.SetReadDeadline(time.Now().Add(c.silentFor())); err != nil {
+		if err := c.nc.SetReadDeadline(time.Now().Add(c.readTimeout())); err != nil {
 			return fault.New(fault.LinkLost, "set deadline: %w", err)
 		}
 		m, err := c.r.Read()
@@ -215,7 +216,7 @@
 			return readError(err)
 		}
 		if b, ok := m.(*wire.Beat); ok {
-			c.peerBusy.Store(b.NextMS <= c.opts.Heartbeat.Milliseconds())
+			c.peerBusy.Store(b.NextMS <= c.opts.HeartbeatInterval.Milliseconds())
 		}
 		handle(m)
 	}
@@ -226,54 +227,54 @@
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
 		telemetry.Count("merlinpost_links_silent_total")
-		return fault.New(fault.LinkLost, "the link went silent: %w", err)
+		return fault.New(fault.LinkLost, "no message from peer within the read timeout: %w", err)
 	case errors.Is(err, io.EOF), errors.Is(err, net.ErrClosed):
-		return fault.New(fault.LinkLost, "the link was closed: %w", err)
+		return fault.New(fault.LinkLost, "connection closed: %w", err)
 	}
 	return err
 }
 
-// write sends the ring's messages, many to a flush, and a heartbeat when there
-// was nothing to send for the time announced to the peer. A heartbeat is the
-// only place where that time changes, so the peer always knows it.
+// write sends queued messages in batches, and a heartbeat if nothing was sent for the
+// interval announced to the peer. The interval changes only with a heartbeat that
+// announces the new one, so the peer always knows it.
 func (c *Conn) write() {
-	c.announced = c.beatEvery()
-	timer := time.NewTimer(c.announced)
+	c.announcedInterval = c.heartbeatInterval()
+	timer := time.NewTimer(c.announcedInterval)
 	defer timer.Stop()
 	defer c.Close()
 	for {
 		var m wire.Message
 		select {
-		case m = <-c.ring:
+		case m = <-c.sendQueue:
 		case <-timer.C:
-			m = c.opts.Beat()
-		case <-c.wake:
-			m = c.opts.Beat()
+			m = c.opts.NewHeartbeat()
+		case <-c.heartbeatNow:
+			m = c.opts.NewHeartbeat()
 		case <-c.done:
 			return
 		}
 		if c.writeBatch(m) != nil {
 			return
 		}
-		timer.Reset(c.announced)
+		timer.Reset(c.announcedInterval)
 	}
 }
 
-// writeBatch writes m and what else waits, then flushes.
+// writeBatch writes m and all queued messages, then flushes.
 func (c *Conn) writeBatch(m wire.Message) error {
-	if err := c.nc.SetWriteDeadline(time.Now().Add(c.opts.Silent)); err != nil {
+	if err := c.nc.SetWriteDeadline(time.Now().Add(c.opts.PeerTimeout)); err != nil {
 		return err
 	}
 	for {
 		if b, ok := m.(*wire.Beat); ok {
-			c.announced = c.beatEvery()
-			b.NextMS = c.announced.Milliseconds()
+			c.announcedInterval = c.heartbeatInterval()
+			b.NextMS = c.announcedInterval.Milliseconds()
 		}
 		if err := c.w.Write(m); err != nil {
 			return err
 		}
 		select {
-		case m = <-c.ring:
+		case m = <-c.sendQueue:
 			continue
 		default:
 		}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	heartbeat = 20 * time.Millisecond
-	silent    = 100 * time.Millisecond
+	heartbeatInterval = 20 * time.Millisecond
+	peerTimeout       = 100 * time.Millisecond
 )
 
-// pair opens a link between two ends over a socket on the loopback.
+// pair opens a link over the loopback interface and returns both ends.
 func pair(g Gomega) (*Conn, *Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer ln.Close()
-	opts := Options{Heartbeat: heartbeat, Silent: silent, Beat: func() *wire.Beat { return &wire.Beat{} }}
+	opts := Options{HeartbeatInterval: heartbeatInterval, PeerTimeout: peerTimeout, NewHeartbeat: func() *wire.Beat { return &wire.Beat{} }}
 	type opened struct {
 		c   *Conn
 		err error
@@ -47,45 +47,45 @@
 	return a, b.c
 }
 
-// A link stays up while it is idle, becomes busy, and is idle again, although
-// its two ends then expect heartbeats at different times.
-func TestLinkSurvivesChangesOfUse(t *testing.T) {
+// A link stays up when it changes between idle and busy, although its two ends change
+// their heartbeat intervals and timeouts at different times.
+func TestLinkSurvivesIdleAndBusyPhases(t *testing.T) {
 	g := NewWithT(t)
 	a, b := pair(g)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var beats atomic.Int64
+	var received atomic.Int64
 	ended := make(chan error, 2)
-	go func() { ended <- a.Run(ctx, func(wire.Message) { beats.Add(1) }) }()
+	go func() { ended <- a.Run(ctx, func(wire.Message) { received.Add(1) }) }()
 	go func() { ended <- b.Run(ctx, func(wire.Message) {}) }()
-	b.Send(&wire.Beat{}) // as an agent does at once
-	for _, use := range []int64{1, -1, 1, 1, -2} {
-		a.Use(use)
-		b.Use(use)
-		g.Consistently(func() int { return len(ended) }, 3*silent, heartbeat).Should(BeZero())
+	b.Send(&wire.Beat{}) // an agent sends a heartbeat immediately
+	for _, change := range []int64{1, -1, 1, 1, -2} {
+		a.AddRequests(change)
+		b.AddRequests(change)
+		g.Consistently(func() int { return len(ended) }, 3*peerTimeout, heartbeatInterval).Should(BeZero())
 	}
-	g.Eventually(beats.Load).Should(BeNumerically(">", 5))
+	g.Eventually(received.Load).Should(BeNumerically(">", 5))
 }
 
-// A link whose peer goes silent for good ends, soon if there are requests on it.
-func TestSilentLinkEnds(t *testing.T) {
+// A link with requests ends within the peer timeout when the peer stops sending.
+func TestLinkEndsWhenPeerStopsSending(t *testing.T) {
 	g := NewWithT(t)
-	a, b := pair(g) // b never runs: it reads and sends nothing
+	a, b := pair(g) // b does not run, so it neither reads nor sends
 	defer b.Close()
-	a.Use(1)
+	a.AddRequests(1)
 	err := a.Run(context.Background(), func(wire.Message) {})
 	g.Expect(fault.Is(err, fault.LinkLost)).To(BeTrue(), "%v", err)
 }
 
-func TestOtherVersionIsRefused(t *testing.T) {
+func TestOtherProtocolVersionIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	here, there := net.Pipe()
 	go func() {
 		w := wire.NewWriter(there)
-		_ = w.Write(&wire.Hello{Version: wire.Version + 1, Name: "newer"}) // the reader's error is what is tested
+		_ = w.Write(&wire.Hello{Version: wire.Version + 1, Name: "newer"}) // the test checks the error of the reader
 		_ = w.Flush()
 	}()
-	go func() { _, _ = wire.NewReader(there).Read() }() // takes the other hello off the pipe
-	_, err := Open(here, wire.Hello{Name: "a"}, Options{Heartbeat: heartbeat, Silent: time.Second})
+	go func() { _, _ = wire.NewReader(there).Read() }() // unblocks the Hello sent by Open
+	_, err := Open(here, wire.Hello{Name: "a"}, Options{HeartbeatInterval: heartbeatInterval, PeerTimeout: time.Second})
 	g.Expect(fault.Is(err, fault.BadVersion)).To(BeTrue(), "%v", err)
 }
--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -94,8 +94,8 @@
 		return err
 	}
 	conn, err := link.Open(nc, l.router.hello(), link.Options{
-		Heartbeat: settings.Millis(l.router.set.Link.HeartbeatMS), Silent: settings.Millis(l.router.set.Link.SilentMS),
-		Beat: func() *wire.Beat { return &wire.Beat{Revision: l.router.Config.View().Revision} }})
+		HeartbeatInterval: settings.Millis(l.router.set.Link.HeartbeatMS), PeerTimeout: settings.Millis(l.router.set.Link.SilentMS),
+		NewHeartbeat: func() *wire.Beat { return &wire.Beat{Revision: l.router.Config.View().Revision} }})
 	if err != nil {
 		telemetry.Count("merlinpost_links_failed_total", "code", string(fault.From(err).Code))
 		return err
@@ -119,7 +119,7 @@
 	peer := conn.Peer()
 	same := l.incarnation == peer.Incarnation
 	l.conn, l.incarnation, l.revision = conn, peer.Incarnation, peer.Revision
-	conn.Use(int64(len(l.attempts)))
+	conn.AddRequests(int64(len(l.attempts)))
 	l.sent = 0
 	if !same {
 		l.serving, l.load = nil, wire.Load{}
@@ -243,7 +243,7 @@
 		return "", fault.New(fault.LinkBusy, "the link to %q is overrun", l.server.Name).With(fault.NotRun)
 	}
 	l.sent++
-	l.conn.Use(1)
+	l.conn.AddRequests(1)
 	return l.incarnation, nil
 }
 
@@ -262,7 +262,7 @@
 	}
 	delete(l.attempts, id)
 	if l.conn != nil {
-		l.conn.Use(-1)
+		l.conn.AddRequests(-1)
 	}
 }
 
