--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -154,11 +154,11 @@
 }
 
 func (a *Agent) hello(role string) wire.Hello {
-	return wire.Hello{Role: role, Name: a.set.Name, Incarnation: a.incarnation, Domain: a.set.FailureDomain,
+	return wire.Hello{Role: role, Name: a.set.Name, Incarnation: a.incarnation, FailureDomain: a.set.FailureDomain,
 		Revision: a.config.View().Revision}
 }
 
-func (a *Agent) linkOptions(beat func() *wire.Beat) link.Options {
+func (a *Agent) linkOptions(beat func() *wire.Heartbeat) link.Options {
 	return link.Options{HeartbeatInterval: settings.Millis(a.set.Link.HeartbeatMS), PeerTimeout: settings.Millis(a.set.Link.SilentMS), NewHeartbeat: beat}
 }
 
--- a/internal/agent/calls_test.go
+++ b/internal/agent/calls_test.go
@@ -25,8 +25,8 @@
 }
 
 func serviceRun() execution.Run {
-	return execution.Run{Key: execution.Key{ID: "x", Attempt: 1}, Offer: &wire.Offer{Kind: wire.Service, Endpoint: "/do", Body: []byte("b"),
-		RunWithinMS: 5000, ContentType: "text/plain"}}
+	return execution.Run{Key: execution.Key{ID: "x", Attempt: 1}, Offer: &wire.Offer{Kind: wire.KindService, Endpoint: "/do", Body: []byte("b"),
+		RunTimeoutMS: 5000, ContentType: "text/plain"}}
 }
 
 // net/http repeats a request by itself when a kept connection turns out to be
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -28,7 +28,7 @@
 	}
 	pool := poolOf(a.config.View(), o.Target)
 	names := serverNames(pool)
-	ranked := rendezvous.Rank(o.Key, names)
+	ranked := rendezvous.Rank(o.IdempotencyKey, names)
 	if len(ranked) == 0 || ranked[0] != a.set.Name { // a router with an older configuration
 		a.core.settleClaim(ctx, k, o, receipt.WitnessUnreachable, true)
 		return
@@ -38,8 +38,8 @@
 		a.core.settleClaim(ctx, k, o, receipt.NoWitness, moved)
 		return
 	}
-	word := a.witness.ask(ctx, pool.Server(ranked[1]), &wire.Claim{Key: o.Key, Holder: a.set.Name + "/" + a.incarnation,
-		Digest: o.Digest, WindowMS: o.KeyWindowMS})
+	word := a.witness.ask(ctx, pool.Server(ranked[1]), &wire.ClaimRequest{Key: o.IdempotencyKey, Holder: a.set.Name + "/" + a.incarnation,
+		Digest: o.BodyDigest, RetentionMS: o.KeyRetentionMS})
 	telemetry.Count("merlinpost_agent_claims_total", "word", word.String())
 	a.core.settleClaim(ctx, k, o, word, moved)
 }
@@ -72,7 +72,7 @@
 // keepClaim puts a claim on the log, then lets the call start.
 func (a *Agent) keepClaim(ctx context.Context, k execution.Key, o *wire.Offer) {
 	decision := receipt.Run
-	data, err := json.Marshal(keptClaim{o.Key, o.Digest, o.KeyWindowMS})
+	data, err := json.Marshal(keptClaim{o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS})
 	if err == nil {
 		_, err = a.log.Append(ctx, configlog.ClaimStream(a.set.Name), data)
 	}
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -149,8 +149,8 @@
 }
 
 // beat makes a heartbeat without the list of targets.
-func (d *coreDuty) beat() *wire.Beat {
-	return &wire.Beat{Revision: d.agent.config.View().Revision, Load: d.load.Load()}
+func (d *coreDuty) beat() *wire.Heartbeat {
+	return &wire.Heartbeat{Revision: d.agent.config.View().Revision, Load: d.load.Load()}
 }
 
 // tell publishes the totals since the last time.
@@ -195,7 +195,7 @@
 	ctx, cancel := context.WithCancel(d.ctx)
 	id := callID{r.Key, r.Number}
 	d.calls[id] = cancel
-	if r.Offer.Kind == wire.Service {
+	if r.Offer.Kind == wire.KindService {
 		go d.callService(ctx, id, r)
 		return
 	}
@@ -241,7 +241,7 @@
 // settleClaim decides on a keyed call with the witness's word.
 func (d *coreDuty) settleClaim(ctx context.Context, k execution.Key, o *wire.Offer, word receipt.Word, moved bool) {
 	d.post(ctx, func(now time.Time) {
-		window := time.Duration(o.KeyWindowMS) * time.Millisecond
+		window := time.Duration(o.KeyRetentionMS) * time.Millisecond
 		decision := d.core.Book().Decide(now, window, word, moved)
 		if decision == receipt.RunOnceKept {
 			go d.agent.keepClaim(ctx, k, o)
--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -190,7 +190,7 @@
 			token([]byte(text))
 		}
 		if c.Finish != "" {
-			end.Finish = c.Finish
+			end.FinishReason = c.Finish
 		}
 	}
 }
--- a/internal/agent/history.go
+++ b/internal/agent/history.go
@@ -64,6 +64,6 @@
 		return true
 	}
 	before := h.before[s.Pool]
-	return before != nil && time.Since(h.changed[s.Pool]) < settings.Millis(int(o.KeyWindowMS)) &&
-		rendezvous.First(o.Key, before) != a.set.Name
+	return before != nil && time.Since(h.changed[s.Pool]) < settings.Millis(int(o.KeyRetentionMS)) &&
+		rendezvous.First(o.IdempotencyKey, before) != a.set.Name
 }
--- a/internal/callerapi/api_test.go
+++ b/internal/callerapi/api_test.go
@@ -152,7 +152,7 @@
 
 func TestRequestCarriesClassAndLimit(t *testing.T) {
 	g := NewWithT(t)
-	b := &backend{chunks: []string{"hi"}, end: &wire.End{Finish: "stop", PromptTokens: 3, OutputTokens: 1}}
+	b := &backend{chunks: []string{"hi"}, end: &wire.End{FinishReason: "stop", PromptTokens: 3, OutputTokens: 1}}
 	w := serve(t, b, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Code).To(Equal(http.StatusOK))
 	g.Expect(w.Body.String()).To(ContainSubstring(`"content":"hi"`))
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -246,7 +246,7 @@
 }
 
 func (c *Core) verdict(link LinkID, key Key, e *fault.Error) {
-	c.fx.Send(link, &wire.Verdict{ID: key.ID, Attempt: key.Attempt, Fault: wire.FaultOf(e), Load: c.Load()})
+	c.fx.Send(link, &wire.OfferResponse{ID: key.ID, Attempt: key.Attempt, Fault: wire.EncodeFault(e), Load: c.Load()})
 }
 
 // admit checks an offer and puts it where it waits.
@@ -265,9 +265,9 @@
 		return fault.New(fault.RecordsFull, "%d requests are held already", len(c.held)).
 			With(fault.NotRun).After(c.queue.RetryAfter(int(o.Tier)))
 	}
-	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.Done, o.Window), made: o.Done,
-		text: []byte(o.DoneText), runBy: now.Add(millis(o.RunWithinMS))}
-	if o.Key == "" {
+	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.ChunksDelivered, o.SendWindow), made: o.ChunksDelivered,
+		text: []byte(o.DeliveredText), runBy: now.Add(millis(o.RunTimeoutMS))}
+	if o.IdempotencyKey == "" {
 		if e := c.enqueue(now, a); e != nil {
 			return e
 		}
@@ -294,8 +294,8 @@
 func (c *Core) enqueue(now time.Time, a *attempt) *fault.Error {
 	o := a.offer
 	job := &admission.Job{ID: o.ID, Tier: min(int(o.Tier), admission.Tiers-1), Flow: o.Team, Cost: float64(o.MaxTokens),
-		Floor: o.Floor, FirstTokenTarget: millis(o.FirstTokenMS), Preemptible: o.Preemptible && o.MayRepeat,
-		StartDeadline: now.Add(millis(o.StartWithinMS))}
+		Floor: o.Floor, FirstTokenTarget: millis(o.FirstTokenTargetMS), Preemptible: o.Preemptible && o.Retryable,
+		StartDeadline: now.Add(millis(o.StartTimeoutMS))}
 	if e := c.queue.Enqueue(now, job); e != nil {
 		return e
 	}
--- a/internal/execution/core_test.go
+++ b/internal/execution/core_test.go
@@ -49,13 +49,13 @@
 }
 
 func offer(id string, tier uint8) *wire.Offer {
-	return &wire.Offer{ID: id, Attempt: 1, Class: fmt.Sprint("class", tier), Tier: tier, StartWithinMS: 5000, RunWithinMS: 10000, MayRepeat: true,
-		Preemptible: tier > 0, MaxTokens: 10, Window: 8}
+	return &wire.Offer{ID: id, Attempt: 1, Class: fmt.Sprint("class", tier), Tier: tier, StartTimeoutMS: 5000, RunTimeoutMS: 10000, Retryable: true,
+		Preemptible: tier > 0, MaxTokens: 10, SendWindow: 8}
 }
 
 func keyed(id string, digest uint64) *wire.Offer {
 	o := offer(id, 0)
-	o.MayRepeat, o.Kind, o.Key, o.Digest, o.KeyWindowMS = false, wire.Service, "key", digest, 60000
+	o.Retryable, o.Kind, o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS = false, wire.KindService, "key", digest, 60000
 	return o
 }
 
@@ -65,7 +65,7 @@
 	c.Offer(epoch, 1, keyed("first", 7))
 	c.Offer(epoch, 1, keyed("again", 7))
 	c.Offer(epoch, 1, keyed("other body", 8))
-	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.KeyConflict)))
+	g.Expect(last[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.KeyConflict)))
 	g.Expect(r.claims).To(HaveLen(1))
 	g.Expect(r.started).To(BeEmpty(), "nothing starts before the claim is settled")
 	c.ClaimSettled(epoch, r.claims[0], receipt.Run)
@@ -116,7 +116,7 @@
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "late", Attempt: 1})
 	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeFalse())
 	c.Offer(epoch, 1, offer("late", 0))
-	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.NotHeld)))
+	g.Expect(last[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.NotHeld)))
 	g.Expect(r.started).To(BeEmpty())
 }
 
@@ -138,10 +138,10 @@
 	c, r := newCore(1, 100)
 	for i := range 3 {
 		c.Offer(epoch, 1, offer(fmt.Sprint(i), 0))
-		g.Expect(last[*wire.Verdict](g, r).Fault).To(BeNil())
+		g.Expect(last[*wire.OfferResponse](g, r).Fault).To(BeNil())
 	}
 	c.Offer(epoch, 1, offer("one more", 0))
-	f := last[*wire.Verdict](g, r).Fault
+	f := last[*wire.OfferResponse](g, r).Fault
 	g.Expect(f.Code).To(Equal(string(fault.RecordsFull)))
 	g.Expect(f.Outcome).To(Equal(string(fault.NotRun)))
 	g.Expect(f.RetryAfterMS).To(BeNumerically(">", 0))
@@ -172,7 +172,7 @@
 	g := NewWithT(t)
 	c, r := newCore(1, 100)
 	low, high := offer("low", 3), offer("high", 0)
-	high.FirstTokenMS = 1
+	high.FirstTokenTargetMS = 1
 	c.Offer(epoch, 1, low)
 	c.Token(epoch, Key{"low", 1}, 1, []byte("a "), 1)
 	now := epoch.Add(100 * time.Millisecond)
@@ -196,7 +196,7 @@
 	c.Offer(epoch, 1, offer("x", 0))
 	c.Drain()
 	c.Offer(epoch, 1, offer("y", 0))
-	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.Draining)))
+	g.Expect(last[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.Draining)))
 	g.Expect(c.Idle()).To(BeFalse())
 	c.Token(epoch, Key{"x", 1}, 1, []byte("a"), 1)
 	c.Ended(epoch, Key{"x", 1}, 1, wire.End{}, nil)
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -28,7 +28,7 @@
 	c.counters.Tokens += uint64(tokens)
 	a.buf.Append(data)
 	a.made++
-	if a.offer.MayRepeat {
+	if a.offer.Retryable {
 		a.text = append(a.text, data...)
 	}
 	c.queue.AddTokens(now, a.job, tokens)
@@ -51,7 +51,7 @@
 	if a == nil {
 		return
 	}
-	end.Fault = wire.FaultOf(e)
+	end.Fault = wire.EncodeFault(e)
 	if a.entry != nil {
 		c.settleEntry(now, a, end, e)
 	}
@@ -64,14 +64,14 @@
 	switch {
 	case e == nil:
 		a.entry.Finish(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
-		c.settleWaiting(a.offer.Key, func(w *attempt) { c.replay(now, w, a.entry) })
+		c.settleWaiting(a.offer.IdempotencyKey, func(w *attempt) { c.replay(now, w, a.entry) })
 		return
 	case e.Outcome == fault.NotRun:
-		c.book.Forget(a.offer.Key)
+		c.book.Forget(a.offer.IdempotencyKey)
 	default:
 		a.entry.Phase = receipt.Lost
 	}
-	c.settleWaiting(a.offer.Key, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)}) })
+	c.settleWaiting(a.offer.IdempotencyKey, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)}) })
 }
 
 // lastChunk returns the body of a plain service's answer, which is one chunk.
@@ -149,7 +149,7 @@
 // forget drops an attempt; its tombstone refuses late messages. What of its
 // answer was not acknowledged was made for nothing.
 func (c *Core) forget(now time.Time, a *attempt) {
-	if n := a.buf.Held(); n > 0 && a.offer.Kind == wire.Generate {
+	if n := a.buf.Held(); n > 0 && a.offer.Kind == wire.KindGenerate {
 		c.wasted[a.offer.Class] += uint64(n)
 	}
 	c.leaveQueue(now, a)
@@ -163,7 +163,7 @@
 // that waits for the first call of its key can't say that it was not.
 func (a *attempt) mayHaveRun() bool {
 	switch {
-	case a.run > 0 || a.phase == joined || a.made > a.offer.Done:
+	case a.run > 0 || a.phase == joined || a.made > a.offer.ChunksDelivered:
 		return true
 	case a.phase == ended:
 		return a.end.Fault == nil || fault.Outcome(a.end.Fault.Outcome) != fault.NotRun
@@ -235,7 +235,7 @@
 // passOn gives the place of a cancelled first call of a key to the first
 // repeat that waits, or forgets the key: the call was not started.
 func (c *Core) passOn(now time.Time, a *attempt) {
-	key := a.offer.Key
+	key := a.offer.IdempotencyKey
 	c.book.Forget(key)
 	list := c.waiting[key]
 	delete(c.waiting, key)
@@ -244,7 +244,7 @@
 			continue
 		}
 		if e := c.admitKeyed(now, w); e != nil {
-			c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)})
+			c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)})
 			continue
 		}
 		c.waiting[key] = append(c.waiting[key], list[i+1:]...)
@@ -275,11 +275,11 @@
 		e := fault.New(fault.Expired, "no slot within the time to start").
 			With(fault.NotRun).After(c.queue.RetryAfter(job.Tier))
 		if a.entry != nil {
-			c.book.Forget(a.offer.Key)
+			c.book.Forget(a.offer.IdempotencyKey)
 			c.finishKeyed(now, a, e)
 			continue
 		}
-		c.finish(now, a, &wire.End{Fault: wire.FaultOf(e)})
+		c.finish(now, a, &wire.End{Fault: wire.EncodeFault(e)})
 	}
 	for a := range c.blocked {
 		c.pump(a)
@@ -317,5 +317,5 @@
 	if a.phase == running {
 		c.fx.Stop(a.key, a.run)
 	}
-	c.finish(now, a, &wire.End{Fault: wire.FaultOf(fault.New(fault.Deadline, "the request took too long").With(outcome))})
+	c.finish(now, a, &wire.End{Fault: wire.EncodeFault(fault.New(fault.Deadline, "the request took too long").With(outcome))})
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -39,7 +39,7 @@
 	HeartbeatInterval time.Duration
 	PeerTimeout       time.Duration
 	// NewHeartbeat returns the next heartbeat to send; the link sets NextMS.
-	NewHeartbeat func() *wire.Beat
+	NewHeartbeat func() *wire.Heartbeat
 }
 
 // Conn is a link after a successful handshake.
@@ -215,7 +215,7 @@
 		if err != nil {
 			return readError(err)
 		}
-		if b, ok := m.(*wire.Beat); ok {
+		if b, ok := m.(*wire.Heartbeat); ok {
 			c.peerBusy.Store(b.NextMS <= c.opts.HeartbeatInterval.Milliseconds())
 		}
 		handle(m)
@@ -266,7 +266,7 @@
 		return err
 	}
 	for {
-		if b, ok := m.(*wire.Beat); ok {
+		if b, ok := m.(*wire.Heartbeat); ok {
 			c.announcedInterval = c.heartbeatInterval()
 			b.NextMS = c.announcedInterval.Milliseconds()
 		}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -23,7 +23,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer ln.Close()
-	opts := Options{HeartbeatInterval: heartbeatInterval, PeerTimeout: peerTimeout, NewHeartbeat: func() *wire.Beat { return &wire.Beat{} }}
+	opts := Options{HeartbeatInterval: heartbeatInterval, PeerTimeout: peerTimeout, NewHeartbeat: func() *wire.Heartbeat { return &wire.Heartbeat{} }}
 	type opened struct {
 		c   *Conn
 		err error
@@ -58,7 +58,7 @@
 	ended := make(chan error, 2)
 	go func() { ended <- a.Run(ctx, func(wire.Message) { received.Add(1) }) }()
 	go func() { ended <- b.Run(ctx, func(wire.Message) {}) }()
-	b.Send(&wire.Beat{}) // an agent sends a heartbeat immediately
+	b.Send(&wire.Heartbeat{}) // an agent sends a heartbeat immediately
 	for _, change := range []int64{1, -1, 1, 1, -2} {
 		a.AddRequests(change)
 		b.AddRequests(change)
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -173,19 +173,19 @@
 
 // Grant answers a claim as a witness. A claim is recorded even when the
 // witness can't vouch, so that it can vouch for it later.
-func (b *Book) Grant(now time.Time, c *wire.Claim) *wire.Claimed {
+func (b *Book) Grant(now time.Time, c *wire.ClaimRequest) *wire.ClaimResponse {
 	b.sweep(now)
-	window := time.Duration(c.WindowMS) * time.Millisecond
-	out := &wire.Claimed{Seq: c.Seq, State: wire.ClaimGranted}
+	window := time.Duration(c.RetentionMS) * time.Millisecond
+	out := &wire.ClaimResponse{Seq: c.Seq, Result: wire.ClaimGranted}
 	vouches := b.Witnesses(now, window)
 	if e := b.entries[c.Key]; e != nil && now.Before(e.expires) && e.Phase != Claiming {
-		out.State = wire.ClaimTaken // it ran here while this agent was its home
+		out.Result = wire.ClaimTaken // it ran here while this agent was its home
 		return out
 	}
 	old := b.claims[c.Key]
 	switch {
 	case old != nil && now.Before(old.expires) && old.holder != c.Holder:
-		out.State = wire.ClaimTaken
+		out.Result = wire.ClaimTaken
 		return out
 	case old != nil && now.Before(old.expires):
 		vouches = old.vouched
@@ -196,7 +196,7 @@
 		b.order = append(b.order, expiry{c.Key, true})
 	}
 	if !vouches {
-		out.State, out.WaitMS = wire.ClaimCannotVouch, max(0, window-now.Sub(b.witnessSince)).Milliseconds()
+		out.Result, out.RetryAfterMS = wire.ClaimNotReady, max(0, window-now.Sub(b.witnessSince)).Milliseconds()
 	}
 	return out
 }
--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -90,9 +90,9 @@
 	}
 	word := WitnessUnreachable
 	if !m.witnessDown {
-		c := m.witness.Grant(m.now, &wire.Claim{Key: key, Holder: fmt.Sprint("home/", m.homeLives), Digest: 1, WindowMS: window.Milliseconds()})
-		word = map[wire.ClaimState]Word{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
-			wire.ClaimCannotVouch: WitnessCannotVouch}[c.State]
+		c := m.witness.Grant(m.now, &wire.ClaimRequest{Key: key, Holder: fmt.Sprint("home/", m.homeLives), Digest: 1, RetentionMS: window.Milliseconds()})
+		word = map[wire.ClaimResult]Word{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
+			wire.ClaimNotReady: WitnessCannotVouch}[c.Result]
 	}
 	switch m.home.Decide(m.now, window, word, false) {
 	case RunOnceKept:
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -167,7 +167,7 @@
 }
 
 // Verdict takes in the agent's word on an offer or a resume.
-func (m *Machine) Verdict(v *wire.Verdict) {
+func (m *Machine) Verdict(v *wire.OfferResponse) {
 	if !m.mine(v.Attempt) {
 		return
 	}
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -165,8 +165,8 @@
 	r.open(a)
 	r.life, r.offerTime = a.life, r.w.now
 	r.conn.toAgent = append(r.conn.toAgent, &wire.Offer{ID: r.id, Attempt: attempt, Team: "t", Tier: uint8(len(r.id) % 3),
-		StartWithinMS: 4000, RunWithinMS: 20000, MayRepeat: r.repeat, Preemptible: r.repeat, MaxTokens: r.length,
-		Done: done, DoneText: doneText, Window: 4})
+		StartTimeoutMS: 4000, RunTimeoutMS: 20000, Retryable: r.repeat, Preemptible: r.repeat, MaxTokens: r.length,
+		ChunksDelivered: done, DeliveredText: doneText, SendWindow: 4})
 	return nil
 }
 
@@ -226,7 +226,7 @@
 
 func (r *request) receive(m wire.Message) {
 	switch m := m.(type) {
-	case *wire.Verdict:
+	case *wire.OfferResponse:
 		r.m.Verdict(m)
 	case *wire.Chunk:
 		r.m.Chunk(m)
--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -95,7 +95,7 @@
 	}
 	conn, err := link.Open(nc, l.router.hello(), link.Options{
 		HeartbeatInterval: settings.Millis(l.router.set.Link.HeartbeatMS), PeerTimeout: settings.Millis(l.router.set.Link.SilentMS),
-		NewHeartbeat: func() *wire.Beat { return &wire.Beat{Revision: l.router.Config.View().Revision} }})
+		NewHeartbeat: func() *wire.Heartbeat { return &wire.Heartbeat{Revision: l.router.Config.View().Revision} }})
 	if err != nil {
 		telemetry.Count("merlinpost_links_failed_total", "code", string(fault.From(err).Code))
 		return err
@@ -150,9 +150,9 @@
 // receive takes in a message on the link's reading goroutine.
 func (l *agentLink) receive(m wire.Message) {
 	switch m := m.(type) {
-	case *wire.Beat:
+	case *wire.Heartbeat:
 		l.takeBeat(m)
-	case *wire.Verdict:
+	case *wire.OfferResponse:
 		l.takeLoad(m.Load)
 		l.pass(attemptID{m.ID, m.Attempt}, m)
 	case *wire.Chunk:
@@ -162,9 +162,9 @@
 		l.pass(attemptID{m.ID, m.Attempt}, m)
 	case *wire.Cancelled:
 		l.pass(attemptID{m.ID, m.Attempt}, m)
-	case *wire.ConfigPull:
+	case *wire.ConfigRequest:
 		l.answerPull(m)
-	case *wire.ConfigState:
+	case *wire.ConfigSnapshot:
 		if len(m.Data) > 0 && l.router.Config.Install(m.Data) != nil {
 			telemetry.Count("merlinpost_config_from_peer_broken_total")
 		}
@@ -180,14 +180,14 @@
 	}
 }
 
-func (l *agentLink) takeBeat(m *wire.Beat) {
+func (l *agentLink) takeBeat(m *wire.Heartbeat) {
 	l.takeLoad(m.Load)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revision = m.Revision
 	config := l.router.Config
 	if own := config.View().Revision; m.Revision > own && !config.LogUp() && l.conn != nil {
-		l.conn.Send(&wire.ConfigPull{Above: own})
+		l.conn.Send(&wire.ConfigRequest{NewerThan: own})
 	}
 }
 
@@ -209,13 +209,13 @@
 	}
 }
 
-func (l *agentLink) answerPull(m *wire.ConfigPull) {
+func (l *agentLink) answerPull(m *wire.ConfigRequest) {
 	config := l.router.Config
-	revision, data, err := config.Encode(m.Above)
+	revision, data, err := config.Encode(m.NewerThan)
 	if err != nil || !config.Ready() {
 		data = nil
 	}
-	l.send(&wire.ConfigState{Revision: revision, Data: data})
+	l.send(&wire.ConfigSnapshot{Revision: revision, Data: data})
 }
 
 // send sends if the link is up.
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -170,7 +170,7 @@
 
 func (c *call) handle(e any) {
 	switch e := e.(type) {
-	case *wire.Verdict:
+	case *wire.OfferResponse:
 		c.noteFailure(e.Fault)
 		c.machine.Verdict(e)
 	case *wire.Chunk:
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -25,10 +25,10 @@
 	class := c.req.Class
 	incarnation, e := l.register(c, &wire.Offer{ID: c.req.ID, Attempt: attempt, Kind: c.req.Kind, Endpoint: c.req.Endpoint,
 		Team: c.req.Team, Class: c.req.ClassName, Tier: uint8(class.Tier), Floor: class.Floor, Target: c.req.Target,
-		FirstTokenMS: int64(class.FirstTokenMS), StartWithinMS: int64(class.MaxWaitMS), RunWithinMS: int64(class.MaxRunMS),
-		MayRepeat: c.req.MayRepeat, Preemptible: class.Preemptible, Key: c.req.Key, Digest: xxhash.Sum64(c.req.Body),
-		KeyWindowMS: c.req.KeyWindow.Milliseconds(), Body: c.req.Body, MaxTokens: c.req.MaxTokens,
-		Done: done, DoneText: doneText, Window: relay.Window, ContentType: c.req.ContentType})
+		FirstTokenTargetMS: int64(class.FirstTokenMS), StartTimeoutMS: int64(class.MaxWaitMS), RunTimeoutMS: int64(class.MaxRunMS),
+		Retryable: c.req.MayRepeat, Preemptible: class.Preemptible, IdempotencyKey: c.req.Key, BodyDigest: xxhash.Sum64(c.req.Body),
+		KeyRetentionMS: c.req.KeyWindow.Milliseconds(), Body: c.req.Body, MaxTokens: c.req.MaxTokens,
+		ChunksDelivered: done, DeliveredText: doneText, SendWindow: relay.Window, ContentType: c.req.ContentType})
 	c.incarnation = incarnation
 	if e != nil {
 		c.skip[l.server.Name] = true
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -101,7 +101,7 @@
 func (r *Router) Open() int64 { return r.open.Load() }
 
 func (r *Router) hello() wire.Hello {
-	return wire.Hello{Role: "router", Name: r.set.Name, Incarnation: r.incarnation, Domain: r.set.FailureDomain,
+	return wire.Hello{Role: "router", Name: r.set.Name, Incarnation: r.incarnation, FailureDomain: r.set.FailureDomain,
 		Revision: r.Config.View().Revision}
 }
 
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	// MaxFrame bounds a frame's payload in bytes. It is above the largest
-	// caller body and the configuration snapshot at the target size (docs/CAPACITY.md).
+	// MaxFrame is the maximum payload size of a frame in bytes. It exceeds the largest
+	// request body and the configuration snapshot at the target size (docs/CAPACITY.md).
 	MaxFrame = 8 << 20
-	// headerSize is a four-byte big-endian payload length and the type byte.
-	headerSize  = 5
-	ioBufferLen = 16 << 10
+	// headerSize covers a four-byte big-endian payload length and the type byte.
+	headerSize   = 5
+	ioBufferSize = 16 << 10
 )
 
-// Writer encodes messages into frames. It is not safe for concurrent use: one
-// goroutine owns the sending side of a link.
+// Writer encodes messages into frames. It is not safe for concurrent use: a single
+// goroutine writes to a link.
 type Writer struct {
 	out *bufio.Writer
 	buf bytes.Buffer
 	enc *msgpack.Encoder
 }
 
-// NewWriter returns a Writer on w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer {
-	fw := &Writer{out: bufio.NewWriterSize(w, ioBufferLen)}
+	fw := &Writer{out: bufio.NewWriterSize(w, ioBufferSize)}
 	fw.enc = msgpack.NewEncoder(&fw.buf)
 	fw.enc.UseArrayEncodedStructs(true)
 	fw.enc.UseCompactInts(true)
 	return fw
 }
 
-// Write appends m to the buffer; Flush sends it. The error has code TooLarge
-// or is the connection's.
+// Write buffers m; Flush sends it. An error has code TooLarge or Internal, or wraps the
+// error of the underlying writer.
 func (w *Writer) Write(m Message) error {
 	w.buf.Reset()
 	if err := w.enc.Encode(m); err != nil {
 		return fault.New(fault.Internal, "encode message type %d: %w", m.Type(), err)
 	}
 	if w.buf.Len() > MaxFrame {
-		return fault.New(fault.TooLarge, "message type %d has %d bytes, at most %d", m.Type(), w.buf.Len(), MaxFrame)
+		return fault.New(fault.TooLarge, "message type %d too large: %d bytes, limit %d", m.Type(), w.buf.Len(), MaxFrame)
 	}
 	var header [headerSize]byte
 	binary.BigEndian.PutUint32(header[:4], uint32(w.buf.Len()))
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Flush sends what Write buffered.
+// Flush sends the buffered messages.
 func (w *Writer) Flush() error { return w.out.Flush() }
 
 // Reader decodes frames. It is not safe for concurrent use.
@@ -70,22 +70,22 @@
 	buf []byte
 }
 
-// NewReader returns a Reader on r.
-func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, ioBufferLen)} }
+// NewReader returns a Reader that reads from r.
+func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, ioBufferSize)} }
 
-// Read returns the next message. Broken input gives a fault of code BadFrame
-// or TooLarge; a connection closed between frames gives io.EOF.
+// Read returns the next message. Malformed input gives an error with code BadFrame or
+// TooLarge; a connection closed between frames gives io.EOF.
 func (r *Reader) Read() (Message, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r.in, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil, fault.New(fault.BadFrame, "connection closed inside a frame header: %w", err)
+			return nil, fault.New(fault.BadFrame, "connection closed within a frame header: %w", err)
 		}
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(header[:4])
 	if size > MaxFrame {
-		return nil, fault.New(fault.TooLarge, "frame of %d bytes, at most %d", size, MaxFrame)
+		return nil, fault.New(fault.TooLarge, "frame too large: %d bytes, limit %d", size, MaxFrame)
 	}
 	m := newMessage(Type(header[4]))
 	if m == nil {
@@ -93,7 +93,7 @@
 	}
 	payload, err := r.payload(int(size))
 	if err != nil {
-		return nil, fault.New(fault.BadFrame, "connection closed inside a frame: %w", err)
+		return nil, fault.New(fault.BadFrame, "connection closed within a frame payload: %w", err)
 	}
 	if err := decode(payload, m); err != nil {
 		return nil, fault.New(fault.BadFrame, "decode message type %d: %w", header[4], err)
@@ -101,15 +101,15 @@
 	return m, nil
 }
 
-// payload reads size bytes, growing the buffer with what arrives, so that a
-// peer that announces a large frame and sends little costs little.
+// payload reads size bytes. It grows the buffer as data arrives, so that a peer cannot
+// make it allocate a large buffer by announcing a large frame and sending little.
 func (r *Reader) payload(size int) ([]byte, error) {
 	if cap(r.buf) < size {
 		var grown bytes.Buffer
 		if _, err := io.CopyN(&grown, r.in, int64(size)); err != nil {
 			return nil, err
 		}
-		if size <= ioBufferLen {
+		if size <= ioBufferSize {
 			r.buf = grown.Bytes()
 		}
 		return grown.Bytes(), nil
@@ -118,11 +118,11 @@
 	return r.buf[:size], err
 }
 
-// decode guards against the decoder's panics on hostile input.
+// decode converts panics of the decoder on malicious input to errors.
 func decode(payload []byte, m Message) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("decoder: %v", p)
+			err = fmt.Errorf("decoder panicked: %v", p)
 		}
 	}()
 	return msgpack.Unmarshal(payload, m)
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -26,12 +26,12 @@
 	return out.Bytes()
 }
 
-func TestMessagesSurviveTheFrame(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		offer := &Offer{ID: rapid.String().Draw(t, "id"), Attempt: rapid.Uint32().Draw(t, "attempt"),
-			Body: rapid.SliceOfN(rapid.Byte(), 1, 40000).Draw(t, "body"), MayRepeat: rapid.Bool().Draw(t, "may repeat")}
-		end := &End{ID: offer.ID, Total: 7, Fault: FaultOf(fault.New(fault.EngineFailed, "gone").With(fault.Partial)),
+			Body: rapid.SliceOfN(rapid.Byte(), 1, 40000).Draw(t, "body"), Retryable: rapid.Bool().Draw(t, "retryable")}
+		end := &End{ID: offer.ID, Total: 7, Fault: EncodeFault(fault.New(fault.EngineFailed, "gone").With(fault.Partial)),
 			Load: &Load{Queued: []int{1, 2}, Serving: []string{"advisory@base"}}}
 		r := NewReader(bytes.NewReader(encodeAll(t, offer, end)))
 		got, err := r.Read()
@@ -45,23 +45,23 @@
 	})
 }
 
-func TestBrokenFramesGetTypedErrors(t *testing.T) {
-	whole := encodeAll(t, &Beat{Revision: 9})
-	oversize := append([]byte(nil), whole...)
+func TestMalformedFramesReturnTypedErrors(t *testing.T) {
+	valid := encodeAll(t, &Heartbeat{Revision: 9})
+	oversize := append([]byte(nil), valid...)
 	binary.BigEndian.PutUint32(oversize, MaxFrame+1)
-	unknown := append([]byte(nil), whole...)
+	unknown := append([]byte(nil), valid...)
 	unknown[4] = 200
-	garbage := append([]byte(nil), whole...)
+	garbage := append([]byte(nil), valid...)
 	garbage[5] = 0xc1
 	for name, c := range map[string]struct {
 		in   []byte
 		code fault.Code
 	}{
-		"cut in header":  {whole[:3], fault.BadFrame},
-		"cut in payload": {whole[:len(whole)-1], fault.BadFrame},
-		"oversize":       {oversize, fault.TooLarge},
-		"unknown type":   {unknown, fault.BadFrame},
-		"garbage":        {garbage, fault.BadFrame},
+		"truncated header":  {valid[:3], fault.BadFrame},
+		"truncated payload": {valid[:len(valid)-1], fault.BadFrame},
+		"oversize":          {oversize, fault.TooLarge},
+		"unknown type":      {unknown, fault.BadFrame},
+		"garbage":           {garbage, fault.BadFrame},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := NewReader(bytes.NewReader(c.in)).Read()
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,11 +1,12 @@
-// Package wire is the protocol between a router and an agent, and of gateways that ask each
-// other for the configuration: typed messages, encoded with msgpack, in length-prefixed
-// frames over one TCP connection.
+// Package wire is the protocol between routers and agents, and between gateways that fetch
+// the configuration from each other: typed messages, encoded with msgpack, in
+// length-prefixed frames over a TCP connection. Fields are encoded by position, so their
+// order must not change.
 //
-// A router dials an agent. Both send Hello first. Every later message names
-// the request and the attempt it belongs to, so that a message of an old link
-// or an old attempt can be told apart. Durations are remaining times, never
-// wall clocks: the clocks of two hosts are not compared.
+// A router dials an agent. Both send Hello first. Every message about a request contains
+// the request ID and the attempt number, so that the receiver recognizes messages of an
+// earlier link or attempt. Times are sent as durations, never as wall clock times, because
+// the clocks of two hosts may differ.
 package wire
 
 import (
@@ -14,113 +15,111 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// Version is the protocol version in Hello. A peer with another one is refused.
+// Version is the protocol version in Hello. A peer with another version is rejected.
 const Version = 1
 
 // Type is the one-byte message type in a frame header.
 type Type uint8
 
-// The message types.
 const (
 	TypeHello Type = iota + 1
-	TypeBeat
+	TypeHeartbeat
 	TypeOffer
-	TypeVerdict
+	TypeOfferResponse
 	TypeChunk
 	TypeEnd
 	TypeAck
 	TypeCancel
 	TypeCancelled
 	TypeResume
-	TypeConfigPull
-	TypeConfigState
-	TypeClaim
-	TypeClaimed
-	TypeTableAsk
-	TypeTableReply
+	TypeConfigRequest
+	TypeConfigSnapshot
+	TypeClaimRequest
+	TypeClaimResponse
+	TypeConfigDeltaRequest
+	TypeConfigDeltaResponse
 )
 
 // Message is any message of the protocol.
 type Message interface{ Type() Type }
 
-// Kind tells a model request from a plain service call.
+// Kind distinguishes model requests from plain service calls.
 type Kind uint8
 
-// The kinds of work.
 const (
-	Generate Kind = iota
-	Service
+	KindGenerate Kind = iota
+	KindService
 )
 
-// Hello opens a link in both directions.
+// Hello is the first message in each direction of a link.
 type Hello struct {
-	Version     int
-	Role        string // "router" or "agent"
-	Name        string
-	Incarnation string // identity of the process; a restart changes it
-	Domain      string // failure domain
-	Revision    uint64 // configuration in force
+	Version       int
+	Role          string // "router" or "agent"
+	Name          string
+	Incarnation   string // process identity, changes on restart
+	FailureDomain string
+	Revision      uint64 // revision of the active configuration
 }
 
-// Beat is the heartbeat. Agents put their load into it; a Beat is also sent at
-// once when the load's Draining or Serving changes.
-type Beat struct {
+// Heartbeat keeps a link alive. Agents include their load, and send a Heartbeat
+// immediately when Draining or Serving changes.
+type Heartbeat struct {
 	Revision uint64
 	Load     *Load
-	// NextMS is the longest time until the sender sends again. The receiver
-	// takes a longer silence for a broken link.
+	// NextMS is the longest time until the sender's next message. The receiver
+	// chooses its read timeout accordingly.
 	NextMS int64
 }
 
-// Load is what an agent knows of its backend server at this moment.
+// Load is the current load of an agent's backend server.
 type Load struct {
 	Running   []int // by tier
 	Slots     int
 	Queued    []int // by tier
-	ServiceMS int   // measured mean time of a request in a slot, milliseconds
+	ServiceMS int   // measured mean time of a request in a slot
 	Draining  bool
-	// Serving lists the targets loaded, "model@version" or a service's name,
-	// sorted; nil in a Verdict or End, which do not say.
+	// Serving is the sorted list of loaded targets: "model@version" or a service name.
+	// It is nil in OfferResponse and End, which do not report it.
 	Serving []string
 }
 
-// Offer hands a request to an agent. The agent answers with a Verdict.
+// Offer asks an agent to run a request. The agent replies with an OfferResponse.
 type Offer struct {
-	ID            string
-	Attempt       uint32
-	Kind          Kind
-	Endpoint      string // path at the backend server
-	Team          string
-	Class         string
-	Tier          uint8
-	Floor         float64 // share of tokens that the class's tier is owed
-	Target        string  // "model@version", or service name
-	FirstTokenMS  int64   // target to the first token, 0: none
-	StartWithinMS int64   // given up on if it could not start within this
-	RunWithinMS   int64   // the whole answer is due within this
-	MayRepeat     bool    // false: runs at most once
-	Preemptible   bool
-	Key           string // idempotency key, scoped by team and service
-	Digest        uint64 // of Body, to find two bodies under one key
-	KeyWindowMS   int64  // how long a key is remembered
-	Body          []byte
-	MaxTokens     int
-	Done          uint32 // chunks already delivered to the caller
-	DoneText      string // their text
-	Window        uint32 // chunks that may be sent ahead of acknowledgement
-	ContentType   string
+	ID                 string
+	Attempt            uint32
+	Kind               Kind
+	Endpoint           string // path at the backend server
+	Team               string
+	Class              string
+	Tier               uint8
+	Floor              float64 // minimum share of tokens guaranteed to the class's tier
+	Target             string  // "model@version", or service name
+	FirstTokenTargetMS int64   // 0: no target
+	StartTimeoutMS     int64   // the request expires if it has not started by then
+	RunTimeoutMS       int64   // for the complete answer
+	Retryable          bool    // false: the request runs at most once
+	Preemptible        bool
+	IdempotencyKey     string // scoped by team and service
+	BodyDigest         uint64 // detects different bodies under the same key
+	KeyRetentionMS     int64  // how long the key is kept
+	Body               []byte
+	MaxTokens          int
+	ChunksDelivered    uint32 // chunks already delivered to the caller
+	DeliveredText      string // text of these chunks
+	SendWindow         uint32 // chunks that may be sent without acknowledgement
+	ContentType        string
 }
 
-// Verdict answers an Offer: accepted (Fault nil) or refused. A refusal means
-// not run, and the agent will not run this attempt later either.
-type Verdict struct {
+// OfferResponse accepts (Fault is nil) or refuses an Offer. After a refusal the attempt has
+// not run, and the agent will not run it later.
+type OfferResponse struct {
 	ID      string
 	Attempt uint32
 	Fault   *Fault
 	Load    *Load
 }
 
-// Chunk carries one numbered piece of an answer. Numbers start at Offer.Done.
+// Chunk carries a part of an answer. Seq starts at Offer.ChunksDelivered.
 type Chunk struct {
 	ID      string
 	Attempt uint32
@@ -128,45 +127,46 @@
 	Data    []byte
 }
 
-// End closes an answer. Total is the number of chunks of the whole answer,
-// those delivered by earlier attempts included.
+// End completes an answer. Total is the number of chunks in the whole answer,
+// including those delivered by earlier attempts.
 type End struct {
 	ID           string
 	Attempt      uint32
 	Total        uint32
-	Finish       string // engine's finish reason
+	FinishReason string // as reported by the engine
 	PromptTokens int
 	OutputTokens int
-	Status       int    // plain service: HTTP status
-	ContentType  string // plain service
+	Status       int    // HTTP status, plain service only
+	ContentType  string // plain service only
 	Fault        *Fault
 	Load         *Load
 }
 
-// Ack lets the agent forget chunks below Next and opens its window.
+// Ack acknowledges the chunks below Next: the agent may discard them and advance its
+// send window.
 type Ack struct {
 	ID      string
 	Attempt uint32
 	Next    uint32
-	Final   bool // the End was received: the answer may be forgotten
+	Final   bool // the End was received, so the agent may discard the answer
 }
 
-// Cancel withdraws an attempt; the agent answers with Cancelled.
+// Cancel cancels an attempt. The agent replies with Cancelled.
 type Cancel struct {
 	ID      string
 	Attempt uint32
 	AgeMS   int64 // since the attempt was offered
 }
 
-// Cancelled says what a Cancel met. Ran false means not run, now or later.
+// Cancelled replies to a Cancel. If Ran is false, the attempt has not run and never will.
 type Cancelled struct {
 	ID      string
 	Attempt uint32
 	Ran     bool
 }
 
-// Resume asks for an answer to go on at chunk Next over this link. An agent
-// that does not hold the attempt answers with a Verdict of code NotHeld and
+// Resume asks the agent to continue an answer from chunk Next over this link. An agent
+// that does not hold the attempt replies with an OfferResponse with code NotHeld, and
 // refuses the attempt from then on.
 type Resume struct {
 	ID      string
@@ -175,44 +175,43 @@
 	AgeMS   int64 // since the attempt was offered
 }
 
-// ConfigPull asks the peer for its configuration if newer than Above.
-type ConfigPull struct{ Above uint64 }
+// ConfigRequest asks the peer for its configuration if its revision is above NewerThan.
+type ConfigRequest struct{ NewerThan uint64 }
 
-// ConfigState carries a snapshot of a peer's configuration. Empty Data means
-// that the peer has nothing newer.
-type ConfigState struct {
+// ConfigSnapshot carries a snapshot of the sender's configuration. Empty Data means that
+// the sender has no newer revision.
+type ConfigSnapshot struct {
 	Revision uint64
 	Data     []byte
 }
 
-// Claim asks a witness to record that Holder is about to run the call of an
+// ClaimRequest asks a witness to record that Holder is about to run the call with an
 // idempotency key.
-type Claim struct {
-	Seq      uint64
-	Key      string
-	Holder   string // "agent/incarnation"
-	Digest   uint64
-	WindowMS int64
+type ClaimRequest struct {
+	Seq         uint64
+	Key         string
+	Holder      string // "agent/incarnation"
+	Digest      uint64
+	RetentionMS int64
 }
 
-// ClaimState is a witness's word on a key.
-type ClaimState uint8
+// ClaimResult is a witness's decision on a ClaimRequest.
+type ClaimResult uint8
 
-// The words of a witness.
 const (
-	ClaimGranted ClaimState = iota // recorded for this holder
-	ClaimTaken                     // another holder had it first
-	ClaimCannotVouch
+	ClaimGranted  ClaimResult = iota // key recorded for this holder
+	ClaimTaken                       // key already recorded for another holder
+	ClaimNotReady                    // witness may have lost earlier records in a restart
 )
 
-// Claimed answers a Claim.
-type Claimed struct {
-	Seq    uint64
-	State  ClaimState
-	WaitMS int64 // until the witness can vouch
+// ClaimResponse replies to a ClaimRequest.
+type ClaimResponse struct {
+	Seq          uint64
+	Result       ClaimResult
+	RetryAfterMS int64 // until a witness that is not ready can decide
 }
 
-// Fault is a fault.Error on the wire.
+// Fault is the encoding of a fault.Error.
 type Fault struct {
 	Code         string
 	Outcome      string
@@ -221,8 +220,8 @@
 	RetryAfterMS int64
 }
 
-// FaultOf encodes a typed error.
-func FaultOf(e *fault.Error) *Fault {
+// EncodeFault encodes a typed error; nil for a nil error.
+func EncodeFault(e *fault.Error) *Fault {
 	if e == nil {
 		return nil
 	}
@@ -238,51 +237,51 @@
 		Message: f.Message, RetryAfter: time.Duration(f.RetryAfterMS) * time.Millisecond}
 }
 
-// TableAsk asks another gateway for its configuration, as a change against the version that
-// the asker has; 0 for none.
-type TableAsk struct{ Have int64 }
+// ConfigDeltaRequest asks another gateway for its configuration, as a delta against the
+// version that the sender has; 0 if it has none.
+type ConfigDeltaRequest struct{ HaveVersion int64 }
 
-// TableReply answers a TableAsk.
-type TableReply struct {
-	// Busy says that the asker should read the store instead.
+// ConfigDeltaResponse replies to a ConfigDeltaRequest.
+type ConfigDeltaResponse struct {
+	// Busy tells the requesting gateway to read the store instead.
 	Busy bool
-	// Offset is where the store's topic goes on behind the version, in an era of the store.
+	// Offset is the offset in the store's topic that follows the version. It is valid only
+	// within the given era of the store.
 	Offset int64
 	Era    int64
-	// Bytes is the size of the version in the store.
-	Bytes int
-	// Change is a routing.Change, encoded with msgpack and compressed with deflate.
-	Change []byte
+	// SnapshotSize is the size of the version in the store, in bytes.
+	SnapshotSize int
+	// Delta is a routing.Change, encoded with msgpack and compressed with deflate.
+	Delta []byte
 }
 
-// Type methods.
-func (*Hello) Type() Type       { return TypeHello }
-func (*Beat) Type() Type        { return TypeBeat }
-func (*Offer) Type() Type       { return TypeOffer }
-func (*Verdict) Type() Type     { return TypeVerdict }
-func (*Chunk) Type() Type       { return TypeChunk }
-func (*End) Type() Type         { return TypeEnd }
-func (*Ack) Type() Type         { return TypeAck }
-func (*Cancel) Type() Type      { return TypeCancel }
-func (*Cancelled) Type() Type   { return TypeCancelled }
-func (*Resume) Type() Type      { return TypeResume }
-func (*ConfigPull) Type() Type  { return TypeConfigPull }
-func (*ConfigState) Type() Type { return TypeConfigState }
-func (*Claim) Type() Type       { return TypeClaim }
-func (*Claimed) Type() Type     { return TypeClaimed }
-func (*TableAsk) Type() Type    { return TypeTableAsk }
-func (*TableReply) Type() Type  { return TypeTableReply }
+func (*Hello) Type() Type               { return TypeHello }
+func (*Heartbeat) Type() Type           { return TypeHeartbeat }
+func (*Offer) Type() Type               { return TypeOffer }
+func (*OfferResponse) Type() Type       { return TypeOfferResponse }
+func (*Chunk) Type() Type               { return TypeChunk }
+func (*End) Type() Type                 { return TypeEnd }
+func (*Ack) Type() Type                 { return TypeAck }
+func (*Cancel) Type() Type              { return TypeCancel }
+func (*Cancelled) Type() Type           { return TypeCancelled }
+func (*Resume) Type() Type              { return TypeResume }
+func (*ConfigRequest) Type() Type       { return TypeConfigRequest }
+func (*ConfigSnapshot) Type() Type      { return TypeConfigSnapshot }
+func (*ClaimRequest) Type() Type        { return TypeClaimRequest }
+func (*ClaimResponse) Type() Type       { return TypeClaimResponse }
+func (*ConfigDeltaRequest) Type() Type  { return TypeConfigDeltaRequest }
+func (*ConfigDeltaResponse) Type() Type { return TypeConfigDeltaResponse }
 
 func newMessage(t Type) Message {
 	switch t {
 	case TypeHello:
 		return new(Hello)
-	case TypeBeat:
-		return new(Beat)
+	case TypeHeartbeat:
+		return new(Heartbeat)
 	case TypeOffer:
 		return new(Offer)
-	case TypeVerdict:
-		return new(Verdict)
+	case TypeOfferResponse:
+		return new(OfferResponse)
 	case TypeChunk:
 		return new(Chunk)
 	case TypeEnd:
@@ -295,18 +294,18 @@
 		return new(Cancelled)
 	case TypeResume:
 		return new(Resume)
-	case TypeConfigPull:
-		return new(ConfigPull)
-	case TypeConfigState:
-		return new(ConfigState)
-	case TypeClaim:
-		return new(Claim)
-	case TypeClaimed:
-		return new(Claimed)
-	case TypeTableAsk:
-		return new(TableAsk)
-	case TypeTableReply:
-		return new(TableReply)
+	case TypeConfigRequest:
+		return new(ConfigRequest)
+	case TypeConfigSnapshot:
+		return new(ConfigSnapshot)
+	case TypeClaimRequest:
+		return new(ClaimRequest)
+	case TypeClaimResponse:
+		return new(ClaimResponse)
+	case TypeConfigDeltaRequest:
+		return new(ConfigDeltaRequest)
+	case TypeConfigDeltaResponse:
+		return new(ConfigDeltaResponse)
 	}
 	return nil
 }
