--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch chooses a backend server for a request, in three steps like
-// a scheduler of plugins: filters leave out servers that can't take it, scorers
-// rate the rest, a picker takes one. It is pure.
+// Package dispatch chooses a backend server for a request: a filter excludes servers that
+// cannot take the request, a score ranks the others, and a Picker chooses one of them. The
+// package does no I/O.
 package dispatch
 
 import (
@@ -13,39 +13,41 @@
 type Candidate struct {
 	Name          string
 	FailureDomain string
-	// Up says that the link works; Leaving that the agent or the membership
-	// list says it leaves.
-	Up, Leaving bool
-	Serves      bool // has the wanted version loaded
-	// Queued, Running and Slots are as the agent last said; Sent counts own
-	// offers since then.
-	Queued, Running, Slots, Sent int
+	// Connected: the link to the agent is up. Draining: the agent reports that it is
+	// draining, or the membership list says that it is leaving.
+	Connected, Draining bool
+	TargetLoaded        bool // has the requested model version or service loaded
+	// Queued, Running and Slots are from the agent's last load report. SentSinceReport
+	// counts the offers that this router has sent since then.
+	Queued, Running, Slots, SentSinceReport int
 	// ServiceMS is the measured mean time of a request in a slot.
 	ServiceMS float64
-	// FirstMS is the mean time to a first token that this router measured,
-	// and which shows a straggler whatever the agent says; 0: not known.
-	FirstMS float64
-	// PrefixShare is the part of the prompt that the server probably has in
-	// its cache, 0 to 1.
-	PrefixShare float64
-	// Tried says that this request was offered there before.
-	Tried bool
+	// FirstTokenMS is the mean time to first token as measured by this router, or 0 if
+	// unknown. It reveals a slow server independently of the agent's reports.
+	FirstTokenMS float64
+	// CachedPrefixShare is the fraction of the prompt, from 0 to 1, that is probably in
+	// the server's prefix cache.
+	CachedPrefixShare float64
+	// Excluded: the request must not go to this server, for example because it was
+	// offered there before.
+	Excluded bool
 }
 
-// Request is what the choice depends on.
+// Request holds the properties of a request that affect the choice.
 type Request struct {
-	FailureDomain string // the router's own
+	FailureDomain string // of the router
 }
 
-// Options switch parts of the score, so that each can be measured alone.
+// Options enables parts of the score, so that the effect of each can be measured.
 type Options struct {
-	Prefix, Domain, Straggler, Corrected bool
+	PrefixAffinity, DomainAffinity, StragglerPenalty, CountUnreported bool
 }
 
-// Rand gives numbers from 0 up to n, exclusive.
+// Rand is a source of random numbers. IntN returns a number in [0, n).
 type Rand interface{ IntN(n int) int }
 
-// Picker chooses one of the candidates; false: none can take the request.
+// Picker chooses a candidate. Pick returns its index, or false if no candidate can take
+// the request.
 type Picker interface {
 	Pick(req Request, candidates []Candidate, rnd Rand) (int, bool)
 }
@@ -55,106 +57,109 @@
 func New(name string, opts Options) (Picker, error) {
 	switch name {
 	case "scored":
-		return &scored{opts: opts}, nil
+		return &scoredPicker{opts: opts}, nil
 	case "round_robin":
-		return &roundRobin{}, nil
+		return &roundRobinPicker{}, nil
 	case "least_loaded":
-		return leastLoaded{}, nil
+		return leastLoadedPicker{}, nil
 	}
-	return nil, fault.New(fault.BadSettings, "no policy %q", name).InField("policy.choice")
+	return nil, fault.New(fault.BadSettings, "unknown policy %q", name).InField("policy.choice")
 }
 
-// usable is the filter that every picker applies.
-func usable(c *Candidate) bool { return c.Up && !c.Leaving && c.Serves && !c.Tried }
+// eligible is the filter that every Picker applies.
+func eligible(c *Candidate) bool {
+	return c.Connected && !c.Draining && c.TargetLoaded && !c.Excluded
+}
 
-// roundRobin is a baseline: each usable server in turn.
-type roundRobin struct{ next int }
+// roundRobinPicker is a baseline: it picks the eligible servers in turn.
+type roundRobinPicker struct{ next int }
 
 // Pick implements Picker.
-func (p *roundRobin) Pick(_ Request, cs []Candidate, _ Rand) (int, bool) {
+func (p *roundRobinPicker) Pick(_ Request, cs []Candidate, _ Rand) (int, bool) {
 	for range cs {
 		i := p.next % len(cs)
 		p.next++
-		if usable(&cs[i]) {
+		if eligible(&cs[i]) {
 			return i, true
 		}
 	}
 	return 0, false
 }
 
-// leastLoaded is a baseline: the fewest requests by the last report.
-type leastLoaded struct{}
+// leastLoadedPicker is a baseline: it picks the server with the fewest requests by the
+// agents' last reports.
+type leastLoadedPicker struct{}
 
 // Pick implements Picker.
-func (leastLoaded) Pick(_ Request, cs []Candidate, _ Rand) (int, bool) {
+func (leastLoadedPicker) Pick(_ Request, cs []Candidate, _ Rand) (int, bool) {
 	best, found := 0, false
 	for i := range cs {
-		if usable(&cs[i]) && (!found || cs[i].Queued+cs[i].Running < cs[best].Queued+cs[best].Running) {
+		if eligible(&cs[i]) && (!found || cs[i].Queued+cs[i].Running < cs[best].Queued+cs[best].Running) {
 			best, found = i, true
 		}
 	}
 	return best, found
 }
 
-// scored rates two random usable servers, and those that hold the prompt's
-// prefix, and takes the best of them. Two random
-// choices instead of the best of all: routers with the same lagging reports
-// would otherwise all send to the same server.
-type scored struct{ opts Options }
+// scoredPicker scores two random eligible servers and all servers that have a prefix of
+// the prompt cached, and picks the best of these. It does not score all servers, because
+// routers with the same outdated load reports would then all pick the same server.
+type scoredPicker struct{ opts Options }
 
 // Pick implements Picker.
-func (p *scored) Pick(req Request, cs []Candidate, rnd Rand) (int, bool) {
-	usables := 0
+func (p *scoredPicker) Pick(req Request, cs []Candidate, rnd Rand) (int, bool) {
+	count := 0
 	for i := range cs {
-		if usable(&cs[i]) {
-			usables++
+		if eligible(&cs[i]) {
+			count++
 		}
 	}
-	if usables == 0 {
+	if count == 0 {
 		return 0, false
 	}
-	a := nth(cs, rnd.IntN(usables))
-	if usables == 1 {
+	a := nthEligible(cs, rnd.IntN(count))
+	if count == 1 {
 		return a, true
 	}
-	k := rnd.IntN(usables - 1)
-	b := nth(cs, k)
-	if b >= a { // choose b among the usable servers other than a
-		b = nth(cs, k+1)
+	k := rnd.IntN(count - 1)
+	b := nthEligible(cs, k)
+	if b >= a { // b is chosen among the eligible servers other than a
+		b = nthEligible(cs, k+1)
 	}
-	median := 0.0
-	if p.opts.Straggler {
-		median = meanFirst(cs)
+	mean := 0.0
+	if p.opts.StragglerPenalty {
+		mean = meanFirstTokenMS(cs)
 	}
 	best := a
 	for i := range cs {
-		holds := p.opts.Prefix && cs[i].PrefixShare > 0 && usable(&cs[i])
-		if (i == b || holds) && p.score(req, &cs[i], median) < p.score(req, &cs[best], median) {
+		cached := p.opts.PrefixAffinity && cs[i].CachedPrefixShare > 0 && eligible(&cs[i])
+		if (i == b || cached) && p.score(req, &cs[i], mean) < p.score(req, &cs[best], mean) {
 			best = i
 		}
 	}
 	return best, true
 }
 
-// nth returns the index of the n-th usable server.
-func nth(cs []Candidate, n int) int {
+// nthEligible returns the index of the n-th eligible server, counted from 0.
+func nthEligible(cs []Candidate, n int) int {
 	for i := range cs {
-		if usable(&cs[i]) {
+		if eligible(&cs[i]) {
 			if n == 0 {
 				return i
 			}
 			n--
 		}
 	}
-	return len(cs) - 1 // not reached: n is below the count of usable servers
+	return len(cs) - 1 // unreachable: n is less than the number of eligible servers
 }
 
-// meanFirst is the mean time to first token over the servers measured.
-func meanFirst(cs []Candidate) float64 {
+// meanFirstTokenMS returns the mean time to first token over the servers for which it is
+// known, or 0 if there are none.
+func meanFirstTokenMS(cs []Candidate) float64 {
 	sum, n := 0.0, 0
 	for i := range cs {
-		if cs[i].FirstMS > 0 {
-			sum += cs[i].FirstMS
+		if cs[i].FirstTokenMS > 0 {
+			sum += cs[i].FirstTokenMS
 			n++
 		}
 	}
@@ -164,37 +169,38 @@
 	return sum / float64(n)
 }
 
-// Weights of the score, in units of one request's time at the server.
+// Parameters of the score. Penalty and bonus are in units of a request's service time.
 const (
-	// domainPenalty: another failure domain costs a few milliseconds of
-	// network, little against a request's time; it decides between equals.
+	// domainPenalty is added for a server in another failure domain. The additional
+	// network latency of a few milliseconds is small compared with the service time, so
+	// the penalty decides only between servers with otherwise similar scores.
 	domainPenalty = 0.1
-	// prefixGain: a cached prefix saves the prefill, at most about half of a
-	// short request's time.
-	prefixGain = 0.5
-	// stragglerLimit: a server this many times slower to a first token than
-	// the mean is a straggler, not just busy.
-	stragglerLimit = 3.0
-	minServiceMS   = 1.0
+	// prefixBonus is subtracted for a fully cached prompt. A cached prefix saves its
+	// prefill, which takes at most about half of a short request's service time.
+	prefixBonus = 0.5
+	// stragglerFactor is the ratio of a server's time to first token to the mean above
+	// which the server is a straggler, and not only busy.
+	stragglerFactor = 3.0
+	minServiceMS    = 1.0
 )
 
-// score estimates the time until the request would be done, lower is better.
-func (p *scored) score(req Request, c *Candidate, meanFirst float64) float64 {
+// score estimates the time until the request would be complete; lower is better.
+func (p *scoredPicker) score(req Request, c *Candidate, meanFirstToken float64) float64 {
 	load := float64(c.Queued + c.Running)
-	if p.opts.Corrected {
-		// What was sent since the report is on its way into the queue.
-		load += float64(c.Sent)
+	if p.opts.CountUnreported {
+		// Requests sent since the last report are not yet included in Queued or Running.
+		load += float64(c.SentSinceReport)
 	}
 	s := load / math.Max(1, float64(c.Slots))
-	if p.opts.Prefix {
-		s -= prefixGain * c.PrefixShare
+	if p.opts.PrefixAffinity {
+		s -= prefixBonus * c.CachedPrefixShare
 	}
-	if p.opts.Domain && c.FailureDomain != req.FailureDomain {
+	if p.opts.DomainAffinity && c.FailureDomain != req.FailureDomain {
 		s += domainPenalty
 	}
 	s = (s + 1) * math.Max(minServiceMS, c.ServiceMS)
-	if meanFirst > 0 && c.FirstMS > stragglerLimit*meanFirst {
-		s *= c.FirstMS / meanFirst
+	if meanFirstToken > 0 && c.FirstTokenMS > stragglerFactor*meanFirstToken {
+		s *= c.FirstTokenMS / meanFirstToken
 	}
 	return s
 }
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -73,7 +73,7 @@
 	}
 	for i := range candidates { // no other is left than the one to be avoided
 		if candidates[i].Name == c.avoid {
-			candidates[i].Tried = c.tried[c.avoid] || c.skip[c.avoid]
+			candidates[i].Excluded = c.tried[c.avoid] || c.skip[c.avoid]
 		}
 	}
 	if i, ok := c.pick(candidates); ok {
@@ -92,7 +92,7 @@
 // now, or none is left.
 func (c *call) noneFault(candidates []dispatch.Candidate) *fault.Error {
 	for i := range candidates {
-		if !c.tried[candidates[i].Name] && !candidates[i].Leaving {
+		if !c.tried[candidates[i].Name] && !candidates[i].Draining {
 			return fault.New(fault.NoLink, "no backend server for %q can be reached", c.req.Target).
 				With(fault.NotRun).After(time.Second)
 		}
@@ -128,7 +128,7 @@
 	for _, holder := range ranked[:min(prefixServers, len(ranked))] {
 		for i := range candidates {
 			if candidates[i].Name == holder {
-				candidates[i].PrefixShare = 1
+				candidates[i].CachedPrefixShare = 1
 			}
 		}
 	}
@@ -141,10 +141,10 @@
 	// Lower tiers do not stand in the way of a higher one: what waits is
 	// passed, what runs gives way.
 	upTo := c.req.Class.Tier + 1
-	return dispatch.Candidate{Name: l.server.Name, FailureDomain: l.server.FailureDomain, Up: l.conn != nil,
-		Leaving: leaving || l.load.Draining, Serves: l.serving[c.req.Target], Queued: sum(firstN(l.load.Queued, upTo)), Running: sum(firstN(l.load.Running, upTo)),
-		Slots: l.load.Slots, Sent: l.sent, ServiceMS: float64(l.load.ServiceMS), FirstMS: l.firstMS,
-		Tried: c.tried[l.server.Name] || c.skip[l.server.Name] || c.avoid == l.server.Name}
+	return dispatch.Candidate{Name: l.server.Name, FailureDomain: l.server.FailureDomain, Connected: l.conn != nil,
+		Draining: leaving || l.load.Draining, TargetLoaded: l.serving[c.req.Target], Queued: sum(firstN(l.load.Queued, upTo)), Running: sum(firstN(l.load.Running, upTo)),
+		Slots: l.load.Slots, SentSinceReport: l.sent, ServiceMS: float64(l.load.ServiceMS), FirstTokenMS: l.firstMS,
+		Excluded: c.tried[l.server.Name] || c.skip[l.server.Name] || c.avoid == l.server.Name}
 }
 
 func firstN(counts []int, n int) []int { return counts[:min(n, len(counts))] }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -51,7 +51,7 @@
 // New returns a router that has not started yet.
 func New(set settings.Router, logger *slog.Logger) (*Router, error) {
 	p := set.Policy
-	picker, err := dispatch.New(p.Choice, dispatch.Options{Prefix: p.Prefix, Domain: p.Domain, Straggler: p.Straggler, Corrected: p.Corrected})
+	picker, err := dispatch.New(p.Choice, dispatch.Options{PrefixAffinity: p.Prefix, DomainAffinity: p.Domain, StragglerPenalty: p.Straggler, CountUnreported: p.Corrected})
 	if err != nil {
 		return nil, err
 	}
