--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,4 +1,4 @@
-// Package rollout chooses the version of a model that serves a request.
+// Package rollout assigns requests to model versions.
 package rollout
 
 import (
@@ -7,20 +7,20 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-// steps is the resolution of a share: hundredths of a percent.
-const steps = 10000
+// shareResolution is the number of hash buckets. A bucket is 0.01 percent of the requests.
+const shareResolution = 10000
 
-// Choose returns the version for a request: the rollouts take their shares in
-// order of version, the base takes the rest. It depends on the request's id
-// alone, so a repeated offer goes to the same version.
+// Choose returns the version for a request. The rollouts get their shares in the order
+// given, which must be by version; the base version gets the rest. For given rollouts the
+// choice depends only on the request ID, so a repeated offer goes to the same version.
 func Choose(rollouts []*resource.Rollout, requestID string) string {
 	if len(rollouts) == 0 {
 		return resource.BaseVersion
 	}
-	point := float64(xxhash.Sum64String(requestID)%steps) * 100 / steps
-	sum := 0.0
+	percentile := float64(xxhash.Sum64String(requestID)%shareResolution) * 100 / shareResolution
+	cumulative := 0.0
 	for _, r := range rollouts {
-		if sum += r.SharePercent; point < sum {
+		if cumulative += r.SharePercent; percentile < cumulative {
 			return r.Version
 		}
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -9,7 +9,7 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-func TestSharesAreKept(t *testing.T) {
+func TestVersionsGetTheirShares(t *testing.T) {
 	g := NewWithT(t)
 	count := map[string]int{}
 	rollouts := []*resource.Rollout{{Version: "v2", SharePercent: 10}, {Version: "v3", SharePercent: 0}, {Version: "v4", SharePercent: 25}}
