--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -142,12 +142,12 @@
 	victims := q.countVictims(t)
 	if q.tiers[t].order.Len() >= q.cfg.QueueLimit+victims {
 		return fault.New(fault.QueueFull, "queue of tier %d is full with %d waiting requests", j.Tier, q.tiers[t].order.Len()).
-			With(fault.NotRun).After(q.RetryAfter(j.Tier))
+			WithOutcome(fault.NotRun).WithRetryAfter(q.RetryAfter(j.Tier))
 	}
 	wait := q.expectedWait(t)
 	if q.cfg.EarlyRefusal && victims == 0 && !j.StartDeadline.IsZero() && now.Add(wait).After(j.StartDeadline) {
 		return fault.New(fault.WaitTooLong, "expected queue wait of %s exceeds the start deadline", wait.Round(time.Millisecond)).
-			With(fault.NotRun).After(q.RetryAfter(j.Tier))
+			WithOutcome(fault.NotRun).WithRetryAfter(q.RetryAfter(j.Tier))
 	}
 	q.seq++
 	j.seq, j.arrived, j.state = q.seq, now, Waiting
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -109,7 +109,7 @@
 	case *wire.Resume:
 		d.post(ctx, func(now time.Time) { d.core.Resume(now, p.id, m) })
 	case *wire.ClaimRequest:
-		d.post(ctx, func(now time.Time) { p.conn.Send(d.core.Book().Grant(now, m)) })
+		d.post(ctx, func(now time.Time) { p.conn.Send(d.core.Keys().HandleClaim(now, m)) })
 	case *wire.Heartbeat:
 		if m.Revision > a.config.View().Revision && !a.config.LogUp() {
 			p.conn.Send(&wire.ConfigRequest{NewerThan: a.config.View().Revision})
@@ -123,7 +123,7 @@
 
 // answerPull gives a peer the configuration if this process has a newer one.
 func (a *Agent) answerPull(conn *link.Conn, m *wire.ConfigRequest) {
-	revision, data, err := a.config.Encode(m.NewerThan)
+	revision, data, err := a.config.EncodeSnapshot(m.NewerThan)
 	if err != nil {
 		a.logger.Error("configuration not encoded", "error", err)
 		return
@@ -138,7 +138,7 @@
 	if len(m.Data) == 0 {
 		return
 	}
-	if err := a.config.Install(m.Data); err != nil {
+	if err := a.config.InstallSnapshot(m.Data); err != nil {
 		telemetry.Count("merlinpost_config_from_peer_broken_total")
 	}
 }
--- a/internal/agent/witness.go
+++ b/internal/agent/witness.go
@@ -34,7 +34,7 @@
 }
 
 // ask sends a claim and waits for the witness's word.
-func (w *witnessLinks) ask(ctx context.Context, s resource.Server, c *wire.ClaimRequest) receipt.Word {
+func (w *witnessLinks) ask(ctx context.Context, s resource.Server, c *wire.ClaimRequest) receipt.WitnessReply {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	l := w.get(ctx, s.Agent)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -63,7 +63,7 @@
 	case "least_loaded":
 		return leastLoadedPicker{}, nil
 	}
-	return nil, fault.New(fault.BadSettings, "unknown policy %q", name).InField("policy.choice")
+	return nil, fault.New(fault.BadSettings, "unknown policy %q", name).WithField("policy.choice")
 }
 
 // eligible is the filter that every Picker applies.
--- a/internal/execution/keyed.go
+++ b/internal/execution/keyed.go
@@ -17,10 +17,10 @@
 		return e
 	}
 	if entry == nil {
-		if c.book.HeldByOther(now, o.IdempotencyKey) {
+		if c.book.ClaimedByOther(now, o.IdempotencyKey) {
 			return alreadyRan()
 		}
-		if entry, e = c.book.Begin(now, o.IdempotencyKey, o.BodyDigest, millis(o.KeyRetentionMS)); e != nil {
+		if entry, e = c.book.Reserve(now, o.IdempotencyKey, o.BodyDigest, millis(o.KeyRetentionMS)); e != nil {
 			return e
 		}
 		a.entry, a.phase = entry, claiming
@@ -31,7 +31,7 @@
 	switch entry.Phase {
 	case receipt.Done:
 		c.replay(now, a, entry)
-	case receipt.Lost:
+	case receipt.OutcomeUnknown:
 		return alreadyRan()
 	default:
 		c.waiting[o.IdempotencyKey] = append(c.waiting[o.IdempotencyKey], a)
@@ -40,30 +40,30 @@
 }
 
 func alreadyRan() *fault.Error {
-	return fault.New(fault.CannotVouch, "a call with this key may have run; its answer is not known").
-		InField("Idempotency-Key").With(fault.Unknown)
+	return fault.New(fault.IdempotentResultUnknown, "a call with this key may have run; its answer is not known").
+		WithField("Idempotency-Key").WithOutcome(fault.Unknown)
 }
 
 // ClaimSettled brings the decision on a keyed call.
-func (c *Core) ClaimSettled(now time.Time, key Key, d receipt.Decision) {
+func (c *Core) ClaimDecided(now time.Time, key AttemptKey, d receipt.Decision) {
 	a := c.held[key]
 	if a == nil || a.phase != claiming {
 		return
 	}
 	var e *fault.Error
 	switch d {
-	case receipt.Run, receipt.RunOnceKept:
+	case receipt.Run, receipt.RunAfterLogging:
 		e = c.enqueue(now, a)
 	case receipt.AlreadyRan:
 		e = alreadyRan()
-		a.entry.Phase = receipt.Lost
+		a.entry.Phase = receipt.OutcomeUnknown
 		c.finishKeyed(now, a, e)
 		return
 	default:
-		e = c.book.RefuseFault(now, millis(a.offer.KeyRetentionMS))
+		e = c.book.RefusalFault(now, millis(a.offer.KeyRetentionMS))
 	}
 	if e != nil {
-		c.book.Forget(a.offer.IdempotencyKey)
+		c.book.Delete(a.offer.IdempotencyKey)
 		c.finishKeyed(now, a, e)
 		return
 	}
@@ -91,7 +91,7 @@
 // replay answers a repeat with the kept answer of the first call.
 func (c *Core) replay(now time.Time, a *attempt, e *receipt.Entry) {
 	if e.Result.BodyDropped {
-		f := fault.New(fault.CannotVouch, "the call ran, but its answer was too large to keep").With(fault.Unknown)
+		f := fault.New(fault.IdempotentResultUnknown, "the call ran, but its answer was too large to keep").WithOutcome(fault.Unknown)
 		c.finish(now, a, &wire.End{Fault: wire.EncodeFault(f)})
 		return
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -115,10 +115,10 @@
 func RefusalError(resp GrantResponse, team *resource.Team) *fault.Error {
 	wait := time.Duration(resp.RetryAfterMS) * time.Millisecond
 	if resp.RateLimited {
-		return fault.New(fault.TeamRate, "team exceeds its rate limit of %g requests per second", team.Rate).With(fault.NotRun).After(wait)
+		return fault.New(fault.TeamRateLimit, "team exceeds its rate limit of %g requests per second", team.Rate).WithOutcome(fault.NotRun).WithRetryAfter(wait)
 	}
-	return fault.New(fault.TeamConcurrency, "team has reached its concurrency limit of %d requests", team.Concurrency).
-		With(fault.NotRun).After(wait)
+	return fault.New(fault.TeamConcurrencyLimit, "team has reached its concurrency limit of %d requests", team.Concurrency).
+		WithOutcome(fault.NotRun).WithRetryAfter(wait)
 }
 
 func (u *usage) checkConcurrency(team *resource.Team, share float64) *fault.Error {
@@ -129,8 +129,8 @@
 	if u.inFlight < limit {
 		return nil
 	}
-	return fault.New(fault.TeamConcurrency, "team has reached its concurrency limit on this router with %d requests in flight", u.inFlight).
-		With(fault.NotRun).After(time.Second)
+	return fault.New(fault.TeamConcurrencyLimit, "team has reached its concurrency limit on this router with %d requests in flight", u.inFlight).
+		WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 }
 
 func (u *usage) takeToken(now time.Time, team *resource.Team, share, burst float64) *fault.Error {
@@ -145,8 +145,8 @@
 	}
 	if u.tokens < 1 {
 		wait := max(time.Millisecond, time.Duration((1-u.tokens)/rate*float64(time.Second)))
-		return fault.New(fault.TeamRate, "team exceeds its rate limit of %g requests per second", team.Rate).
-			With(fault.NotRun).After(wait)
+		return fault.New(fault.TeamRateLimit, "team exceeds its rate limit of %g requests per second", team.Rate).
+			WithOutcome(fault.NotRun).WithRetryAfter(wait)
 	}
 	u.tokens--
 	return nil
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -91,14 +91,14 @@
 
 // Stop fails the readiness check; requests are still served until the process
 // ends.
-func (r *Router) Stop() {
+func (r *Router) BeginDrain() {
 	if !r.stopping.Swap(true) {
 		r.logger.Info("leaving: the readiness check fails from now on")
 	}
 }
 
 // Open returns the number of requests in progress.
-func (r *Router) Open() int64 { return r.open.Load() }
+func (r *Router) InProgress() int64 { return r.open.Load() }
 
 func (r *Router) hello() wire.Hello {
 	return wire.Hello{Role: "router", Name: r.set.Name, Incarnation: r.incarnation, FailureDomain: r.set.FailureDomain,
@@ -120,7 +120,7 @@
 // Status lists this router and the agents that it has links to.
 func (r *Router) Status() []ProcessStatus {
 	out := []ProcessStatus{{Name: r.set.Name, Role: "router", Up: true, Serving: true, Leaving: r.stopping.Load(),
-		Revision: r.Config.View().Revision, Running: int(r.Open())}}
+		Revision: r.Config.View().Revision, Running: int(r.InProgress())}}
 	return append(out, r.links.status()...)
 }
 
