--- a/internal/adminapi/query/query.go
+++ b/internal/adminapi/query/query.go
@@ -157,7 +157,7 @@
 }
 
 func (h *Handlers) sendChanges(ctx iris.Context, kind resource.Kind, seen map[string]uint64) bool {
-	for _, r := range h.config.View().All(kind) {
+	for _, r := range h.config.View().ListWithDeleted(kind) {
 		revision := r.Latest().Revision
 		if seen[r.Name] == revision || (seen[r.Name] == 0 && r.Deleted()) {
 			continue
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -124,7 +124,7 @@
 // as they were first declared.
 func (a *Agent) poolsNeverChanged() bool {
 	v := a.config.View()
-	for _, name := range v.PoolsOf(a.set.Name) {
+	for _, name := range v.PoolsWithServer(a.set.Name) {
 		if r, ok := v.Get(resource.Ref{Kind: resource.KindPool, Name: name}); ok && len(r.Versions) > 1 {
 			return false
 		}
--- a/internal/agent/history.go
+++ b/internal/agent/history.go
@@ -41,7 +41,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	any := false
-	for _, pool := range v.PoolsOf(self) {
+	for _, pool := range v.PoolsWithServer(self) {
 		names := serverNames(v.Pools[pool])
 		slices.Sort(names)
 		old, known := h.current[pool]
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		out = append(out, target{name + "@" + resource.BaseVersion, false})
-		for _, r := range v.RolloutsOf(name) {
+		for _, r := range v.RolloutsForModel(name) {
 			out = append(out, target{name + "@" + r.Version, r.Adapter})
 		}
 	}
@@ -102,7 +102,7 @@
 		return 0
 	}
 	place := 0
-	for _, pool := range v.PoolsOf(a.set.Name) {
+	for _, pool := range v.PoolsWithServer(a.set.Name) {
 		place = max(place, slices.Index(rendezvous.Rank(name, serverNames(v.Pools[pool])), a.set.Name))
 	}
 	return time.Duration(place/a.set.Weights.AtOnce) * settings.Millis(a.set.Weights.TurnMS)
--- a/internal/callerapi/api_test.go
+++ b/internal/callerapi/api_test.go
@@ -47,7 +47,7 @@
 func (b *backend) Ready() bool { return true }
 
 func view(t *testing.T) *resource.View {
-	f := resource.NewFold()
+	f := resource.NewState()
 	put := func(kind resource.Kind, name, spec string) resource.Change {
 		return resource.Change{Verb: resource.Put, Kind: kind, Name: name, Spec: json.RawMessage(spec)}
 	}
@@ -57,7 +57,7 @@
 		put(resource.KindPool, "p", `{"servers":[{"name":"s","agent":"127.0.0.1:1","failure_domain":"a"}]}`),
 		put(resource.KindModel, "m", `{"pool":"p"}`),
 		put(resource.KindService, "receipts", `{"pool":"p","path":"/x","key_window_ms":1000}`),
-		put(resource.KindTeam, "t", `{"keys_sha256":["`+resource.HashKey("key")+`"],"default_class":"top"}`),
+		put(resource.KindTeam, "t", `{"keys_sha256":["`+resource.HashAPIKey("key")+`"],"default_class":"top"}`),
 	}}
 	data, err := json.Marshal(rec)
 	if err != nil {
--- a/internal/callerapi/completion.go
+++ b/internal/callerapi/completion.go
@@ -68,7 +68,7 @@
 		return e
 	}
 	defer release()
-	version := rollout.Choose(x.view.RolloutsOf(in.Model), x.id)
+	version := rollout.Choose(x.view.RolloutsForModel(in.Model), x.id)
 	if version != resource.BaseVersion && !x.api.backend.Serves(model.Pool, in.Model+"@"+version) {
 		version = resource.BaseVersion // no agent has loaded it yet, or any more
 	}
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -37,7 +37,7 @@
 	confirm  atomic.Int64 // monotonic time of the last word from the log, ns since start
 	start    time.Time
 	mu       sync.Mutex // guards fold, changed, waiters and snapAt
-	fold     *resource.Fold
+	fold     *resource.State
 	changed  chan struct{} // closed and replaced at each new view
 	snapAt   uint64        // revision of the newest known snapshot
 	snapTime time.Time
@@ -47,7 +47,7 @@
 // NewFollower returns a Follower; takesSnapshots is true for routers.
 func NewFollower(log Log, set settings.Log, takesSnapshots bool, logger *slog.Logger, rnd *rand.Rand) *Follower {
 	f := &Follower{log: log, set: set, logger: logger, snapshot: takesSnapshots, start: time.Now(),
-		fold: resource.NewFold(), changed: make(chan struct{}), rand: rnd}
+		fold: resource.NewState(), changed: make(chan struct{}), rand: rnd}
 	f.view.Store(f.fold.View())
 	return f
 }
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -255,7 +255,7 @@
 
 // applied counts how often an operation takes effect in the fold of the log.
 func applied(l *fakeLog, operation string) int {
-	f, n := resource.NewFold(), 0
+	f, n := resource.NewState(), 0
 	for i, data := range l.streams[StreamConfig] {
 		if res, fresh := f.Apply(uint64(i+1), data); fresh && res.Applied && res.Operation == operation {
 			n++
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -52,7 +52,7 @@
 		names = append(names, s.Streams[i].Class)
 	}
 	for _, t := range s.Teams {
-		teams[t.Name] = &resource.Team{KeysSHA256: []string{resource.HashKey(t.Key)}, DefaultClass: names[0], Classes: names}
+		teams[t.Name] = &resource.Team{KeysSHA256: []string{resource.HashAPIKey(t.Key)}, DefaultClass: names[0], Classes: names}
 	}
 	off := func(part string) bool { return slices.Contains(policy.Without, part) }
 	return dev.Start(ctx, dev.Options{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Engines: dep.Engines, Slots: dep.Slots,
--- a/internal/resource/file.go
+++ b/internal/resource/document.go
@@ -9,7 +9,7 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// Document is a TOML file of desired resources, as "merlinpost apply" reads it.
+// Document is a TOML file of desired resources, the input of "merlinpost apply".
 type Document struct {
 	Resources []DocumentResource `toml:"resource"`
 }
@@ -21,13 +21,14 @@
 	Spec map[string]any `toml:"spec"`
 }
 
-// Desired is a checked resource of a Document.
+// Desired is a validated resource of a Document.
 type Desired struct {
 	Ref
 	Spec json.RawMessage
 }
 
-// ParseDocument decodes and checks a TOML document; name is used in errors.
+// ParseDocument decodes and validates a TOML document. Errors are prefixed with
+// name, the document's file name.
 func ParseDocument(name string, data []byte) ([]Desired, error) {
 	var doc Document
 	if err := toml.Unmarshal(data, &doc); err != nil {
@@ -40,7 +41,7 @@
 	}
 	out := make([]Desired, 0, len(doc.Resources))
 	for _, r := range doc.Resources {
-		d, err := r.desired()
+		d, err := r.parse()
 		if err != nil {
 			e := fault.From(err)
 			e.Field = name + ": " + r.Kind + "/" + r.Name + "." + e.Field
@@ -51,7 +52,7 @@
 	return out, nil
 }
 
-func (r DocumentResource) desired() (Desired, error) {
+func (r DocumentResource) parse() (Desired, error) {
 	kind, err := ParseKind(r.Kind)
 	if err != nil {
 		return Desired{}, err
--- a/internal/resource/snapshot.go
+++ b/internal/resource/snapshot.go
@@ -10,7 +10,7 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// snapshot is the encoded form of a Fold.
+// snapshot is the encoded form of a State.
 type snapshot struct {
 	Format     int         `json:"format"`
 	Revision   uint64      `json:"revision"`
@@ -21,50 +21,50 @@
 
 const snapshotFormat = 1
 
-// Snapshot encodes the state; equal states give equal bytes.
-func (f *Fold) Snapshot() ([]byte, error) {
-	s := snapshot{Format: snapshotFormat, Revision: f.revision, Deleted: f.deleted, Operations: f.ops}
-	if s.Deleted == nil {
-		s.Deleted = []Ref{}
+// Snapshot encodes the state deterministically: equal states give equal bytes.
+func (s *State) Snapshot() ([]byte, error) {
+	snap := snapshot{Format: snapshotFormat, Revision: s.revision, Deleted: s.deleted, Operations: s.operations}
+	if snap.Deleted == nil {
+		snap.Deleted = []Ref{}
 	}
-	if s.Operations == nil {
-		s.Operations = []Result{}
+	if snap.Operations == nil {
+		snap.Operations = []Result{}
 	}
-	s.Resources = make([]*Resource, 0, len(f.resources))
-	for _, r := range f.resources {
-		s.Resources = append(s.Resources, r)
+	snap.Resources = make([]*Resource, 0, len(s.resources))
+	for _, r := range s.resources {
+		snap.Resources = append(snap.Resources, r)
 	}
-	sort.Slice(s.Resources, func(i, j int) bool {
-		a, b := s.Resources[i], s.Resources[j]
+	sort.Slice(snap.Resources, func(i, j int) bool {
+		a, b := snap.Resources[i], snap.Resources[j]
 		if a.Kind != b.Kind {
 			return a.Kind < b.Kind
 		}
 		return a.Name < b.Name
 	})
-	data, err := json.Marshal(s)
+	data, err := json.Marshal(snap)
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
 	return data, nil
 }
 
-// Digest returns a hash of a snapshot's bytes.
+// Digest returns the xxHash of an encoded snapshot.
 func Digest(snapshot []byte) uint64 { return xxhash.Sum64(snapshot) }
 
-// Restore decodes a snapshot into a new Fold.
-func Restore(data []byte) (*Fold, error) {
-	var s snapshot
-	if err := json.Unmarshal(data, &s); err != nil {
+// Restore decodes a snapshot into a new State.
+func Restore(data []byte) (*State, error) {
+	var snap snapshot
+	if err := json.Unmarshal(data, &snap); err != nil {
 		return nil, fault.New(fault.InvalidConfig, "decode snapshot: %w", err)
 	}
-	if s.Format != snapshotFormat {
-		return nil, fault.New(fault.InvalidConfig, "snapshot format %d, this program reads %d", s.Format, snapshotFormat)
+	if snap.Format != snapshotFormat {
+		return nil, fault.New(fault.InvalidConfig, "unsupported snapshot format %d, expected %d", snap.Format, snapshotFormat)
 	}
-	f := NewFold()
-	f.revision, f.deleted = s.Revision, s.Deleted
-	for _, r := range s.Resources {
+	s := NewState()
+	s.revision, s.deleted = snap.Revision, snap.Deleted
+	for _, r := range snap.Resources {
 		if len(r.Versions) == 0 {
-			return nil, fault.New(fault.InvalidConfig, "snapshot: %s/%s has no version", r.Kind, r.Name)
+			return nil, fault.New(fault.InvalidConfig, "snapshot: %s/%s has no versions", r.Kind, r.Name)
 		}
 		if latest := r.Latest(); latest.Spec != nil {
 			spec, err := ParseSpec(r.Kind, r.Name, latest.Spec)
@@ -72,12 +72,12 @@
 				return nil, fmt.Errorf("snapshot: %s/%s: %w", r.Kind, r.Name, err)
 			}
 			r.spec = spec
-			f.live++
+			s.liveCount++
 		}
-		f.resources[Ref{r.Kind, r.Name}] = r
+		s.resources[Ref{r.Kind, r.Name}] = r
 	}
-	for _, op := range s.Operations {
-		f.remember(op)
+	for _, op := range snap.Operations {
+		s.storeResult(op)
 	}
-	return f, nil
+	return s, nil
 }
--- a/internal/resource/spec.go
+++ b/internal/resource/spec.go
@@ -1,6 +1,7 @@
-// Package resource holds the configuration: its kinds, their checks, and the
-// pure fold from log records to the state in force. Every process folds the
-// same records with this package and so reaches the same state.
+// Package resource defines the configuration: the kinds of resources, their
+// validation, and the replicated state machine that applies log records. It is
+// deterministic: every process that applies the same records reaches the same
+// state.
 package resource
 
 import (
@@ -17,7 +18,6 @@
 // Kind is a kind of resource.
 type Kind string
 
-// The kinds.
 const (
 	KindClass   Kind = "class"
 	KindTeam    Kind = "team"
@@ -27,24 +27,24 @@
 	KindRollout Kind = "rollout"
 )
 
-// Kinds lists all kinds in an order in which each refers only to earlier ones.
+// Kinds lists all kinds in dependency order: each references only earlier ones.
 var Kinds = []Kind{KindClass, KindPool, KindModel, KindService, KindTeam, KindRollout}
 
-// Tiers is the number of service tiers; 0 is the highest.
-const Tiers = 5
+// NumTiers is the number of service tiers; 0 is the highest.
+const NumTiers = 5
 
-// BaseVersion is the version of a model that takes the share of traffic that
-// no rollout takes.
+// BaseVersion is the version of a model that receives the traffic not assigned
+// to any rollout.
 const BaseVersion = "base"
 
 // Spec is the typed content of a resource.
 type Spec interface {
-	// References returns the resources that this one needs.
+	// References returns the resources that this one refers to.
 	References() []Ref
 	check() *fault.Error
 }
 
-// Ref names a resource.
+// Ref identifies a resource.
 type Ref struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
@@ -52,81 +52,83 @@
 
 // Class is a request class with its service level.
 type Class struct {
-	// Tier orders classes under load; 0 goes first.
+	// Tier is the priority of the class under load; 0 is the highest.
 	Tier int `json:"tier" validate:"min=0,max=4"`
 	// FirstTokenMS, BetweenTokensMS and TotalMS are latency targets in
-	// milliseconds; 0 means none.
+	// milliseconds; 0 means no target.
 	FirstTokenMS    int `json:"first_token_ms" validate:"min=0,max=86400000"`
 	BetweenTokensMS int `json:"between_tokens_ms" validate:"min=0,max=86400000"`
 	TotalMS         int `json:"total_ms" validate:"min=0,max=86400000"`
-	// MaxWaitMS is the longest wait for a start before the request is given
-	// up on, milliseconds.
+	// MaxWaitMS is how long a request may wait to be started before it is
+	// rejected, in milliseconds.
 	MaxWaitMS int `json:"max_wait_ms" validate:"min=10,max=86400000"`
-	// MaxRunMS bounds the whole request, milliseconds.
+	// MaxRunMS limits the total duration of a request, in milliseconds.
 	MaxRunMS int `json:"max_run_ms" validate:"min=10,max=86400000"`
-	// Floor is the share of a backend server's tokens that the class is owed
-	// while it waits and no higher tier would be refused for it.
+	// Floor is the minimum share of a backend server's tokens that the class
+	// gets while it has requests waiting, as long as no request of a higher
+	// tier would be rejected because of it.
 	Floor float64 `json:"floor" validate:"min=0,max=0.5"`
-	// Preemptible lets a higher tier take the slot of a running request,
-	// which later continues where it stopped.
+	// Preemptible allows a higher tier to preempt a running request, which is
+	// resumed later where it stopped.
 	Preemptible bool `json:"preemptible"`
-	// MaxTokens bounds an answer.
+	// MaxTokens limits the length of a response.
 	MaxTokens int `json:"max_tokens" validate:"min=1,max=1000000"`
 }
 
 // Team is a customer of the platform.
 type Team struct {
-	// KeysSHA256 are hashes of the team's keys, in hexadecimal.
+	// KeysSHA256 are the SHA-256 hashes of the team's API keys, in hexadecimal.
 	KeysSHA256   []string `json:"keys_sha256" validate:"min=1,max=16,dive,len=64,hexadecimal,lowercase"`
 	DefaultClass string   `json:"default_class" validate:"required"`
-	// Classes are the classes that the team may name; the default is always
-	// allowed.
+	// Classes are the classes that the team may request besides DefaultClass.
 	Classes []string `json:"classes,omitempty" validate:"max=64"`
-	// Rate is requests a second over all routers; 0 means no limit. Burst
-	// is how many may come at once.
+	// Rate limits requests per second across all routers; 0 means no limit.
+	// Burst is the burst size of the limit.
 	Rate  float64 `json:"rate" validate:"min=0,max=1000000"`
 	Burst int     `json:"burst" validate:"min=0,max=1000000"`
-	// Concurrency bounds requests in progress over all routers; 0: none.
+	// Concurrency limits requests in progress across all routers; 0 means no
+	// limit.
 	Concurrency int `json:"concurrency" validate:"min=0,max=1000000"`
 }
 
-// Server is one backend server of a pool and the agent beside it.
+// Server is a backend server of a pool, with the address of its agent.
 type Server struct {
 	Name          string `json:"name" validate:"required,max=128"`
 	Agent         string `json:"agent" validate:"required,ipport"`
 	FailureDomain string `json:"failure_domain" validate:"required,max=128"`
 }
 
-// Pool is a set of declared backend servers. Whether one is live is not
+// Pool is a set of declared backend servers. Their liveness is not part of the
 // configuration.
 type Pool struct {
 	Servers []Server `json:"servers" validate:"min=1,max=4096,unique=Name,unique=Agent,dive"`
 }
 
-// Model is a model that callers name.
+// Model is a model that callers can request by name.
 type Model struct {
 	Pool string `json:"pool" validate:"required"`
 }
 
-// Service is a plain service that the system routes to.
+// Service is an HTTP service, not a model, that requests are routed to.
 type Service struct {
 	Pool string `json:"pool" validate:"required"`
-	// Path is the path called at the backend server.
+	// Path is the URL path of the service on the backend server.
 	Path string `json:"path" validate:"required,startswith=/"`
-	// MayRepeat says that a call may run more than once (is idempotent).
+	// MayRepeat marks calls of the service as idempotent: a call may run more
+	// than once.
 	MayRepeat bool `json:"may_repeat"`
 	// KeyWindowMS is how long an idempotency key is remembered.
 	KeyWindowMS int `json:"key_window_ms" validate:"min=0,max=86400000"`
 }
 
-// Rollout gives a version or adapter of a model a share of its traffic.
+// Rollout assigns a share of a model's traffic to a version or an adapter.
 type Rollout struct {
 	Model   string `json:"model" validate:"required"`
 	Version string `json:"version" validate:"required,max=64,ne=base"`
-	// Adapter marks a version that is an adapter on the base weights.
+	// Adapter marks a version that is an adapter applied to the base weights.
 	Adapter bool `json:"adapter"`
-	// SharePercent is the share of the model's requests; 0 keeps the version
-	// loaded without traffic.
+	// SharePercent is the version's share of the model's requests; with 0 the
+	// version stays loaded but gets no traffic.
 	SharePercent float64 `json:"share_percent" validate:"min=0,max=100"`
 }
 
@@ -183,7 +185,7 @@
 
 func (*Rollout) check() *fault.Error { return nil }
 
-// AllowsClass reports whether the team may use the class.
+// AllowsClass reports whether the team may use the named class.
 func (t *Team) AllowsClass(name string) bool {
 	return name == t.DefaultClass || slices.Contains(t.Classes, name)
 }
@@ -197,12 +199,12 @@
 	namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,126}[a-z0-9])?$`)
 )
 
-// ParseKind checks a kind's name.
+// ParseKind returns the Kind with the given name.
 func ParseKind(s string) (Kind, error) {
 	if k := Kind(s); slices.Contains(Kinds, k) {
 		return k, nil
 	}
-	return "", fault.New(fault.NotFound, "no kind %q; kinds are %v", s, Kinds).InField("kind")
+	return "", fault.New(fault.NotFound, "unknown kind %q, must be one of %v", s, Kinds).InField("kind")
 }
 
 func newSpec(k Kind) Spec {
@@ -223,8 +225,8 @@
 	return nil
 }
 
-// ParseSpec decodes and checks the JSON content of a resource. Unknown fields
-// are refused. Errors have code InvalidConfig and name the field.
+// ParseSpec decodes and validates the JSON spec of a resource. It rejects
+// unknown fields. Errors have code InvalidConfig and the field's path.
 func ParseSpec(k Kind, name string, data []byte) (Spec, error) {
 	spec := newSpec(k)
 	if spec == nil {
@@ -236,7 +238,7 @@
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(spec); err != nil {
-		return nil, jsonError(err)
+		return nil, decodeError(err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
 		return nil, invalid("spec", "more than one JSON value")
@@ -250,14 +252,14 @@
 	return spec, nil
 }
 
-var unknownField = regexp.MustCompile(`unknown field "([^"]*)"`)
+var unknownFieldPattern = regexp.MustCompile(`unknown field "([^"]*)"`)
 
-func jsonError(err error) *fault.Error {
+func decodeError(err error) *fault.Error {
 	e := fault.New(fault.InvalidConfig, "%w", err).InField("spec")
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" {
 		return e.InField(typed.Field)
 	}
-	if m := unknownField.FindStringSubmatch(err.Error()); m != nil {
+	if m := unknownFieldPattern.FindStringSubmatch(err.Error()); m != nil {
 		return e.InField(m[1])
 	}
 	return e
--- a/internal/resource/fold_test.go
+++ b/internal/resource/state_test.go
@@ -22,47 +22,47 @@
 	return Change{Verb: Put, Kind: k, Name: name, Base: base, Spec: json.RawMessage(spec)}
 }
 
-func mustApply(g *WithT, f *Fold, offset uint64, op string, changes ...Change) {
-	res, fresh := f.Apply(offset, record(op, changes...))
+func mustApply(g *WithT, s *State, offset uint64, op string, changes ...Change) {
+	res, fresh := s.Apply(offset, record(op, changes...))
 	g.Expect(fresh).To(BeTrue())
 	g.Expect(res.Err()).NotTo(HaveOccurred())
 }
 
 func TestRacingChangesHaveOneWinner(t *testing.T) {
 	g := NewWithT(t)
-	f := NewFold()
-	mustApply(g, f, 1, "op1", put(KindClass, "helpline", 0, fmt.Sprintf(classSpec, 0)))
-	mustApply(g, f, 2, "op2", put(KindClass, "helpline", 1, fmt.Sprintf(classSpec, 1)))
-	res, _ := f.Apply(3, record("op3", put(KindClass, "helpline", 1, fmt.Sprintf(classSpec, 2))))
+	s := NewState()
+	mustApply(g, s, 1, "op1", put(KindClass, "helpline", 0, fmt.Sprintf(classSpec, 0)))
+	mustApply(g, s, 2, "op2", put(KindClass, "helpline", 1, fmt.Sprintf(classSpec, 1)))
+	res, _ := s.Apply(3, record("op3", put(KindClass, "helpline", 1, fmt.Sprintf(classSpec, 2))))
 	g.Expect(res.Code).To(Equal(fault.Conflict))
 	g.Expect(res.Winner).To(Equal("op2"))
-	g.Expect(f.View().Classes["helpline"].Tier).To(Equal(1))
+	g.Expect(s.View().Classes["helpline"].Tier).To(Equal(1))
 }
 
 func TestRecordIsAppliedWholeOrNotAtAll(t *testing.T) {
 	g := NewWithT(t)
-	f := NewFold()
-	mustApply(g, f, 1, "op1", put(KindClass, "a", 0, fmt.Sprintf(classSpec, 0)))
-	before := f.View()
-	res, _ := f.Apply(2, record("op2",
+	s := NewState()
+	mustApply(g, s, 1, "op1", put(KindClass, "a", 0, fmt.Sprintf(classSpec, 0)))
+	before := s.View()
+	res, _ := s.Apply(2, record("op2",
 		put(KindClass, "b", 0, fmt.Sprintf(classSpec, 0)),
 		Change{Verb: Delete, Kind: KindClass, Name: "a", Base: 1},
 		put(KindModel, "m", 0, `{"pool":"none"}`)))
 	g.Expect(res.Code).To(Equal(fault.InvalidConfig))
 	g.Expect(res.Field).To(Equal("model/m.pool"))
-	g.Expect(f.View().Classes).To(Equal(before.Classes))
-	g.Expect(f.live).To(Equal(1))
+	g.Expect(s.View().Classes).To(Equal(before.Classes))
+	g.Expect(s.liveCount).To(Equal(1))
 }
 
 func TestReferencesAreChecked(t *testing.T) {
 	g := NewWithT(t)
-	f := NewFold()
+	s := NewState()
 	pool := `{"servers":[{"name":"s1","agent":"127.0.0.1:1","failure_domain":"a"}]}`
-	mustApply(g, f, 1, "op1", put(KindPool, "p", 0, pool), put(KindModel, "m", 0, `{"pool":"p"}`))
-	res, _ := f.Apply(2, record("op2", Change{Verb: Delete, Kind: KindPool, Name: "p", Base: 1}))
+	mustApply(g, s, 1, "op1", put(KindPool, "p", 0, pool), put(KindModel, "m", 0, `{"pool":"p"}`))
+	res, _ := s.Apply(2, record("op2", Change{Verb: Delete, Kind: KindPool, Name: "p", Base: 1}))
 	g.Expect(res.Code).To(Equal(fault.InUse))
-	mustApply(g, f, 3, "op3", put(KindRollout, "r1", 0, `{"model":"m","version":"v2","share_percent":60}`))
-	res, _ = f.Apply(4, record("op4", put(KindRollout, "r2", 0, `{"model":"m","version":"v3","share_percent":60}`)))
+	mustApply(g, s, 3, "op3", put(KindRollout, "r1", 0, `{"model":"m","version":"v2","share_percent":60}`))
+	res, _ = s.Apply(4, record("op4", put(KindRollout, "r2", 0, `{"model":"m","version":"v3","share_percent":60}`)))
 	g.Expect(res.Field).To(Equal("rollout/r2.share_percent"))
 }
 
@@ -88,7 +88,7 @@
 	}
 }
 
-// drawRecord makes records that race, repeat, break and delete.
+// drawRecord generates records: conflicting, repeated, malformed and deleting ones.
 func drawRecord(t *rapid.T, revision uint64) []byte {
 	if rapid.IntRange(0, 19).Draw(t, "broken") == 0 {
 		return []byte("{")
@@ -106,14 +106,15 @@
 	return record(fmt.Sprintf("op%d", rapid.IntRange(0, 40).Draw(t, "op")), changes...)
 }
 
-// A snapshot at any point with the tail after it equals the fold of all, with
-// records repeated and given late in between.
+// Restoring a snapshot taken at any offset and applying the records after it
+// gives the same state as applying all records, even if records from before the
+// snapshot are delivered again.
 func TestSnapshotAndTailEqualTheWholeFold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		n := rapid.IntRange(1, 40).Draw(t, "records")
 		cut := rapid.IntRange(0, n).Draw(t, "cut")
-		whole, part := NewFold(), NewFold()
+		whole, part := NewState(), NewState()
 		var records [][]byte
 		for i := range n {
 			records = append(records, drawRecord(t, uint64(i)))
@@ -134,42 +135,42 @@
 		a, _ := whole.Snapshot()
 		b, _ := part.Snapshot()
 		g.Expect(string(b)).To(Equal(string(a)))
-		g.Expect(part.live).To(Equal(whole.live))
+		g.Expect(part.liveCount).To(Equal(whole.liveCount))
 	})
 }
 
 func TestCheckChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFold()
+		s := NewState()
 		for i := range rapid.IntRange(0, 10).Draw(t, "records") {
-			f.Apply(uint64(i+1), drawRecord(t, uint64(i)))
+			s.Apply(uint64(i+1), drawRecord(t, uint64(i)))
 		}
-		before, _ := f.Snapshot()
+		before, _ := s.Snapshot()
 		var rec Record
-		if json.Unmarshal(drawRecord(t, f.Revision()), &rec) == nil {
-			checkErr := f.Check(rec)
-			after, _ := f.Snapshot()
+		if json.Unmarshal(drawRecord(t, s.Revision()), &rec) == nil {
+			checkErr := s.Check(rec)
+			after, _ := s.Snapshot()
 			NewWithT(t).Expect(string(after)).To(Equal(string(before)))
-			if _, known := f.Operation(rec.Operation); !known {
+			if _, known := s.Operation(rec.Operation); !known {
 				data, _ := json.Marshal(rec)
-				res, _ := f.Apply(f.Revision()+1, data)
+				res, _ := s.Apply(s.Revision()+1, data)
 				NewWithT(t).Expect(res.Applied).To(Equal(checkErr == nil))
 			}
 		}
 	})
 }
 
-func BenchmarkFold10000Resources(b *testing.B) {
+func BenchmarkApply10000Resources(b *testing.B) {
 	var records [][]byte
 	for i := range 10000 {
 		records = append(records, record(fmt.Sprint(i), put(KindClass, fmt.Sprintf("c%d", i), 0, fmt.Sprintf(classSpec, 1))))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f := NewFold()
+		s := NewState()
 		for i, r := range records {
-			f.Apply(uint64(i+1), r)
+			s.Apply(uint64(i+1), r)
 		}
-		f.View()
+		s.View()
 	}
 }
--- a/internal/resource/view.go
+++ b/internal/resource/view.go
@@ -7,8 +7,8 @@
 	"sort"
 )
 
-// View is an immutable picture of the configuration at one revision, indexed
-// for the request path. It is safe for concurrent use.
+// View is an immutable view of the configuration at one revision, indexed for
+// lookups on the request path. It is safe for concurrent use.
 type View struct {
 	Revision uint64
 	Classes  map[string]*Class
@@ -18,29 +18,29 @@
 	Services map[string]*Service
 	Rollouts map[string]*Rollout
 
-	byKey     map[string]string // key hash to team name
-	byModel   map[string][]*Rollout
-	resources map[Ref]*Resource
-	ops       map[string]Result
+	teamByKeyHash   map[string]string // hash of an API key -> team name
+	rolloutsByModel map[string][]*Rollout
+	resources       map[Ref]*Resource
+	operations      map[string]Result
 }
 
-// View builds a picture of the current state. Its cost grows with the number
-// of resources; build one after a batch of records, not after each.
-func (f *Fold) View() *View {
+// View returns a View of the current state. Its cost is linear in the number of
+// resources: call it once per batch of records, not once per record.
+func (f *State) View() *View {
 	v := &View{Revision: f.revision,
 		Classes: map[string]*Class{}, Teams: map[string]*Team{}, Pools: map[string]*Pool{},
 		Models: map[string]*Model{}, Services: map[string]*Service{}, Rollouts: map[string]*Rollout{},
-		byKey: map[string]string{}, byModel: map[string][]*Rollout{},
-		resources: make(map[Ref]*Resource, len(f.resources)), ops: make(map[string]Result, len(f.ops))}
+		teamByKeyHash: map[string]string{}, rolloutsByModel: map[string][]*Rollout{},
+		resources: make(map[Ref]*Resource, len(f.resources)), operations: make(map[string]Result, len(f.operations))}
 	for ref, r := range f.resources {
 		v.resources[ref] = r // a Resource is never changed in place
 		v.index(r)
 	}
-	for _, list := range v.byModel {
+	for _, list := range v.rolloutsByModel {
 		sort.Slice(list, func(i, j int) bool { return list[i].Version < list[j].Version })
 	}
-	for _, op := range f.ops {
-		v.ops[op.Operation] = op
+	for _, op := range f.operations {
+		v.operations[op.Operation] = op
 	}
 	return v
 }
@@ -52,9 +52,10 @@
 	case *Team:
 		v.Teams[r.Name] = s
 		for _, k := range s.KeysSHA256 {
-			// Two teams with one key: the same one wins in every process.
-			if other, taken := v.byKey[k]; !taken || r.Name < other {
-				v.byKey[k] = r.Name
+			// If two teams have the same key, it belongs to the first by name,
+			// in every process.
+			if other, taken := v.teamByKeyHash[k]; !taken || r.Name < other {
+				v.teamByKeyHash[k] = r.Name
 			}
 		}
 	case *Pool:
@@ -65,24 +66,24 @@
 		v.Services[r.Name] = s
 	case *Rollout:
 		v.Rollouts[r.Name] = s
-		v.byModel[s.Model] = append(v.byModel[s.Model], s)
+		v.rolloutsByModel[s.Model] = append(v.rolloutsByModel[s.Model], s)
 	}
 }
 
-// HashKey returns the hash under which a key is configured.
-func HashKey(key string) string {
+// HashAPIKey returns the hash of an API key in the form of Team.KeysSHA256.
+func HashAPIKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// TeamByKey returns the name of the team that the key belongs to.
+// TeamByKey returns the name of the team that the API key belongs to.
 func (v *View) TeamByKey(key string) (string, bool) {
-	name, ok := v.byKey[HashKey(key)]
+	name, ok := v.teamByKeyHash[HashAPIKey(key)]
 	return name, ok
 }
 
-// RolloutsOf returns the rollouts of a model, ordered by version.
-func (v *View) RolloutsOf(model string) []*Rollout { return v.byModel[model] }
+// RolloutsForModel returns the rollouts of a model, sorted by version.
+func (v *View) RolloutsForModel(model string) []*Rollout { return v.rolloutsByModel[model] }
 
 // Get returns a resource that is not deleted.
 func (v *View) Get(ref Ref) (*Resource, bool) {
@@ -99,13 +100,14 @@
 	return r, ok
 }
 
-// List returns the resources of a kind that are not deleted, by name.
+// List returns the resources of a kind that are not deleted, sorted by name.
 func (v *View) List(k Kind) []*Resource {
-	return slices.DeleteFunc(v.All(k), (*Resource).Deleted)
+	return slices.DeleteFunc(v.ListWithDeleted(k), (*Resource).Deleted)
 }
 
-// All returns the resources of a kind, deleted ones too, by name.
-func (v *View) All(k Kind) []*Resource {
+// ListWithDeleted returns the resources of a kind, including deleted ones,
+// sorted by name.
+func (v *View) ListWithDeleted(k Kind) []*Resource {
 	var out []*Resource
 	for ref, r := range v.resources {
 		if ref.Kind == k {
@@ -116,14 +118,16 @@
 	return out
 }
 
-// Operation returns the result of an operation if it is still kept.
+// Operation returns the result of an operation, if it is among the last
+// MaxOperations.
 func (v *View) Operation(id string) (Result, bool) {
-	r, ok := v.ops[id]
+	r, ok := v.operations[id]
 	return r, ok
 }
 
-// PoolsOf returns the names of the pools that contain the backend server.
-func (v *View) PoolsOf(server string) []string {
+// PoolsWithServer returns the sorted names of the pools that contain the backend
+// server.
+func (v *View) PoolsWithServer(server string) []string {
 	var out []string
 	for name, p := range v.Pools {
 		for _, s := range p.Servers {
@@ -140,7 +144,7 @@
 // Has reports whether the pool declares the backend server.
 func (p *Pool) Has(server string) bool { return p.Server(server).Name != "" }
 
-// Server returns the declared backend server; the zero Server if there is none.
+// Server returns the declared backend server, or the zero Server if there is none.
 func (p *Pool) Server(name string) Server {
 	for _, s := range p.Servers {
 		if s.Name == name {
