--- a/internal/adminapi/query/query.go
+++ b/internal/adminapi/query/query.go
@@ -61,7 +61,7 @@
 }
 
 func (h *Handlers) getStatus(ctx iris.Context) {
-	reply(ctx, Status{h.config.View().Revision, h.config.Ready(), h.config.LogUp(), h.config.SinceConfirmed().Seconds(), h.status()})
+	reply(ctx, Status{h.config.View().Revision, h.config.Ready(), h.config.LogUp(), h.config.SinceLastRead().Seconds(), h.status()})
 }
 
 // reply answers with v; a client that went away is its own matter.
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -123,7 +123,7 @@
 
 // answerPull gives a peer the configuration if this process has a newer one.
 func (a *Agent) answerPull(conn *link.Conn, m *wire.ConfigPull) {
-	revision, data, err := a.config.Encode(m.Above)
+	revision, data, err := a.config.EncodeSnapshot(m.Above)
 	if err != nil {
 		a.logger.Error("configuration not encoded", "error", err)
 		return
@@ -138,7 +138,7 @@
 	if len(m.Data) == 0 {
 		return
 	}
-	if err := a.config.Install(m.Data); err != nil {
+	if err := a.config.InstallSnapshot(m.Data); err != nil {
 		telemetry.Count("merlinpost_config_from_peer_broken_total")
 	}
 }
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -17,73 +17,74 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// Timing of a reader that cannot reach the log.
+// Backoff between reads while the log is unavailable.
 const (
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 2 * time.Second
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
 )
 
-// Follower keeps the fold of the config stream. Run is its duty; View, Offer
-// and the others may be called from any goroutine.
+// Follower applies the records of the config stream to a resource.State. Run
+// must be called once; the other methods are safe for concurrent use.
 type Follower struct {
-	log      Log
-	set      settings.Log
-	logger   *slog.Logger
-	snapshot bool // takes snapshots
-
-	view     atomic.Pointer[resource.View]
-	ready    atomic.Bool
-	logUp    atomic.Bool
-	confirm  atomic.Int64 // monotonic time of the last word from the log, ns since start
-	start    time.Time
-	mu       sync.Mutex // guards fold, changed, waiters and snapAt
-	fold     *resource.State
-	changed  chan struct{} // closed and replaced at each new view
-	snapAt   uint64        // revision of the newest known snapshot
-	snapTime time.Time
-	rand     *rand.Rand
-}
-
-// NewFollower returns a Follower; takesSnapshots is true for routers.
+	log            Log
+	set            settings.Log
+	logger         *slog.Logger
+	takesSnapshots bool
+
+	view             atomic.Pointer[resource.View]
+	ready            atomic.Bool
+	logUp            atomic.Bool
+	lastRead         atomic.Int64 // monotonic time of the last successful read, ns since start
+	start            time.Time
+	mu               sync.Mutex // guards state, changed, snapshotRevision, snapshotTime and rand
+	state            *resource.State
+	changed          chan struct{} // closed and replaced at each new view
+	snapshotRevision uint64        // revision of the newest known snapshot
+	snapshotTime     time.Time
+	rand             *rand.Rand
+}
+
+// NewFollower returns a Follower with an empty configuration. If takesSnapshots
+// is true, as in routers, it writes snapshots to the log.
 func NewFollower(log Log, set settings.Log, takesSnapshots bool, logger *slog.Logger, rnd *rand.Rand) *Follower {
-	f := &Follower{log: log, set: set, logger: logger, snapshot: takesSnapshots, start: time.Now(),
-		fold: resource.NewState(), changed: make(chan struct{}), rand: rnd}
-	f.view.Store(f.fold.View())
+	f := &Follower{log: log, set: set, logger: logger, takesSnapshots: takesSnapshots, start: time.Now(),
+		state: resource.NewState(), changed: make(chan struct{}), rand: rnd}
+	f.view.Store(f.state.View())
 	return f
 }
 
-// View returns the configuration in force. Before Ready it is empty.
+// View returns the current configuration. It is empty until Ready returns true.
 func (f *Follower) View() *resource.View { return f.view.Load() }
 
-// Ready reports whether the process has a configuration, from the log or from
-// a peer.
+// Ready reports whether a configuration has been loaded, from the log or from a
+// peer.
 func (f *Follower) Ready() bool { return f.ready.Load() }
 
-// LogUp reports whether the last read reached the log.
+// LogUp reports whether the last read from the log succeeded.
 func (f *Follower) LogUp() bool { return f.logUp.Load() }
 
-// SinceConfirmed returns how long ago the log last answered.
-func (f *Follower) SinceConfirmed() time.Duration {
-	return time.Since(f.start) - time.Duration(f.confirm.Load())
+// SinceLastRead returns the time since the last successful read from the log.
+func (f *Follower) SinceLastRead() time.Duration {
+	return time.Since(f.start) - time.Duration(f.lastRead.Load())
 }
 
-// Changed returns a channel that is closed at the next change of View.
+// Changed returns a channel that is closed when View next changes.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// Run follows the log until ctx ends.
+// Run reads the log until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = retryFirst, retryMost
+	wait.InitialInterval, wait.MaxInterval = initialRetryDelay, maxRetryDelay
 	for ctx.Err() == nil {
-		err := f.step(ctx)
+		err := f.readOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		f.noteLog(err)
+		f.updateLogStatus(err)
 		if err == nil {
 			wait.Reset()
 			continue
@@ -95,8 +96,9 @@
 	}
 }
 
-// step starts from a snapshot if that is needed, then reads one batch.
-func (f *Follower) step(ctx context.Context) error {
+// readOnce reads and applies one batch. If there is no configuration yet it first
+// loads a snapshot.
+func (f *Follower) readOnce(ctx context.Context) error {
 	if !f.Ready() {
 		if err := f.loadSnapshot(ctx); err != nil {
 			return err
@@ -115,10 +117,10 @@
 		return err
 	}
 	f.applyBatch(batch)
-	f.confirm.Store(int64(time.Since(f.start)))
+	f.lastRead.Store(int64(time.Since(f.start)))
 	if f.revision()+1 >= batch.Next {
-		f.becomeReady()
-		f.maybeSnapshot(ctx, batch.First)
+		f.markReady()
+		f.takeSnapshotIfDue(ctx, batch.First)
 	}
 	return nil
 }
@@ -126,7 +128,7 @@
 func (f *Follower) revision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fold.Revision()
+	return f.state.Revision()
 }
 
 func (f *Follower) applyBatch(b Batch) {
@@ -135,7 +137,7 @@
 	}
 	f.mu.Lock()
 	for _, e := range b.Entries {
-		if res, fresh := f.fold.Apply(e.Offset, e.Data); fresh && !res.Applied {
+		if res, fresh := f.state.Apply(e.Offset, e.Data); fresh && !res.Applied {
 			telemetry.Count("merlinpost_config_records_without_effect_total", "code", string(res.Code))
 		}
 	}
@@ -144,19 +146,19 @@
 }
 
 func (f *Follower) publishLocked() {
-	f.view.Store(f.fold.View())
+	f.view.Store(f.state.View())
 	close(f.changed)
 	f.changed = make(chan struct{})
-	telemetry.Gauge("merlinpost_config_revision", float64(f.fold.Revision()))
+	telemetry.Gauge("merlinpost_config_revision", float64(f.state.Revision()))
 }
 
-func (f *Follower) becomeReady() {
+func (f *Follower) markReady() {
 	if !f.ready.Swap(true) {
 		f.logger.Info("configuration in force", "revision", f.View().Revision)
 	}
 }
 
-func (f *Follower) noteLog(err error) {
+func (f *Follower) updateLogStatus(err error) {
 	if up := err == nil; f.logUp.Swap(up) != up {
 		if up {
 			f.logger.Info("log reached")
@@ -169,48 +171,49 @@
 	}
 }
 
-// Install takes over a snapshot of a peer's state if it is newer.
-func (f *Follower) Install(data []byte) error {
-	fold, err := resource.Restore(data)
+// InstallSnapshot replaces the state by a peer's snapshot if that is newer.
+func (f *Follower) InstallSnapshot(data []byte) error {
+	restored, err := resource.Restore(data)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	newer := fold.Revision() > f.fold.Revision()
+	newer := restored.Revision() > f.state.Revision()
 	if newer {
-		f.fold = fold
+		f.state = restored
 		f.publishLocked()
 	}
 	f.mu.Unlock()
 	if newer {
 		telemetry.Count("merlinpost_config_from_peer_total")
-		f.becomeReady()
+		f.markReady()
 	}
 	return nil
 }
 
-// Encode returns a snapshot of the state if its revision is above the given
-// one; nil otherwise.
-func (f *Follower) Encode(above uint64) (uint64, []byte, error) {
+// EncodeSnapshot returns the revision of the state, and a snapshot of it if that
+// revision is greater than above; nil otherwise.
+func (f *Follower) EncodeSnapshot(above uint64) (uint64, []byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fold.Revision() <= above {
-		return f.fold.Revision(), nil, nil
+	if f.state.Revision() <= above {
+		return f.state.Revision(), nil, nil
 	}
-	data, err := f.fold.Snapshot()
-	return f.fold.Revision(), data, err
+	data, err := f.state.Snapshot()
+	return f.state.Revision(), data, err
 }
 
-// Check reports whether rec would be applied now.
+// Check returns the error with which rec would be rejected now, or nil.
 func (f *Follower) Check(rec resource.Record) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fold.Check(rec)
+	return f.state.Check(rec)
 }
 
-// Submit appends rec and returns its result once this process has folded it
-// in. The answer is settled: LogDown means not written; LogUnsettled means
-// that within ctx it was not seen, and carries the outcome unknown.
+// Submit appends rec to the log and returns its result once this process has
+// read it back and applied it. LogDown means that rec was not written.
+// LogUnsettled, with outcome Unknown, means that rec may have been written but
+// was not read back before ctx was done.
 func (f *Follower) Submit(ctx context.Context, rec resource.Record) (resource.Result, error) {
 	if err := f.Check(rec); err != nil {
 		e := fault.From(err)
@@ -218,7 +221,7 @@
 		return resource.Result{}, e
 	}
 	if !f.LogUp() {
-		return resource.Result{}, fault.New(fault.LogDown, "the log is out of reach").With(fault.NotRun).After(retryMost)
+		return resource.Result{}, fault.New(fault.LogDown, "the log is out of reach").With(fault.NotRun).After(maxRetryDelay)
 	}
 	data, err := json.Marshal(rec)
 	if err != nil {
@@ -228,15 +231,15 @@
 	if fault.Is(appendErr, fault.LogDown) {
 		return resource.Result{}, appendErr
 	}
-	res, err := f.await(ctx, rec.Operation)
+	res, err := f.waitForOperation(ctx, rec.Operation)
 	if err != nil && appendErr != nil {
 		return res, appendErr
 	}
 	return res, err
 }
 
-// await waits until the operation is in the view.
-func (f *Follower) await(ctx context.Context, operation string) (resource.Result, error) {
+// waitForOperation waits until the view has the operation's result.
+func (f *Follower) waitForOperation(ctx context.Context, operation string) (resource.Result, error) {
 	for {
 		changed := f.Changed()
 		if res, ok := f.View().Operation(operation); ok {
@@ -246,7 +249,7 @@
 		case <-changed:
 		case <-ctx.Done():
 			return resource.Result{}, fault.New(fault.LogUnsettled,
-				"the change was not seen on the log in time; look at operation %s", operation).With(fault.Unknown)
+				"timed out waiting for the change to be read back from the log; query operation %s for its result", operation).With(fault.Unknown)
 		}
 	}
 }
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -18,43 +18,43 @@
 	"github.com/merlinpost/merlinpost/internal/settings"
 )
 
-// fakeLog is a Log in memory whose failures are set by the test.
+// fakeLog is an in-memory Log with injected failures.
 type fakeLog struct {
-	streams map[string][][]byte
-	first   map[string]uint64
-	down    bool
-	lose    bool // the write takes effect, its answer is lost
-	after   func()
+	streams       map[string][][]byte
+	first         map[string]uint64
+	down          bool
+	loseResponses bool // appends take effect but their responses are lost
+	afterAppend   func()
 }
 
 func newFakeLog() *fakeLog {
 	return &fakeLog{streams: map[string][][]byte{}, first: map[string]uint64{}}
 }
 
-func (l *fakeLog) start(stream string) uint64 { return max(1, l.first[stream]) }
+func (l *fakeLog) firstOffset(stream string) uint64 { return max(1, l.first[stream]) }
 
 func (l *fakeLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
 	if l.down {
 		return 0, fault.New(fault.LogDown, "down").With(fault.NotRun)
 	}
 	l.streams[stream] = append(l.streams[stream], data)
-	if l.after != nil {
-		l.after()
+	if l.afterAppend != nil {
+		l.afterAppend()
 	}
-	if l.lose {
-		return 0, fault.New(fault.LogUnsettled, "the answer was lost").With(fault.Unknown)
+	if l.loseResponses {
+		return 0, fault.New(fault.LogUnsettled, "response lost").With(fault.Unknown)
 	}
-	return l.start(stream) + uint64(len(l.streams[stream])) - 1, nil
+	return l.firstOffset(stream) + uint64(len(l.streams[stream])) - 1, nil
 }
 
 func (l *fakeLog) Read(_ context.Context, stream string, from uint64, _ time.Duration) (Batch, error) {
 	if l.down {
 		return Batch{}, fault.New(fault.LogDown, "down")
 	}
-	first := l.start(stream)
+	first := l.firstOffset(stream)
 	b := Batch{First: first, Next: first + uint64(len(l.streams[stream]))}
 	if from < first {
-		return b, fault.New(fault.LogTruncated, "gone")
+		return b, fault.New(fault.LogTruncated, "truncated")
 	}
 	for i := from; i < b.Next; i++ {
 		b.Entries = append(b.Entries, Entry{i, l.streams[stream][i-first]})
@@ -62,10 +62,10 @@
 	return b, nil
 }
 
-// drop forgets all but the newest records of a stream.
-func (l *fakeLog) drop(stream string, keep int) {
+// truncate drops all but the newest keep records of a stream.
+func (l *fakeLog) truncate(stream string, keep int) {
 	if n := len(l.streams[stream]) - keep; n > 0 {
-		l.first[stream] = l.start(stream) + uint64(n)
+		l.first[stream] = l.firstOffset(stream) + uint64(n)
 		l.streams[stream] = l.streams[stream][n:]
 	}
 }
@@ -81,9 +81,10 @@
 		Name: name, Base: base, Spec: json.RawMessage(spec)}}}
 }
 
-// Operators race through routers while the log fails in every way it may. What
-// is accepted is in force and stays; what is refused as not run is nowhere; all
-// processes come to the same state; no process ever goes back.
+// Submits conflicting changes through several processes while the log is
+// unavailable, loses responses, and processes restart. Accepted changes must be
+// applied exactly once everywhere, changes rejected as not run nowhere, all
+// processes must converge to the same state, and no revision may decrease.
 func TestWhatIsAcceptedIsInForceEverywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -94,7 +95,7 @@
 		cancel()
 		step := func(f *Follower) {
 			before := f.View().Revision
-			f.noteLog(f.step(ctx)) // failures are part of the test
+			f.updateLogStatus(f.readOnce(ctx)) // failures are part of the test
 			g.Expect(f.View().Revision).To(BeNumerically(">=", before))
 		}
 		accepted, refused := map[string]bool{}, map[string]bool{}
@@ -104,35 +105,35 @@
 			k := rapid.IntRange(0, len(followers)-1).Draw(t, "process")
 			f := followers[k]
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
-			case 8: // a peer's state comes late
+			case 8: // a possibly stale snapshot from a peer
 				peer := followers[rapid.IntRange(0, len(followers)-1).Draw(t, "peer")]
 				if late == nil || rapid.Bool().Draw(t, "newly encoded") {
-					_, late, _ = peer.Encode(0)
+					_, late, _ = peer.EncodeSnapshot(0)
 				}
 				before := f.View().Revision
-				if late != nil && f.Install(late) == nil {
+				if late != nil && f.InstallSnapshot(late) == nil {
 					g.Expect(f.View().Revision).To(BeNumerically(">=", before))
 				}
-			case 9: // the operator sends an unsettled change again
+			case 9: // the operator retries a change whose outcome is unknown
 				if unsettled != nil && f.Ready() {
-					l.after = func() { step(f) }
+					l.afterAppend = func() { step(f) }
 					if _, err := f.Submit(done, *unsettled); err == nil {
 						accepted[unsettled.Operation] = true
 						unsettled = nil
 					}
-					l.after = nil
+					l.afterAppend = nil
 				}
 			case 0:
 				l.down = !l.down
 			case 1:
-				l.lose = !l.lose
-			case 2: // a restart; with the log out it asks a peer
+				l.loseResponses = !l.loseResponses
+			case 2: // a restart; if the log is down it gets the state from a peer
 				followers[k] = newTestFollower(l, k < 2)
 				step(followers[k])
 				if !followers[k].Ready() {
 					peer := followers[(k+1)%len(followers)]
-					if revision, data, err := peer.Encode(0); err == nil && data != nil && peer.Ready() {
-						g.Expect(followers[k].Install(data)).To(Succeed())
+					if revision, data, err := peer.EncodeSnapshot(0); err == nil && data != nil && peer.Ready() {
+						g.Expect(followers[k].InstallSnapshot(data)).To(Succeed())
 						g.Expect(followers[k].View().Revision).To(Equal(revision))
 					}
 				}
@@ -149,13 +150,13 @@
 					base = r.Latest().Revision
 				}
 				operation := fmt.Sprint("op", i)
-				l.after = nil
+				l.afterAppend = nil
 				if rapid.Bool().Draw(t, "read back in time") {
-					l.after = func() { step(f) }
+					l.afterAppend = func() { step(f) }
 				}
 				rec := classRecord(operation, name, base, i%5)
 				_, err := f.Submit(done, rec)
-				l.after = nil
+				l.afterAppend = nil
 				switch {
 				case err == nil:
 					accepted[operation] = true
@@ -167,21 +168,21 @@
 				}
 			}
 		}
-		l.down, l.lose = false, false
+		l.down, l.loseResponses = false, false
 		var want string
 		for i, f := range followers {
 			for range 3 {
 				step(f)
 			}
 			g.Expect(f.Ready()).To(BeTrue())
-			data, err := f.fold.Snapshot()
+			data, err := f.state.Snapshot()
 			g.Expect(err).NotTo(HaveOccurred())
 			if i == 0 {
 				want = string(data)
 			}
 			g.Expect(string(data)).To(Equal(want))
 			for op := range accepted {
-				g.Expect(applied(l, op)).To(Equal(1), "%s took effect so often", op)
+				g.Expect(countApplied(l, op)).To(Equal(1), "%s must be applied exactly once", op)
 				res, ok := f.View().Operation(op)
 				g.Expect(ok && res.Applied).To(BeTrue(), op)
 			}
@@ -193,47 +194,48 @@
 	})
 }
 
-// Retention drops what snapshots replace; a newcomer starts from the snapshot
-// and the tail, and one with a gap is not ready and says so.
+// After retention has truncated the log, a new process starts from the snapshot
+// and the records after it. Without a snapshot it does not become ready and
+// reports the truncation.
 func TestNewcomerAfterRetention(t *testing.T) {
 	g := NewWithT(t)
 	l := newFakeLog()
 	ctx := context.Background()
 	router := newTestFollower(l, true)
-	g.Expect(router.step(ctx)).To(Succeed())
+	g.Expect(router.readOnce(ctx)).To(Succeed())
 	base := uint64(0)
 	for i := range 30 {
 		data, err := json.Marshal(classRecord(fmt.Sprint("op", i), "a", base, i%5))
 		g.Expect(err).NotTo(HaveOccurred())
 		base, err = l.Append(ctx, StreamConfig, data)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(router.step(ctx)).To(Succeed())
+		g.Expect(router.readOnce(ctx)).To(Succeed())
 	}
 	g.Expect(l.streams[StreamSnapshots]).NotTo(BeEmpty())
-	g.Expect(len(l.streams[StreamSnapshots])).To(BeNumerically("<=", 8), "snapshots come now and then only")
+	g.Expect(len(l.streams[StreamSnapshots])).To(BeNumerically("<=", 8), "snapshots must not be taken too often")
 
-	l.drop(StreamConfig, 3)
-	g.Expect(router.step(ctx)).To(Succeed()) // sees that the log no longer reaches back to its snapshot
+	l.truncate(StreamConfig, 3)
+	g.Expect(router.readOnce(ctx)).To(Succeed()) // detects that records after its snapshot have been truncated
 	newcomer := newTestFollower(l, false)
-	g.Expect(newcomer.step(ctx)).To(Succeed())
+	g.Expect(newcomer.readOnce(ctx)).To(Succeed())
 	g.Expect(newcomer.Ready()).To(BeTrue())
 	g.Expect(newcomer.View().Revision).To(Equal(uint64(30)))
 
 	delete(l.streams, StreamSnapshots)
 	lost := newTestFollower(l, false)
-	g.Expect(fault.Is(lost.step(ctx), fault.LogTruncated)).To(BeTrue())
+	g.Expect(fault.Is(lost.readOnce(ctx), fault.LogTruncated)).To(BeTrue())
 	g.Expect(lost.Ready()).To(BeFalse())
 }
 
-// A snapshot larger than one record is cut and put together again; a broken or
-// unfinished one is not used.
+// A snapshot larger than one record is split and reassembled; corrupt or
+// incomplete ones are ignored.
 func TestSnapshotChunks(t *testing.T) {
 	g := NewWithT(t)
-	data := make([]byte, 3*chunkBytes+17)
+	data := make([]byte, 3*maxChunkBytes+17)
 	for i := range data {
 		data[i] = byte(i * 31)
 	}
-	a := newAssembler()
+	a := newSnapshotAssembler()
 	add := func(chunks []snapshotChunk) {
 		for _, c := range chunks {
 			record, err := json.Marshal(c)
@@ -241,20 +243,20 @@
 			a.add(record)
 		}
 	}
-	add(split("one", 5, data))
+	add(splitSnapshot("one", 5, data))
 	g.Expect(a.data).To(Equal(data))
-	add(split("unfinished", 9, data)[:3])
-	broken := split("broken", 8, data)
+	add(splitSnapshot("unfinished", 9, data)[:3])
+	broken := splitSnapshot("broken", 8, data)
 	broken[1].Data = append([]byte(nil), broken[1].Data...)
 	broken[1].Data[0]++
 	add(broken)
-	add(split("older", 4, data[:10]))
+	add(splitSnapshot("older", 4, data[:10]))
 	a.add([]byte("{"))
 	g.Expect(a.revision).To(Equal(uint64(5)))
 }
 
-// applied counts how often an operation takes effect in the fold of the log.
-func applied(l *fakeLog, operation string) int {
+// countApplied returns how many records of an operation take effect when the log is replayed.
+func countApplied(l *fakeLog, operation string) int {
 	f, n := resource.NewState(), 0
 	for i, data := range l.streams[StreamConfig] {
 		if res, fresh := f.Apply(uint64(i+1), data); fresh && res.Applied && res.Operation == operation {
--- a/internal/configlog/id.go
+++ b/internal/configlog/id.go
@@ -2,6 +2,5 @@
 
 import "github.com/oklog/ulid/v2"
 
-// NewID returns a new unique identifier (a ULID) for an operation, a request
-// or a process.
+// NewID returns a new ULID to identify an operation, a request or a process.
 func NewID() string { return ulid.Make().String() }
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -1,6 +1,6 @@
-// Package configlog keeps a process's configuration in step with the
-// platform's append-only log: it reads and folds records, takes snapshots
-// ahead of retention, and settles the appends that operators ask for.
+// Package configlog replicates the configuration through the platform's
+// append-only log: it reads and applies records, writes snapshots before
+// retention drops the records they replace, and appends operators' changes.
 package configlog
 
 import (
@@ -18,21 +18,21 @@
 	"github.com/merlinpost/merlinpost/internal/httpsent"
 )
 
-// The streams that the system uses on the log.
+// Streams of the log.
 const (
 	StreamConfig    = "config"
 	StreamSnapshots = "config-snapshots"
 )
 
-// LeaseStream returns the name of the stream of an agent's leases.
+// LeaseStream returns the name of the stream with an agent's leases.
 func LeaseStream(agent string) string { return "lease." + agent }
 
-// ClaimStream returns the name of the stream of the claims that an agent could
-// not leave with a witness.
+// ClaimStream returns the name of the stream with those of an agent's claims to
+// idempotency keys that it could not register with a witness.
 func ClaimStream(agent string) string { return "claims." + agent }
 
-// ReadAll gives every record that a stream still has to f, and reports whether
-// records from the start of the stream are gone.
+// ReadAll calls f with every record that is still in a stream. It returns the
+// next offset, and whether the stream has been truncated at its start.
 func ReadAll(ctx context.Context, l Log, stream string, f func(Entry)) (next uint64, truncated bool, err error) {
 	for next = 1; ; {
 		batch, err := l.Read(ctx, stream, next, 0)
@@ -59,9 +59,9 @@
 	Data   []byte `json:"data"`
 }
 
-// Batch is the answer to a read.
+// Batch is the response to a read.
 type Batch struct {
-	// First is the oldest offset still kept, Next the one after the newest.
+	// First is the oldest offset in the stream, Next the one after the newest.
 	First   uint64  `json:"first"`
 	Next    uint64  `json:"next"`
 	Entries []Entry `json:"entries"`
@@ -69,16 +69,16 @@
 
 // Log is the platform's log service. Offsets start at 1 in each stream.
 type Log interface {
-	// Append adds a record. A fault of code LogDown means that nothing was
-	// written; LogUnsettled means that it may have been.
+	// Append adds a record and returns its offset. Error code LogDown means
+	// that the record was not written, LogUnsettled that it may have been.
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
-	// Read returns records from the offset on, waiting up to wait for one.
-	// Code LogTruncated means that the offset is no longer kept; the Batch
-	// then still has First and Next.
+	// Read returns the records from an offset on. If there are none it waits
+	// up to wait for one. Error code LogTruncated means that the offset is no
+	// longer in the stream; First and Next of the Batch are valid nevertheless.
 	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (Batch, error)
 }
 
-// Client is a Log over the service's HTTP protocol.
+// Client implements Log over the log service's HTTP protocol.
 type Client struct {
 	base    string
 	timeout time.Duration
@@ -86,13 +86,15 @@
 }
 
 const (
-	maxLogResponse = 32 << 20
-	// longestRead bounds a read whose reply keeps coming: 20 MB of a link of 10 Mbit/s.
-	longestRead = 15 * time.Second
+	maxResponseBytes = 32 << 20
+	// maxReadDuration limits a read even while data keeps arriving. It allows for
+	// about 20 MB over a 10 Mbit/s link.
+	maxReadDuration = 15 * time.Second
 )
 
-// NewClient returns a Client of the log at an IP address and port. timeout bounds an
-// append, and how long a read may bring nothing, besides its wait.
+// NewClient returns a Client of the log at an IP address and port. timeout limits
+// an append as a whole, and the time for which a read receives no data, in
+// addition to its wait.
 func NewClient(address string, timeout time.Duration) *Client {
 	return &Client{base: "http://" + address + "/v1/streams/", timeout: timeout,
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}}
@@ -126,9 +128,9 @@
 		}
 		return out.Offset, nil
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		return 0, fault.New(fault.LogDown, "log append: refused with status %d", resp.StatusCode).With(fault.NotRun)
+		return 0, fault.New(fault.LogDown, "log append: rejected with status %d", resp.StatusCode).With(fault.NotRun)
 	}
-	return 0, fault.New(fault.LogUnsettled, "log append: status %d", resp.StatusCode).With(fault.Unknown)
+	return 0, fault.New(fault.LogUnsettled, "log append: unexpected status %d", resp.StatusCode).With(fault.Unknown)
 }
 
 // Read implements Log.
@@ -139,20 +141,20 @@
 	if err != nil {
 		return Batch{}, fault.New(fault.Internal, "log read: %w", err)
 	}
-	reply, err := httpcall.Do(c.http, req, httpcall.Limits{Wait: wait, Silence: c.timeout, Longest: longestRead, Bytes: maxLogResponse})
+	reply, err := httpcall.Do(c.http, req, httpcall.Limits{Wait: wait, Silence: c.timeout, Longest: maxReadDuration, Bytes: maxResponseBytes})
 	status, body := reply.Status, reply.Body
 	if err != nil {
 		return Batch{}, fault.New(fault.LogDown, "log read: %w", err)
 	}
 	if status != http.StatusOK && status != http.StatusGone {
-		return Batch{}, fault.New(fault.LogDown, "log read: status %d", status)
+		return Batch{}, fault.New(fault.LogDown, "log read: unexpected status %d", status)
 	}
 	var b Batch
 	if err := json.Unmarshal(body, &b); err != nil {
 		return Batch{}, fault.New(fault.LogDown, "log read: %w", fmt.Errorf("decode: %w", err))
 	}
 	if status == http.StatusGone {
-		return b, fault.New(fault.LogTruncated, "log read: offset %d is gone, the oldest kept is %d", from, b.First)
+		return b, fault.New(fault.LogTruncated, "log read: offset %d is no longer available, the oldest is %d", from, b.First)
 	}
 	return b, nil
 }
--- a/internal/configlog/log_test.go
+++ b/internal/configlog/log_test.go
@@ -13,15 +13,16 @@
 	"github.com/merlinpost/merlinpost/internal/standin/memnet"
 )
 
-// A batch of large records takes longer on a slow link than a call may be silent. Bounded as a
-// whole, the read was cut and begun anew for ever, and the process never had a newer
-// configuration, as gateways did.
-func TestALargeBatchComesOverASlowLink(t *testing.T) {
+// On a slow link a batch of large records takes longer to transfer than the client's timeout.
+// If the timeout applied to the whole read instead of to the time without data, every read would
+// be aborted and retried, and the process would never get a newer configuration. Gateways had
+// this bug.
+func TestReadLargeBatchOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		network := memnet.New(time.Millisecond)
-		here, there := network.Host(10e6), network.Host(0)
-		listener := there.Listen(80)
+		clientHost, serverHost := network.Host(10e6), network.Host(0)
+		listener := serverHost.Listen(80)
 		sent := Batch{First: 1, Next: 4}
 		for offset := range uint64(3) {
 			sent.Entries = append(sent.Entries, Entry{Offset: 1 + offset, Data: make([]byte, 400_000)})
@@ -30,8 +31,8 @@
 			_ = json.NewEncoder(w).Encode(sent)
 		})}
 		go func() { _ = server.Serve(listener) }() // ends with ErrServerClosed
-		client := NewClient(there.Address(80).String(), 700*time.Millisecond)
-		client.http.Transport.(*http.Transport).DialContext = here.DialContext
+		client := NewClient(serverHost.Address(80).String(), 700*time.Millisecond)
+		client.http.Transport.(*http.Transport).DialContext = clientHost.DialContext
 		batch, err := client.Read(context.Background(), StreamConfig, 1, 0)
 		_ = server.Close()
 		network.Close()
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -11,11 +11,11 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// chunkBytes bounds the part of a snapshot that goes into one log record.
-const chunkBytes = 256 << 10
+// chunkBytes is the largest part of a snapshot stored in one log record.
+const maxChunkBytes = 256 << 10
 
-// snapshotChunk is one record of the snapshots stream. A snapshot is whole
-// when all Parts of one ID are there and their digest is right.
+// snapshotChunk is one record of the snapshots stream. A snapshot is complete
+// when all Parts with its ID have been read and their digest matches.
 type snapshotChunk struct {
 	ID       string `json:"id"`
 	Revision uint64 `json:"revision"`
@@ -25,28 +25,30 @@
 	Data     []byte `json:"data"`
 }
 
-// split cuts an encoded snapshot into chunks.
-func split(id string, revision uint64, data []byte) []snapshotChunk {
-	parts := max(1, (len(data)+chunkBytes-1)/chunkBytes)
+// splitSnapshot splits an encoded snapshot into chunks.
+func splitSnapshot(id string, revision uint64, data []byte) []snapshotChunk {
+	parts := max(1, (len(data)+maxChunkBytes-1)/maxChunkBytes)
 	out := make([]snapshotChunk, parts)
 	for i := range out {
-		end := min(len(data), (i+1)*chunkBytes)
-		out[i] = snapshotChunk{id, revision, resource.Digest(data), i, parts, data[i*chunkBytes : end]}
+		end := min(len(data), (i+1)*maxChunkBytes)
+		out[i] = snapshotChunk{id, revision, resource.Digest(data), i, parts, data[i*maxChunkBytes : end]}
 	}
 	return out
 }
 
-// assembler puts chunks together and keeps the newest whole snapshot.
-type assembler struct {
+// snapshotAssembler reassembles snapshots and keeps the newest complete one.
+type snapshotAssembler struct {
 	partial  map[string][]snapshotChunk
 	revision uint64
 	data     []byte
 }
 
-func newAssembler() *assembler { return &assembler{partial: map[string][]snapshotChunk{}} }
+func newSnapshotAssembler() *snapshotAssembler {
+	return &snapshotAssembler{partial: map[string][]snapshotChunk{}}
+}
 
-// add takes one record of the snapshots stream; broken ones have no effect.
-func (a *assembler) add(record []byte) {
+// add adds one record of the snapshots stream. Invalid records are ignored.
+func (a *snapshotAssembler) add(record []byte) {
 	var c snapshotChunk
 	if json.Unmarshal(record, &c) != nil || c.Parts < 1 || c.Part != len(a.partial[c.ID]) {
 		return
@@ -66,58 +68,59 @@
 	}
 }
 
-// loadSnapshot installs the newest whole snapshot on the log, if it is newer
+// loadSnapshot installs the newest complete snapshot in the log if it is newer
 // than the state.
 func (f *Follower) loadSnapshot(ctx context.Context) error {
-	a := newAssembler()
+	a := newSnapshotAssembler()
 	_, _, err := ReadAll(ctx, f.log, StreamSnapshots, func(e Entry) { a.add(e.Data) })
 	if err != nil {
 		return err
 	}
 	if a.data == nil {
-		return f.checkGap(ctx)
+		return f.checkNoGap(ctx)
 	}
-	fold, err := resource.Restore(a.data)
+	restored, err := resource.Restore(a.data)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.revision > f.snapAt {
-		f.snapAt, f.snapTime = a.revision, time.Now()
+	if a.revision > f.snapshotRevision {
+		f.snapshotRevision, f.snapshotTime = a.revision, time.Now()
 	}
-	if fold.Revision() > f.fold.Revision() {
-		f.fold = fold
+	if restored.Revision() > f.state.Revision() {
+		f.state = restored
 		f.publishLocked()
 	}
 	return nil
 }
 
-// checkGap refuses to start from records that do not reach back to the first
-// one when there is no snapshot to start from.
-func (f *Follower) checkGap(ctx context.Context) error {
+// checkNoGap returns an error if the record after the current revision has been
+// truncated. Without a snapshot the state could then not be built.
+func (f *Follower) checkNoGap(ctx context.Context) error {
 	_, err := f.log.Read(ctx, StreamConfig, f.revision()+1, 0)
 	if fault.Is(err, fault.LogTruncated) {
-		return fault.New(fault.LogTruncated, "the log no longer has the records after revision %d and no snapshot either", f.revision())
+		return fault.New(fault.LogTruncated, "the records after revision %d have been truncated and the log has no complete snapshot", f.revision())
 	}
 	return err
 }
 
-// snapshotJitter is the part of the due size or age that a snapshot is put off
-// at random, so that one router takes it and the others see it.
-const snapshotJitter = 0.5
+// maxSnapshotJitter is the largest random delay of a snapshot, as a fraction of
+// the record count or age at which it is due. It makes it likely that one router
+// takes the snapshot and the others find it in the log.
+const maxSnapshotJitter = 0.5
 
-// maybeSnapshot appends a snapshot when enough records came, the last one is
-// old, or the log has dropped records after it. A snapshot that another router
-// took in the meantime suppresses it.
-func (f *Follower) maybeSnapshot(ctx context.Context, first uint64) {
-	if !f.snapshot || !f.snapshotDue(first) {
+// takeSnapshotIfDue appends a snapshot if enough records have been applied since
+// the last one, the last one is too old, or records after it have been truncated.
+// It does nothing if another router has taken one in the meantime.
+func (f *Follower) takeSnapshotIfDue(ctx context.Context, first uint64) {
+	if !f.takesSnapshots || !f.snapshotDue(first) {
 		return
 	}
-	if err := f.loadSnapshot(ctx); err != nil { // did another router take one?
+	if err := f.loadSnapshot(ctx); err != nil { // picks up a snapshot of another router
 		return
 	}
-	if f.snapshotFresh(first) {
+	if f.snapshotRecentEnough(first) {
 		return
 	}
 	f.takeSnapshot(ctx)
@@ -126,38 +129,39 @@
 func (f *Follower) snapshotDue(first uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.snapTime.IsZero() {
-		f.snapTime = time.Now()
+	if f.snapshotTime.IsZero() {
+		f.snapshotTime = time.Now()
 	}
-	since := f.fold.Revision() - min(f.snapAt, f.fold.Revision())
-	jitter := 1 + snapshotJitter*f.rand.Float64()
+	since := f.state.Revision() - min(f.snapshotRevision, f.state.Revision())
+	jitter := 1 + maxSnapshotJitter*f.rand.Float64()
 	switch {
 	case since == 0:
 		return false
-	case first > f.snapAt+1: // a newcomer could not start any more
+	case first > f.snapshotRevision+1: // a new process could not build the state
 		return true
 	case float64(since) >= float64(f.set.SnapshotEvery)*jitter:
 		return true
 	}
-	return time.Since(f.snapTime) > time.Duration(float64(settings.Millis(f.set.SnapshotAgeMS))*jitter)
+	return time.Since(f.snapshotTime) > time.Duration(float64(settings.Millis(f.set.SnapshotAgeMS))*jitter)
 }
 
-// snapshotFresh reports whether the newest known snapshot is good enough.
-func (f *Follower) snapshotFresh(first uint64) bool {
+// snapshotRecentEnough reports whether the newest known snapshot makes another
+// one unnecessary.
+func (f *Follower) snapshotRecentEnough(first uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	since := f.fold.Revision() - min(f.snapAt, f.fold.Revision())
-	return f.snapAt+1 >= first && since < uint64(f.set.SnapshotEvery+1)/2 &&
-		time.Since(f.snapTime) < settings.Millis(f.set.SnapshotAgeMS)
+	since := f.state.Revision() - min(f.snapshotRevision, f.state.Revision())
+	return f.snapshotRevision+1 >= first && since < uint64(f.set.SnapshotEvery+1)/2 &&
+		time.Since(f.snapshotTime) < settings.Millis(f.set.SnapshotAgeMS)
 }
 
 func (f *Follower) takeSnapshot(ctx context.Context) {
-	at, data, err := f.Encode(0)
+	at, data, err := f.EncodeSnapshot(0)
 	if err != nil {
-		f.logger.Error("snapshot not encoded", "error", err)
+		f.logger.Error("failed to encode snapshot", "error", err)
 		return
 	}
-	for _, chunk := range split(NewID(), at, data) {
+	for _, chunk := range splitSnapshot(NewID(), at, data) {
 		record, err := json.Marshal(chunk)
 		if err == nil {
 			_, err = f.log.Append(ctx, StreamSnapshots, record)
@@ -169,6 +173,6 @@
 	}
 	telemetry.Count("merlinpost_config_snapshots_total")
 	f.mu.Lock()
-	f.snapAt, f.snapTime = max(f.snapAt, at), time.Now()
+	f.snapshotRevision, f.snapshotTime = max(f.snapshotRevision, at), time.Now()
 	f.mu.Unlock()
 }
--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -165,7 +165,7 @@
 	case *wire.ConfigPull:
 		l.answerPull(m)
 	case *wire.ConfigState:
-		if len(m.Data) > 0 && l.router.Config.Install(m.Data) != nil {
+		if len(m.Data) > 0 && l.router.Config.InstallSnapshot(m.Data) != nil {
 			telemetry.Count("merlinpost_config_from_peer_broken_total")
 		}
 	}
@@ -211,7 +211,7 @@
 
 func (l *agentLink) answerPull(m *wire.ConfigPull) {
 	config := l.router.Config
-	revision, data, err := config.Encode(m.Above)
+	revision, data, err := config.EncodeSnapshot(m.Above)
 	if err != nil || !config.Ready() {
 		data = nil
 	}
