--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -1,6 +1,7 @@
-// Package callerapi is the callers' side of a router: chat completions,
-// completions, the list of models and plain service calls over HTTP, in the
-// published format that callers' usual client libraries speak.
+// Package callerapi implements the HTTP API of a router for callers: chat
+// completions, completions, the list of models and service calls. Completions
+// and models use the OpenAI-compatible format that common client libraries
+// support.
 package callerapi
 
 import (
@@ -23,17 +24,17 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// The headers of the API beyond the published format.
+// Headers of the API that are not part of the OpenAI-compatible format.
 const (
-	HeaderClass     = "Merlinpost-Class"
-	HeaderRequestID = "Merlinpost-Request-Id"
-	HeaderServed    = "Merlinpost-Served"
-	HeaderKey       = "Idempotency-Key"
+	HeaderClass          = "Merlinpost-Class"
+	HeaderRequestID      = "Merlinpost-Request-Id"
+	HeaderServed         = "Merlinpost-Served"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-const maxKeyLength = 256
+const maxIdempotencyKeyBytes = 256
 
-// Backend runs requests; a *router.Router.
+// Backend runs requests. It is implemented by *router.Router.
 type Backend interface {
 	Do(ctx context.Context, req *router.Request, deliver func([]byte) error) (*wire.End, *fault.Error)
 	Admit(ctx context.Context, team string, t *resource.Team) (func(), *fault.Error)
@@ -41,7 +42,7 @@
 	Ready() bool
 }
 
-// API serves callers.
+// API handles the requests of callers.
 type API struct {
 	backend Backend
 	view    func() *resource.View
@@ -49,7 +50,8 @@
 	logger  *slog.Logger
 }
 
-// New returns the API over a backend and the configuration in force.
+// New returns an API that runs requests on backend; view returns the current
+// configuration.
 func New(backend Backend, view func() *resource.View, set settings.Callers, logger *slog.Logger) *API {
 	return &API{backend: backend, view: view, set: set, logger: logger}
 }
@@ -75,7 +77,7 @@
 	}
 }
 
-// exchange is one HTTP request with what was found out about it.
+// exchange is the state of one HTTP request and its response.
 type exchange struct {
 	api   *API
 	w     http.ResponseWriter
@@ -84,41 +86,42 @@
 	start time.Time
 	view  *resource.View
 
-	teamName  string
-	team      *resource.Team
-	className string
-	class     *resource.Class
-	began     bool // the answer has begun: errors go into the stream
-	observe   *telemetry.Observation
+	teamName      string
+	team          *resource.Team
+	className     string
+	class         *resource.Class
+	streamStarted bool // errors are sent as stream events from now on
+	observation   *telemetry.Observation
 }
 
-// serve identifies the caller, runs the handler and answers its fault.
+// serve authenticates the caller, runs the handler and writes its error, if any.
 func (a *API) serve(h func(*exchange) *fault.Error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		x := &exchange{api: a, w: w, r: r, id: configlog.NewID(), start: time.Now(), view: a.view()}
 		w.Header().Set(HeaderRequestID, x.id)
-		e := x.identify()
+		e := x.authenticate()
 		if e == nil {
 			e = h(x)
 		}
 		if e != nil {
-			x.fail(e)
+			x.writeError(e)
 		}
-		x.count(e)
+		x.recordMetrics(e)
 	}
 }
 
-// identify finds the team by its key and the class by header or default.
-func (x *exchange) identify() *fault.Error {
+// authenticate finds the team by its API key, and the class by the header or the
+// team's default.
+func (x *exchange) authenticate() *fault.Error {
 	if x.view.Revision == 0 && !x.api.backend.Ready() {
 		return fault.New(fault.NotReady, "this router has no configuration yet").With(fault.NotRun).After(time.Second)
 	}
 	key, ok := strings.CutPrefix(x.r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return fault.New(fault.Unauthorized, "a team key is needed").InField("Authorization").With(fault.NotRun)
+		return fault.New(fault.Unauthorized, "missing bearer token: a team's API key is required").InField("Authorization").With(fault.NotRun)
 	}
 	if x.teamName, ok = x.view.TeamByKey(key); !ok {
-		return fault.New(fault.Unauthorized, "the key is not known").InField("Authorization").With(fault.NotRun)
+		return fault.New(fault.Unauthorized, "unknown API key").InField("Authorization").With(fault.NotRun)
 	}
 	x.team = x.view.Teams[x.teamName]
 	x.className = x.r.Header.Get(HeaderClass)
@@ -130,27 +133,27 @@
 		return fault.New(fault.UnknownClass, "there is no class %q", x.className).InField(HeaderClass).With(fault.NotRun)
 	}
 	if !x.team.AllowsClass(x.className) {
-		return fault.New(fault.Forbidden, "team %q may not use class %q", x.teamName, x.className).InField(HeaderClass).With(fault.NotRun)
+		return fault.New(fault.Forbidden, "team %q is not allowed to use class %q", x.teamName, x.className).InField(HeaderClass).With(fault.NotRun)
 	}
 	return nil
 }
 
-// body reads the whole request body within the bounds on size and time.
-func (x *exchange) body() ([]byte, *fault.Error) {
+// readBody reads the request body, subject to the limits on its size and time.
+func (x *exchange) readBody() ([]byte, *fault.Error) {
 	control := http.NewResponseController(x.w)
-	_ = control.SetReadDeadline(time.Now().Add(settings.Millis(x.api.set.BodyTimeoutMS))) // only test recorders refuse
+	_ = control.SetReadDeadline(time.Now().Add(settings.Millis(x.api.set.BodyTimeoutMS))) // fails only for test recorders
 	data, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, x.api.set.MaxBodyBytes))
 	if err != nil {
 		if strings.Contains(err.Error(), "too large") {
-			return nil, fault.New(fault.TooLarge, "the body has more than %d bytes", x.api.set.MaxBodyBytes).InField("body").With(fault.NotRun)
+			return nil, fault.New(fault.TooLarge, "the request body exceeds %d bytes", x.api.set.MaxBodyBytes).InField("body").With(fault.NotRun)
 		}
-		return nil, fault.New(fault.BadRequest, "read the body: %w", err).InField("body").With(fault.NotRun)
+		return nil, fault.New(fault.BadRequest, "read request body: %w", err).InField("body").With(fault.NotRun)
 	}
-	_ = control.SetReadDeadline(time.Time{}) // only test recorders refuse
+	_ = control.SetReadDeadline(time.Time{}) // fails only for test recorders
 	return data, nil
 }
 
-// errorBody is the published error shape with the outcome added.
+// errorBody is an OpenAI-compatible error with the outcome added.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -163,7 +166,7 @@
 	Outcome string `json:"outcome,omitempty"`
 }
 
-func errorOf(e *fault.Error) errorBody {
+func newErrorBody(e *fault.Error) errorBody {
 	kind := "server_error"
 	if s := e.HTTPStatus(); s < http.StatusInternalServerError {
 		kind = "invalid_request_error"
@@ -171,27 +174,29 @@
 	return errorBody{errorDetail{e.Message, kind, e.Field, string(e.Code), string(e.Outcome)}}
 }
 
-// fail answers with the fault: as the response, or within a stream that began.
-func (x *exchange) fail(e *fault.Error) {
-	data, err := json.Marshal(errorOf(e))
+// writeError writes the error as the response, or as an event if the response
+// stream has started.
+func (x *exchange) writeError(e *fault.Error) {
+	data, err := json.Marshal(newErrorBody(e))
 	if err != nil {
 		data = []byte(`{"error":{"code":"internal"}}`)
 	}
-	if x.began {
-		x.event(data) // and no end mark: the answer is not whole
+	if x.streamStarted {
+		x.writeEvent(data) // without [DONE], because the response is incomplete
 		return
 	}
-	if s := retrySeconds(e); s > 0 {
+	if s := retryAfterSeconds(e); s > 0 {
 		x.w.Header().Set("Retry-After", strconv.Itoa(s))
 	}
 	x.w.Header().Set("Content-Type", "application/json")
 	x.w.WriteHeader(e.HTTPStatus())
-	_, _ = x.w.Write(data) // a caller that went away is counted as such
+	_, _ = x.w.Write(data) // an error means that the caller has disconnected
 }
 
-// retrySeconds tells a caller whose request was not run for want of capacity or
-// of a server when to come back; a second where no better time is known.
-func retrySeconds(e *fault.Error) int {
+// retryAfterSeconds returns the value of the Retry-After header; 0 means none. If
+// a request was not run for lack of capacity or of a server and no better
+// estimate is known, it is 1.
+func retryAfterSeconds(e *fault.Error) int {
 	s := e.RetrySeconds()
 	status := e.HTTPStatus()
 	if s == 0 && e.Outcome == fault.NotRun && (status == http.StatusTooManyRequests || status >= http.StatusInternalServerError) {
@@ -200,13 +205,13 @@
 	return s
 }
 
-func (x *exchange) count(e *fault.Error) {
+func (x *exchange) recordMetrics(e *fault.Error) {
 	code, outcome := "", ""
 	if e != nil {
 		code, outcome = string(e.Code), string(e.Outcome)
 	}
-	if x.observe != nil {
-		x.observe.End(time.Now(), code, outcome)
+	if x.observation != nil {
+		x.observation.End(time.Now(), code, outcome)
 		return
 	}
 	if e != nil {
@@ -214,14 +219,14 @@
 	}
 }
 
-// startObserving begins the metrics of a request that is well formed.
-func (x *exchange) startObserving() {
+// startObservation starts the metrics of a valid request.
+func (x *exchange) startObservation() {
 	c := x.class
-	x.observe = telemetry.RequestsOf(x.teamName, x.className).Observe(x.start, telemetry.Targets{
+	x.observation = telemetry.RequestsOf(x.teamName, x.className).Observe(x.start, telemetry.Targets{
 		FirstToken: settings.Millis(c.FirstTokenMS), BetweenTokens: settings.Millis(c.BetweenTokensMS), Whole: settings.Millis(c.TotalMS)})
 }
 
-// modelEntry is an entry of the published list of models.
+// modelEntry is an entry of the OpenAI-compatible list of models.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -243,6 +248,6 @@
 		return fault.New(fault.Internal, "encode models: %w", err)
 	}
 	x.w.Header().Set("Content-Type", "application/json")
-	_, _ = x.w.Write(data) // a caller that went away is its own matter
+	_, _ = x.w.Write(data) // an error means that the caller has disconnected
 	return nil
 }
--- a/internal/callerapi/api_test.go
+++ b/internal/callerapi/api_test.go
@@ -20,31 +20,31 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// backend is a fake router.
-type backend struct {
+// fakeBackend is a Backend that records the request and returns a fixed response.
+type fakeBackend struct {
 	got    *router.Request
 	chunks []string
 	end    *wire.End
 	err    *fault.Error
 }
 
-func (b *backend) Do(_ context.Context, req *router.Request, deliver func([]byte) error) (*wire.End, *fault.Error) {
+func (b *fakeBackend) Do(_ context.Context, req *router.Request, deliver func([]byte) error) (*wire.End, *fault.Error) {
 	b.got = req
 	for _, c := range b.chunks {
 		if deliver([]byte(c)) != nil {
-			return nil, fault.New(fault.Cancelled, "gone").With(fault.Partial)
+			return nil, fault.New(fault.Cancelled, "caller disconnected").With(fault.Partial)
 		}
 	}
 	return b.end, b.err
 }
 
-func (b *backend) Admit(context.Context, string, *resource.Team) (func(), *fault.Error) {
+func (b *fakeBackend) Admit(context.Context, string, *resource.Team) (func(), *fault.Error) {
 	return func() {}, nil
 }
 
-func (b *backend) Serves(string, string) bool { return false }
+func (b *fakeBackend) Serves(string, string) bool { return false }
 
-func (b *backend) Ready() bool { return true }
+func (b *fakeBackend) Ready() bool { return true }
 
 func view(t *testing.T) *resource.View {
 	f := resource.NewState()
@@ -69,8 +69,8 @@
 	return f.View()
 }
 
-// serve makes one request to the API.
-func serve(t *testing.T, b *backend, path, body string, header map[string]string) *httptest.ResponseRecorder {
+// serve sends one request to the API.
+func serve(t *testing.T, b *fakeBackend, path, body string, header map[string]string) *httptest.ResponseRecorder {
 	set := settings.DefaultRouter().Callers
 	set.MaxBodyBytes = 2048
 	v := view(t)
@@ -87,7 +87,7 @@
 
 const goodChat = `{"model":"m","messages":[{"role":"user","content":"x"}]}`
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestInvalidInputNamesField(t *testing.T) {
 	const chat = "/v1/chat/completions"
 	for name, c := range map[string]struct {
 		path, body string
@@ -111,13 +111,13 @@
 		"too many tokens":   {chat, `{"model":"m","messages":[],"max_tokens":51}`, nil, 400, fault.BadRequest, "max_tokens"},
 		"prompt list":       {"/v1/completions", `{"model":"m","prompt":["a","b"]}`, nil, 400, fault.BadRequest, "prompt"},
 		"unknown service":   {"/v1/services/no", "x", nil, 404, fault.UnknownService, "service"},
-		"no idempotency":    {"/v1/services/receipts", "x", nil, 400, fault.KeyRequired, HeaderKey},
-		"long idempotency":  {"/v1/services/receipts", "x", map[string]string{HeaderKey: strings.Repeat("k", 300)}, 400, fault.BadRequest, HeaderKey},
+		"no idempotency":    {"/v1/services/receipts", "x", nil, 400, fault.KeyRequired, HeaderIdempotencyKey},
+		"long idempotency":  {"/v1/services/receipts", "x", map[string]string{HeaderIdempotencyKey: strings.Repeat("k", 300)}, 400, fault.BadRequest, HeaderIdempotencyKey},
 		"no such path":      {"/v1/nothing", "x", nil, 404, fault.NotFound, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			b := &backend{}
+			b := &fakeBackend{}
 			w := serve(t, b, c.path, c.body, c.header)
 			var got errorBody
 			g.Expect(json.Unmarshal(w.Body.Bytes(), &got)).To(Succeed(), w.Body.String())
@@ -125,42 +125,42 @@
 			g.Expect(got.Error.Code).To(Equal(string(c.code)))
 			g.Expect(got.Error.Param).To(Equal(c.field))
 			g.Expect(got.Error.Outcome).To(Equal(string(fault.NotRun)))
-			g.Expect(b.got).To(BeNil(), "nothing reaches the router")
+			g.Expect(b.got).To(BeNil(), "the request must not reach the backend")
 		})
 	}
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRejectionSetsRetryAfter(t *testing.T) {
 	g := NewWithT(t)
-	w := serve(t, &backend{err: fault.New(fault.QueueFull, "full").With(fault.NotRun).After(1500 * time.Millisecond)}, "/v1/chat/completions", goodChat, nil)
+	w := serve(t, &fakeBackend{err: fault.New(fault.QueueFull, "full").With(fault.NotRun).After(1500 * time.Millisecond)}, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Code).To(Equal(http.StatusTooManyRequests))
 	g.Expect(w.Header().Get("Retry-After")).To(Equal("2"))
 	g.Expect(w.Header().Get(HeaderRequestID)).NotTo(BeEmpty())
-	w = serve(t, &backend{err: fault.New(fault.Draining, "leaving").With(fault.NotRun)}, "/v1/chat/completions", goodChat, nil)
-	g.Expect(w.Header().Get("Retry-After")).To(Equal("1"), "where no better time is known")
-	w = serve(t, &backend{err: fault.New(fault.EngineFailed, "gone").With(fault.Unknown)}, "/v1/chat/completions", goodChat, nil)
-	g.Expect(w.Header().Get("Retry-After")).To(BeEmpty(), "it may have run")
+	w = serve(t, &fakeBackend{err: fault.New(fault.Draining, "leaving").With(fault.NotRun)}, "/v1/chat/completions", goodChat, nil)
+	g.Expect(w.Header().Get("Retry-After")).To(Equal("1"), "the default if the error has no retry time")
+	w = serve(t, &fakeBackend{err: fault.New(fault.EngineFailed, "gone").With(fault.Unknown)}, "/v1/chat/completions", goodChat, nil)
+	g.Expect(w.Header().Get("Retry-After")).To(BeEmpty(), "no Retry-After if the request may have run")
 }
 
-func TestStreamThatFailsHasNoEndMark(t *testing.T) {
+func TestFailedStreamHasNoDoneEvent(t *testing.T) {
 	g := NewWithT(t)
-	b := &backend{chunks: []string{"a", "b"}, err: fault.New(fault.EngineFailed, "gone").With(fault.Partial)}
+	b := &fakeBackend{chunks: []string{"a", "b"}, err: fault.New(fault.EngineFailed, "gone").With(fault.Partial)}
 	w := serve(t, b, "/v1/chat/completions", `{"model":"m","stream":true,"messages":[]}`, nil)
 	g.Expect(w.Body.String()).To(ContainSubstring(`"outcome":"partial"`))
 	g.Expect(w.Body.String()).NotTo(ContainSubstring("[DONE]"))
 }
 
-func TestRequestCarriesClassAndLimit(t *testing.T) {
+func TestRequestHasClassAndTokenLimit(t *testing.T) {
 	g := NewWithT(t)
-	b := &backend{chunks: []string{"hi"}, end: &wire.End{Finish: "stop", PromptTokens: 3, OutputTokens: 1}}
+	b := &fakeBackend{chunks: []string{"hi"}, end: &wire.End{Finish: "stop", PromptTokens: 3, OutputTokens: 1}}
 	w := serve(t, b, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Code).To(Equal(http.StatusOK))
 	g.Expect(w.Body.String()).To(ContainSubstring(`"content":"hi"`))
 	g.Expect(b.got.Target).To(Equal("m@base"))
 	g.Expect(b.got.ClassName).To(Equal("top"))
 	g.Expect(string(b.got.Body)).To(ContainSubstring(`"max_tokens":50`))
-	b = &backend{chunks: []string{"ok"}, end: &wire.End{Status: 201, ContentType: "text/plain"}}
-	w = serve(t, b, "/v1/services/receipts", "x", map[string]string{HeaderKey: "k"})
+	b = &fakeBackend{chunks: []string{"ok"}, end: &wire.End{Status: 201, ContentType: "text/plain"}}
+	w = serve(t, b, "/v1/services/receipts", "x", map[string]string{HeaderIdempotencyKey: "k"})
 	g.Expect(w.Code).To(Equal(201))
 	g.Expect(b.got.Key).To(Equal("receipts\x00t\x00k"))
 	g.Expect(b.got.MayRepeat).To(BeFalse())
--- a/internal/callerapi/completion.go
+++ b/internal/callerapi/completion.go
@@ -15,9 +15,9 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// completionBody is the part of a completion request that the router reads.
-// The rest passes through to the engine as it is.
-type completionBody struct {
+// completionRequest holds the fields of a completion request that the router
+// interprets. The others are passed through to the engine.
+type completionRequest struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -35,8 +35,9 @@
 	Echo      bool            `json:"echo"`
 }
 
-// prefixBytes is how much of the prompt decides which servers keep its prefix.
-const prefixBytes = 512
+// maxPrefixBytes is the maximum length of the prompt prefix by which the backend
+// servers that cache it are chosen.
+const maxPrefixBytes = 512
 
 func (a *API) chat(x *exchange) *fault.Error {
 	return x.complete(&format{chat: true, endpoint: "/v1/chat/completions"})
@@ -47,22 +48,22 @@
 }
 
 func (x *exchange) complete(f *format) *fault.Error {
-	data, e := x.body()
+	data, e := x.readBody()
 	if e != nil {
 		return e
 	}
-	var in completionBody
+	var in completionRequest
 	if err := json.Unmarshal(data, &in); err != nil {
-		return badJSON(err)
+		return decodeError(err)
 	}
-	if e := in.check(f.chat, x.class); e != nil {
+	if e := in.validate(f.chat, x.class); e != nil {
 		return e
 	}
 	model := x.view.Models[in.Model]
 	if model == nil {
 		return fault.New(fault.UnknownModel, "there is no model %q", in.Model).InField("model").With(fault.NotRun)
 	}
-	x.startObserving()
+	x.startObservation()
 	release, e := x.api.backend.Admit(x.r.Context(), x.teamName, x.team)
 	if e != nil {
 		return e
@@ -70,61 +71,62 @@
 	defer release()
 	version := rollout.Choose(x.view.RolloutsForModel(in.Model), x.id)
 	if version != resource.BaseVersion && !x.api.backend.Serves(model.Pool, in.Model+"@"+version) {
-		version = resource.BaseVersion // no agent has loaded it yet, or any more
+		version = resource.BaseVersion // no reachable agent has the version loaded
 	}
-	f.id, f.model, f.created, f.usage = x.id, in.Model, x.start.Unix(), in.StreamOptions.IncludeUsage
+	f.id, f.model, f.created, f.includeUsage = x.id, in.Model, x.start.Unix(), in.StreamOptions.IncludeUsage
 	x.w.Header().Set(HeaderServed, in.Model+"@"+version)
 	req := &router.Request{ID: x.id, Kind: wire.Generate, Endpoint: f.endpoint, Team: x.teamName, ClassName: x.className,
 		Class: x.class, Pool: model.Pool, Target: in.Model + "@" + version, MayRepeat: true, Resumable: true,
-		MaxTokens: in.limit(x.class), Prefix: in.prefix(), ContentType: "application/json", Body: withLimit(data, &in, x.class)}
+		MaxTokens: in.tokenLimit(x.class), Prefix: in.promptPrefix(), ContentType: "application/json", Body: withTokenLimit(data, &in, x.class)}
 	if in.Stream {
 		return x.stream(f, req)
 	}
-	return x.whole(f, req)
+	return x.respond(f, req)
 }
 
-func badJSON(err error) *fault.Error {
-	e := fault.New(fault.BadRequest, "the body is no such JSON object: %w", err).InField("body").With(fault.NotRun)
+func decodeError(err error) *fault.Error {
+	e := fault.New(fault.BadRequest, "decode request body: %w", err).InField("body").With(fault.NotRun)
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" {
 		e.Field = typed.Field
 	}
 	return e
 }
 
-func present(raw json.RawMessage) bool {
+// isSet reports whether a field has a value other than null, false or an empty array.
+func isSet(raw json.RawMessage) bool {
 	return len(raw) > 0 && !bytes.Equal(raw, []byte("null")) && !bytes.Equal(raw, []byte("false")) && !bytes.Equal(raw, []byte("[]"))
 }
 
-// check refuses what the router can't pass on whole: several choices in one
-// answer, and parts of an answer other than its text.
-func (in *completionBody) check(chat bool, class *resource.Class) *fault.Error {
+// validate checks the fields. It rejects requests whose response the router can't
+// relay completely: those for several choices, or for anything but text.
+func (in *completionRequest) validate(chat bool, class *resource.Class) *fault.Error {
 	unsupported := map[string]bool{"n": in.N != nil && *in.N != 1, "best_of": in.BestOf != nil && *in.BestOf != 1,
-		"tools": present(in.Tools), "functions": present(in.Functions), "logprobs": present(in.Logprobs), "echo": in.Echo}
+		"tools": isSet(in.Tools), "functions": isSet(in.Functions), "logprobs": isSet(in.Logprobs), "echo": in.Echo}
 	for _, field := range []string{"n", "best_of", "tools", "functions", "logprobs", "echo"} {
 		if unsupported[field] {
 			return fault.New(fault.Unsupported, "this field is not supported").InField(field).With(fault.NotRun)
 		}
 	}
 	if in.Model == "" {
-		return fault.New(fault.BadRequest, "a model is needed").InField("model").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "model is required").InField("model").With(fault.NotRun)
 	}
 	if chat && !bytes.HasPrefix(bytes.TrimSpace(in.Messages), []byte("[")) {
-		return fault.New(fault.BadRequest, "a list of messages is needed").InField("messages").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "messages must be an array").InField("messages").With(fault.NotRun)
 	}
 	if !chat && !bytes.HasPrefix(bytes.TrimSpace(in.Prompt), []byte(`"`)) {
-		return fault.New(fault.BadRequest, "one text is needed").InField("prompt").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "prompt must be a single string").InField("prompt").With(fault.NotRun)
 	}
 	for field, limit := range map[string]*int{"max_tokens": in.MaxTokens, "max_completion_tokens": in.MaxCompletionTokens} {
 		if limit != nil && (*limit < 1 || *limit > class.MaxTokens) {
-			return fault.New(fault.BadRequest, "%d is not within 1 to %d, the limit of the class", *limit, class.MaxTokens).
+			return fault.New(fault.BadRequest, "%d is not between 1 and %d, the limit of the class", *limit, class.MaxTokens).
 				InField(field).With(fault.NotRun)
 		}
 	}
 	return nil
 }
 
-// limit returns the most tokens that the answer may have.
-func (in *completionBody) limit(class *resource.Class) int {
+// tokenLimit returns the maximum number of tokens in the response.
+func (in *completionRequest) tokenLimit(class *resource.Class) int {
 	switch {
 	case in.MaxCompletionTokens != nil:
 		return *in.MaxCompletionTokens
@@ -134,15 +136,15 @@
 	return class.MaxTokens
 }
 
-// withLimit adds the class's limit to a body that has none of its own.
-func withLimit(data []byte, in *completionBody, class *resource.Class) []byte {
+// withTokenLimit adds the token limit of the class to a body that sets none.
+func withTokenLimit(data []byte, in *completionRequest, class *resource.Class) []byte {
 	if in.MaxTokens != nil || in.MaxCompletionTokens != nil {
 		return data
 	}
 	fields := map[string]any{}
 	var raw map[string]json.RawMessage
 	if json.Unmarshal(data, &raw) != nil {
-		return data // it was decoded before, so this does not happen
+		return data // unreachable: data has been decoded before
 	}
 	for k, v := range raw {
 		fields[k] = v
@@ -155,53 +157,53 @@
 	return out
 }
 
-func (in *completionBody) prefix() string {
+func (in *completionRequest) promptPrefix() string {
 	text := in.Messages
 	if len(text) == 0 {
 		text = in.Prompt
 	}
-	return string(text[:min(len(text), prefixBytes)])
+	return string(text[:min(len(text), maxPrefixBytes)])
 }
 
-// stream passes the answer on piece by piece as server-sent events.
+// stream relays the response as server-sent events, one per chunk.
 func (x *exchange) stream(f *format, req *router.Request) *fault.Error {
 	deliver := func(data []byte) error {
-		if !x.began {
-			x.beginStream(f)
+		if !x.streamStarted {
+			x.startStream(f)
 		}
-		x.observe.Token(time.Now())
-		return x.event(f.chunk(string(data), "", nil))
+		x.observation.Token(time.Now())
+		return x.writeEvent(f.chunk(string(data), "", nil))
 	}
 	end, e := x.api.backend.Do(x.r.Context(), req, deliver)
 	if e != nil {
 		return e
 	}
-	if !x.began {
-		x.beginStream(f)
+	if !x.streamStarted {
+		x.startStream(f)
 	}
-	_ = x.event(f.chunk("", finishReason(end), nil)) // a caller that went away is counted as such
-	if f.usage {
-		_ = x.event(f.chunk("", "", usageOf(end)))
+	_ = x.writeEvent(f.chunk("", finishReason(end), nil)) // an error means that the caller has disconnected
+	if f.includeUsage {
+		_ = x.writeEvent(f.chunk("", "", newUsage(end)))
 	}
-	_ = x.event([]byte("[DONE]"))
+	_ = x.writeEvent([]byte("[DONE]"))
 	return nil
 }
 
-func (x *exchange) beginStream(f *format) {
-	x.began = true
+func (x *exchange) startStream(f *format) {
+	x.streamStarted = true
 	x.w.Header().Set("Content-Type", "text/event-stream")
 	x.w.Header().Set("Cache-Control", "no-cache")
 	x.w.WriteHeader(http.StatusOK)
 	if f.chat {
-		_ = x.event(f.opening()) // a caller that went away shows at the next event
+		_ = x.writeEvent(f.roleChunk()) // a disconnected caller is detected at the next event
 	}
 }
 
-// event writes one server-sent event and flushes it. A reader that takes
-// nothing for the stall time counts as gone.
-func (x *exchange) event(data []byte) error {
+// writeEvent writes and flushes one server-sent event. It returns an error if the
+// caller has disconnected or reads nothing for the stall timeout.
+func (x *exchange) writeEvent(data []byte) error {
 	control := http.NewResponseController(x.w)
-	_ = control.SetWriteDeadline(time.Now().Add(settings.Millis(x.api.set.StallTimeoutMS))) // only test recorders refuse
+	_ = control.SetWriteDeadline(time.Now().Add(settings.Millis(x.api.set.StallTimeoutMS))) // fails only for test recorders
 	buf := make([]byte, 0, len(data)+8)
 	buf = append(buf, "data: "...)
 	buf = append(buf, data...)
@@ -212,11 +214,11 @@
 	return control.Flush()
 }
 
-// whole collects the answer and gives it as one JSON object.
-func (x *exchange) whole(f *format, req *router.Request) *fault.Error {
+// respond collects the response and writes it as one JSON object.
+func (x *exchange) respond(f *format, req *router.Request) *fault.Error {
 	var text strings.Builder
 	end, e := x.api.backend.Do(x.r.Context(), req, func(data []byte) error {
-		x.observe.Token(time.Now())
+		x.observation.Token(time.Now())
 		text.Write(data)
 		return nil
 	})
@@ -224,7 +226,7 @@
 		return e
 	}
 	x.w.Header().Set("Content-Type", "application/json")
-	_, _ = x.w.Write(f.whole(text.String(), finishReason(end), usageOf(end))) // a caller that went away is its own matter
+	_, _ = x.w.Write(f.response(text.String(), finishReason(end), newUsage(end))) // an error means that the caller has disconnected
 	return nil
 }
 
@@ -235,6 +237,6 @@
 	return end.Finish
 }
 
-func usageOf(end *wire.End) *usage {
+func newUsage(end *wire.End) *usage {
 	return &usage{end.PromptTokens, end.OutputTokens, end.PromptTokens + end.OutputTokens}
 }
--- a/internal/callerapi/format.go
+++ b/internal/callerapi/format.go
@@ -2,14 +2,14 @@
 
 import "encoding/json"
 
-// format writes answers in the published format of one endpoint.
+// format encodes responses in the OpenAI-compatible format of one endpoint.
 type format struct {
-	chat     bool
-	endpoint string
-	id       string
-	model    string
-	created  int64
-	usage    bool // the caller asked for usage at the end of a stream
+	chat         bool
+	endpoint     string
+	id           string
+	model        string
+	created      int64
+	includeUsage bool // send a usage chunk at the end of a stream
 }
 
 type usage struct {
@@ -31,7 +31,7 @@
 	Finish  *string  `json:"finish_reason"`
 }
 
-type answer struct {
+type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -40,7 +40,7 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (f *format) answer(object string, choices ...choice) answer {
+func (f *format) newCompletion(object string, choices ...choice) completion {
 	prefix := "cmpl-"
 	if f.chat {
 		prefix = "chatcmpl-"
@@ -48,10 +48,10 @@
 	if choices == nil {
 		choices = []choice{}
 	}
-	return answer{ID: prefix + f.id, Object: object, Created: f.created, Model: f.model, Choices: choices}
+	return completion{ID: prefix + f.id, Object: object, Created: f.created, Model: f.model, Choices: choices}
 }
 
-// encode marshals types of this file, which can't fail.
+// encode marshals the types of this file, for which marshalling can't fail.
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -60,20 +60,20 @@
 	return data
 }
 
-// opening is the first event of a chat stream: the role.
-func (f *format) opening() []byte {
+// roleChunk returns the first event of a chat stream, which has the role only.
+func (f *format) roleChunk() []byte {
 	empty := ""
-	return encode(f.answer("chat.completion.chunk", choice{Delta: &message{Role: "assistant", Content: &empty}}))
+	return encode(f.newCompletion("chat.completion.chunk", choice{Delta: &message{Role: "assistant", Content: &empty}}))
 }
 
-// chunk is one event of a stream: text, the finish reason, or the usage.
+// chunk returns one event of a stream: text, the finish reason, or the usage.
 func (f *format) chunk(text, finish string, use *usage) []byte {
 	object := "text_completion"
 	if f.chat {
 		object = "chat.completion.chunk"
 	}
 	if use != nil {
-		a := f.answer(object)
+		a := f.newCompletion(object)
 		a.Usage = use
 		return encode(a)
 	}
@@ -89,11 +89,11 @@
 	default:
 		c.Delta = &message{Content: &text}
 	}
-	return encode(f.answer(object, c))
+	return encode(f.newCompletion(object, c))
 }
 
-// whole is the answer to a request without stream.
-func (f *format) whole(text, finish string, use *usage) []byte {
+// response returns the body of a response that is not streamed.
+func (f *format) response(text, finish string, use *usage) []byte {
 	object, c := "text_completion", choice{Finish: &finish}
 	if f.chat {
 		object = "chat.completion"
@@ -101,7 +101,7 @@
 	} else {
 		c.Text = &text
 	}
-	a := f.answer(object, c)
+	a := f.newCompletion(object, c)
 	a.Usage = use
 	return encode(a)
 }
--- a/internal/callerapi/service.go
+++ b/internal/callerapi/service.go
@@ -11,8 +11,8 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// service passes a call on to a plain service. A call that may not be repeated
-// needs an idempotency key, so that a caller who got no answer can ask again.
+// service forwards a call to a service. Calls of services that are not idempotent
+// need an idempotency key, so that a caller that got no response can retry.
 func (a *API) service(x *exchange) *fault.Error {
 	name := x.r.PathValue("service")
 	s := x.view.Services[name]
@@ -23,11 +23,11 @@
 	if e != nil {
 		return e
 	}
-	body, e := x.body()
+	body, e := x.readBody()
 	if e != nil {
 		return e
 	}
-	x.startObserving()
+	x.startObservation()
 	release, e := a.backend.Admit(x.r.Context(), x.teamName, x.team)
 	if e != nil {
 		return e
@@ -37,13 +37,13 @@
 	if contentType == "" {
 		contentType = "application/octet-stream"
 	}
-	var answer bytes.Buffer
+	var response bytes.Buffer
 	end, e := a.backend.Do(x.r.Context(), &router.Request{ID: x.id, Kind: wire.Service, Endpoint: s.Path, Team: x.teamName,
 		ClassName: x.className, Class: x.class, Pool: s.Pool, Target: name, MayRepeat: s.MayRepeat, Key: key,
 		KeyWindow: settings.Millis(s.KeyWindowMS), Body: body, MaxTokens: 1, ContentType: contentType},
 		func(data []byte) error {
-			x.observe.Token(time.Now())
-			answer.Write(data)
+			x.observation.Token(time.Now())
+			response.Write(data)
 			return nil
 		})
 	if e != nil {
@@ -51,23 +51,24 @@
 	}
 	x.w.Header().Set("Content-Type", end.ContentType)
 	x.w.WriteHeader(end.Status)
-	_, _ = x.w.Write(answer.Bytes()) // a caller that went away is its own matter
+	_, _ = x.w.Write(response.Bytes()) // an error means that the caller has disconnected
 	return nil
 }
 
-// idempotencyKey returns the key, scoped so that teams and services can't meet.
+// idempotencyKey returns the idempotency key, scoped to the service and team so
+// that keys of different ones can't collide. It is empty for idempotent services.
 func (x *exchange) idempotencyKey(service string, s *resource.Service) (string, *fault.Error) {
 	if s.MayRepeat {
 		return "", nil
 	}
-	key := x.r.Header.Get(HeaderKey)
+	key := x.r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
-		return "", fault.New(fault.KeyRequired, "calls of service %q may not be repeated: a key is needed", service).
-			InField(HeaderKey).With(fault.NotRun)
+		return "", fault.New(fault.KeyRequired, "service %q is not idempotent: an idempotency key is required", service).
+			InField(HeaderIdempotencyKey).With(fault.NotRun)
 	}
-	if len(key) > maxKeyLength {
-		return "", fault.New(fault.BadRequest, "the key has %d characters, at most %d", len(key), maxKeyLength).
-			InField(HeaderKey).With(fault.NotRun)
+	if len(key) > maxIdempotencyKeyBytes {
+		return "", fault.New(fault.BadRequest, "the idempotency key has %d bytes, the limit is %d", len(key), maxIdempotencyKeyBytes).
+			InField(HeaderIdempotencyKey).With(fault.NotRun)
 	}
 	return service + "\x00" + x.teamName + "\x00" + key, nil
 }
