--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,101 +1,104 @@
-// Package answer keeps the numbered chunks of an answer whole and in order:
-// Buffer at the agent until they are acknowledged, Assembler at the router.
+// Package answer implements reliable, in-order delivery of the chunks of a
+// response: Buffer keeps sent chunks at the agent until they are acknowledged,
+// Assembler detects duplicates and gaps at the router.
 package answer
 
 import "github.com/merlinpost/merlinpost/internal/fault"
 
-// Buffer holds the chunks that the router has not acknowledged. Chunks are
-// numbered from the value given to NewBuffer.
+// Buffer holds the chunks that the router has not acknowledged. Their sequence
+// numbers start at the value passed to NewBuffer.
 type Buffer struct {
-	base   uint32 // number of chunks[0]
-	chunks [][]byte
-	next   uint32 // next to send
-	window uint32
+	firstSeq uint32 // sequence number of chunks[0]
+	chunks   [][]byte
+	nextSeq  uint32 // sequence number of the next chunk to send
+	window   uint32
 }
 
-// NewBuffer returns an empty Buffer whose first chunk has the given number;
-// window bounds the chunks sent ahead of acknowledgement.
+// NewBuffer returns an empty Buffer whose first chunk has the sequence number
+// first. At most window chunks are sent without being acknowledged.
 func NewBuffer(first, window uint32) *Buffer {
-	return &Buffer{base: first, next: first, window: max(1, window)}
+	return &Buffer{firstSeq: first, nextSeq: first, window: max(1, window)}
 }
 
-// Append adds a chunk.
 func (b *Buffer) Append(data []byte) { b.chunks = append(b.chunks, data) }
 
-// Total returns the number of the chunk after the last.
-func (b *Buffer) Total() uint32 { return b.base + uint32(len(b.chunks)) }
+// EndSeq returns the sequence number after that of the last chunk.
+func (b *Buffer) EndSeq() uint32 { return b.firstSeq + uint32(len(b.chunks)) }
 
-// Held returns how many chunks are kept.
-func (b *Buffer) Held() int { return len(b.chunks) }
+// Unacknowledged returns the number of chunks that are not acknowledged.
+func (b *Buffer) Unacknowledged() int { return len(b.chunks) }
 
-// Peek returns the next chunk to send, if the window allows one.
+// Peek returns the next chunk to send. ok is false if there is none or the window
+// is full.
 func (b *Buffer) Peek() (seq uint32, data []byte, ok bool) {
-	if b.next >= b.Total() || b.next >= b.base+b.window {
+	if b.nextSeq >= b.EndSeq() || b.nextSeq >= b.firstSeq+b.window {
 		return 0, nil, false
 	}
-	return b.next, b.chunks[b.next-b.base], true
+	return b.nextSeq, b.chunks[b.nextSeq-b.firstSeq], true
 }
 
-// Last returns the newest chunk if it is still kept.
+// Last returns the newest chunk, unless it has been acknowledged.
 func (b *Buffer) Last() (seq uint32, data []byte, ok bool) {
 	if len(b.chunks) == 0 {
 		return 0, nil, false
 	}
-	return b.Total() - 1, b.chunks[len(b.chunks)-1], true
+	return b.EndSeq() - 1, b.chunks[len(b.chunks)-1], true
 }
 
-// Sent moves past the chunk that Peek returned.
-func (b *Buffer) Sent() { b.next++ }
+// MarkSent advances past the chunk returned by Peek.
+func (b *Buffer) MarkSent() { b.nextSeq++ }
 
-// AllSent reports whether every chunk was sent.
-func (b *Buffer) AllSent() bool { return b.next == b.Total() }
+// AllSent reports whether every chunk has been sent.
+func (b *Buffer) AllSent() bool { return b.nextSeq == b.EndSeq() }
 
-// Ack forgets the chunks below next. Late and repeated acknowledgements, and
-// ones of chunks never sent, have no effect.
+// Ack drops the chunks before sequence number next. Delayed and duplicate
+// acknowledgements, and those of chunks that were never sent, have no effect.
 func (b *Buffer) Ack(next uint32) {
-	if next <= b.base || next > b.next {
+	if next <= b.firstSeq || next > b.nextSeq {
 		return
 	}
-	n := next - b.base
+	n := next - b.firstSeq
 	clear(b.chunks[:n])
 	b.chunks = b.chunks[n:]
-	b.base = next
+	b.firstSeq = next
 }
 
-// Rewind sends again from next on, which must not be acknowledged yet.
+// Rewind restarts sending at sequence number next and acknowledges the chunks
+// before it. It returns an error if the chunk has already been acknowledged, or
+// is beyond the end of the buffer.
 func (b *Buffer) Rewind(next uint32) error {
-	if next < b.base || next > b.Total() {
-		return fault.New(fault.ShortAnswer, "resume at chunk %d, but %d to %d are held", next, b.base, b.Total())
+	if next < b.firstSeq || next > b.EndSeq() {
+		return fault.New(fault.ShortAnswer, "cannot resume at chunk %d: must be between %d and %d", next, b.firstSeq, b.EndSeq())
 	}
-	b.next = next
+	b.nextSeq = next
 	b.Ack(next)
 	return nil
 }
 
-// Place says where a chunk belongs in the order.
-type Place int
+// SeqStatus classifies a received chunk by its sequence number.
+type SeqStatus int
 
-// The places.
 const (
-	InOrder   Place = iota // the next one: pass it on
-	Duplicate              // passed on before: drop it
-	Gap                    // chunks before it are missing: resume
+	InOrder   SeqStatus = iota // the next chunk: deliver it
+	Duplicate                  // already delivered: drop it
+	Gap                        // preceding chunks are missing: resume from NextSeq
 )
 
-// Assembler passes each chunk on once and in order.
-type Assembler struct{ next uint32 }
+// Assembler tracks the sequence numbers of received chunks, so that each chunk is
+// delivered once and in order.
+type Assembler struct{ nextSeq uint32 }
 
-// Next returns the number of the chunk that is expected next.
-func (a *Assembler) Next() uint32 { return a.next }
+// NextSeq returns the sequence number of the next expected chunk.
+func (a *Assembler) NextSeq() uint32 { return a.nextSeq }
 
-// Accept places chunk seq, and counts it as passed on if it is in order.
-func (a *Assembler) Accept(seq uint32) Place {
+// Accept classifies the chunk seq, and counts it as delivered if it is in order.
+func (a *Assembler) Accept(seq uint32) SeqStatus {
 	switch {
-	case seq < a.next:
+	case seq < a.nextSeq:
 		return Duplicate
-	case seq > a.next:
+	case seq > a.nextSeq:
 		return Gap
 	}
-	a.next++
+	a.nextSeq++
 	return InOrder
 }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Any mix of sends, losses, repeats, late acknowledgements and resumes passes
-// on each chunk once and in order, and ends with all of them.
+// With any sequence of sends, losses, duplicates, delayed acknowledgements and
+// resumes, each chunk is delivered exactly once and in order.
 func TestAnswerArrivesWholeOverLossyLinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -18,8 +18,8 @@
 		buf, asm := NewBuffer(0, window), &Assembler{}
 		made := 0
 		var got, inFlight []uint32
-		var old []uint32 // what a replaced link may still bring
-		for steps := 0; asm.Next() < uint32(total); steps++ {
+		var old []uint32 // chunks still in flight on replaced links
+		for steps := 0; asm.NextSeq() < uint32(total); steps++ {
 			g.Expect(steps).To(BeNumerically("<", 100000))
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
@@ -30,7 +30,7 @@
 			case 1:
 				if seq, data, ok := buf.Peek(); ok {
 					g.Expect(string(data)).To(Equal(fmt.Sprint(seq)))
-					buf.Sent()
+					buf.MarkSent()
 					inFlight = append(inFlight, seq)
 				}
 			case 2:
@@ -40,21 +40,21 @@
 					}
 					inFlight = inFlight[1:]
 				}
-			case 3: // the link breaks; the answer resumes on another
+			case 3: // the link breaks and the response resumes on another
 				old, inFlight = append(old, inFlight...), nil
-				g.Expect(buf.Rewind(asm.Next())).To(Succeed())
+				g.Expect(buf.Rewind(asm.NextSeq())).To(Succeed())
 			case 4:
-				buf.Ack(rapid.Uint32Range(0, asm.Next()).Draw(t, "ack"))
-			case 5: // a chunk of an old link that would be out of order
-				if len(old) > 0 && old[0] < asm.Next() {
+				buf.Ack(rapid.Uint32Range(0, asm.NextSeq()).Draw(t, "ack"))
+			case 5: // a delayed chunk from an old link
+				if len(old) > 0 && old[0] < asm.NextSeq() {
 					g.Expect(asm.Accept(old[0])).To(Equal(Duplicate))
 					old = old[1:]
 				}
 			}
-			if len(inFlight) == 0 { // let the window move on
-				buf.Ack(asm.Next())
+			if len(inFlight) == 0 { // lets the window advance
+				buf.Ack(asm.NextSeq())
 			}
-			g.Expect(buf.next - buf.base).To(BeNumerically("<=", window))
+			g.Expect(buf.nextSeq - buf.firstSeq).To(BeNumerically("<=", window))
 		}
 		g.Expect(got).To(HaveLen(total))
 		for i, seq := range got {
@@ -68,7 +68,7 @@
 	buf := NewBuffer(5, 4)
 	buf.Append([]byte("a"))
 	buf.Append([]byte("b"))
-	buf.Sent()
+	buf.MarkSent()
 	buf.Ack(6)
 	g.Expect(buf.Rewind(5)).NotTo(Succeed())
 	g.Expect(buf.Rewind(8)).NotTo(Succeed())
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -118,7 +118,7 @@
 			c.blocked[a] = struct{}{}
 			return
 		}
-		a.buf.Sent()
+		a.buf.MarkSent()
 	}
 	if a.end != nil && !a.endSent && a.buf.AllSent() {
 		a.end.Load = c.Load()
@@ -139,7 +139,7 @@
 	}
 	a.buf.Ack(m.Next)
 	if m.Final && a.phase == ended {
-		a.buf.Ack(a.buf.Total())
+		a.buf.Ack(a.buf.EndSeq())
 		c.forget(now, a)
 		return
 	}
@@ -149,7 +149,7 @@
 // forget drops an attempt; its tombstone refuses late messages. What of its
 // answer was not acknowledged was made for nothing.
 func (c *Core) forget(now time.Time, a *attempt) {
-	if n := a.buf.Held(); n > 0 && a.offer.Kind == wire.Generate {
+	if n := a.buf.Unacknowledged(); n > 0 && a.offer.Kind == wire.Generate {
 		c.wasted[a.offer.Class] += uint64(n)
 	}
 	c.leaveQueue(now, a)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -115,7 +115,7 @@
 func (m *Machine) Retries() int { return m.retries }
 
 // Delivered returns the number of chunks passed on.
-func (m *Machine) Delivered() uint32 { return m.asm.Next() }
+func (m *Machine) Delivered() uint32 { return m.asm.NextSeq() }
 
 // Start makes the first offer.
 func (m *Machine) Start() {
@@ -128,10 +128,10 @@
 // loses its connections gets them back within moments.
 func (m *Machine) offer() {
 	m.attempt++
-	e := m.fx.Offer(m.attempt, m.asm.Next(), string(m.text))
+	e := m.fx.Offer(m.attempt, m.asm.NextSeq(), string(m.text))
 	for busyLinks := 0; e != nil && e.Code == fault.LinkBusy && busyLinks < maxBusyLinks; busyLinks++ {
 		// Nothing was sent, so it is the same attempt still.
-		e = m.fx.Offer(m.attempt, m.asm.Next(), string(m.text))
+		e = m.fx.Offer(m.attempt, m.asm.NextSeq(), string(m.text))
 	}
 	switch {
 	case e == nil:
@@ -218,7 +218,7 @@
 	if final[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
 		return false
 	}
-	if m.asm.Next() > 0 && !m.cfg.Resumable {
+	if m.asm.NextSeq() > 0 && !m.cfg.Resumable {
 		return false
 	}
 	// Refusals for load come when the pool is busy: offering them again is
@@ -251,18 +251,18 @@
 		m.text = append(m.text, c.Data...)
 	}
 	m.fx.Deliver(c.Data)
-	if m.asm.Next()-m.acked >= ackEvery {
+	if m.asm.NextSeq()-m.acked >= ackEvery {
 		m.ack(false)
 	}
 }
 
 func (m *Machine) ack(final bool) {
-	m.acked = m.asm.Next()
+	m.acked = m.asm.NextSeq()
 	m.fx.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.acked, Final: final})
 }
 
 func (m *Machine) resume() {
-	m.fx.Send(&wire.Resume{ID: m.id, Attempt: m.attempt, Next: m.asm.Next()})
+	m.fx.Send(&wire.Resume{ID: m.id, Attempt: m.attempt, Next: m.asm.NextSeq()})
 }
 
 // End takes in the end of the answer.
@@ -281,7 +281,7 @@
 		m.attemptFailed(f)
 		return
 	}
-	if e.Total != m.asm.Next() {
+	if e.Total != m.asm.NextSeq() {
 		m.resume()
 		return
 	}
@@ -326,7 +326,7 @@
 	if e != nil {
 		final := *e
 		switch {
-		case m.asm.Next() > 0:
+		case m.asm.NextSeq() > 0:
 			final.Outcome = fault.Partial
 		case m.unsettled > 0:
 			final.Outcome = fault.Unknown
