--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,7 +1,7 @@
-// Package adminapi is the operators' side of a router, by iris. Command
-// handlers, which change the configuration, and query handlers, which only
-// read, are in packages of their own; here is what both share: access, errors,
-// and the routes that join them.
+// Package adminapi implements the HTTP API of a router for operators, with iris.
+// It holds what the command and query handlers share: authentication, errors and
+// the router. The handlers that change the configuration are in package command,
+// those that only read are in package query.
 package adminapi
 
 import (
@@ -19,12 +19,12 @@
 	"github.com/merlinpost/merlinpost/internal/settings"
 )
 
-// Handler registers routes; the command and query packages provide one each.
+// Handler registers routes. The command and query packages each provide one.
 type Handler interface{ Register(api iris.Party) }
 
-const actorKey = "actor"
+const actorContextKey = "actor"
 
-// New returns the operators' API. open routes need no key.
+// New returns the operator API. open registers the routes that need no key.
 func New(keys []settings.OperatorKey, open func(app *iris.Application), handlers ...Handler) (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -36,16 +36,16 @@
 	}
 	app.OnErrorCode(iris.StatusNotFound, func(ctx iris.Context) {
 		if ctx.ResponseWriter().Written() <= 0 {
-			Fail(ctx, fault.New(fault.NotFound, "no such path"))
+			WriteError(ctx, fault.New(fault.NotFound, "no such path"))
 		}
 	})
 	if err := app.Build(); err != nil {
-		return nil, fault.New(fault.Internal, "operators' API: %w", err)
+		return nil, fault.New(fault.Internal, "build operator API: %w", err)
 	}
 	return app, nil
 }
 
-// authenticate lets only operators' keys pass; a team's key opens nothing.
+// authenticate accepts only the keys of operators, not those of teams.
 func authenticate(keys []settings.OperatorKey) iris.Handler {
 	return func(ctx iris.Context) {
 		key, _ := strings.CutPrefix(ctx.GetHeader("Authorization"), "Bearer ")
@@ -53,20 +53,20 @@
 		hash := hex.EncodeToString(sum[:])
 		for _, k := range keys {
 			if subtle.ConstantTimeCompare([]byte(strings.ToLower(k.SHA256)), []byte(hash)) == 1 {
-				ctx.Values().Set(actorKey, k.Name)
+				ctx.Values().Set(actorContextKey, k.Name)
 				ctx.Next()
 				return
 			}
 		}
-		Fail(ctx, fault.New(fault.Unauthorized, "an operator's key is needed").InField("Authorization"))
+		WriteError(ctx, fault.New(fault.Unauthorized, "a valid operator key is required").InField("Authorization"))
 		ctx.StopExecution()
 	}
 }
 
 // Actor returns the name of the operator.
-func Actor(ctx iris.Context) string { return ctx.Values().GetString(actorKey) }
+func Actor(ctx iris.Context) string { return ctx.Values().GetString(actorContextKey) }
 
-// ErrorBody is the operators' form of a fault.
+// ErrorBody is the JSON form of an error in the operator API.
 type ErrorBody struct {
 	Code      fault.Code    `json:"code"`
 	Outcome   fault.Outcome `json:"outcome,omitempty"`
@@ -75,33 +75,34 @@
 	Operation string        `json:"operation,omitempty"`
 }
 
-// Fail answers with a fault.
-func Fail(ctx iris.Context, err error) { FailOperation(ctx, err, "") }
+// WriteError writes err as the response.
+func WriteError(ctx iris.Context, err error) { WriteOperationError(ctx, err, "") }
 
-// FailOperation answers with the fault of an operation.
-func FailOperation(ctx iris.Context, err error, operation string) {
+// WriteOperationError writes the error of an operation as the response.
+func WriteOperationError(ctx iris.Context, err error, operation string) {
 	e := fault.From(err)
 	if s := e.RetrySeconds(); s > 0 {
 		ctx.Header("Retry-After", strconv.Itoa(s))
 	}
 	ctx.StatusCode(e.HTTPStatus())
-	_ = ctx.JSON(ErrorBody{e.Code, e.Outcome, e.Field, e.Message, operation}) // a client that went away is its own matter
+	_ = ctx.JSON(ErrorBody{e.Code, e.Outcome, e.Field, e.Message, operation}) // an error means that the client has disconnected
 }
 
-// RefOf returns the resource that a request's path names.
-func RefOf(ctx iris.Context) (resource.Ref, error) {
+// RefFromPath returns the resource given by the path parameters of a request.
+func RefFromPath(ctx iris.Context) (resource.Ref, error) {
 	kind, err := resource.ParseKind(ctx.Params().Get("kind"))
 	return resource.Ref{Kind: kind, Name: ctx.Params().Get("name")}, err
 }
 
-// ETag writes a revision as an entity tag.
+// ETag formats a revision as an entity tag.
 func ETag(revision uint64) string { return `"` + strconv.FormatUint(revision, 10) + `"` }
 
-// ParseETag reads a revision from an entity tag.
+// ParseETag parses an entity tag or a plain number as a revision. field is the
+// name of the header or parameter for errors.
 func ParseETag(field, tag string) (uint64, error) {
 	revision, err := strconv.ParseUint(strings.Trim(strings.TrimPrefix(tag, "W/"), `"`), 10, 64)
 	if err != nil {
-		return 0, fault.New(fault.BadRequest, "%q is no revision", tag).InField(field)
+		return 0, fault.New(fault.BadRequest, "%q is not a valid revision", tag).InField(field)
 	}
 	return revision, nil
 }
--- a/internal/adminapi/command/command.go
+++ b/internal/adminapi/command/command.go
@@ -1,6 +1,6 @@
-// Package command holds the operators' handlers that change the configuration.
-// A change is said to be accepted only after this router has read it back from
-// the log.
+// Package command implements the handlers of the operator API that change the
+// configuration. A change is reported as accepted only after this router has
+// read it back from the log.
 package command
 
 import (
@@ -19,21 +19,23 @@
 )
 
 const (
-	// settleWithin bounds the wait for a change to be read back.
-	settleWithin = 5 * time.Second
-	maxBody      = 1 << 20
-	// HeaderOperation lets a client name its operation, so that it can ask
-	// for it after a lost answer, or send it again without doing it twice.
+	// submitTimeout limits the wait for a change to be read back from the log.
+	submitTimeout = 5 * time.Second
+	maxBodyBytes  = 1 << 20
+	// HeaderOperation is the header with the client's ID for an operation. With
+	// it a client that got no response can query the result, or retry without
+	// the change being applied twice.
 	HeaderOperation = "Merlinpost-Operation"
 )
 
-// Handlers is the set of command handlers.
+// Handlers implements adminapi.Handler for the routes that change the
+// configuration.
 type Handlers struct {
 	config *configlog.Follower
 	now    func() time.Time
 }
 
-// New returns the handlers over the configuration.
+// New returns handlers that change the configuration through config.
 func New(config *configlog.Follower, now func() time.Time) *Handlers {
 	return &Handlers{config: config, now: now}
 }
@@ -46,7 +48,7 @@
 	api.Post("/changes", h.changes)
 }
 
-// Accepted is the answer to a change that is in force here.
+// Accepted is the response to a change that this router has applied.
 type Accepted struct {
 	Operation string `json:"operation"`
 	Revision  uint64 `json:"revision"`
@@ -54,45 +56,45 @@
 }
 
 func (h *Handlers) put(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	spec, err := readBody(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	if _, err := resource.ParseSpec(ref.Kind, ref.Name, spec); err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	h.change(ctx, resource.Change{Verb: resource.Put, Kind: ref.Kind, Name: ref.Name, Spec: spec})
 }
 
 func (h *Handlers) delete(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	h.change(ctx, resource.Change{Verb: resource.Delete, Kind: ref.Kind, Name: ref.Name})
 }
 
-// change submits a change of one resource, based on If-Match or else on what
-// is in force here.
+// change submits a change of one resource, based on the revision in If-Match or
+// else on this router's current one.
 func (h *Handlers) change(ctx iris.Context, c resource.Change) {
-	base, err := h.base(ctx, resource.Ref{Kind: c.Kind, Name: c.Name})
+	base, err := h.baseRevision(ctx, resource.Ref{Kind: c.Kind, Name: c.Name})
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	c.Base = base
 	h.submit(ctx, []resource.Change{c}, false)
 }
 
-func (h *Handlers) base(ctx iris.Context, ref resource.Ref) (uint64, error) {
+func (h *Handlers) baseRevision(ctx iris.Context, ref resource.Ref) (uint64, error) {
 	if tag := ctx.GetHeader("If-Match"); tag != "" && tag != "*" {
 		return adminapi.ParseETag("If-Match", tag)
 	}
@@ -109,21 +111,21 @@
 	return 0
 }
 
-// withdraw puts back an earlier content as a new change.
+// withdraw reverts a resource to an earlier version by means of a new change.
 func (h *Handlers) withdraw(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	r, ok := h.config.View().History(ref)
 	if !ok {
-		adminapi.Fail(ctx, fault.New(fault.NotFound, "there is no %s %q", ref.Kind, ref.Name))
+		adminapi.WriteError(ctx, fault.New(fault.NotFound, "there is no %s %q", ref.Kind, ref.Name))
 		return
 	}
-	spec, err := earlier(r, ctx.URLParam("to"))
+	spec, err := previousSpec(r, ctx.URLParam("to"))
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	c := resource.Change{Verb: resource.Put, Kind: ref.Kind, Name: ref.Name, Spec: spec}
@@ -133,11 +135,12 @@
 	h.change(ctx, c)
 }
 
-// earlier returns the content of the revision, or of the one before the last.
-func earlier(r *resource.Resource, to string) (json.RawMessage, error) {
+// previousSpec returns the spec at revision to, or if that is empty the one
+// before the latest. It is nil if the resource did not exist or was deleted then.
+func previousSpec(r *resource.Resource, to string) (json.RawMessage, error) {
 	if to == "" {
 		if len(r.Versions) == 1 {
-			return nil, nil // before its first revision it did not exist
+			return nil, nil // the resource did not exist before its first revision
 		}
 		return r.Versions[len(r.Versions)-2].Spec, nil
 	}
@@ -150,11 +153,11 @@
 			return v.Spec, nil
 		}
 	}
-	return nil, fault.New(fault.NotFound, "revision %d of this resource is not kept", revision).InField("to")
+	return nil, fault.New(fault.NotFound, "revision %d is not in the kept history of this resource", revision).InField("to")
 }
 
-// ChangeSet is the body of POST /v1/changes: changes applied whole or not at
-// all. A change without base is based on what is in force.
+// ChangeSet is the body of POST /v1/changes: a set of changes applied atomically.
+// A change without base is based on this router's current revision.
 type ChangeSet struct {
 	DryRun  bool               `json:"dry_run"`
 	Changes []ChangeSetElement `json:"changes"`
@@ -172,12 +175,12 @@
 func (h *Handlers) changes(ctx iris.Context) {
 	data, err := readBody(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	var set ChangeSet
 	if err := json.Unmarshal(data, &set); err != nil {
-		adminapi.Fail(ctx, fault.New(fault.BadRequest, "%w", err).InField("body"))
+		adminapi.WriteError(ctx, fault.New(fault.BadRequest, "%w", err).InField("body"))
 		return
 	}
 	changes := make([]resource.Change, len(set.Changes))
@@ -192,10 +195,11 @@
 	h.submit(ctx, changes, set.DryRun)
 }
 
-// submit appends the changes as one record and answers once it is settled.
+// submit appends the changes to the log as one record and responds when it has
+// been applied, was rejected or the wait for it has timed out.
 func (h *Handlers) submit(ctx iris.Context, changes []resource.Change, dryRun bool) {
 	if !h.config.Ready() {
-		adminapi.Fail(ctx, fault.New(fault.NotReady, "this router has no configuration yet").With(fault.NotRun).After(time.Second))
+		adminapi.WriteError(ctx, fault.New(fault.NotReady, "this router has no configuration yet").With(fault.NotRun).After(time.Second))
 		return
 	}
 	operation := ctx.GetHeader(HeaderOperation)
@@ -205,36 +209,36 @@
 	rec := resource.Record{Operation: operation, Actor: adminapi.Actor(ctx), Time: h.now().UTC().Format(time.RFC3339), Changes: changes}
 	if dryRun {
 		if err := h.config.Check(rec); err != nil {
-			adminapi.FailOperation(ctx, err, operation)
+			adminapi.WriteOperationError(ctx, err, operation)
 			return
 		}
-		_ = ctx.JSON(Accepted{Operation: operation, Revision: h.config.View().Revision, DryRun: true}) // a client that went away is its own matter
+		_ = ctx.JSON(Accepted{Operation: operation, Revision: h.config.View().Revision, DryRun: true}) // an error means that the client has disconnected
 		return
 	}
 	if known, ok := h.config.View().Operation(operation); ok {
-		answer(ctx, known, known.Err())
+		writeResult(ctx, known, known.Err())
 		return
 	}
-	wait, cancel := context.WithTimeout(ctx.Request().Context(), settleWithin)
+	wait, cancel := context.WithTimeout(ctx.Request().Context(), submitTimeout)
 	defer cancel()
 	res, err := h.config.Submit(wait, rec)
 	res.Operation = operation
-	answer(ctx, res, err)
+	writeResult(ctx, res, err)
 }
 
-func answer(ctx iris.Context, res resource.Result, err error) {
+func writeResult(ctx iris.Context, res resource.Result, err error) {
 	if err != nil {
-		adminapi.FailOperation(ctx, err, res.Operation)
+		adminapi.WriteOperationError(ctx, err, res.Operation)
 		return
 	}
 	ctx.Header("ETag", adminapi.ETag(res.Revision))
-	_ = ctx.JSON(Accepted{Operation: res.Operation, Revision: res.Revision}) // a client that went away is its own matter
+	_ = ctx.JSON(Accepted{Operation: res.Operation, Revision: res.Revision}) // an error means that the client has disconnected
 }
 
 func readBody(ctx iris.Context) ([]byte, error) {
-	data, err := io.ReadAll(http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxBodyBytes))
 	if err != nil {
-		return nil, fault.New(fault.TooLarge, "read the body: %w", err).InField("body")
+		return nil, fault.New(fault.TooLarge, "read request body: %w", err).InField("body")
 	}
 	return data, nil
 }
--- a/internal/adminapi/query/query.go
+++ b/internal/adminapi/query/query.go
@@ -1,5 +1,5 @@
-// Package query holds the operators' handlers that read: resources, their
-// history, operations, and which process has which revision in force.
+// Package query implements the read-only handlers of the operator API: resources,
+// their history, operations, and the configuration revision of each process.
 package query
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/merlinpost/merlinpost/internal/router"
 )
 
-// Handlers is the set of query handlers.
+// Handlers implements adminapi.Handler for the read-only routes.
 type Handlers struct {
 	config *configlog.Follower
 	status func() []router.ProcessStatus
 }
 
-// New returns the handlers over the configuration and the router's knowledge
-// of the processes.
+// New returns handlers that read the configuration from config and the status of
+// the processes from status.
 func New(config *configlog.Follower, status func() []router.ProcessStatus) *Handlers {
 	return &Handlers{config: config, status: status}
 }
@@ -36,7 +36,7 @@
 	api.Get("/{kind:string}/{name:string}/history", h.history)
 }
 
-// Resource is the answer form of a resource.
+// Resource is the JSON form of a resource at its latest version.
 type Resource struct {
 	Kind     resource.Kind   `json:"kind"`
 	Name     string          `json:"name"`
@@ -45,41 +45,42 @@
 	Deleted  bool            `json:"deleted,omitempty"`
 }
 
-func form(r *resource.Resource) Resource {
+func newResource(r *resource.Resource) Resource {
 	v := r.Latest()
 	return Resource{r.Kind, r.Name, v.Revision, v.Spec, r.Deleted()}
 }
 
-// Status is the answer of GET /v1/status.
+// Status is the response to GET /v1/status.
 type Status struct {
 	Revision uint64 `json:"revision"`
 	Ready    bool   `json:"ready"`
 	LogUp    bool   `json:"log_up"`
-	// LogSilentSeconds is how long ago the log last answered.
+	// LogSilentSeconds is the time since the last successful read from the log.
 	LogSilentSeconds float64                `json:"log_silent_seconds"`
 	Processes        []router.ProcessStatus `json:"processes"`
 }
 
 func (h *Handlers) getStatus(ctx iris.Context) {
-	reply(ctx, Status{h.config.View().Revision, h.config.Ready(), h.config.LogUp(), h.config.SinceLastRead().Seconds(), h.status()})
+	writeJSON(ctx, Status{h.config.View().Revision, h.config.Ready(), h.config.LogUp(), h.config.SinceLastRead().Seconds(), h.status()})
 }
 
-// reply answers with v; a client that went away is its own matter.
-func reply(ctx iris.Context, v any) { _ = ctx.JSON(v) }
+// writeJSON writes v as the response. An error means that the client has
+// disconnected, so it is ignored.
+func writeJSON(ctx iris.Context, v any) { _ = ctx.JSON(v) }
 
 func (h *Handlers) operation(ctx iris.Context) {
 	res, ok := h.config.View().Operation(ctx.Params().Get("id"))
 	if !ok {
-		adminapi.Fail(ctx, fault.New(fault.NotFound, "the operation is not known here: not on the log, not read yet, or long ago").InField("id"))
+		adminapi.WriteError(ctx, fault.New(fault.NotFound, "unknown operation: it is not in the log, has not been read from it yet, or its result is no longer kept").InField("id"))
 		return
 	}
-	reply(ctx, res)
+	writeJSON(ctx, res)
 }
 
 func (h *Handlers) list(ctx iris.Context) {
 	kind, err := resource.ParseKind(ctx.Params().Get("kind"))
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	if ctx.URLParamExists("watch") {
@@ -88,20 +89,20 @@
 	}
 	out := []Resource{}
 	for _, r := range h.config.View().List(kind) {
-		out = append(out, form(r))
+		out = append(out, newResource(r))
 	}
-	reply(ctx, out)
+	writeJSON(ctx, out)
 }
 
 func (h *Handlers) get(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	r, ok := h.config.View().Get(ref)
 	if !ok {
-		adminapi.Fail(ctx, notFound(ref))
+		adminapi.WriteError(ctx, notFound(ref))
 		return
 	}
 	tag := adminapi.ETag(r.Latest().Revision)
@@ -110,32 +111,32 @@
 		ctx.StatusCode(iris.StatusNotModified)
 		return
 	}
-	reply(ctx, form(r))
+	writeJSON(ctx, newResource(r))
 }
 
 func (h *Handlers) history(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	r, ok := h.config.View().History(ref)
 	if !ok {
-		adminapi.Fail(ctx, notFound(ref))
+		adminapi.WriteError(ctx, notFound(ref))
 		return
 	}
-	reply(ctx, r.Versions)
+	writeJSON(ctx, r.Versions)
 }
 
 func notFound(ref resource.Ref) *fault.Error {
 	return fault.New(fault.NotFound, "there is no %s %q", ref.Kind, ref.Name)
 }
 
-// keepAlive is how often a watch without changes sends an empty line.
-const keepAlive = 15 * time.Second
+// keepAliveInterval is how often a watch without changes sends an empty line.
+const keepAliveInterval = 15 * time.Second
 
-// watch sends each resource of a kind that changes, a JSON object a line,
-// beginning with all that there are.
+// watch streams the resources of a kind as newline-delimited JSON: first all that
+// exist, then each one that changes.
 func (h *Handlers) watch(ctx iris.Context, kind resource.Kind) {
 	ctx.ContentType("application/x-ndjson")
 	seen := map[string]uint64{}
@@ -146,7 +147,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(keepAlive):
+		case <-time.After(keepAliveInterval):
 			if _, err := ctx.WriteString("\n"); err != nil {
 				return
 			}
@@ -163,7 +164,7 @@
 			continue
 		}
 		seen[r.Name] = revision
-		line, err := json.Marshal(form(r))
+		line, err := json.Marshal(newResource(r))
 		if err != nil {
 			return false
 		}
