--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -58,7 +58,7 @@
 				return
 			}
 		}
-		WriteError(ctx, fault.New(fault.Unauthorized, "a valid operator key is required").InField("Authorization"))
+		WriteError(ctx, fault.New(fault.Unauthorized, "a valid operator key is required").WithField("Authorization"))
 		ctx.StopExecution()
 	}
 }
@@ -102,7 +102,7 @@
 func ParseETag(field, tag string) (uint64, error) {
 	revision, err := strconv.ParseUint(strings.Trim(strings.TrimPrefix(tag, "W/"), `"`), 10, 64)
 	if err != nil {
-		return 0, fault.New(fault.BadRequest, "%q is not a valid revision", tag).InField(field)
+		return 0, fault.New(fault.BadRequest, "%q is not a valid revision", tag).WithField(field)
 	}
 	return revision, nil
 }
--- a/internal/adminapi/command/command.go
+++ b/internal/adminapi/command/command.go
@@ -153,7 +153,7 @@
 			return v.Spec, nil
 		}
 	}
-	return nil, fault.New(fault.NotFound, "revision %d is not in the kept history of this resource", revision).InField("to")
+	return nil, fault.New(fault.NotFound, "revision %d is not in the kept history of this resource", revision).WithField("to")
 }
 
 // ChangeSet is the body of POST /v1/changes: a set of changes applied atomically.
@@ -180,7 +180,7 @@
 	}
 	var set ChangeSet
 	if err := json.Unmarshal(data, &set); err != nil {
-		adminapi.WriteError(ctx, fault.New(fault.BadRequest, "%w", err).InField("body"))
+		adminapi.WriteError(ctx, fault.New(fault.BadRequest, "%w", err).WithField("body"))
 		return
 	}
 	changes := make([]resource.Change, len(set.Changes))
@@ -199,7 +199,7 @@
 // been applied, was rejected or the wait for it has timed out.
 func (h *Handlers) submit(ctx iris.Context, changes []resource.Change, dryRun bool) {
 	if !h.config.Ready() {
-		adminapi.WriteError(ctx, fault.New(fault.NotReady, "this router has no configuration yet").With(fault.NotRun).After(time.Second))
+		adminapi.WriteError(ctx, fault.New(fault.NotReady, "this router has no configuration yet").WithOutcome(fault.NotRun).WithRetryAfter(time.Second))
 		return
 	}
 	operation := ctx.GetHeader(HeaderOperation)
@@ -238,7 +238,7 @@
 func readBody(ctx iris.Context) ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxBodyBytes))
 	if err != nil {
-		return nil, fault.New(fault.TooLarge, "read request body: %w", err).InField("body")
+		return nil, fault.New(fault.TooLarge, "read request body: %w", err).WithField("body")
 	}
 	return data, nil
 }
--- a/internal/adminapi/query/query.go
+++ b/internal/adminapi/query/query.go
@@ -71,7 +71,7 @@
 func (h *Handlers) operation(ctx iris.Context) {
 	res, ok := h.config.View().Operation(ctx.Params().Get("id"))
 	if !ok {
-		adminapi.WriteError(ctx, fault.New(fault.NotFound, "unknown operation: it is not in the log, has not been read from it yet, or its result is no longer kept").InField("id"))
+		adminapi.WriteError(ctx, fault.New(fault.NotFound, "unknown operation: it is not in the log, has not been read from it yet, or its result is no longer kept").WithField("id"))
 		return
 	}
 	writeJSON(ctx, res)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -144,12 +144,12 @@
 	victims := q.victims(t)
 	if q.tiers[t].order.Len() >= q.cfg.QueueLimit+victims {
 		return fault.New(fault.QueueFull, "%d requests of tier %d wait already", q.tiers[t].order.Len(), j.Tier).
-			With(fault.NotRun).After(q.RetryAfter(j.Tier))
+			WithOutcome(fault.NotRun).WithRetryAfter(q.RetryAfter(j.Tier))
 	}
 	wait := q.expectedWait(t)
 	if q.cfg.EarlyRefusal && victims == 0 && !j.StartBy.IsZero() && now.Add(wait).After(j.StartBy) {
 		return fault.New(fault.WaitTooLong, "the wait for a start is about %s", wait.Round(time.Millisecond)).
-			With(fault.NotRun).After(q.RetryAfter(j.Tier))
+			WithOutcome(fault.NotRun).WithRetryAfter(q.RetryAfter(j.Tier))
 	}
 	q.seq++
 	j.seq, j.arrived, j.state = q.seq, now, Waiting
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -65,11 +65,11 @@
 	a.core = newCoreDuty(a)
 	var err error
 	if a.listener, err = net.Listen("tcp", set.Listen); err != nil {
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("listen")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("listen")
 	}
 	if a.metrics, err = net.Listen("tcp", set.Metrics); err != nil {
 		_ = a.listener.Close() // the listen error is the one to report
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("metrics")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("metrics")
 	}
 	return a, nil
 }
--- a/internal/agent/calls_test.go
+++ b/internal/agent/calls_test.go
@@ -93,7 +93,7 @@
 			_ = http.NewResponseController(w).Flush() // the stream is open
 			<-r.Context().Done()
 		}, "a", fault.EngineFailed, fault.Unknown},
-		"not loaded": {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusNotFound) }, "", fault.NoServer, fault.NotRun},
+		"not loaded": {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusNotFound) }, "", fault.NoBackendServer, fault.NotRun},
 		"busy":       {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusServiceUnavailable) }, "", fault.QueueFull, fault.NotRun},
 		"bad":        {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadRequest) }, "", fault.BadRequest, fault.NotRun},
 		"failed":     {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusInternalServerError) }, "", fault.EngineFailed, fault.Unknown},
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -68,7 +68,7 @@
 // is beyond the end of the buffer.
 func (b *Buffer) Rewind(next uint32) error {
 	if next < b.firstSeq || next > b.EndSeq() {
-		return fault.New(fault.ShortAnswer, "cannot resume at chunk %d: must be between %d and %d", next, b.firstSeq, b.EndSeq())
+		return fault.New(fault.IncompleteResponse, "cannot resume at chunk %d: must be between %d and %d", next, b.firstSeq, b.EndSeq())
 	}
 	b.nextSeq = next
 	b.Ack(next)
--- a/internal/callerapi/api_test.go
+++ b/internal/callerapi/api_test.go
@@ -32,7 +32,7 @@
 	b.got = req
 	for _, c := range b.chunks {
 		if deliver([]byte(c)) != nil {
-			return nil, fault.New(fault.Cancelled, "caller disconnected").With(fault.Partial)
+			return nil, fault.New(fault.Cancelled, "caller disconnected").WithOutcome(fault.Partial)
 		}
 	}
 	return b.end, b.err
@@ -106,12 +106,12 @@
 		"no model":          {chat, `{"messages":[]}`, nil, 400, fault.BadRequest, "model"},
 		"unknown model":     {chat, `{"model":"no","messages":[]}`, nil, 404, fault.UnknownModel, "model"},
 		"no messages":       {chat, `{"model":"m"}`, nil, 400, fault.BadRequest, "messages"},
-		"two choices":       {chat, `{"model":"m","messages":[],"n":2}`, nil, 400, fault.Unsupported, "n"},
-		"tools":             {chat, `{"model":"m","messages":[],"tools":[{}]}`, nil, 400, fault.Unsupported, "tools"},
+		"two choices":       {chat, `{"model":"m","messages":[],"n":2}`, nil, 400, fault.UnsupportedField, "n"},
+		"tools":             {chat, `{"model":"m","messages":[],"tools":[{}]}`, nil, 400, fault.UnsupportedField, "tools"},
 		"too many tokens":   {chat, `{"model":"m","messages":[],"max_tokens":51}`, nil, 400, fault.BadRequest, "max_tokens"},
 		"prompt list":       {"/v1/completions", `{"model":"m","prompt":["a","b"]}`, nil, 400, fault.BadRequest, "prompt"},
 		"unknown service":   {"/v1/services/no", "x", nil, 404, fault.UnknownService, "service"},
-		"no idempotency":    {"/v1/services/receipts", "x", nil, 400, fault.KeyRequired, HeaderIdempotencyKey},
+		"no idempotency":    {"/v1/services/receipts", "x", nil, 400, fault.IdempotencyKeyRequired, HeaderIdempotencyKey},
 		"long idempotency":  {"/v1/services/receipts", "x", map[string]string{HeaderIdempotencyKey: strings.Repeat("k", 300)}, 400, fault.BadRequest, HeaderIdempotencyKey},
 		"no such path":      {"/v1/nothing", "x", nil, 404, fault.NotFound, ""},
 	} {
@@ -132,19 +132,19 @@
 
 func TestRejectionSetsRetryAfter(t *testing.T) {
 	g := NewWithT(t)
-	w := serve(t, &fakeBackend{err: fault.New(fault.QueueFull, "full").With(fault.NotRun).After(1500 * time.Millisecond)}, "/v1/chat/completions", goodChat, nil)
+	w := serve(t, &fakeBackend{err: fault.New(fault.QueueFull, "full").WithOutcome(fault.NotRun).WithRetryAfter(1500 * time.Millisecond)}, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Code).To(Equal(http.StatusTooManyRequests))
 	g.Expect(w.Header().Get("Retry-After")).To(Equal("2"))
 	g.Expect(w.Header().Get(HeaderRequestID)).NotTo(BeEmpty())
-	w = serve(t, &fakeBackend{err: fault.New(fault.Draining, "leaving").With(fault.NotRun)}, "/v1/chat/completions", goodChat, nil)
+	w = serve(t, &fakeBackend{err: fault.New(fault.Draining, "leaving").WithOutcome(fault.NotRun)}, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Header().Get("Retry-After")).To(Equal("1"), "the default if the error has no retry time")
-	w = serve(t, &fakeBackend{err: fault.New(fault.EngineFailed, "gone").With(fault.Unknown)}, "/v1/chat/completions", goodChat, nil)
+	w = serve(t, &fakeBackend{err: fault.New(fault.EngineFailed, "gone").WithOutcome(fault.Unknown)}, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Header().Get("Retry-After")).To(BeEmpty(), "no Retry-After if the request may have run")
 }
 
 func TestFailedStreamHasNoDoneEvent(t *testing.T) {
 	g := NewWithT(t)
-	b := &fakeBackend{chunks: []string{"a", "b"}, err: fault.New(fault.EngineFailed, "gone").With(fault.Partial)}
+	b := &fakeBackend{chunks: []string{"a", "b"}, err: fault.New(fault.EngineFailed, "gone").WithOutcome(fault.Partial)}
 	w := serve(t, b, "/v1/chat/completions", `{"model":"m","stream":true,"messages":[]}`, nil)
 	g.Expect(w.Body.String()).To(ContainSubstring(`"outcome":"partial"`))
 	g.Expect(w.Body.String()).NotTo(ContainSubstring("[DONE]"))
--- a/internal/callerapi/completion.go
+++ b/internal/callerapi/completion.go
@@ -61,7 +61,7 @@
 	}
 	model := x.view.Models[in.Model]
 	if model == nil {
-		return fault.New(fault.UnknownModel, "there is no model %q", in.Model).InField("model").With(fault.NotRun)
+		return fault.New(fault.UnknownModel, "there is no model %q", in.Model).WithField("model").WithOutcome(fault.NotRun)
 	}
 	x.startObservation()
 	release, e := x.api.backend.Admit(x.r.Context(), x.teamName, x.team)
@@ -85,7 +85,7 @@
 }
 
 func decodeError(err error) *fault.Error {
-	e := fault.New(fault.BadRequest, "decode request body: %w", err).InField("body").With(fault.NotRun)
+	e := fault.New(fault.BadRequest, "decode request body: %w", err).WithField("body").WithOutcome(fault.NotRun)
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" {
 		e.Field = typed.Field
 	}
@@ -104,22 +104,22 @@
 		"tools": isSet(in.Tools), "functions": isSet(in.Functions), "logprobs": isSet(in.Logprobs), "echo": in.Echo}
 	for _, field := range []string{"n", "best_of", "tools", "functions", "logprobs", "echo"} {
 		if unsupported[field] {
-			return fault.New(fault.Unsupported, "this field is not supported").InField(field).With(fault.NotRun)
+			return fault.New(fault.UnsupportedField, "this field is not supported").WithField(field).WithOutcome(fault.NotRun)
 		}
 	}
 	if in.Model == "" {
-		return fault.New(fault.BadRequest, "model is required").InField("model").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "model is required").WithField("model").WithOutcome(fault.NotRun)
 	}
 	if chat && !bytes.HasPrefix(bytes.TrimSpace(in.Messages), []byte("[")) {
-		return fault.New(fault.BadRequest, "messages must be an array").InField("messages").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "messages must be an array").WithField("messages").WithOutcome(fault.NotRun)
 	}
 	if !chat && !bytes.HasPrefix(bytes.TrimSpace(in.Prompt), []byte(`"`)) {
-		return fault.New(fault.BadRequest, "prompt must be a single string").InField("prompt").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "prompt must be a single string").WithField("prompt").WithOutcome(fault.NotRun)
 	}
 	for field, limit := range map[string]*int{"max_tokens": in.MaxTokens, "max_completion_tokens": in.MaxCompletionTokens} {
 		if limit != nil && (*limit < 1 || *limit > class.MaxTokens) {
 			return fault.New(fault.BadRequest, "%d is not between 1 and %d, the limit of the class", *limit, class.MaxTokens).
-				InField(field).With(fault.NotRun)
+				WithField(field).WithOutcome(fault.NotRun)
 		}
 	}
 	return nil
--- a/internal/callerapi/service.go
+++ b/internal/callerapi/service.go
@@ -17,7 +17,7 @@
 	name := x.r.PathValue("service")
 	s := x.view.Services[name]
 	if s == nil {
-		return fault.New(fault.UnknownService, "there is no service %q", name).InField("service").With(fault.NotRun)
+		return fault.New(fault.UnknownService, "there is no service %q", name).WithField("service").WithOutcome(fault.NotRun)
 	}
 	key, e := x.idempotencyKey(name, s)
 	if e != nil {
@@ -63,12 +63,12 @@
 	}
 	key := x.r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
-		return "", fault.New(fault.KeyRequired, "service %q is not idempotent: an idempotency key is required", service).
-			InField(HeaderIdempotencyKey).With(fault.NotRun)
+		return "", fault.New(fault.IdempotencyKeyRequired, "service %q is not idempotent: an idempotency key is required", service).
+			WithField(HeaderIdempotencyKey).WithOutcome(fault.NotRun)
 	}
 	if len(key) > maxIdempotencyKeyBytes {
 		return "", fault.New(fault.BadRequest, "the idempotency key has %d bytes, the limit is %d", len(key), maxIdempotencyKeyBytes).
-			InField(HeaderIdempotencyKey).With(fault.NotRun)
+			WithField(HeaderIdempotencyKey).WithOutcome(fault.NotRun)
 	}
 	return service + "\x00" + x.teamName + "\x00" + key, nil
 }
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -58,7 +58,7 @@
 	g.UsePeers(others)
 	asks, err := net.Listen("tcp", set.Peers())
 	if err != nil {
-		return fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
+		return fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
 	share := configshare.New((&net.Dialer{}).DialContext, set.LinkMbps, logger)
 	ctx, stop := stopSignals(ctx)
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -211,9 +211,9 @@
 }
 
 // Submit appends rec to the log and returns its result once this process has
-// read it back and applied it. LogDown means that rec was not written.
-// LogUnsettled, with outcome Unknown, means that rec may have been written but
-// was not read back before ctx was done.
+// read it back and applied it. LogUnavailable means that rec was not written.
+// LogWriteUnconfirmed, with outcome Unknown, means that rec may have been
+// written but was not read back before ctx was done.
 func (f *Follower) Submit(ctx context.Context, rec resource.Record) (resource.Result, error) {
 	if err := f.Check(rec); err != nil {
 		e := fault.From(err)
@@ -221,14 +221,14 @@
 		return resource.Result{}, e
 	}
 	if !f.LogUp() {
-		return resource.Result{}, fault.New(fault.LogDown, "the log is out of reach").With(fault.NotRun).After(maxRetryDelay)
+		return resource.Result{}, fault.New(fault.LogUnavailable, "the log is out of reach").WithOutcome(fault.NotRun).WithRetryAfter(maxRetryDelay)
 	}
 	data, err := json.Marshal(rec)
 	if err != nil {
 		return resource.Result{}, fault.New(fault.Internal, "encode record: %w", err)
 	}
 	_, appendErr := f.log.Append(ctx, StreamConfig, data)
-	if fault.Is(appendErr, fault.LogDown) {
+	if fault.Is(appendErr, fault.LogUnavailable) {
 		return resource.Result{}, appendErr
 	}
 	res, err := f.waitForOperation(ctx, rec.Operation)
@@ -248,8 +248,8 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return resource.Result{}, fault.New(fault.LogUnsettled,
-				"timed out waiting for the change to be read back from the log; query operation %s for its result", operation).With(fault.Unknown)
+			return resource.Result{}, fault.New(fault.LogWriteUnconfirmed,
+				"timed out waiting for the change to be read back from the log; query operation %s for its result", operation).WithOutcome(fault.Unknown)
 		}
 	}
 }
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -35,21 +35,21 @@
 
 func (l *fakeLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
 	if l.down {
-		return 0, fault.New(fault.LogDown, "down").With(fault.NotRun)
+		return 0, fault.New(fault.LogUnavailable, "down").WithOutcome(fault.NotRun)
 	}
 	l.streams[stream] = append(l.streams[stream], data)
 	if l.afterAppend != nil {
 		l.afterAppend()
 	}
 	if l.loseResponses {
-		return 0, fault.New(fault.LogUnsettled, "response lost").With(fault.Unknown)
+		return 0, fault.New(fault.LogWriteUnconfirmed, "response lost").WithOutcome(fault.Unknown)
 	}
 	return l.firstOffset(stream) + uint64(len(l.streams[stream])) - 1, nil
 }
 
 func (l *fakeLog) Read(_ context.Context, stream string, from uint64, _ time.Duration) (Batch, error) {
 	if l.down {
-		return Batch{}, fault.New(fault.LogDown, "down")
+		return Batch{}, fault.New(fault.LogUnavailable, "down")
 	}
 	first := l.firstOffset(stream)
 	b := Batch{First: first, Next: first + uint64(len(l.streams[stream]))}
@@ -163,7 +163,7 @@
 				case fault.From(err).Outcome == fault.NotRun:
 					refused[operation] = true
 				default:
-					g.Expect(fault.Is(err, fault.LogUnsettled)).To(BeTrue(), "%v", err)
+					g.Expect(fault.Is(err, fault.LogWriteUnconfirmed)).To(BeTrue(), "%v", err)
 					unsettled = &rec
 				}
 			}
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -69,8 +69,9 @@
 
 // Log is the platform's log service. Offsets start at 1 in each stream.
 type Log interface {
-	// Append adds a record and returns its offset. Error code LogDown means
-	// that the record was not written, LogUnsettled that it may have been.
+	// Append adds a record and returns its offset. Error code LogUnavailable
+	// means that the record was not written, LogWriteUnconfirmed that it may
+	// have been.
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 	// Read returns the records from an offset on. If there are none it waits
 	// up to wait for one. Error code LogTruncated means that the offset is no
@@ -113,9 +114,9 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		if !sent.Load() {
-			return 0, fault.New(fault.LogDown, "log append: %w", err).With(fault.NotRun)
+			return 0, fault.New(fault.LogUnavailable, "log append: %w", err).WithOutcome(fault.NotRun)
 		}
-		return 0, fault.New(fault.LogUnsettled, "log append: %w", err).With(fault.Unknown)
+		return 0, fault.New(fault.LogWriteUnconfirmed, "log append: %w", err).WithOutcome(fault.Unknown)
 	}
 	defer resp.Body.Close()
 	var out struct {
@@ -124,13 +125,13 @@
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
-			return 0, fault.New(fault.LogUnsettled, "log append: %w", err).With(fault.Unknown)
+			return 0, fault.New(fault.LogWriteUnconfirmed, "log append: %w", err).WithOutcome(fault.Unknown)
 		}
 		return out.Offset, nil
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		return 0, fault.New(fault.LogDown, "log append: rejected with status %d", resp.StatusCode).With(fault.NotRun)
+		return 0, fault.New(fault.LogUnavailable, "log append: rejected with status %d", resp.StatusCode).WithOutcome(fault.NotRun)
 	}
-	return 0, fault.New(fault.LogUnsettled, "log append: unexpected status %d", resp.StatusCode).With(fault.Unknown)
+	return 0, fault.New(fault.LogWriteUnconfirmed, "log append: unexpected status %d", resp.StatusCode).WithOutcome(fault.Unknown)
 }
 
 // Read implements Log.
@@ -144,14 +145,14 @@
 	reply, err := httpcall.Do(c.http, req, httpcall.Limits{Wait: wait, Silence: c.timeout, Longest: maxReadDuration, Bytes: maxResponseBytes})
 	status, body := reply.Status, reply.Body
 	if err != nil {
-		return Batch{}, fault.New(fault.LogDown, "log read: %w", err)
+		return Batch{}, fault.New(fault.LogUnavailable, "log read: %w", err)
 	}
 	if status != http.StatusOK && status != http.StatusGone {
-		return Batch{}, fault.New(fault.LogDown, "log read: unexpected status %d", status)
+		return Batch{}, fault.New(fault.LogUnavailable, "log read: unexpected status %d", status)
 	}
 	var b Batch
 	if err := json.Unmarshal(body, &b); err != nil {
-		return Batch{}, fault.New(fault.LogDown, "log read: %w", fmt.Errorf("decode: %w", err))
+		return Batch{}, fault.New(fault.LogUnavailable, "log read: %w", fmt.Errorf("decode: %w", err))
 	}
 	if status == http.StatusGone {
 		return b, fault.New(fault.LogTruncated, "log read: offset %d is no longer available, the oldest is %d", from, b.First)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -61,7 +61,7 @@
 	case "least_loaded":
 		return leastLoaded{}, nil
 	}
-	return nil, fault.New(fault.BadSettings, "no policy %q", name).InField("policy.choice")
+	return nil, fault.New(fault.BadSettings, "no policy %q", name).WithField("policy.choice")
 }
 
 // usable is the filter that every picker applies.
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -253,17 +253,17 @@
 func (c *Core) admit(now time.Time, link LinkID, key Key, o *wire.Offer) *fault.Error {
 	if c.tombs.has(now, key) {
 		c.counters.Tombstoned++
-		return fault.New(fault.NotHeld, "the attempt was withdrawn before it arrived").With(fault.NotRun)
+		return fault.New(fault.RequestNotHeld, "the attempt was withdrawn before it arrived").WithOutcome(fault.NotRun)
 	}
 	if c.draining {
-		return fault.New(fault.Draining, "the backend server is leaving").With(fault.NotRun)
+		return fault.New(fault.Draining, "the backend server is leaving").WithOutcome(fault.NotRun)
 	}
 	if !c.serving(o.Target) {
-		return fault.New(fault.NoServer, "%q is not loaded here", o.Target).With(fault.NotRun)
+		return fault.New(fault.NoBackendServer, "%q is not loaded here", o.Target).WithOutcome(fault.NotRun)
 	}
 	if len(c.held) >= c.cfg.MaxHeld {
 		return fault.New(fault.RecordsFull, "%d requests are held already", len(c.held)).
-			With(fault.NotRun).After(c.queue.RetryAfter(int(o.Tier)))
+			WithOutcome(fault.NotRun).WithRetryAfter(c.queue.RetryAfter(int(o.Tier)))
 	}
 	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.Done, o.Window), made: o.Done,
 		text: []byte(o.DoneText), runBy: now.Add(millis(o.RunWithinMS))}
--- a/internal/execution/core_test.go
+++ b/internal/execution/core_test.go
@@ -65,7 +65,7 @@
 	c.Offer(epoch, 1, keyed("first", 7))
 	c.Offer(epoch, 1, keyed("again", 7))
 	c.Offer(epoch, 1, keyed("other body", 8))
-	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.KeyConflict)))
+	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.IdempotencyKeyConflict)))
 	g.Expect(r.claims).To(HaveLen(1))
 	g.Expect(r.started).To(BeEmpty(), "nothing starts before the claim is settled")
 	c.ClaimSettled(epoch, r.claims[0], receipt.Run)
@@ -116,7 +116,7 @@
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "late", Attempt: 1})
 	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeFalse())
 	c.Offer(epoch, 1, offer("late", 0))
-	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.NotHeld)))
+	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.RequestNotHeld)))
 	g.Expect(r.started).To(BeEmpty())
 }
 
--- a/internal/execution/keyed.go
+++ b/internal/execution/keyed.go
@@ -40,8 +40,8 @@
 }
 
 func alreadyRan() *fault.Error {
-	return fault.New(fault.CannotVouch, "a call with this key may have run; its answer is not known").
-		InField("Idempotency-Key").With(fault.Unknown)
+	return fault.New(fault.IdempotentResultUnknown, "a call with this key may have run; its answer is not known").
+		WithField("Idempotency-Key").WithOutcome(fault.Unknown)
 }
 
 // ClaimSettled brings the decision on a keyed call.
@@ -91,7 +91,7 @@
 // replay answers a repeat with the kept answer of the first call.
 func (c *Core) replay(now time.Time, a *attempt, e *receipt.Entry) {
 	if e.Result.BodyDropped {
-		f := fault.New(fault.CannotVouch, "the call ran, but its answer was too large to keep").With(fault.Unknown)
+		f := fault.New(fault.IdempotentResultUnknown, "the call ran, but its answer was too large to keep").WithOutcome(fault.Unknown)
 		c.finish(now, a, &wire.End{Fault: wire.FaultOf(f)})
 		return
 	}
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -183,13 +183,13 @@
 		if c.tombs.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombs.add(now, key, false) {
 			outcome = fault.Unknown
 		}
-		c.verdict(link, key, fault.New(fault.NotHeld, "this agent does not hold the attempt").With(outcome))
+		c.verdict(link, key, fault.New(fault.RequestNotHeld, "this agent does not hold the attempt").WithOutcome(outcome))
 		return
 	}
 	c.attach(a, link)
 	a.endSent = false
 	if err := a.buf.Rewind(m.Next); err != nil {
-		c.verdict(link, key, fault.From(err).With(fault.Unknown))
+		c.verdict(link, key, fault.From(err).WithOutcome(fault.Unknown))
 		return
 	}
 	c.verdict(link, key, nil)
@@ -272,8 +272,8 @@
 	for _, job := range c.queue.Expire(now) {
 		a := c.byJob[job]
 		c.counters.Expired++
-		e := fault.New(fault.Expired, "no slot within the time to start").
-			With(fault.NotRun).After(c.queue.RetryAfter(job.Tier))
+		e := fault.New(fault.StartDeadlinePassed, "no slot within the time to start").
+			WithOutcome(fault.NotRun).WithRetryAfter(c.queue.RetryAfter(job.Tier))
 		if a.entry != nil {
 			c.book.Forget(a.offer.Key)
 			c.finishKeyed(now, a, e)
@@ -317,5 +317,5 @@
 	if a.phase == running {
 		c.fx.Stop(a.key, a.run)
 	}
-	c.finish(now, a, &wire.End{Fault: wire.FaultOf(fault.New(fault.Deadline, "the request took too long").With(outcome))})
+	c.finish(now, a, &wire.End{Fault: wire.FaultOf(fault.New(fault.DeadlinePassed, "the request took too long").WithOutcome(outcome))})
 }
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault holds the one error type that crosses package, process and
-// API borders. Every failure has a Code that says what went wrong, and where a
-// request is concerned an Outcome that says whether the work ran.
+// Package fault defines the error type used across package, process and API
+// boundaries. Every error has a Code that identifies the kind of failure. Errors
+// of requests also have an Outcome that says whether the request was run.
 package fault
 
 import (
@@ -10,60 +10,66 @@
 	"time"
 )
 
-// Code names a kind of failure. Codes are part of the public API.
+// Code identifies a kind of failure. Codes are part of the public API.
 type Code string
 
-// The codes, grouped by who can mend the failure.
+// The codes, grouped by who can resolve the failure.
 const (
-	// The caller's or operator's input.
-	BadRequest     Code = "bad_request"
-	TooLarge       Code = "too_large"
-	HeadTooLarge   Code = "head_too_large"
-	Unauthorized   Code = "unauthorized"
-	Forbidden      Code = "forbidden"
-	NotFound       Code = "not_found"
-	UnknownClass   Code = "unknown_class"
-	UnknownModel   Code = "unknown_model"
-	UnknownService Code = "unknown_service"
-	Unsupported    Code = "unsupported_field"
-	KeyRequired    Code = "idempotency_key_required"
-	KeyConflict    Code = "idempotency_key_conflict"
-	Conflict       Code = "revision_conflict"
-	InvalidConfig  Code = "invalid_config"
-	InUse          Code = "in_use"
-
-	// Limits and load: come back later.
-	TeamRate        Code = "team_rate_limit"
-	TeamConcurrency Code = "team_concurrency_limit"
-	QueueFull       Code = "queue_full"
-	WaitTooLong     Code = "wait_too_long"
-	RetryBudget     Code = "retry_budget_spent"
-	RecordsFull     Code = "records_full"
-	LinkBusy        Code = "link_busy"
-	// ServerRate: the backend servers take no more requests a second.
-	ServerRate Code = "server_rate_limit"
-	// ServersRest: all backend servers want nothing for a while.
-	ServersRest Code = "servers_rest"
-	// Quarantined: servers have ended each time they ran the request.
+	// Invalid input of a caller or operator.
+	BadRequest             Code = "bad_request"
+	TooLarge               Code = "too_large"
+	HeadersTooLarge        Code = "head_too_large"
+	Unauthorized           Code = "unauthorized"
+	Forbidden              Code = "forbidden"
+	NotFound               Code = "not_found"
+	UnknownClass           Code = "unknown_class"
+	UnknownModel           Code = "unknown_model"
+	UnknownService         Code = "unknown_service"
+	UnsupportedField       Code = "unsupported_field"
+	IdempotencyKeyRequired Code = "idempotency_key_required"
+	IdempotencyKeyConflict Code = "idempotency_key_conflict"
+	RevisionConflict       Code = "revision_conflict"
+	InvalidConfig          Code = "invalid_config"
+	InUse                  Code = "in_use"
+
+	// Limits and overload: retry later.
+	TeamRateLimit        Code = "team_rate_limit"
+	TeamConcurrencyLimit Code = "team_concurrency_limit"
+	QueueFull            Code = "queue_full"
+	WaitTooLong          Code = "wait_too_long"
+	RetryBudgetSpent     Code = "retry_budget_spent"
+	RecordsFull          Code = "records_full"
+	LinkBusy             Code = "link_busy"
+	// ServerRateLimit: the backend servers' own rate limits are reached.
+	ServerRateLimit Code = "server_rate_limit"
+	// ServersInBackoff: all backend servers have asked for no requests for some
+	// time.
+	ServersInBackoff Code = "servers_rest"
+	// Quarantined: backend servers terminated each time they ran the request.
 	Quarantined Code = "quarantined"
 
-	// The system or what it depends on.
-	NoServer     Code = "no_backend_server"
-	NoLink       Code = "backend_servers_unreachable"
-	Draining     Code = "draining"
-	NotReady     Code = "not_ready"
-	LinkLost     Code = "link_lost"
-	NotHeld      Code = "request_not_held"
-	Expired      Code = "start_bound_passed"
-	Deadline     Code = "deadline_passed"
-	Cancelled    Code = "cancelled"
-	EngineFailed Code = "engine_failed"
-	ShortAnswer  Code = "short_answer"
-	CannotVouch  Code = "cannot_vouch"
-	LogDown      Code = "log_unavailable"
-	LogUnsettled Code = "log_unsettled"
-	LogTruncated Code = "log_truncated"
-	// LogRestored: the log has come back from an older copy.
+	// Failures of the system or its dependencies.
+	NoBackendServer           Code = "no_backend_server"
+	BackendServersUnreachable Code = "backend_servers_unreachable"
+	Draining                  Code = "draining"
+	NotReady                  Code = "not_ready"
+	LinkLost                  Code = "link_lost"
+	// RequestNotHeld: the agent does not have the request's attempt.
+	RequestNotHeld Code = "request_not_held"
+	// StartDeadlinePassed: the request was not started in time.
+	StartDeadlinePassed Code = "start_bound_passed"
+	DeadlinePassed      Code = "deadline_passed"
+	Cancelled           Code = "cancelled"
+	EngineFailed        Code = "engine_failed"
+	IncompleteResponse  Code = "short_answer"
+	// IdempotentResultUnknown: a call with the idempotency key may have run, but its
+	// result is not available.
+	IdempotentResultUnknown Code = "cannot_vouch"
+	LogUnavailable          Code = "log_unavailable"
+	// LogWriteUnconfirmed: it is not known whether a record was written.
+	LogWriteUnconfirmed Code = "log_unsettled"
+	LogTruncated        Code = "log_truncated"
+	// LogRestored: the log was restored from an older copy.
 	LogRestored Code = "log_restored"
 	BadFrame    Code = "bad_frame"
 	BadVersion  Code = "bad_version"
@@ -71,44 +77,43 @@
 	Internal    Code = "internal"
 )
 
-// Outcome says whether a request's work ran.
+// Outcome says whether a request was run. It is reported to callers.
 type Outcome string
 
-// The outcomes told to callers.
 const (
-	// NotRun: the work was not started anywhere and never will be.
+	// NotRun: the request was not started anywhere and never will be.
 	NotRun Outcome = "not_run"
-	// Unknown: the work may have run; nobody who answers can tell.
+	// Unknown: the request may have run; no reachable process can tell.
 	Unknown Outcome = "unknown"
-	// Partial: the work ran and part of its answer was delivered.
+	// Partial: the request ran and part of its response was delivered.
 	Partial Outcome = "partial"
 )
 
-// Error is a typed failure. The zero RetryAfter means that no time to come
-// back is known.
+// Error is an error with a code. A zero RetryAfter means that no retry time is
+// known.
 type Error struct {
 	Code       Code
 	Outcome    Outcome
-	Field      string // input field at fault, or empty
+	Field      string // invalid input field, or empty
 	Message    string
 	RetryAfter time.Duration
-	Err        error // cause, may be nil
+	Err        error // cause, or nil
 }
 
-// New returns an Error with a formatted message; %w wraps a cause.
+// New returns an Error with a formatted message. %w in format sets its cause.
 func New(code Code, format string, args ...any) *Error {
 	wrapped := fmt.Errorf(format, args...)
 	return &Error{Code: code, Message: wrapped.Error(), Err: errors.Unwrap(wrapped)}
 }
 
-// InField sets the input field at fault and returns e.
-func (e *Error) InField(field string) *Error { e.Field = field; return e }
+// WithField sets the invalid input field and returns e.
+func (e *Error) WithField(field string) *Error { e.Field = field; return e }
 
-// With sets the outcome and returns e.
-func (e *Error) With(o Outcome) *Error { e.Outcome = o; return e }
+// WithOutcome sets the outcome and returns e.
+func (e *Error) WithOutcome(o Outcome) *Error { e.Outcome = o; return e }
 
-// After sets when to come back and returns e.
-func (e *Error) After(d time.Duration) *Error { e.RetryAfter = d; return e }
+// WithRetryAfter sets the time after which to retry and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error { e.RetryAfter = d; return e }
 
 // Error implements error.
 func (e *Error) Error() string {
@@ -121,8 +126,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// From returns err as an *Error, wrapping a foreign one as Internal. A nil err
-// gives nil.
+// From returns the *Error in err's chain. Any other error is wrapped with code
+// Internal; nil gives nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -134,34 +139,34 @@
 	return &Error{Code: Internal, Message: err.Error(), Err: err}
 }
 
-// Is reports whether err carries the given code.
+// Is reports whether err's chain has an *Error with the given code.
 func Is(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
 }
 
 var statusByCode = map[Code]int{
-	BadRequest: http.StatusBadRequest, Unsupported: http.StatusBadRequest,
-	KeyRequired: http.StatusBadRequest, InvalidConfig: http.StatusUnprocessableEntity,
-	TooLarge: http.StatusRequestEntityTooLarge, HeadTooLarge: http.StatusRequestHeaderFieldsTooLarge, Unauthorized: http.StatusUnauthorized,
+	BadRequest: http.StatusBadRequest, UnsupportedField: http.StatusBadRequest,
+	IdempotencyKeyRequired: http.StatusBadRequest, InvalidConfig: http.StatusUnprocessableEntity,
+	TooLarge: http.StatusRequestEntityTooLarge, HeadersTooLarge: http.StatusRequestHeaderFieldsTooLarge, Unauthorized: http.StatusUnauthorized,
 	Forbidden: http.StatusForbidden, NotFound: http.StatusNotFound,
 	UnknownClass: http.StatusBadRequest, UnknownModel: http.StatusNotFound,
-	UnknownService: http.StatusNotFound, KeyConflict: http.StatusConflict,
-	Conflict: http.StatusPreconditionFailed, InUse: http.StatusConflict,
-	TeamRate: http.StatusTooManyRequests, ServerRate: http.StatusTooManyRequests, TeamConcurrency: http.StatusTooManyRequests,
+	UnknownService: http.StatusNotFound, IdempotencyKeyConflict: http.StatusConflict,
+	RevisionConflict: http.StatusPreconditionFailed, InUse: http.StatusConflict,
+	TeamRateLimit: http.StatusTooManyRequests, ServerRateLimit: http.StatusTooManyRequests, TeamConcurrencyLimit: http.StatusTooManyRequests,
 	QueueFull: http.StatusTooManyRequests, WaitTooLong: http.StatusTooManyRequests,
-	RetryBudget: http.StatusServiceUnavailable, RecordsFull: http.StatusServiceUnavailable,
-	Quarantined: http.StatusServiceUnavailable, ServersRest: http.StatusServiceUnavailable,
-	LinkBusy: http.StatusServiceUnavailable, NoServer: http.StatusServiceUnavailable, NoLink: http.StatusServiceUnavailable,
+	RetryBudgetSpent: http.StatusServiceUnavailable, RecordsFull: http.StatusServiceUnavailable,
+	Quarantined: http.StatusServiceUnavailable, ServersInBackoff: http.StatusServiceUnavailable,
+	LinkBusy: http.StatusServiceUnavailable, NoBackendServer: http.StatusServiceUnavailable, BackendServersUnreachable: http.StatusServiceUnavailable,
 	Draining: http.StatusServiceUnavailable, NotReady: http.StatusServiceUnavailable,
-	LinkLost: http.StatusBadGateway, NotHeld: http.StatusBadGateway,
-	Expired: http.StatusServiceUnavailable, Deadline: http.StatusGatewayTimeout,
-	Cancelled: 499, EngineFailed: http.StatusBadGateway, ShortAnswer: http.StatusBadGateway,
-	CannotVouch: http.StatusServiceUnavailable, LogDown: http.StatusServiceUnavailable,
-	LogUnsettled: http.StatusGatewayTimeout,
+	LinkLost: http.StatusBadGateway, RequestNotHeld: http.StatusBadGateway,
+	StartDeadlinePassed: http.StatusServiceUnavailable, DeadlinePassed: http.StatusGatewayTimeout,
+	Cancelled: 499, EngineFailed: http.StatusBadGateway, IncompleteResponse: http.StatusBadGateway,
+	IdempotentResultUnknown: http.StatusServiceUnavailable, LogUnavailable: http.StatusServiceUnavailable,
+	LogWriteUnconfirmed: http.StatusGatewayTimeout,
 }
 
-// HTTPStatus returns the status code that callers and operators see.
+// HTTPStatus returns the HTTP status code for e.
 func (e *Error) HTTPStatus() int {
 	if s, ok := statusByCode[e.Code]; ok {
 		return s
@@ -169,8 +174,8 @@
 	return http.StatusInternalServerError
 }
 
-// RetrySeconds returns RetryAfter in whole seconds, rounded up, for the
-// Retry-After header; 0 means that the header is left out.
+// RetrySeconds returns RetryAfter in seconds, rounded up, for the Retry-After
+// header; 0 means that the header is omitted.
 func (e *Error) RetrySeconds() int {
 	return int((e.RetryAfter + time.Second - 1) / time.Second)
 }
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -58,7 +58,7 @@
 	if e.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(e.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	if e.Code == fault.BadRequest || e.Code == fault.TooLarge || e.Code == fault.HeadTooLarge {
+	if e.Code == fault.BadRequest || e.Code == fault.TooLarge || e.Code == fault.HeadersTooLarge {
 		h.Set("Connection", "close") // what follows on the connection can't be trusted
 	}
 	w.WriteHeader(status)
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -76,7 +76,7 @@
 		}
 		last = err
 		if result == notRun && ran > 0 {
-			last = fault.New(fault.LinkLost, "an earlier server may have run the request: %w", err).With(fault.Unknown)
+			last = fault.New(fault.LinkLost, "an earlier server may have run the request: %w", err).WithOutcome(fault.Unknown)
 		}
 		if !mayGoOn(q, rel, result) {
 			return last
@@ -133,7 +133,7 @@
 	if last == nil {
 		return nil // nothing was sent
 	}
-	if fault.Is(last, fault.NoLink) && try < maxUnreached {
+	if fault.Is(last, fault.BackendServersUnreachable) && try < maxUnreached {
 		return nil // nothing reached a server: no repeat
 	}
 	if ran >= q.route.MaxAttempts || try >= maxSends {
@@ -263,7 +263,7 @@
 	switch {
 	case last == nil, fault.Is(err, fault.Quarantined):
 		return err
-	case (fault.Is(err, fault.ServersRest) || fault.Is(err, fault.ServerRate)) && fault.From(last).Outcome == fault.NotRun:
+	case (fault.Is(err, fault.ServersInBackoff) || fault.Is(err, fault.ServerRateLimit)) && fault.From(last).Outcome == fault.NotRun:
 		return err
 	}
 	return last
@@ -281,15 +281,15 @@
 func outOfTime(ctx context.Context, ran bool) *fault.Error {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errEnding) && ran:
-		return fault.New(fault.LinkLost, "%w", errEnding).With(fault.Unknown)
+		return fault.New(fault.LinkLost, "%w", errEnding).WithOutcome(fault.Unknown)
 	case errors.Is(cause, errEnding):
-		return fault.New(fault.NotReady, "%w", errEnding).With(fault.NotRun).After(noServerRetryAfter)
+		return fault.New(fault.NotReady, "%w", errEnding).WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 	case errors.Is(cause, context.Canceled):
 		return fault.New(fault.Cancelled, "the caller has left")
 	case ran:
-		return fault.New(fault.Deadline, "%w", errDeadline).With(fault.Unknown)
+		return fault.New(fault.DeadlinePassed, "%w", errDeadline).WithOutcome(fault.Unknown)
 	}
-	return fault.New(fault.Expired, "the deadline has passed before the request was sent").With(fault.NotRun).After(noServerRetryAfter)
+	return fault.New(fault.StartDeadlinePassed, "the deadline has passed before the request was sent").WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 }
 
 // sendTo sends the request to the chosen server and relays what it answers.
@@ -355,13 +355,13 @@
 		if ctx.Err() != nil {
 			return notRun, outOfTime(ctx, false)
 		}
-		return notRun, fault.New(fault.NoLink, "the backend server could not be reached: %w", err).
-			With(fault.NotRun).After(noServerRetryAfter)
+		return notRun, fault.New(fault.BackendServersUnreachable, "the backend server could not be reached: %w", err).
+			WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 	}
 	if ctx.Err() != nil {
 		return mayHaveRun, outOfTime(ctx, true)
 	}
-	return mayHaveRun, fault.New(fault.LinkLost, "the backend server gave no answer: %w", err).With(fault.Unknown)
+	return mayHaveRun, fault.New(fault.LinkLost, "the backend server gave no answer: %w", err).WithOutcome(fault.Unknown)
 }
 
 // judge keeps count of what a server's answers are worth.
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -11,8 +11,8 @@
 
 // noServer is the answer where no backend server may get work.
 func (g *Gateway) noServer(q *request) error {
-	return fault.New(fault.NoServer, "no backend server of service %q is ready", q.service).
-		With(fault.NotRun).After(noServerRetryAfter)
+	return fault.New(fault.NoBackendServer, "no backend server of service %q is ready", q.service).
+		WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 }
 
 // choose picks the backend server for the next send and gets leave to send it.
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -175,5 +175,5 @@
 // having ended it.
 func broke(ctx context.Context, result outcome, err error) bool {
 	return (result == mayHaveRun || result == brokenOff) && ctx.Err() == nil &&
-		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.ShortAnswer))
+		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.IncompleteResponse))
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -135,13 +135,13 @@
 	}
 	telemetry.Count("merlinpost_requests_held_back_total", "kind", string(notice.Backoff))
 	after := max(rests+time.Duration(returnSpread*g.draw()*float64(rests)), noServerRetryAfter)
-	return fault.New(fault.ServersRest, "the backend servers of service %q want nothing for %s", q.service, rests).
-		With(fault.NotRun).After(min(after, longestReturn))
+	return fault.New(fault.ServersInBackoff, "the backend servers of service %q want nothing for %s", q.service, rests).
+		WithOutcome(fault.NotRun).WithRetryAfter(min(after, longestReturn))
 }
 
 // limited is the answer where servers take no more now by the rates that they state.
 func (g *Gateway) limited(servers int, wait time.Duration) error {
 	telemetry.Count("merlinpost_requests_held_back_total", "kind", string(notice.RateLimit))
-	return fault.New(fault.ServerRate, "%d backend servers take no more requests by the rates that they state", servers).
-		With(fault.NotRun).After(max(wait, noServerRetryAfter))
+	return fault.New(fault.ServerRateLimit, "%d backend servers take no more requests by the rates that they state", servers).
+		WithOutcome(fault.NotRun).WithRetryAfter(max(wait, noServerRetryAfter))
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -139,7 +139,7 @@
 		return placement.Choice{}, peers.Leave{}, g.limited(refused.Limited, refused.Wait)
 	}
 	return placement.Choice{}, peers.Leave{}, fault.New(fault.WaitTooLong, "the engines have a backlog of %d tokens", refused.Backlog).
-		With(fault.NotRun).After(refused.Wait)
+		WithOutcome(fault.NotRun).WithRetryAfter(refused.Wait)
 }
 
 // undecided chooses the server where no other gateway decides.
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -94,7 +94,7 @@
 	}
 	v, err := g.trials.Claim(ctx, q.id())
 	if err != nil {
-		return told(fault.New(fault.Quarantined, "servers have ended that ran this request: %w", err).After(trialRetryAfter), ran)
+		return told(fault.New(fault.Quarantined, "servers have ended that ran this request: %w", err).WithRetryAfter(trialRetryAfter), ran)
 	}
 	if v != nil {
 		g.ledger.Try(q.id(), t.key, *v, g.now())
@@ -107,15 +107,15 @@
 // the load, and 502 promises nothing, so that callers repeat at once what may be repeated.
 func (g *Gateway) quarantined(q *request, v *quarantine.Verdict, ran bool) error {
 	after := max(v.Until.Sub(g.now()), trialRetryAfter)
-	return told(fault.New(fault.Quarantined, "%d servers have ended that ran this request", len(v.Servers)).After(after), ran)
+	return told(fault.New(fault.Quarantined, "%d servers have ended that ran this request", len(v.Servers)).WithRetryAfter(after), ran)
 }
 
 // told sets what is said of this attempt.
 func told(e *fault.Error, ran bool) error {
 	if ran {
-		return e.With(fault.Unknown)
+		return e.WithOutcome(fault.Unknown)
 	}
-	return e.With(fault.NotRun)
+	return e.WithOutcome(fault.NotRun)
 }
 
 // mayStill checks the request's standing again when a server has been chosen: the wait for leave
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -151,7 +151,7 @@
 	}
 	q.table = g.table.Load()
 	if q.table == nil {
-		return q, fault.New(fault.NotReady, "no configuration is known yet").With(fault.NotRun).After(startRetryAfter)
+		return q, fault.New(fault.NotReady, "no configuration is known yet").WithOutcome(fault.NotRun).WithRetryAfter(startRetryAfter)
 	}
 	if err := checkHead(r, q.table.Limits.HeaderBytes); err != nil {
 		return q, err
@@ -163,7 +163,7 @@
 	}
 	path, _, _ := strings.Cut(q.target, "?")
 	if q.route = q.table.Route(r.Host, path); q.route == nil {
-		return q, fault.New(fault.NotFound, "no route for this host and path").With(fault.NotRun)
+		return q, fault.New(fault.NotFound, "no route for this host and path").WithOutcome(fault.NotRun)
 	}
 	if q.team, err = q.table.Authenticate(q.route, call.Key); err != nil {
 		return q, err
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -18,7 +18,7 @@
 func Run(ctx context.Context, s *Scenario, policy Policy, factor float64, logger *slog.Logger) (*Report, error) {
 	if s.Deployment == nil {
 		if len(s.Routers) == 0 {
-			return nil, fault.New(fault.BadSettings, "either routers or a deployment is needed").InField("routers")
+			return nil, fault.New(fault.BadSettings, "either routers or a deployment is needed").WithField("routers")
 		}
 		return drive(ctx, s, s.Routers, factor, func(time.Duration) {}), nil
 	}
@@ -89,7 +89,7 @@
 
 func checkClass(c *resource.Class) error {
 	if c.Tier == 0 && c.Preemptible {
-		return fault.New(fault.BadSettings, "the top tier is never preempted").InField("stream.preemptible")
+		return fault.New(fault.BadSettings, "the top tier is never preempted").WithField("stream.preemptible")
 	}
 	return nil
 }
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -264,7 +264,7 @@
 	var err error
 	for range maxClaims {
 		var v *Verdict
-		if v, err = k.claim(ctx, id, unkept); !fault.Is(err, fault.Conflict) {
+		if v, err = k.claim(ctx, id, unkept); !fault.Is(err, fault.RevisionConflict) {
 			return v, err
 		}
 	}
@@ -272,7 +272,7 @@
 }
 
 func errTrialTaken(id ID) error {
-	return fault.New(fault.Quarantined, "another has the trial of request %s", id).With(fault.NotRun)
+	return fault.New(fault.Quarantined, "another has the trial of request %s", id).WithOutcome(fault.NotRun)
 }
 
 // claim tries once.
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -44,7 +44,7 @@
 	defer s.mu.Unlock()
 	s.readers = nil
 	if at != nil && at.Offset != s.end {
-		return fault.New(fault.Conflict, "it ends at %d", s.end)
+		return fault.New(fault.RevisionConflict, "it ends at %d", s.end)
 	}
 	s.end++
 	s.kept[key] = value
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -109,10 +109,10 @@
 func Refusal(l Lent, team *resource.Team) *fault.Error {
 	wait := time.Duration(l.WaitMS) * time.Millisecond
 	if l.Rate {
-		return fault.New(fault.TeamRate, "the team is over its rate of %g a second", team.Rate).With(fault.NotRun).After(wait)
+		return fault.New(fault.TeamRateLimit, "the team is over its rate of %g a second", team.Rate).WithOutcome(fault.NotRun).WithRetryAfter(wait)
 	}
-	return fault.New(fault.TeamConcurrency, "the team has %d requests in progress already", team.Concurrency).
-		With(fault.NotRun).After(wait)
+	return fault.New(fault.TeamConcurrencyLimit, "the team has %d requests in progress already", team.Concurrency).
+		WithOutcome(fault.NotRun).WithRetryAfter(wait)
 }
 
 func (u *use) concurrency(team *resource.Team, share float64) *fault.Error {
@@ -123,8 +123,8 @@
 	if u.open < limit {
 		return nil
 	}
-	return fault.New(fault.TeamConcurrency, "the team has %d requests in progress here", u.open).
-		With(fault.NotRun).After(time.Second)
+	return fault.New(fault.TeamConcurrencyLimit, "the team has %d requests in progress here", u.open).
+		WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 }
 
 func (u *use) rate(now time.Time, team *resource.Team, share, burst float64) *fault.Error {
@@ -139,8 +139,8 @@
 	}
 	if u.tokens < 1 {
 		wait := max(time.Millisecond, time.Duration((1-u.tokens)/rate*float64(time.Second)))
-		return fault.New(fault.TeamRate, "the team is over its rate of %g a second", team.Rate).
-			With(fault.NotRun).After(wait)
+		return fault.New(fault.TeamRateLimit, "the team is over its rate of %g a second", team.Rate).
+			WithOutcome(fault.NotRun).WithRetryAfter(wait)
 	}
 	u.tokens--
 	return nil
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -56,7 +56,7 @@
 	_, e := q.Admit(epoch, "a", team, 1)
 	g.Expect(e).To(BeNil())
 	_, e = q.Admit(epoch, "a", team, 1)
-	g.Expect(e.Code).To(Equal(fault.TeamRate))
+	g.Expect(e.Code).To(Equal(fault.TeamRateLimit))
 	_, e = q.Admit(epoch.Add(e.RetryAfter), "a", team, 1)
 	g.Expect(e).To(BeNil())
 	_, e = q.Admit(epoch, "b", team, 1)
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -133,8 +133,8 @@
 		return nil, nil
 	}
 	if e.Digest != digest {
-		return nil, fault.New(fault.KeyConflict, "the key was used with another body").
-			InField("Idempotency-Key").With(fault.NotRun)
+		return nil, fault.New(fault.IdempotencyKeyConflict, "the key was used with another body").
+			WithField("Idempotency-Key").WithOutcome(fault.NotRun)
 	}
 	return e, nil
 }
@@ -143,7 +143,7 @@
 func (b *Book) Begin(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
 	if b.Len() >= MaxEntries {
 		return nil, fault.New(fault.RecordsFull, "%d keys are remembered already", b.Len()).
-			With(fault.NotRun).After(window)
+			WithOutcome(fault.NotRun).WithRetryAfter(window)
 	}
 	e := &Entry{Digest: digest, expires: now.Add(window)}
 	b.entries[key] = e
@@ -278,8 +278,8 @@
 
 // RefuseFault is the answer to a key that nobody can vouch for.
 func (b *Book) RefuseFault(now time.Time, window time.Duration) *fault.Error {
-	return fault.New(fault.CannotVouch, "after a restart nobody can tell whether the key was used before").
-		InField("Idempotency-Key").With(fault.NotRun).After(max(time.Second, b.untilRemembers(now, window)))
+	return fault.New(fault.IdempotentResultUnknown, "after a restart nobody can tell whether the key was used before").
+		WithField("Idempotency-Key").WithOutcome(fault.NotRun).WithRetryAfter(max(time.Second, b.untilRemembers(now, window)))
 }
 
 // String returns the word for metrics.
--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -23,7 +23,7 @@
 	g.Expect(err).To(BeNil())
 	e.Finish(Result{Status: 200, Body: []byte("done")})
 	_, err = b.Lookup(epoch, "k", 2)
-	g.Expect(err.Code).To(Equal(fault.KeyConflict))
+	g.Expect(err.Code).To(Equal(fault.IdempotencyKeyConflict))
 	same, err := b.Lookup(epoch, "k", 1)
 	g.Expect(err).To(BeNil())
 	g.Expect(same.Result.Body).To(Equal([]byte("done")))
--- a/internal/relay/linkstate.go
+++ b/internal/relay/linkstate.go
@@ -42,5 +42,5 @@
 // lost gives up on the present attempt, which may have run.
 func (m *Machine) lost(why string) {
 	m.fx.Abandon(m.attempt)
-	m.attemptFailed(fault.New(fault.LinkLost, "%s", why).With(fault.Unknown))
+	m.attemptFailed(fault.New(fault.LinkLost, "%s", why).WithOutcome(fault.Unknown))
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -135,7 +135,7 @@
 	}
 	switch {
 	case e == nil:
-	case e.Code == fault.NoLink && (m.refusal == nil || !Busy(m.refusal.Code)):
+	case e.Code == fault.BackendServersUnreachable && (m.refusal == nil || !Busy(m.refusal.Code)):
 		m.state = parked
 		m.cause = e
 		m.fx.Arm(TimerAnswer, 0)
@@ -210,8 +210,8 @@
 
 // final lists the faults that another agent would give as well.
 var final = map[fault.Code]bool{
-	fault.KeyConflict: true, fault.CannotVouch: true, fault.TooLarge: true, fault.BadRequest: true,
-	fault.Expired: true, fault.Deadline: true,
+	fault.IdempotencyKeyConflict: true, fault.IdempotentResultUnknown: true, fault.TooLarge: true, fault.BadRequest: true,
+	fault.StartDeadlinePassed: true, fault.DeadlinePassed: true,
 }
 
 func (m *Machine) mayOfferAgain(e *fault.Error) bool {
@@ -313,7 +313,7 @@
 			m.settleCancel(true)
 		}
 	case TimerDeadline:
-		m.cancel(fault.New(fault.Deadline, "the request took too long"))
+		m.cancel(fault.New(fault.DeadlinePassed, "the request took too long"))
 	}
 }
 
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -156,8 +156,8 @@
 func (r *request) Offer(attempt uint32, done uint32, doneText string) *fault.Error {
 	a := pick(r.w, r.w.agents, "agent")
 	if a.down {
-		code := pick(r.w, []fault.Code{fault.NoServer, fault.NoLink, fault.LinkBusy}, "code")
-		return fault.New(code, "no agent is reached").With(fault.NotRun)
+		code := pick(r.w, []fault.Code{fault.NoBackendServer, fault.BackendServersUnreachable, fault.LinkBusy}, "code")
+		return fault.New(code, "no agent is reached").WithOutcome(fault.NotRun)
 	}
 	if r.conn != nil {
 		r.old = append(r.old, r.conn)
@@ -339,7 +339,7 @@
 	for _, x := range append([]*run(nil), a.runs...) {
 		if !x.stopped {
 			x.stopped = true
-			a.core.Ended(a.w.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").With(fault.Unknown))
+			a.core.Ended(a.w.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").WithOutcome(fault.Unknown))
 		}
 	}
 }
--- a/internal/resource/references.go
+++ b/internal/resource/references.go
@@ -53,7 +53,7 @@
 	if first == "" {
 		return nil
 	}
-	return fault.New(fault.InUse, "it is still in use").InField(first)
+	return fault.New(fault.InUse, "it is still in use").WithField(first)
 }
 
 // rolloutsOf returns the live rollouts of a model, sorted by name.
--- a/internal/resource/spec.go
+++ b/internal/resource/spec.go
@@ -191,7 +191,7 @@
 }
 
 func invalid(field, format string, args ...any) *fault.Error {
-	return fault.New(fault.InvalidConfig, format, args...).InField(field)
+	return fault.New(fault.InvalidConfig, format, args...).WithField(field)
 }
 
 var (
@@ -204,7 +204,7 @@
 	if k := Kind(s); slices.Contains(Kinds, k) {
 		return k, nil
 	}
-	return "", fault.New(fault.NotFound, "unknown kind %q, must be one of %v", s, Kinds).InField("kind")
+	return "", fault.New(fault.NotFound, "unknown kind %q, must be one of %v", s, Kinds).WithField("kind")
 }
 
 func newSpec(k Kind) Spec {
@@ -255,12 +255,12 @@
 var unknownFieldPattern = regexp.MustCompile(`unknown field "([^"]*)"`)
 
 func decodeError(err error) *fault.Error {
-	e := fault.New(fault.InvalidConfig, "%w", err).InField("spec")
+	e := fault.New(fault.InvalidConfig, "%w", err).WithField("spec")
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" {
-		return e.InField(typed.Field)
+		return e.WithField(typed.Field)
 	}
 	if m := unknownFieldPattern.FindStringSubmatch(err.Error()); m != nil {
-		return e.InField(m[1])
+		return e.WithField(m[1])
 	}
 	return e
 }
--- a/internal/resource/state.go
+++ b/internal/resource/state.go
@@ -270,10 +270,10 @@
 	}
 	if old != nil {
 		res.Winner = old.Latest().Operation
-		return fault.New(fault.Conflict, "based on revision %d, but %s set revision %d with operation %s",
+		return fault.New(fault.RevisionConflict, "based on revision %d, but %s set revision %d with operation %s",
 			c.Base, old.Latest().Actor, current, res.Winner)
 	}
-	return fault.New(fault.Conflict, "based on revision %d, but the resource does not exist", c.Base)
+	return fault.New(fault.RevisionConflict, "based on revision %d, but the resource does not exist", c.Base)
 }
 
 func (s *State) updateCounts(old, next *Resource, ref Ref) {
--- a/internal/resource/state_test.go
+++ b/internal/resource/state_test.go
@@ -34,7 +34,7 @@
 	mustApply(g, s, 1, "op1", put(KindClass, "helpline", 0, fmt.Sprintf(classSpec, 0)))
 	mustApply(g, s, 2, "op2", put(KindClass, "helpline", 1, fmt.Sprintf(classSpec, 1)))
 	res, _ := s.Apply(3, record("op3", put(KindClass, "helpline", 1, fmt.Sprintf(classSpec, 2))))
-	g.Expect(res.Code).To(Equal(fault.Conflict))
+	g.Expect(res.Code).To(Equal(fault.RevisionConflict))
 	g.Expect(res.Winner).To(Equal("op2"))
 	g.Expect(s.View().Classes["helpline"].Tier).To(Equal(1))
 }
--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -102,7 +102,7 @@
 	}
 	if conn.Peer().Name != l.server.Name {
 		conn.Close()
-		return fault.New(fault.NoServer, "agent %q answers in place of %q", conn.Peer().Name, l.server.Name)
+		return fault.New(fault.NoBackendServer, "agent %q answers in place of %q", conn.Peer().Name, l.server.Name)
 	}
 	l.up(conn)
 	l.router.links.reached()
@@ -232,7 +232,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
-		return "", fault.New(fault.LinkBusy, "no link to %q", l.server.Name).With(fault.NotRun)
+		return "", fault.New(fault.LinkBusy, "no link to %q", l.server.Name).WithOutcome(fault.NotRun)
 	}
 	id := attemptID{o.ID, o.Attempt}
 	l.attempts[id] = c
@@ -240,7 +240,7 @@
 	if !l.conn.Send(o) {
 		delete(l.attempts, id)
 		// The ring was full, so the offer is not on the link.
-		return "", fault.New(fault.LinkBusy, "the link to %q is overrun", l.server.Name).With(fault.NotRun)
+		return "", fault.New(fault.LinkBusy, "the link to %q is overrun", l.server.Name).WithOutcome(fault.NotRun)
 	}
 	l.sent++
 	l.conn.Use(1)
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -105,7 +105,7 @@
 	if n := r.open.Add(1); n > int64(r.set.Callers.MaxRequests) {
 		r.open.Add(-1)
 		return nil, fault.New(fault.QueueFull, "this router has %d requests in progress", n-1).
-			With(fault.NotRun).After(time.Second)
+			WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	defer r.open.Add(-1)
 	r.mu.Lock()
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -42,7 +42,7 @@
 // look finds a link that came up just before the note.
 func (c *call) chooseOrPark() (*agentLink, *fault.Error) {
 	l, e := c.choose()
-	if e == nil || e.Code != fault.NoLink {
+	if e == nil || e.Code != fault.BackendServersUnreachable {
 		return l, e
 	}
 	c.router.links.park(c)
@@ -93,11 +93,11 @@
 func (c *call) noneFault(candidates []dispatch.Candidate) *fault.Error {
 	for i := range candidates {
 		if !c.tried[candidates[i].Name] && !candidates[i].Leaving {
-			return fault.New(fault.NoLink, "no backend server for %q can be reached", c.req.Target).
-				With(fault.NotRun).After(time.Second)
+			return fault.New(fault.BackendServersUnreachable, "no backend server for %q can be reached", c.req.Target).
+				WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 		}
 	}
-	return fault.New(fault.NoServer, "no backend server for %q is left", c.req.Target).With(fault.NotRun).After(time.Second)
+	return fault.New(fault.NoBackendServer, "no backend server for %q is left", c.req.Target).WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 }
 
 // home returns the link to the home agent of the request's idempotency key.
@@ -105,7 +105,7 @@
 func (c *call) home() (*agentLink, *fault.Error) {
 	pool := c.router.Config.View().Pools[c.req.Pool]
 	if pool == nil {
-		return nil, fault.New(fault.NoServer, "there is no pool %q", c.req.Pool).With(fault.NotRun)
+		return nil, fault.New(fault.NoBackendServer, "there is no pool %q", c.req.Pool).WithOutcome(fault.NotRun)
 	}
 	names := make([]string, len(pool.Servers))
 	for i, s := range pool.Servers {
@@ -113,10 +113,10 @@
 	}
 	l := c.router.links.server(pool.Server(rendezvous.First(c.req.Key, names)))
 	if _, up := l.state(); !up {
-		return nil, fault.New(fault.NoLink, "the server that keeps this key can't be reached").With(fault.NotRun).After(time.Second)
+		return nil, fault.New(fault.BackendServersUnreachable, "the server that keeps this key can't be reached").WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	if c.tried[l.server.Name] {
-		return nil, fault.New(fault.NoServer, "the server that keeps this key did not take the call").With(fault.NotRun).After(time.Second)
+		return nil, fault.New(fault.NoBackendServer, "the server that keeps this key did not take the call").WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	return l, nil
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -20,12 +20,12 @@
 func Listen(set settings.Router) (Listeners, error) {
 	callers, err := net.Listen("tcp", set.Callers.Listen)
 	if err != nil {
-		return Listeners{}, fault.New(fault.BadSettings, "%w", err).InField("callers.listen")
+		return Listeners{}, fault.New(fault.BadSettings, "%w", err).WithField("callers.listen")
 	}
 	operators, err := net.Listen("tcp", set.Operators.Listen)
 	if err != nil {
 		_ = callers.Close() // the listen error is the one to report
-		return Listeners{}, fault.New(fault.BadSettings, "%w", err).InField("operators.listen")
+		return Listeners{}, fault.New(fault.BadSettings, "%w", err).WithField("operators.listen")
 	}
 	return Listeners{callers, operators}, nil
 }
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -31,7 +31,7 @@
 		g := NewWithT(t)
 		offer := &Offer{ID: rapid.String().Draw(t, "id"), Attempt: rapid.Uint32().Draw(t, "attempt"),
 			Body: rapid.SliceOfN(rapid.Byte(), 1, 40000).Draw(t, "body"), MayRepeat: rapid.Bool().Draw(t, "may repeat")}
-		end := &End{ID: offer.ID, Total: 7, Fault: FaultOf(fault.New(fault.EngineFailed, "gone").With(fault.Partial)),
+		end := &End{ID: offer.ID, Total: 7, Fault: FaultOf(fault.New(fault.EngineFailed, "gone").WithOutcome(fault.Partial)),
 			Load: &Load{Queued: []int{1, 2}, Serving: []string{"advisory@base"}}}
 		r := NewReader(bytes.NewReader(encodeAll(t, offer, end)))
 		got, err := r.Read()
