--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -48,9 +48,9 @@
 	fields["stream"] = true
 	fields["stream_options"] = map[string]bool{"include_usage": true}
 	fields["priority"] = r.Offer.Tier
-	fields["request_id"] = r.Key.ID
-	if r.Done > 0 {
-		fields["resume"] = map[string]any{"tokens": r.Done, "text": r.DoneText}
+	fields["request_id"] = r.Key.RequestID
+	if r.GeneratedTokens > 0 {
+		fields["resume"] = map[string]any{"tokens": r.GeneratedTokens, "text": r.GeneratedText}
 	}
 	data, err := json.Marshal(fields)
 	if err != nil {
@@ -190,7 +190,7 @@
 			token([]byte(text))
 		}
 		if c.Finish != "" {
-			end.Finish = c.Finish
+			end.FinishReason = c.Finish
 		}
 	}
 }
--- a/internal/agent/history.go
+++ b/internal/agent/history.go
@@ -26,7 +26,7 @@
 	for ctx.Err() == nil {
 		changed := a.config.Changed()
 		if a.config.Ready() && a.witness.history.note(a.config.View(), a.set.Name) {
-			a.core.post(ctx, func(now time.Time) { a.core.core.Book().ServersChanged(now) })
+			a.core.post(ctx, func(now time.Time) { a.core.core.Keys().ServersChanged(now) })
 		}
 		select {
 		case <-changed:
@@ -64,6 +64,6 @@
 		return true
 	}
 	before := h.before[s.Pool]
-	return before != nil && time.Since(h.changed[s.Pool]) < settings.Millis(int(o.KeyWindowMS)) &&
-		rendezvous.First(o.Key, before) != a.set.Name
+	return before != nil && time.Since(h.changed[s.Pool]) < settings.Millis(int(o.KeyRetentionMS)) &&
+		rendezvous.First(o.IdempotencyKey, before) != a.set.Name
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -112,12 +112,12 @@
 // checks the fencing number where it can; where it can't, the log is asked
 // just before, and the state is looked at again at the next turn.
 func (a *Agent) order(ctx context.Context, o order) {
-	if a.lease.Fence() == 0 || (!a.set.Server.Fencing && !a.lease.Current(ctx)) {
+	if a.lease.FencingToken() == 0 || (!a.set.Server.Fencing && !a.lease.VerifyHeld(ctx)) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	o.Fence, o.By = a.lease.Fence(), a.incarnation
+	o.Fence, o.By = a.lease.FencingToken(), a.incarnation
 	err := a.engine.give(ctx, o)
 	telemetry.Count("merlinpost_agent_orders_total", "op", o.Op)
 	if err != nil {
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -38,7 +38,7 @@
 // call makes one call and returns the whole answer. An answer with an error
 // status of the service's own is an answer, not a failure.
 func (c *serviceClient) call(ctx context.Context, r execution.Run) ([]byte, wire.End, *fault.Error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Offer.RunWithinMS)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Offer.RunTimeoutMS)*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+r.Offer.Endpoint, bytes.NewReader(r.Offer.Body))
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 	req.GetBody = nil // never sent a second time
 	req.Header.Set("Content-Type", r.Offer.ContentType)
-	req.Header.Set("Merlinpost-Request-Id", r.Key.ID)
+	req.Header.Set("Merlinpost-Request-Id", r.Key.RequestID)
 	req, sent := httpsent.Trace(req)
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/internal/callerapi/api_test.go
+++ b/internal/callerapi/api_test.go
@@ -152,7 +152,7 @@
 
 func TestRequestHasClassAndTokenLimit(t *testing.T) {
 	g := NewWithT(t)
-	b := &fakeBackend{chunks: []string{"hi"}, end: &wire.End{Finish: "stop", PromptTokens: 3, OutputTokens: 1}}
+	b := &fakeBackend{chunks: []string{"hi"}, end: &wire.End{FinishReason: "stop", PromptTokens: 3, OutputTokens: 1}}
 	w := serve(t, b, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Code).To(Equal(http.StatusOK))
 	g.Expect(w.Body.String()).To(ContainSubstring(`"content":"hi"`))
@@ -162,6 +162,6 @@
 	b = &fakeBackend{chunks: []string{"ok"}, end: &wire.End{Status: 201, ContentType: "text/plain"}}
 	w = serve(t, b, "/v1/services/receipts", "x", map[string]string{HeaderIdempotencyKey: "k"})
 	g.Expect(w.Code).To(Equal(201))
-	g.Expect(b.got.Key).To(Equal("receipts\x00t\x00k"))
+	g.Expect(b.got.IdempotencyKey).To(Equal("receipts\x00t\x00k"))
 	g.Expect(b.got.MayRepeat).To(BeFalse())
 }
--- a/internal/callerapi/completion.go
+++ b/internal/callerapi/completion.go
@@ -75,7 +75,7 @@
 	}
 	f.id, f.model, f.created, f.includeUsage = x.id, in.Model, x.start.Unix(), in.StreamOptions.IncludeUsage
 	x.w.Header().Set(HeaderServed, in.Model+"@"+version)
-	req := &router.Request{ID: x.id, Kind: wire.Generate, Endpoint: f.endpoint, Team: x.teamName, ClassName: x.className,
+	req := &router.Request{ID: x.id, Kind: wire.KindGenerate, Endpoint: f.endpoint, Team: x.teamName, ClassName: x.className,
 		Class: x.class, Pool: model.Pool, Target: in.Model + "@" + version, MayRepeat: true, Resumable: true,
 		MaxTokens: in.tokenLimit(x.class), Prefix: in.promptPrefix(), ContentType: "application/json", Body: withTokenLimit(data, &in, x.class)}
 	if in.Stream {
@@ -231,10 +231,10 @@
 }
 
 func finishReason(end *wire.End) string {
-	if end.Finish == "" {
+	if end.FinishReason == "" {
 		return "stop"
 	}
-	return end.Finish
+	return end.FinishReason
 }
 
 func newUsage(end *wire.End) *usage {
--- a/internal/callerapi/service.go
+++ b/internal/callerapi/service.go
@@ -38,9 +38,9 @@
 		contentType = "application/octet-stream"
 	}
 	var response bytes.Buffer
-	end, e := a.backend.Do(x.r.Context(), &router.Request{ID: x.id, Kind: wire.Service, Endpoint: s.Path, Team: x.teamName,
-		ClassName: x.className, Class: x.class, Pool: s.Pool, Target: name, MayRepeat: s.MayRepeat, Key: key,
-		KeyWindow: settings.Millis(s.KeyWindowMS), Body: body, MaxTokens: 1, ContentType: contentType},
+	end, e := a.backend.Do(x.r.Context(), &router.Request{ID: x.id, Kind: wire.KindService, Endpoint: s.Path, Team: x.teamName,
+		ClassName: x.className, Class: x.class, Pool: s.Pool, Target: name, MayRepeat: s.MayRepeat, IdempotencyKey: key,
+		IdempotencyWindow: settings.Millis(s.KeyWindowMS), Body: body, MaxTokens: 1, ContentType: contentType},
 		func(data []byte) error {
 			x.observation.Token(time.Now())
 			response.Write(data)
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		return Batch{}, fault.New(fault.Internal, "log read: %w", err)
 	}
-	reply, err := httpcall.Do(c.http, req, httpcall.Limits{Wait: wait, Silence: c.timeout, Longest: maxReadDuration, Bytes: maxResponseBytes})
+	reply, err := httpcall.Do(c.http, req, httpcall.Limits{ReplyWait: wait, IdleTimeout: c.timeout, Timeout: maxReadDuration, MaxBytes: maxResponseBytes})
 	status, body := reply.Status, reply.Body
 	if err != nil {
 		return Batch{}, fault.New(fault.LogUnavailable, "log read: %w", err)
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -288,7 +288,7 @@
 	case <-ctx.Done():
 	}
 	close(d.stopRouter)
-	for d.Open() > 0 && ctx.Err() == nil {
+	for d.InProgress() > 0 && ctx.Err() == nil {
 		select {
 		case <-time.After(readyPoll):
 		case <-ctx.Done():
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -41,7 +41,7 @@
 const maxAnswer = 8 << 20
 
 // take reads the server's answer and relays it if it is the caller's.
-func (g *Gateway) take(ctx context.Context, q *request, rel *relay, resp *exchange.Response, answer Answer, w *watch) (outcome, error) {
+func (g *Gateway) take(ctx context.Context, q *request, rel *relay, resp *exchange.Response, answer ResponseInfo, w *watch) (outcome, error) {
 	if answer.NotRun || resp.Status == http.StatusMisdirectedRequest {
 		return refusedBy(resp)
 	}
@@ -151,7 +151,7 @@
 type watch struct {
 	now   func() time.Time
 	first func() // called with the first event
-	seen  *permit.Stream
+	seen  *permit.StreamStats
 	begin time.Time // of the first event
 	last  time.Time
 }
@@ -163,11 +163,11 @@
 		w.begin = now
 		w.first()
 	} else {
-		w.seen.Longest = max(w.seen.Longest, now.Sub(w.last))
+		w.seen.LongestGap = max(w.seen.LongestGap, now.Sub(w.last))
 	}
 	w.seen.Events++
 	w.last = now
-	w.seen.Took = now.Sub(w.begin)
+	w.seen.Duration = now.Sub(w.begin)
 }
 
 // accept reports whether the event is to be relayed, and counts it. Events that
