--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -17,17 +17,17 @@
 func (f *Follower) configTopic() topic {
 	settings := f.settings.Load()
 	timing := newTiming(settings.ApplyWithin, 0.7)
-	if _, anySmall := f.Peers.Small(); anySmall {
+	if _, anySmall := f.Peers.SmallHosts(); anySmall {
 		timing.ReadSpread += smallHostDelay
 	}
 	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: configReadMaxKB, timing: timing, interval: minReadInterval, longPoll: true,
-		slowestTransfer: freshness.TransferTime(f.configBytes, settings.RecordBytes, float64(f.Peers.SlowestLink())),
+		slowestTransfer: freshness.TransferTime(f.configBytes, settings.RecordBytes, float64(f.Peers.SlowestLinkMbps())),
 		confirm:         func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, replace: f.applyConfig, apply: f.applyConfig,
 		sharedByPeers: true,
 		fetchFromPeer: f.fetchConfigFromPeer,
 		publish:       f.publishConfig,
 		observe: func(err error) {
-			f.configLag.observe(f.Gateway.ConfigVersion(), int64(f.Peers.Heard(f.Topics.Configuration)), err, settings.ApplyWithin, time.Now())
+			f.configLag.observe(f.Gateway.ConfigVersion(), int64(f.Peers.ReportedState(f.Topics.Configuration)), err, settings.ApplyWithin, time.Now())
 		}}
 }
 
@@ -80,7 +80,7 @@
 // fetchConfigFromPeer fetches and applies the configuration of a peer that announced a newer
 // version. It reports whether that succeeded.
 func (f *Follower) fetchConfigFromPeer(ctx context.Context, r *readState) bool {
-	at, from, newer := f.Peers.Newer(f.Topics.Configuration)
+	at, from, newer := f.Peers.NewerState(f.Topics.Configuration)
 	if !newer {
 		return false
 	}
@@ -97,6 +97,6 @@
 	}
 	r.next, r.loaded, r.behind, r.gotRecords = logposition.Later(r.next, v.Next), true, false, false
 	f.Share.Put(v)
-	f.Peers.Find(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.upSince)
+	f.Peers.ReportState(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.upSince)
 	return true
 }
--- a/internal/follow/dependencies.go
+++ b/internal/follow/dependencies.go
@@ -79,28 +79,28 @@
 	Rank(topic string) int
 	// Find records and announces the state that this gateway has read, and since when its calls to
 	// the store have succeeded without interruption.
-	Find(topic string, state uint64, at, since time.Time)
+	ReportState(topic string, state uint64, at, since time.Time)
 	// StoreUpSince returns since when another gateway's calls to the store have succeeded without
 	// interruption; zero if none has reported it.
 	StoreUpSince(topic string) time.Time
 	// Heard returns the state of the topic that a peer announced last, 0 if none has.
-	Heard(topic string) uint64
+	ReportedState(topic string) uint64
 	// Versioned declares that the states of a topic are ordered version numbers.
-	Versioned(topic string)
+	SetVersioned(topic string)
 	// Newer reports whether a peer announced a newer state than this gateway has, the address of
 	// that peer, and the time at which that state was the newest.
-	Newer(topic string) (at time.Time, from netip.AddrPort, newer bool)
+	NewerState(topic string) (at time.Time, from netip.AddrPort, newer bool)
 	// Confirmed returns when this gateway's state was last confirmed to be the newest, and a
 	// channel that is closed when a peer announces a newer one.
-	Confirmed(topic string) (at time.Time, changed <-chan struct{})
+	LastConfirmed(topic string) (at time.Time, changed <-chan struct{})
 	// Small returns whether this host has a small processor or link compared with the largest host,
 	// and whether any host has.
-	Small() (self, some bool)
+	SmallHosts() (self, some bool)
 	// SlowestLink returns the speed of the slowest link of the live gateways in Mbit/s, 0 if
 	// unknown.
-	SlowestLink() uint32
+	SlowestLinkMbps() uint32
 	// List sets the gateways that are registered in the store. Self returns this gateway.
-	List([]peers.Member)
+	AddListed([]peers.Member)
 	Self() peers.Member
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -69,7 +69,7 @@
 // New returns a follower, which is started with Run.
 func New(deps Dependencies, s Settings) *Follower {
 	f := &Follower{Dependencies: deps, configLag: lagMonitor{logger: deps.Logger}, entryDigests: map[string]uint64{}}
-	f.Peers.Versioned(f.Topics.Configuration)
+	f.Peers.SetVersioned(f.Topics.Configuration)
 	f.SetSettings(s)
 	return f
 }
@@ -108,7 +108,7 @@
 func (f *Follower) waitUntilDue(ctx context.Context, t topic, primary bool, r *readState) {
 	sleep(ctx, minReadInterval)
 	for ctx.Err() == nil {
-		confirmed, changed := f.Peers.Confirmed(t.name)
+		confirmed, changed := f.Peers.LastConfirmed(t.name)
 		maxAge := t.interval
 		if !primary {
 			maxAge = t.timing.MaxAge(t.slowestTransfer) + f.readDelay(t)
@@ -135,7 +135,7 @@
 // reads, so that gateways do not all read at once.
 func (f *Follower) readDelay(t topic) time.Duration {
 	delay := min(time.Duration(f.Peers.Rank(t.name))*readStagger, maxReadStagger)
-	if small, _ := f.Peers.Small(); small && t.sharedByPeers {
+	if small, _ := f.Peers.SmallHosts(); small && t.sharedByPeers {
 		delay += smallHostDelay
 	}
 	return delay
@@ -149,7 +149,7 @@
 	if f.Gateway.Ready() {
 		delay = min(retryDelay*time.Duration(1+f.Peers.Rank(t.name)), maxRetryDelay)
 	}
-	_, changed := f.Peers.Confirmed(t.name)
+	_, changed := f.Peers.LastConfirmed(t.name)
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
--- a/internal/follow/readstate.go
+++ b/internal/follow/readstate.go
@@ -83,7 +83,7 @@
 	r.advance(t, records, next, end)
 	if !r.behind {
 		t.publish(r.next)
-		f.Peers.Find(t.name, state, b.asOf, r.upSince)
+		f.Peers.ReportState(t.name, state, b.asOf, r.upSince)
 	}
 }
 
--- a/internal/follow/servers_test.go
+++ b/internal/follow/servers_test.go
@@ -24,7 +24,7 @@
 type noPeers struct{ follow.Peers }
 
 func (noPeers) StoreUpSince(string) time.Time { return time.Time{} }
-func (noPeers) Versioned(string)              {}
+func (noPeers) SetVersioned(string)           {}
 
 // newOfflineFollower returns a follower that is not connected to a store, and its server list.
 func newOfflineFollower() (*follow.Follower, *registry.Registry) {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -92,7 +92,7 @@
 		return unsent, err
 	}
 	if t.key != 0 {
-		defer func() { g.ledger.Done(q.quarantineID(), t.key, g.now()) }()
+		defer func() { g.quarantine.Done(q.quarantineID(), t.key, g.now()) }()
 	}
 	choice, permitted, err := g.chooseServer(ctx, q, g.excludedServers(q, t, tried), t, rel)
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 	start := choice.Candidate.Server.InstanceID()
 	tried[start] = true
-	g.ledger.SetServer(q.quarantineID(), t.key, start, g.now())
+	g.quarantine.SetServer(q.quarantineID(), t.key, start, g.now())
 	return g.sendTo(ctx, q, choice, permitted, rel)
 }
 
@@ -337,12 +337,12 @@
 	if err != nil {
 		s.Cause = err.Error()
 	}
-	g.ledger.RecordRun(g.now().Sub(sentAt), g.now())
+	g.quarantine.RecordRun(g.now().Sub(sentAt), g.now())
 	switch {
 	case connectionBroke(ctx, result, err):
 		s.ServerEnded = g.runInterrupted(q, server, quarantine.Crash{Server: server.InstanceID(), SentAt: sentAt, At: g.now()})
-	case result == delivered && resp.Status < http.StatusInternalServerError && g.ledger.HasEntries():
-		g.ledger.RecordAnswer(q.quarantineID(), g.now())
+	case result == delivered && resp.Status < http.StatusInternalServerError && g.quarantine.HasEntries():
+		g.quarantine.RecordAnswer(q.quarantineID(), g.now())
 	}
 	q.sends = append(q.sends, s)
 	return result, err
--- a/internal/gateway/errors_and_logs.go
+++ b/internal/gateway/errors_and_logs.go
@@ -95,7 +95,7 @@
 func (g *Gateway) logAnswered(q *request, rel *relay) {
 	telemetry.Count("merlinpost_gateway_answers_total", "class", q.route.Name, "status", strconv.Itoa(rel.status))
 	if rel.events > 0 {
-		g.answerTime(q.route.Name).Observe(g.now().Sub(q.start)-rel.first, q.info.Prompt.OutputTokens)
+		g.responseTime(q.route.Name).Observe(g.now().Sub(q.start)-rel.first, q.info.Prompt.OutputTokens)
 	}
 	plain := rel.status < http.StatusBadRequest && len(q.sends) == 1 && !decisionlog.Sampled(q.info.ID, g.settings.Load().LogOneIn)
 	if plain && !(q.hasNotices() && g.logLimiter.Allow("notice", g.now())) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,7 +66,7 @@
 
 	logLimiter decisionlog.Limiter
 	exits      exitTracker
-	ledger     *quarantine.Tracker
+	quarantine *quarantine.Tracker
 	notices    *notice.Registry
 	trials     Trials // nil if trials are not coordinated with other gateways
 
@@ -77,8 +77,8 @@
 	// borrowPausedUntil is the time until which other gateways are not asked for repeats, keyed by service.
 	borrowPausedUntil map[string]time.Time
 	// stalledUntil is the time until which requests do not add to the budgets.
-	stalledUntil time.Time
-	answerTimes  map[string]*placement.ResponseTimeEstimator // keyed by route
+	stalledUntil  time.Time
+	responseTimes map[string]*placement.ResponseTimeEstimator // keyed by route
 }
 
 // New returns a gateway without a configuration. It is not ready until SetTable has been called and servers is loaded.
@@ -89,9 +89,9 @@
 			telemetry.Count("merlinpost_backend_connections_opened_total")
 		}),
 		budgets: map[string]*retrybudget.Budget{}, slackShare: 1, borrowPausedUntil: map[string]time.Time{},
-		answerTimes: map[string]*placement.ResponseTimeEstimator{},
-		exits:       exitTracker{byStart: map[string]*exitCheck{}, pending: map[string][]interruptedRun{}},
-		ledger:      quarantine.New(),
+		responseTimes: map[string]*placement.ResponseTimeEstimator{},
+		exits:         exitTracker{byInstance: map[string]*exitCheck{}, pending: map[string][]interruptedRun{}},
+		quarantine:    quarantine.New(),
 	}
 	g.notices = notice.NewRegistry(ratelimit.New(g.random), g.logNoticeChange)
 	servers.OnRestart(g.pool.CloseIdle)
@@ -142,7 +142,7 @@
 
 // Stalled reports that the process was stalled since the given time. Requests that arrived during the stall may
 // be old, so requests counted until the backlog is processed do not add to the retry budgets.
-func (g *Gateway) Stalled(since, until time.Time) {
+func (g *Gateway) RecordStall(since, until time.Time) {
 	g.mu.Lock()
 	g.stalledUntil = until
 	g.mu.Unlock()
@@ -213,8 +213,8 @@
 	})
 }
 
-func (g *Gateway) answerTime(route string) *placement.ResponseTimeEstimator {
-	return getOrCreate(g, g.answerTimes, route, func() *placement.ResponseTimeEstimator { return &placement.ResponseTimeEstimator{} })
+func (g *Gateway) responseTime(route string) *placement.ResponseTimeEstimator {
+	return getOrCreate(g, g.responseTimes, route, func() *placement.ResponseTimeEstimator { return &placement.ResponseTimeEstimator{} })
 }
 
 // getOrCreate returns the entry of m with the given name and creates it if it does not exist.
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -103,7 +103,7 @@
 }
 
 // Limited returns the servers that state a rate limit, by group.
-func (g *Gateway) Limited() map[permit.Group][]string {
+func (g *Gateway) RateLimitedServers() map[permit.Group][]string {
 	out := map[permit.Group][]string{}
 	for _, start := range g.notices.Limits().Servers() {
 		if server, listed := g.servers.FindInstance(start); listed {
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -58,7 +58,7 @@
 	It("is reported as the cause if another server refused the request before", func() {
 		r := startHarness(2)
 		r.workers[1].Behave(worker.Behaviour{Refuse: true})
-		r.gateway.UsePeers(&fakePeers{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-1"},
+		r.gateway.UsePeers(&fakePeers{decisions: []permit.Decision{{Verdict: permit.Granted, Engine: "i-1"},
 			{Verdict: permit.Refused, RateLimitedEngines: 1, Wait: 3 * time.Second}}})
 		r.gateway.SetGateways(1)
 		a := r.post("/stream/", "a")
@@ -68,21 +68,21 @@
 
 	It("makes plain requests require a permit, because all gateways share the limit", func() {
 		r := startHarness(2)
-		d := &fakePeers{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-1"}}}
+		d := &fakePeers{decisions: []permit.Decision{{Verdict: permit.Granted, Engine: "i-1"}}}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		r.workers[0].Say("Server-Limit: 1")
 		Eventually(func() int {
 			Expect(r.post("/once/", "a").status).To(Equal(200))
-			return len(d.asked())
+			return len(d.requests())
 		}).Should(BeNumerically(">", 0))
-		Expect(d.asked()[0].Plain).To(BeTrue())
-		Expect(r.gateway.Limited()).To(Equal(map[permit.Group][]string{{Service: "s"}: {"i-0"}}))
+		Expect(d.requests()[0].Plain).To(BeTrue())
+		Expect(r.gateway.RateLimitedServers()).To(Equal(map[permit.Group][]string{{Service: "s"}: {"i-0"}}))
 	})
 
 	It("is limited to the gateway's own share if no gateway can grant permits", func() {
 		r := startHarness(1)
-		r.gateway.UsePeers(&fakePeers{answers: []permit.Decision{{Verdict: permit.Granted}}})
+		r.gateway.UsePeers(&fakePeers{decisions: []permit.Decision{{Verdict: permit.Granted}}})
 		r.gateway.SetGateways(1)
 		r.workers[0].Say("Server-Limit: 0.2")
 		Expect(ask(r, "/again/", 20)).To(Equal(map[int]int{200: 1, 429: 19}))
@@ -150,15 +150,15 @@
 
 	It("is not used for a permit that was granted before it announced draining", func() {
 		r := startHarness(2)
-		d := &fakePeers{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
-		d.onAsk = func() {
+		d := &fakePeers{decisions: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
+		d.onRequest = func() {
 			r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		Expect(r.post("/stream/", "a").status).To(Equal(200))
 		Expect(r.workers[0].Asked()).To(BeZero())
-		Expect(d.asked()[1].ExcludedEngines).To(Equal([]string{"i-0"}))
+		Expect(d.requests()[1].ExcludedEngines).To(Equal([]string{"i-0"}))
 	})
 
 	It("remains listed as a closed engine, so that others can fetch cached prompt parts from it", func() {
@@ -221,13 +221,13 @@
 
 	It("is listed as unusable in permit requests", func() {
 		r := startHarness(2)
-		d := &fakePeers{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
+		d := &fakePeers{decisions: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		r.workers[0].Behave(refusing)
 		Expect(r.post("/stream/", "a").status).To(Equal(200))
 		Expect(r.post("/stream/", "b").status).To(Equal(200))
-		Expect(d.asked()[2].ExcludedEngines).To(Equal([]string{"i-0"}))
+		Expect(d.requests()[2].ExcludedEngines).To(Equal([]string{"i-0"}))
 	})
 
 	It("does not affect other gateways", func() {
--- a/internal/gateway/operations.go
+++ b/internal/gateway/operations.go
@@ -32,7 +32,7 @@
 }
 
 func (g *Gateway) listQuarantine(w http.ResponseWriter, _ *http.Request) {
-	list, suspects := g.ledger.List()
+	list, suspects := g.quarantine.List()
 	doc := struct {
 		Requests []quarantineEntry `json:"requests"`
 		Suspects int               `json:"suspects"`
@@ -52,7 +52,7 @@
 		http.Error(w, err.Error(), fault.From(err).HTTPStatus())
 		return
 	}
-	if !g.ledger.Lift(id, g.now()) {
+	if !g.quarantine.Lift(id, g.now()) {
 		http.Error(w, "the request is not quarantined", http.StatusNotFound)
 		return
 	}
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -42,7 +42,7 @@
 	// Ask requests a permit from the gateway that is responsible for a group of engines
 	// and waits for the verdict. The verdict is Granted without an engine if no gateway
 	// is available to decide.
-	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
+	RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a repeated send to a service from their retry budgets and reports
 	// whether one did. The key determines which gateways are asked.
 	BorrowRepeat(ctx context.Context, service, key string) bool
@@ -106,7 +106,7 @@
 	for n, group := 0, 0; n < maxPermitRequests && group < min(maxGroups, len(groups)); n++ {
 		ask.ID = fmt.Sprintf("%s/%d", q.info.ID, q.permitRequests)
 		q.permitRequests++
-		answer, permitted := g.peers.Ask(ctx, permit.Group{Service: q.service, Index: groups[group]}, ask)
+		answer, permitted := g.peers.RequestPermit(ctx, permit.Group{Service: q.service, Index: groups[group]}, ask)
 		if ctx.Err() != nil {
 			permitted.End(permit.StreamStats{})
 			return placement.Choice{}, peers.Permit{}, contextError(ctx, false)
@@ -203,7 +203,7 @@
 		FailureDomain: g.settings.Load().FailureDomain}
 	now := g.now()
 	left := q.deadline.Sub(now)
-	answerTime := g.answerTime(q.route.Name).Estimate(prompt.OutputTokens)
+	answerTime := g.responseTime(q.route.Name).Estimate(prompt.OutputTokens)
 	elapsed := now.Sub(q.start)
 	a.ResponseTimeout = left
 	a.Priority = engineRank(q.route.Priority, q.priority)
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -19,22 +19,22 @@
 
 // fakePeers responds to permit requests with the given answers in order, and repeats the last one.
 type fakePeers struct {
-	mu      sync.Mutex
-	answers []permit.Decision
-	asks    []permit.Ask
-	onAsk   func() // called during each Ask
+	mu             sync.Mutex
+	decisions      []permit.Decision
+	permitRequests []permit.Ask
+	onRequest      func() // called during each Ask
 }
 
-func (d *fakePeers) Ask(_ context.Context, _ permit.Group, a permit.Ask) (permit.Decision, peers.Permit) {
+func (d *fakePeers) RequestPermit(_ context.Context, _ permit.Group, a permit.Ask) (permit.Decision, peers.Permit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asks = append(d.asks, a)
-	answer := d.answers[0]
-	if len(d.answers) > 1 {
-		d.answers = d.answers[1:]
+	d.permitRequests = append(d.permitRequests, a)
+	answer := d.decisions[0]
+	if len(d.decisions) > 1 {
+		d.decisions = d.decisions[1:]
 	}
-	if d.onAsk != nil {
-		d.onAsk()
+	if d.onRequest != nil {
+		d.onRequest()
 	}
 	answer.ID = a.ID
 	return answer, peers.Permit{}
@@ -43,16 +43,16 @@
 func (d *fakePeers) BorrowRepeat(context.Context, string, string) bool { return false }
 
 // asked returns the permit requests so far.
-func (d *fakePeers) asked() []permit.Ask {
+func (d *fakePeers) requests() []permit.Ask {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.asks)
+	return slices.Clone(d.permitRequests)
 }
 
 var _ = Describe("a gateway that requests permits", func() {
 	start := func(workers int, answers ...permit.Decision) (*harness, *fakePeers) {
 		r := startHarness(workers)
-		d := &fakePeers{answers: answers}
+		d := &fakePeers{decisions: answers}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		return r, d
@@ -63,33 +63,33 @@
 		r, d := start(3, granted("i-2"))
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(r.workers[2].Runs()).To(HaveLen(1))
-		Expect(d.asks).To(HaveLen(1))
+		Expect(d.permitRequests).To(HaveLen(1))
 	})
 
 	It("requests another permit if the granted engine started draining during the wait", func() {
 		r, d := start(3, granted("i-0"), granted("i-1"))
-		d.onAsk = func() {
+		d.onRequest = func() {
 			r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s", Draining: true}}}, time.Now(), time.Time{})
 		}
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(r.workers[0].Runs()).To(BeEmpty())
 		Expect(r.workers[1].Runs()).To(HaveLen(1))
-		Expect(d.asks).To(HaveLen(2))
-		Expect(d.asks[1].ExcludedEngines).To(ContainElement("i-0"))
-		Expect(d.asks[1].ID).NotTo(Equal(d.asks[0].ID))
+		Expect(d.permitRequests).To(HaveLen(2))
+		Expect(d.permitRequests[1].ExcludedEngines).To(ContainElement("i-0"))
+		Expect(d.permitRequests[1].ID).NotTo(Equal(d.permitRequests[0].ID))
 	})
 
 	It("requests another permit if the granted engine restarted during the wait", func() {
 		r, d := start(2, granted("i-0"), granted("i-0@2000"))
-		d.onAsk = func() {
+		d.onRequest = func() {
 			r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s",
 				Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 2000}}}, time.Now(), time.Time{})
 		}
 		r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s",
 			Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 1000}}}, time.Now(), time.Time{})
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
-		Expect(d.asks).To(HaveLen(2)) // "i-0" is not a listed start
-		Expect(d.asks[1].ExcludedEngines).To(ContainElement("i-0"))
+		Expect(d.permitRequests).To(HaveLen(2)) // "i-0" is not a listed start
+		Expect(d.permitRequests[1].ExcludedEngines).To(ContainElement("i-0"))
 		Expect(r.workers[0].Runs()).To(HaveLen(1))
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
 			Expect(e.ID).To(BeElementOf("i-0@2000", "i-1"))
@@ -101,7 +101,7 @@
 		a := r.post("/report/x", "r1")
 		Expect(a.status).To(Equal(503))
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(len(d.asks)).To(BeNumerically("<", 10))
+		Expect(len(d.permitRequests)).To(BeNumerically("<", 10))
 		Expect(r.runs()).To(BeEmpty())
 	})
 
@@ -123,8 +123,8 @@
 		r, d := start(2, granted("i-0"), granted("i-1"))
 		r.workers[0].Next(worker.Behaviour{Refuse: true})
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
-		Expect(d.asks).To(HaveLen(2))
-		Expect(d.asks[1].ExcludedEngines).To(Equal([]string{"i-0"}))
+		Expect(d.permitRequests).To(HaveLen(2))
+		Expect(d.permitRequests[1].ExcludedEngines).To(Equal([]string{"i-0"}))
 		Expect(r.workers[1].Runs()).To(HaveLen(1))
 	})
 
@@ -135,16 +135,16 @@
 		a := r.post("/stream/x", "r1")
 		Expect(a.status).To(Equal(503))
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(d.asks).To(HaveLen(1))
+		Expect(d.permitRequests).To(HaveLen(1))
 		Expect(r.runs()).To(BeEmpty())
 	})
 
 	It("returns all listed engines to peers, including those that it can't reach", func() {
 		r, d := start(2, granted("i-1"))
 		r.workers[0].Close()
-		d.answers = []permit.Decision{granted("i-0"), granted("i-1")}
+		d.decisions = []permit.Decision{granted("i-0"), granted("i-1")}
 		Expect(r.post("/report/x", "r1").status).To(Equal(200)) // this gateway avoids i-0 from now on
-		Expect(d.asks[1].ExcludedEngines).To(ContainElement("i-0"))
+		Expect(d.permitRequests[1].ExcludedEngines).To(ContainElement("i-0"))
 		engines := r.gateway.Engines(permit.Group{Service: "s"})
 		Expect(engines).To(HaveLen(2))
 		for _, e := range engines {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -26,7 +26,7 @@
 func (g *Gateway) UseTrials(t Trials) { g.trials = t }
 
 // Quarantine returns the ledger of requests that are suspected of crashing servers.
-func (g *Gateway) Quarantine() *quarantine.Tracker { return g.ledger }
+func (g *Gateway) Quarantine() *quarantine.Tracker { return g.quarantine }
 
 // turn is the ledger's permission for one run of a request. The zero turn is used while the
 // ledger watches no requests.
@@ -39,18 +39,18 @@
 // the request. Without this check, each retry of a caller would be sent to another server, through
 // any gateway, and a single request could crash all servers of a service.
 func (g *Gateway) awaitTurn(ctx context.Context, q *request, ran bool) (turn, error) {
-	if !g.ledger.HasEntries() {
+	if !g.quarantine.HasEntries() {
 		return turn{}, nil
 	}
 	t := turn{key: max(rand.Uint64(), 1)}
 	for {
-		ledgerTurn := g.ledger.Begin(q.quarantineID(), t.key, g.now())
+		ledgerTurn := g.quarantine.Begin(q.quarantineID(), t.key, g.now())
 		if ledgerTurn.ConfirmAfter > 0 {
 			if err := g.waitForChange(ctx, q, ran, nil, ledgerTurn.ConfirmAfter); err != nil {
-				g.ledger.Done(q.quarantineID(), t.key, g.now())
+				g.quarantine.Done(q.quarantineID(), t.key, g.now())
 				return t, err
 			}
-			ledgerTurn = g.ledger.Confirm(q.quarantineID(), t.key, g.now())
+			ledgerTurn = g.quarantine.Confirm(q.quarantineID(), t.key, g.now())
 		}
 		t.isolated = ledgerTurn.Isolate
 		switch {
@@ -87,8 +87,8 @@
 // claimTrial claims the trial of a request whose quarantine period has ended.
 func (g *Gateway) claimTrial(ctx context.Context, q *request, t turn, ran bool) error {
 	if g.trials == nil {
-		if v := g.ledger.Verdict(q.quarantineID()); v != nil {
-			g.ledger.BeginTrial(q.quarantineID(), t.key, v.WithTrial(g.now()), g.now())
+		if v := g.quarantine.Verdict(q.quarantineID()); v != nil {
+			g.quarantine.BeginTrial(q.quarantineID(), t.key, v.WithTrial(g.now()), g.now())
 		}
 		return nil
 	}
@@ -97,7 +97,7 @@
 		return withOutcome(fault.New(fault.Quarantined, "servers have ended that ran this request: %w", err).WithRetryAfter(trialRetryAfter), ran)
 	}
 	if v != nil {
-		g.ledger.BeginTrial(q.quarantineID(), t.key, *v, g.now())
+		g.quarantine.BeginTrial(q.quarantineID(), t.key, *v, g.now())
 	}
 	return nil
 }
@@ -122,10 +122,10 @@
 // checkQuarantine checks again, after a server has been chosen, that the request is not quarantined,
 // because waiting for a permit may take seconds.
 func (g *Gateway) checkQuarantine(q *request, t turn, ran bool) error {
-	if !g.ledger.HasEntries() {
+	if !g.quarantine.HasEntries() {
 		return nil
 	}
-	if ledgerTurn := g.ledger.Check(q.quarantineID(), t.key); ledgerTurn.Verdict != nil {
+	if ledgerTurn := g.quarantine.Check(q.quarantineID(), t.key); ledgerTurn.Verdict != nil {
 		return g.quarantinedError(q, ledgerTurn.Verdict, ran)
 	}
 	return nil
@@ -138,7 +138,7 @@
 	if !t.isolated {
 		return tried
 	}
-	out := g.ledger.OccupiedServers(t.key, g.now())
+	out := g.quarantine.OccupiedServers(t.key, g.now())
 	for start := range tried {
 		out[start] = true
 	}
--- a/internal/gateway/server_exits.go
+++ b/internal/gateway/server_exits.go
@@ -16,8 +16,8 @@
 // reset, a malformed response or a truncated stream is no proof, because a live server may cause
 // them too. Requests that are interrupted at a server at about the same time share a check.
 type exitTracker struct {
-	mu      sync.Mutex
-	byStart map[string]*exitCheck
+	mu         sync.Mutex
+	byInstance map[string]*exitCheck
 	// pending are the interrupted runs for which it is not known yet whether the server has
 	// exited, keyed by the server's start.
 	pending map[string][]interruptedRun
@@ -27,8 +27,8 @@
 
 // interruptedRun is a run of a request whose connection to the server broke.
 type interruptedRun struct {
-	id  quarantine.ID
-	end quarantine.Crash
+	id    quarantine.ID
+	crash quarantine.Crash
 }
 
 const (
@@ -59,11 +59,11 @@
 // recordExit records in the quarantine ledger that a server exited while it ran a request. If this
 // makes the request a strong suspect, listed servers are probed in the background.
 func (g *Gateway) recordExit(r interruptedRun) {
-	g.ledger.SetServerCount(g.servers.Reachable(g.now()))
-	if g.ledger.RecordCrash(r.id, r.end, g.now()) {
+	g.quarantine.SetServerCount(g.servers.Reachable(g.now()))
+	if g.quarantine.RecordCrash(r.id, r.crash, g.now()) {
 		go func() {
 			g.probeServers()
-			g.ledger.Rebroadcast(r.id, g.now())
+			g.quarantine.Rebroadcast(r.id, g.now())
 		}()
 	}
 }
@@ -90,10 +90,10 @@
 		return
 	}
 	var probes sync.WaitGroup
-	for _, server := range g.servers.Sample(maxProbes, g.random, func(s registry.Server) bool { return !g.ledger.KnownCrashed(s.InstanceID()) }) {
+	for _, server := range g.servers.Sample(maxProbes, g.random, func(s registry.Server) bool { return !g.quarantine.KnownCrashed(s.InstanceID()) }) {
 		probes.Go(func() {
 			if g.pool.Refused(context.Background(), server.Address) {
-				g.ledger.RecordServerCrash(server.InstanceID(), g.now())
+				g.quarantine.RecordServerCrash(server.InstanceID(), g.now())
 			}
 		})
 	}
@@ -105,13 +105,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for start, runs := range t.pending {
-		if r.end.At.Sub(runs[len(runs)-1].end.At) > exitReportTimeout {
+		if r.crash.At.Sub(runs[len(runs)-1].crash.At) > exitReportTimeout {
 			delete(t.pending, start)
 		}
 	}
-	runs := t.pending[r.end.Server]
+	runs := t.pending[r.crash.Server]
 	if len(runs) < maxPendingRuns && (runs != nil || len(t.pending) < maxPendingServers) {
-		t.pending[r.end.Server] = append(runs, r)
+		t.pending[r.crash.Server] = append(runs, r)
 	}
 }
 
@@ -123,14 +123,14 @@
 		return // a planned shutdown, even if the list does not show it as draining
 	}
 	now := g.now()
-	g.ledger.RecordServerCrash(start, now)
+	g.quarantine.RecordServerCrash(start, now)
 	g.exits.mu.Lock()
 	runs := g.exits.pending[start]
 	delete(g.exits.pending, start)
 	g.exits.mu.Unlock()
 	for _, r := range runs {
-		if now.Sub(r.end.At) <= exitReportTimeout {
-			g.ledger.RecordCrash(r.id, r.end, now)
+		if now.Sub(r.crash.At) <= exitReportTimeout {
+			g.quarantine.RecordCrash(r.id, r.crash, now)
 		}
 	}
 }
@@ -151,16 +151,16 @@
 	g.exits.mu.Lock()
 	defer g.exits.mu.Unlock()
 	now, start := g.now(), server.InstanceID()
-	if c := g.exits.byStart[start]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
+	if c := g.exits.byInstance[start]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
 		return c
 	}
-	for other, c := range g.exits.byStart {
+	for other, c := range g.exits.byInstance {
 		if now.Sub(c.startedAt) >= exitCheckTTL {
-			delete(g.exits.byStart, other)
+			delete(g.exits.byInstance, other)
 		}
 	}
 	c := &exitCheck{startedAt: now, done: make(chan struct{})}
-	g.exits.byStart[start] = c
+	g.exits.byInstance[start] = c
 	go g.probe(server, c)
 	return c
 }
--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -23,8 +23,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.members.recordHeartbeat(Member{b.Host, from, b.Capacity}, b.Leaving, now)
-	if m := p.members.known[b.Host]; m != nil && b.Learnt != nil {
-		m.learnt = b.Learnt
+	if m := p.members.known[b.Host]; m != nil && b.Estimates != nil {
+		m.estimates = b.Estimates
 	}
 	for _, f := range b.States {
 		p.states.receive(f, from, now)
@@ -56,7 +56,7 @@
 		p.logger.Info("live gateways changed", "live", live)
 	}
 	if due {
-		p.updateLearnt()
+		p.updateEstimates()
 		p.sendHeartbeat(reports)
 	}
 }
@@ -71,7 +71,7 @@
 
 // newHeartbeat returns a heartbeat of this gateway with the given reports.
 func (p *Peers) newHeartbeat(reports []stateReport) *heartbeat {
-	return &heartbeat{Host: p.members.self.Host, Capacity: p.members.self.Capacity, Leaving: p.leaving, States: reports, Learnt: p.learnt,
+	return &heartbeat{Host: p.members.self.Host, Capacity: p.members.self.Capacity, Leaving: p.leaving, States: reports, Estimates: p.estimates,
 		Starting: time.Since(p.start) < startupPeriod}
 }
 
@@ -98,7 +98,7 @@
 }
 
 // List adds the gateways that the store lists to the known members.
-func (p *Peers) List(listed []Member) {
+func (p *Peers) AddListed(listed []Member) {
 	p.mu.Lock()
 	p.members.addListed(listed, time.Now())
 	p.mu.Unlock()
--- a/internal/peers/learnt.go
+++ b/internal/peers/learnt.go
@@ -11,18 +11,18 @@
 // maxLearntServices limits the services whose engine figures are sent, so that a heartbeat fits
 // into a datagram: a service takes about 50 of the 1,200 bytes. Services with the most
 // observations come first.
-const maxLearntServices = 8
+const maxEstimatedServices = 8
 
 // engineFigures is the performance that a gateway has measured for a service's engines, encoded in about
 // 50 bytes.
-type engineFigures struct {
-	Service  string  `msgpack:"s"`
-	Read     float32 `msgpack:"r"` // microseconds per 1,000 prompt tokens
-	Pairs    float32 `msgpack:"a"` // additional microseconds per million pairs of tokens
-	Latency  float32 `msgpack:"l"` // microseconds to the first event for an empty prompt
-	Token    float32 `msgpack:"t"` // microseconds per generated token
-	Pause    float32 `msgpack:"p"` // longest pause of a stream in microseconds
-	Observed float32 `msgpack:"o"` // number of prompts observed
+type engineEstimates struct {
+	Service                  string  `msgpack:"s"`
+	PrefillPer1000Tokens     float32 `msgpack:"r"` // microseconds per 1,000 prompt tokens
+	AttentionPerMillionPairs float32 `msgpack:"a"` // additional microseconds per million pairs of tokens
+	FirstEventLatency        float32 `msgpack:"l"` // microseconds to the first event for an empty prompt
+	TokenTime                float32 `msgpack:"t"` // microseconds per generated token
+	MaxEventGap              float32 `msgpack:"p"` // longest pause of a stream in microseconds
+	Observations             float32 `msgpack:"o"` // number of prompts observed
 }
 
 func toMicros(d time.Duration) float32 { return float32(d) / float32(time.Microsecond) }
@@ -31,32 +31,32 @@
 
 // updateLearnt copies the desk's figures for the heartbeats. It must be called from Run's
 // goroutine, which owns the desk.
-func (p *Peers) updateLearnt() {
-	var out []engineFigures
-	for _, l := range p.desk.Stats() {
+func (p *Peers) updateEstimates() {
+	var out []engineEstimates
+	for _, l := range p.scheduler.Stats() {
 		if l.Observations > 0 {
-			out = append(out, engineFigures{l.Service, toMicros(l.PrefillPer1000Tokens), toMicros(l.AttentionPerMillionPairs), toMicros(l.FirstEventLatency), toMicros(l.TokenTime), toMicros(l.MaxEventGap), float32(l.Observations)})
+			out = append(out, engineEstimates{l.Service, toMicros(l.PrefillPer1000Tokens), toMicros(l.AttentionPerMillionPairs), toMicros(l.FirstEventLatency), toMicros(l.TokenTime), toMicros(l.MaxEventGap), float32(l.Observations)})
 		}
 	}
-	slices.SortFunc(out, func(a, b engineFigures) int { return cmp.Compare(b.Observed, a.Observed) })
+	slices.SortFunc(out, func(a, b engineEstimates) int { return cmp.Compare(b.Observations, a.Observations) })
 	p.mu.Lock()
-	p.learnt = out[:min(len(out), maxLearntServices)]
+	p.estimates = out[:min(len(out), maxEstimatedServices)]
 	p.mu.Unlock()
 }
 
 // learntByPeers returns the other gateways' figures for a service's engines that are based on the
 // most observations. A gateway that becomes the home of a group starts with them.
-func (p *Peers) learntByPeers(service string) (enginemodel.Estimates, bool) {
+func (p *Peers) peerEstimates(service string) (enginemodel.Estimates, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var best engineFigures
+	var best engineEstimates
 	for _, m := range p.members.known {
-		for _, l := range m.learnt {
-			if l.Service == service && l.Observed > best.Observed {
+		for _, l := range m.estimates {
+			if l.Service == service && l.Observations > best.Observations {
 				best = l
 			}
 		}
 	}
-	return enginemodel.Estimates{PrefillPer1000Tokens: fromMicros(best.Read), AttentionPerMillionPairs: fromMicros(best.Pairs), FirstEventLatency: fromMicros(best.Latency), TokenTime: fromMicros(best.Token),
-		MaxEventGap: fromMicros(best.Pause), Observations: float64(best.Observed)}, best.Observed > 0
+	return enginemodel.Estimates{PrefillPer1000Tokens: fromMicros(best.PrefillPer1000Tokens), AttentionPerMillionPairs: fromMicros(best.AttentionPerMillionPairs), FirstEventLatency: fromMicros(best.FirstEventLatency), TokenTime: fromMicros(best.TokenTime),
+		MaxEventGap: fromMicros(best.MaxEventGap), Observations: float64(best.Observations)}, best.Observations > 0
 }
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -69,7 +69,7 @@
 	listedAt    time.Time // when the store first listed it
 	downUntil   time.Time
 	leaving     bool
-	learnt      []engineFigures // from its last heartbeat that had any
+	estimates   []engineEstimates // from its last heartbeat that had any
 	greetedAt   time.Time
 }
 
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -70,7 +70,7 @@
 	limits.SetGateways(p.members.rateSharers(now))
 	p.mu.Unlock()
 	due := map[netip.AddrPort][]notice.Report{}
-	for group, servers := range p.local.Limited() {
+	for group, servers := range p.local.RateLimitedServers() {
 		p.mu.Lock()
 		home := p.members.home(group.Key(), now)
 		p.mu.Unlock()
@@ -123,7 +123,7 @@
 		p.mu.Lock()
 		p.members.recordStall(now)
 		p.mu.Unlock()
-		p.local.Stalled(last, now.Add(backlogPeriod))
+		p.local.RecordStall(last, now.Add(backlogPeriod))
 	}
 	if stalled && !p.notices.Empty() {
 		telemetry.Count("merlinpost_rate_shares_returned_total")
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -32,11 +32,11 @@
 
 // message is one datagram. Exactly one field is set.
 type message struct {
-	Heartbeat     *heartbeat       `msgpack:"b,omitempty"`
-	PermitRequest *permitRequest   `msgpack:"a,omitempty"`
-	PermitAnswer  *permit.Decision `msgpack:"v,omitempty"`
-	FirstToken    *firstToken      `msgpack:"f,omitempty"`
-	End           *requestEnd      `msgpack:"e,omitempty"`
+	Heartbeat      *heartbeat       `msgpack:"b,omitempty"`
+	PermitRequest  *permitRequest   `msgpack:"a,omitempty"`
+	PermitDecision *permit.Decision `msgpack:"v,omitempty"`
+	FirstToken     *firstToken      `msgpack:"f,omitempty"`
+	End            *requestEnd      `msgpack:"e,omitempty"`
 	// Suspects are requests that may crash servers, as known to the sender.
 	Suspects []quarantine.Update `msgpack:"q,omitempty"`
 	// Notices are the servers' statements about themselves, as known to the sender.
@@ -58,7 +58,7 @@
 	Starting bool          `msgpack:"n,omitempty"`
 	States   []stateReport `msgpack:"f,omitempty"`
 	// Learnt are the figures of the engines for which the sender decides.
-	Learnt []engineFigures `msgpack:"e,omitempty"`
+	Estimates []engineEstimates `msgpack:"e,omitempty"`
 }
 
 // permitRequest asks for permission to send a request to an engine of a group.
@@ -90,7 +90,7 @@
 	// Notices returns the gateway's records of the servers' statements about themselves.
 	Notices() *notice.Registry
 	// Limited returns the servers that state a rate limit, by group.
-	Limited() map[permit.Group][]string
+	RateLimitedServers() map[permit.Group][]string
 	// SetGateways sets the number of gateways, including this one, that share the slack of the retry
 	// budgets; 0 while this gateway has no share.
 	SetGateways(n int)
@@ -99,7 +99,7 @@
 	LendRepeat(service string) bool
 	// Stalled tells the gateway that the process was stalled since one time and is expected to process the
 	// backlog until the other.
-	Stalled(since, until time.Time)
+	RecordStall(since, until time.Time)
 }
 
 // received is a message with its sender.
@@ -110,21 +110,21 @@
 
 // Peers connects this gateway to the others. It is safe for concurrent use.
 type Peers struct {
-	socket  *datagram.Socket[message]
-	self    netip.AddrPort
-	logger  *slog.Logger
-	inbox   chan received
-	desk    *permit.Scheduler[netip.AddrPort] // used only by Run's goroutine
-	local   LocalGateway
-	ledger  *quarantine.Tracker
-	notices *notice.Registry
-	loans   loanState // used only by Run's goroutine
-	start   time.Time
+	socket     *datagram.Socket[message]
+	self       netip.AddrPort
+	logger     *slog.Logger
+	inbox      chan received
+	scheduler  *permit.Scheduler[netip.AddrPort] // used only by Run's goroutine
+	local      LocalGateway
+	quarantine *quarantine.Tracker
+	notices    *notice.Registry
+	loans      loanState // used only by Run's goroutine
+	start      time.Time
 
 	mu             sync.Mutex
 	members        *members
 	states         topicStates
-	learnt         []engineFigures                 // by this gateway, as sent in heartbeats
+	estimates      []engineEstimates               // by this gateway, as sent in heartbeats
 	pendingPermits map[string]chan permit.Decision // by request ID
 	pendingRepeats map[uint64]chan bool            // unanswered repeatRequests by ID
 	lastRepeatID   uint64                          // ID of the newest repeatRequest
@@ -154,9 +154,9 @@
 func newPeers(host string, socket *datagram.Socket[message], capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
 	self := socket.Address()
 	now := time.Now()
-	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, ledger: local.Quarantine(), notices: local.Notices(), start: now,
+	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, quarantine: local.Quarantine(), notices: local.Notices(), start: now,
 		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRepeats: map[uint64]chan bool{}}
-	p.desk = permit.NewScheduler[netip.AddrPort](local.Engines, p.learntByPeers, p.notices.Limits(), permit.Policy{})
+	p.scheduler = permit.NewScheduler[netip.AddrPort](local.Engines, p.peerEstimates, p.notices.Limits(), permit.Policy{})
 	return p
 }
 
@@ -183,11 +183,11 @@
 		case <-ctx.Done():
 			return
 		case r = <-p.inbox:
-		case <-p.ledger.UpdatesReady():
+		case <-p.quarantine.UpdatesReady():
 		case <-p.notices.Pending():
 		case <-timer.C:
 			next := idleInterval
-			if p.desk.QueuedCount() > 0 {
+			if p.scheduler.QueuedCount() > 0 {
 				next = busyInterval
 			}
 			timer.Reset(next)
@@ -195,27 +195,27 @@
 		now := time.Now()
 		p.checkStall(now)
 		p.handle(r, now)
-		for _, due := range p.desk.Poll(now) {
-			p.sendAnswer(due.Decision, due.To)
+		for _, due := range p.scheduler.Poll(now) {
+			p.sendDecision(due.Decision, due.To)
 		}
 		p.updateSlackShare(now)
 		p.sendHeartbeatIfDue(now)
 		p.sendSuspects(now)
 		p.sendNotices(now)
 		p.lendRateShares(now)
-		if now.Sub(learntLogged) >= learntLogInterval {
+		if now.Sub(learntLogged) >= estimatesLogInterval {
 			learntLogged = now
-			p.logLearnt()
+			p.logEstimates()
 		}
 	}
 }
 
 // learntLogInterval is the interval at which the learnt engine figures are logged.
-const learntLogInterval = 5 * time.Second
+const estimatesLogInterval = 5 * time.Second
 
 // logLearnt logs the engine figures on which this gateway's decisions are based.
-func (p *Peers) logLearnt() {
-	for _, l := range p.desk.Stats() {
+func (p *Peers) logEstimates() {
+	for _, l := range p.scheduler.Stats() {
 		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.PrefillPer1000Tokens, "pairs", l.AttentionPerMillionPairs, "latency", l.FirstEventLatency, "token", l.TokenTime,
 			"longest_pause", l.MaxEventGap, "observed", l.Observations, "waiting", l.Queued, "engines", l.AvailableEngines, "reading", l.PrefillingEngines, "running", l.Running)
 	}
@@ -246,15 +246,15 @@
 	case r.Heartbeat != nil:
 		p.handleHeartbeat(*r.Heartbeat, r.from, now)
 	case r.PermitRequest != nil:
-		p.sendAnswer(p.desk.Submit(r.PermitRequest.Group, r.PermitRequest.Ask, r.from, now), r.from)
-	case r.PermitAnswer != nil:
-		p.deliverAnswer(*r.PermitAnswer)
+		p.sendDecision(p.scheduler.Submit(r.PermitRequest.Group, r.PermitRequest.Ask, r.from, now), r.from)
+	case r.PermitDecision != nil:
+		p.deliverDecision(*r.PermitDecision)
 	case r.FirstToken != nil:
-		p.desk.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
+		p.scheduler.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
 	case r.End != nil:
-		p.desk.Finish(r.End.Group, r.End.ID, r.End.StreamStats, now)
+		p.scheduler.Finish(r.End.Group, r.End.ID, r.End.StreamStats, now)
 	case r.Suspects != nil:
-		p.ledger.Merge(r.Suspects, r.from.String(), now)
+		p.quarantine.Merge(r.Suspects, r.from.String(), now)
 	case r.Notices != nil:
 		p.handleNotices(r.Notices, r.from, now)
 	case r.Loans != nil:
@@ -267,17 +267,17 @@
 }
 
 // sendAnswer sends the answer to a permit request.
-func (p *Peers) sendAnswer(a permit.Decision, to netip.AddrPort) {
+func (p *Peers) sendDecision(a permit.Decision, to netip.AddrPort) {
 	telemetry.Count("merlinpost_permit_answers_total", "verdict", a.Verdict.String())
 	if to == p.self {
-		p.deliverAnswer(a)
+		p.deliverDecision(a)
 		return
 	}
-	p.send(message{PermitAnswer: &a}, to)
+	p.send(message{PermitDecision: &a}, to)
 }
 
 // deliverAnswer passes an answer to the Ask call that waits for it.
-func (p *Peers) deliverAnswer(a permit.Decision) {
+func (p *Peers) deliverDecision(a permit.Decision) {
 	p.mu.Lock()
 	ch := p.pendingPermits[a.ID]
 	p.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -46,10 +46,10 @@
 	return notice.NewRegistry(ratelimit.New(rand.Float64), func(notice.Event) {})
 }
 
-func (fakeGateway) Limited() map[permit.Group][]string { return nil }
-func (fakeGateway) LendRepeat(string) bool             { return false }
-func (fakeGateway) SetGateways(int)                    {}
-func (fakeGateway) Stalled(time.Time, time.Time)       {}
+func (fakeGateway) RateLimitedServers() map[permit.Group][]string { return nil }
+func (fakeGateway) LendRepeat(string) bool                        { return false }
+func (fakeGateway) SetGateways(int)                               {}
+func (fakeGateway) RecordStall(time.Time, time.Time)              {}
 
 func (fakeGateway) Engines(permit.Group) []permit.Engine {
 	return []permit.Engine{{ID: "engine", Accepting: true}}
@@ -177,7 +177,7 @@
 	in := permit.Group{Service: "model-120b", Index: 3}
 	id := "9c41d07be2a35f68/0"
 	rated := notice.Report{Server: "i-7f3a91c2e4@1765000000000", Draining: true, DrainingAgeMs: 90000, Limited: true, Limit: 0.25, LimitAgeMs: 90000}
-	figures := engineFigures{"model-120b", 25300, 647, 15234, 8123, 151234, 180}
+	figures := engineEstimates{"model-120b", 25300, 647, 15234, 8123, 151234, 180}
 	for _, m := range []struct {
 		name  string
 		bytes int
@@ -186,11 +186,11 @@
 		{"ask", 150, message{PermitRequest: &permitRequest{in, permit.Ask{ID: id, Priority: 7, UniqueTokens: 6610, PrefixID: "5c1e07a291bd", PrefixTokens: 5382, OutputTokens: 330,
 			FirstTokenTarget: 2400 * time.Millisecond, MaxEventGap: 800 * time.Millisecond, FirstTokenTimeout: 9 * time.Second, ResponseTimeout: 15 * time.Second,
 			FailureDomain: "barrage-hall"}}}},
-		{"answer", 80, message{PermitAnswer: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
+		{"answer", 80, message{PermitDecision: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
 		{"first token", 60, message{FirstToken: &firstToken{Group: in, ID: id, Took: 180 * time.Millisecond}}},
 		{"end", 75, message{End: &requestEnd{in, id, permit.StreamStats{Events: 64, Duration: 5 * time.Second, LongestGap: 150 * time.Millisecond}}}},
 		{"heartbeat", 45, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
-		{"heartbeat with figures", 230, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Learnt: []engineFigures{figures, figures, figures}}}},
+		{"heartbeat with figures", 230, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Estimates: []engineEstimates{figures, figures, figures}}}},
 		{"suspect", 120, message{Suspects: suspects(1, 1)}},
 		{"strong suspect", 240, message{Suspects: suspects(1, 3)}},
 		{"notice", 80, message{Notices: []notice.Report{rated}}},
@@ -309,7 +309,7 @@
 	It("discover each other and notice one that leaves", func() {
 		a, _ := open("a")
 		b, _ := open("b")
-		a.List([]Member{b.Self()}) // b discovers a from its heartbeat
+		a.AddListed([]Member{b.Self()}) // b discovers a from its heartbeat
 		Eventually(live(a)).Should(Equal(2))
 		Eventually(live(b)).Should(Equal(2))
 		b.AnnounceLeave()
@@ -322,34 +322,34 @@
 		for i := range 300 {
 			r := request(fmt.Sprint("r", i))
 			r.UniqueTokens = 1000 + 10*i
-			answer, permitted := a.Ask(ctx, group, r)
+			answer, permitted := a.RequestPermit(ctx, group, r)
 			Expect(answer.Verdict).To(Equal(permit.Granted))
 			permitted.FirstToken(time.Duration(r.UniqueTokens) * 100 * time.Microsecond) // 10 tokens a ms
 			permitted.End(permit.StreamStats{})
 		}
 		b, _ := open("b")
-		a.List([]Member{b.Self()})
+		a.AddListed([]Member{b.Self()})
 		read := func() time.Duration {
-			f, _ := b.learntByPeers("s")
+			f, _ := b.peerEstimates("s")
 			return f.PrefillPer1000Tokens
 		}
 		Eventually(read, 3*time.Second).Should(BeNumerically("~", 100*time.Millisecond, 20*time.Millisecond))
-		_, known := b.learntByPeers("other")
+		_, known := b.peerEstimates("other")
 		Expect(known).To(BeFalse())
 	})
 
 	It("grant permits of one group one prompt at a time", func() {
 		a, _ := open("a")
 		b, _ := open("b")
-		a.List([]Member{b.Self()})
+		a.AddListed([]Member{b.Self()})
 		Eventually(live(a)).Should(Equal(2))
 		Eventually(live(b)).Should(Equal(2))
 		ctx := context.Background()
-		first, permitted := a.Ask(ctx, group, request("r1"))
+		first, permitted := a.RequestPermit(ctx, group, request("r1"))
 		Expect(first.Verdict).To(Equal(permit.Granted))
 		second := make(chan permit.Decision, 1)
 		go func() {
-			answer, _ := b.Ask(ctx, group, request("r2"))
+			answer, _ := b.RequestPermit(ctx, group, request("r2"))
 			second <- answer
 		}()
 		Consistently(second, 150*time.Millisecond).ShouldNot(Receive())
@@ -360,22 +360,22 @@
 	It("grant permits when the home has terminated", func() {
 		a, _ := open("a")
 		b, stopB := open("b")
-		a.List([]Member{b.Self()})
+		a.AddListed([]Member{b.Self()})
 		Eventually(live(a)).Should(Equal(2))
 		stopB()
 		for i := range 8 { // about half of these groups had their home at b
-			answer, _ := a.Ask(context.Background(), permit.Group{Service: "s", Index: i}, request(fmt.Sprint("r", i)))
+			answer, _ := a.RequestPermit(context.Background(), permit.Group{Service: "s", Index: i}, request(fmt.Sprint("r", i)))
 			Expect(answer.Verdict).To(Equal(permit.Granted))
 		}
 	})
 
 	It("refuse a queued request when its context is cancelled", func() {
 		a, _ := open("a")
-		_, _ = a.Ask(context.Background(), group, request("r1"))
+		_, _ = a.RequestPermit(context.Background(), group, request("r1"))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan permit.Decision, 1)
 		go func() {
-			answer, _ := a.Ask(ctx, group, request("r2"))
+			answer, _ := a.RequestPermit(ctx, group, request("r2"))
 			done <- answer
 		}()
 		Consistently(done, 100*time.Millisecond).ShouldNot(Receive())
@@ -386,13 +386,13 @@
 	It("report the states that they have read", func() {
 		a, _ := open("a")
 		b, _ := open("b")
-		a.List([]Member{b.Self()})
+		a.AddListed([]Member{b.Self()})
 		Eventually(live(b)).Should(Equal(2))
-		b.Find("topic", 1, time.Now(), time.Now())
-		_, changed := b.Confirmed("topic")
+		b.ReportState("topic", 1, time.Now(), time.Now())
+		_, changed := b.LastConfirmed("topic")
 		// The offset exceeds the delivery time of a datagram. Without it, b's state could look newer to a,
 		// which derives its time from the time of receipt and an age in whole milliseconds.
-		a.Find("topic", 2, time.Now().Add(500*time.Millisecond), time.Now())
+		a.ReportState("topic", 2, time.Now().Add(500*time.Millisecond), time.Now())
 		Eventually(changed, 2*time.Second).Should(BeClosed())
 	})
 })
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -50,7 +50,7 @@
 // Ask asks the group's home for permission to send a request, and waits while the permit request is
 // queued. If no home answers, the request may be sent: the answer is then Granted without an
 // engine, and the Permit is zero. When ctx is done, the answer is Refused.
-func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
+func (p *Peers) RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
 	ch := make(chan permit.Decision, 1)
 	p.mu.Lock()
 	p.pendingPermits[a.ID] = ch
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -21,7 +21,7 @@
 
 // sendSuspects sends changes of suspected requests to the other gateways.
 func (p *Peers) sendSuspects(now time.Time) {
-	for _, batch := range suspectBatches(p.ledger.DueUpdates(now)) {
+	for _, batch := range suspectBatches(p.quarantine.DueUpdates(now)) {
 		p.sendAll(message{Suspects: batch})
 	}
 }
@@ -40,7 +40,7 @@
 	if position < 0 || position >= maxGreeters {
 		return
 	}
-	for _, batch := range suspectBatches(p.ledger.Snapshot(now)) {
+	for _, batch := range suspectBatches(p.quarantine.Snapshot(now)) {
 		p.send(message{Suspects: batch}, at)
 	}
 	for batch := range slices.Chunk(p.notices.All(now), noticesPerDatagram) {
--- a/internal/peers/topicstates.go
+++ b/internal/peers/topicstates.go
@@ -117,7 +117,7 @@
 
 // Find records the state of a topic that this gateway read at the given time, and since when the
 // store has answered its calls without interruption.
-func (p *Peers) Find(topic string, state uint64, at, since time.Time) {
+func (p *Peers) ReportState(topic string, state uint64, at, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.states.record(topic, state, at, since)
@@ -132,7 +132,7 @@
 }
 
 // Versioned declares that the states of a topic are versions: higher ones are newer.
-func (p *Peers) Versioned(topic string) {
+func (p *Peers) SetVersioned(topic string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.states.topic(topic).versioned = true
@@ -140,7 +140,7 @@
 
 // Newer reports whether another gateway has reported a newer state of a topic than this gateway's. From
 // is the gateway whose report is in use, and at the time at which it read the state.
-func (p *Peers) Newer(topic string) (at time.Time, from netip.AddrPort, newer bool) {
+func (p *Peers) NewerState(topic string) (at time.Time, from netip.AddrPort, newer bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.states.topic(topic)
@@ -148,7 +148,7 @@
 }
 
 // Heard returns the state of a topic that other gateways have reported, or 0 if there is no report.
-func (p *Peers) Heard(topic string) uint64 {
+func (p *Peers) ReportedState(topic string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.states.topic(topic).remote.state
@@ -156,7 +156,7 @@
 
 // Confirmed returns when this gateway's state of a topic was last confirmed to be the newest, and a
 // channel that is closed when another gateway reports a newer one.
-func (p *Peers) Confirmed(topic string) (at time.Time, changed <-chan struct{}) {
+func (p *Peers) LastConfirmed(topic string) (at time.Time, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.states.topic(topic)
@@ -165,7 +165,7 @@
 
 // Small reports whether this host, and whether any live host, has a small processor or a slow link
 // compared with the largest.
-func (p *Peers) Small() (self, some bool) {
+func (p *Peers) SmallHosts() (self, some bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, small := p.members.splitByCapacity(time.Now())
@@ -173,7 +173,7 @@
 }
 
 // SlowestLink returns the speed of the slowest link of the live gateways in Mbit/s, or 0 if none is known.
-func (p *Peers) SlowestLink() uint32 {
+func (p *Peers) SlowestLinkMbps() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members.slowestLinkMbps(time.Now())
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -66,14 +66,14 @@
 	if team == nil {
 		return quota.GrantResponse{Seq: request.Seq, RetryAfterMS: time.Second.Milliseconds()}
 	}
-	return h.ledger.Acquire(time.Now(), request, team, len((*Router)(h).liveRouters()))
+	return h.homeLimiter.Acquire(time.Now(), request, team, len((*Router)(h).liveRouters()))
 }
 
 // Close implements lending.Home.
-func (h *teamHome) Release(c quota.ReleaseNotice) { h.ledger.Release(c) }
+func (h *teamHome) Release(c quota.ReleaseNotice) { h.homeLimiter.Release(c) }
 
 // Heard implements lending.Home.
-func (h *teamHome) MarkReachable(router string) { h.ledger.MarkReachable(time.Now(), router) }
+func (h *teamHome) MarkReachable(router string) { h.homeLimiter.MarkReachable(time.Now(), router) }
 
 // PeersAddress returns the address that serves quota requests of other routers,
 // or "" if there is none.
