--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -241,12 +241,12 @@
 	})
 }
 
-// decideClaim decides, from the witness's answer, whether a keyed call may start.
+// decideClaim decides, from the witness's reply, whether a keyed call may start.
 // moved reports whether another agent was the key's home within its window.
-func (l *coreLoop) decideClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer, answer receipt.WitnessReply, moved bool) {
+func (l *coreLoop) decideClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer, reply receipt.WitnessReply, moved bool) {
 	l.post(ctx, func(now time.Time) {
 		window := time.Duration(o.KeyRetentionMS) * time.Millisecond
-		decision := l.core.Keys().Decide(now, window, answer, moved)
+		decision := l.core.Keys().Decide(now, window, reply, moved)
 		if decision == receipt.RunAfterLogging {
 			go l.agent.logClaim(ctx, k, o)
 			return
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -11,7 +11,7 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// chunkBytes is the largest part of a snapshot stored in one log record.
+// maxChunkBytes is the largest part of a snapshot stored in one log record.
 const maxChunkBytes = 256 << 10
 
 // snapshotChunk is one record of the snapshots stream. A snapshot is complete
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -227,7 +227,7 @@
 	return ok
 }
 
-// Offer accepts or refuses an offered attempt and replies with a Verdict.
+// Offer accepts or refuses an offered attempt and replies with an OfferResponse.
 func (c *Core) Offer(now time.Time, link LinkID, o *wire.Offer) {
 	if !c.isOpen(link) {
 		return
--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// fetchConfigFromPeer fetches and applies the configuration of a peer that announced a newer
+// fetchConfigFromPeer fetches and applies the configuration of a peer that reported a newer
 // version. It reports whether that succeeded.
 func (f *Follower) fetchConfigFromPeer(ctx context.Context, r *readState) bool {
 	at, from, newer := f.Peers.NewerState(f.Topics.Configuration)
--- a/internal/follow/dependencies.go
+++ b/internal/follow/dependencies.go
@@ -27,7 +27,7 @@
 	// the end of the topic, which is greater if there are more records than one read returns: up to
 	// maxKB, or a single larger record. It waits up to wait for a record to be written, and fails
 	// if no data arrives for timeout beyond that. Errors have code LogTruncated if the records have
-	// been deleted, LogRestored if the position is of an earlier era, otherwise LogDown.
+	// been deleted, LogRestored if the position is of an earlier era, otherwise LogUnavailable.
 	Read(ctx context.Context, topic string, from logposition.Position, maxKB int, wait, timeout time.Duration) (records []Record, next, end logposition.Position, err error)
 	// Newest returns the newest record of each key and the position from which to read changes.
 	// Records written during the call may be returned by both. Errors have the codes of Read.
@@ -36,7 +36,7 @@
 	// later.
 	Put(ctx context.Context, topic string, r Record, timeout time.Duration) error
 	// PutAt appends a record only if the topic ends at the position. Otherwise the error has code
-	// Conflict, or LogRestored if the position is of an earlier era.
+	// RevisionConflict, or LogRestored if the position is of an earlier era.
 	PutAt(ctx context.Context, topic string, r Record, at logposition.Position, timeout time.Duration) error
 }
 
@@ -77,29 +77,31 @@
 	// Rank returns the position of this gateway in the read order of a topic. The gateway with rank
 	// 0 is the primary reader.
 	Rank(topic string) int
-	// Find records and announces the state that this gateway has read, and since when its calls to
-	// the store have succeeded without interruption.
+	// ReportState records the state that this gateway has read, to be reported to the others, and
+	// since when its calls to the store have succeeded without interruption.
 	ReportState(topic string, state uint64, at, since time.Time)
 	// StoreUpSince returns since when another gateway's calls to the store have succeeded without
 	// interruption; zero if none has reported it.
 	StoreUpSince(topic string) time.Time
-	// Heard returns the state of the topic that a peer announced last, 0 if none has.
+	// ReportedState returns the newest state of the topic that another gateway has reported, 0 if
+	// none has.
 	ReportedState(topic string) uint64
-	// Versioned declares that the states of a topic are ordered version numbers.
+	// SetVersioned declares that the states of a topic are ordered version numbers.
 	SetVersioned(topic string)
-	// Newer reports whether a peer announced a newer state than this gateway has, the address of
-	// that peer, and the time at which that state was the newest.
+	// NewerState reports whether another gateway has reported a newer state than this one has, the
+	// address of that gateway, and the time at which that state was the newest.
 	NewerState(topic string) (at time.Time, from netip.AddrPort, newer bool)
-	// Confirmed returns when this gateway's state was last confirmed to be the newest, and a
-	// channel that is closed when a peer announces a newer one.
+	// LastConfirmed returns when this gateway's state was last confirmed to be the newest, and a
+	// channel that is closed when another gateway reports a newer one.
 	LastConfirmed(topic string) (at time.Time, changed <-chan struct{})
-	// Small returns whether this host has a small processor or link compared with the largest host,
-	// and whether any host has.
-	SmallHosts() (self, some bool)
-	// SlowestLink returns the speed of the slowest link of the live gateways in Mbit/s, 0 if
+	// SmallHosts returns whether this host has a small processor or link compared with the largest
+	// host, and whether any live host has.
+	SmallHosts() (self, anyHost bool)
+	// SlowestLinkMbps returns the speed of the slowest link of the live gateways in Mbit/s, 0 if
 	// unknown.
 	SlowestLinkMbps() uint32
-	// List sets the gateways that are registered in the store. Self returns this gateway.
+	// AddListed adds the gateways that are registered in the store to the known ones. Self returns
+	// this gateway.
 	AddListed([]peers.Member)
 	Self() peers.Member
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// waitUntilDue waits until the topic has to be read, or a peer announces a newer state.
+// waitUntilDue waits until the topic has to be read, or a peer reports a newer state.
 func (f *Follower) waitUntilDue(ctx context.Context, t topic, primary bool, r *readState) {
 	sleep(ctx, minReadInterval)
 	for ctx.Err() == nil {
@@ -142,7 +142,7 @@
 }
 
 // waitBeforeRetry waits before a failed call is retried. It returns early when a call for another
-// topic succeeds, which shows that the store is back, or when a peer announces a newer state. A
+// topic succeeds, which shows that the store is back, or when a peer reports a newer state. A
 // gateway that is not ready retries as often as the primary reader.
 func (f *Follower) waitBeforeRetry(ctx context.Context, t topic) {
 	delay := retryDelay
--- a/internal/follow/lag.go
+++ b/internal/follow/lag.go
@@ -7,15 +7,15 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// lagMonitor tracks whether the active configuration is older than the newest version announced by
+// lagMonitor tracks whether the active configuration is older than the newest version reported by
 // any gateway. It is not safe for concurrent use.
 type lagMonitor struct {
 	logger *slog.Logger
-	since  time.Time // when a newer version was first announced; zero if none is
+	since  time.Time // when a newer version was first reported; zero if none is
 	logged bool      // the current lag has been logged
 }
 
-// observe records the active version and the newest one announced. A lag longer than within is
+// observe records the active version and the newest one reported. A lag longer than within is
 // logged once, with the reason why the newest version could not be read, and once more when it
 // ends.
 func (l *lagMonitor) observe(inForce, newest int64, why error, within time.Duration, now time.Time) {
--- a/internal/follow/topic.go
+++ b/internal/follow/topic.go
@@ -10,7 +10,7 @@
 )
 
 // topic describes how a topic of the store is followed. The primary reader, which is the first live
-// gateway in the topic's order, reads it on behalf of all and announces the state to its peers.
+// gateway in the topic's order, reads it on behalf of all and reports the state to its peers.
 // They read the store only when the state has changed or has not been confirmed recently.
 type topic struct {
 	name   string
@@ -23,7 +23,7 @@
 	slowestTransfer time.Duration
 	// sharedByPeers is set if a gateway that has read the state passes it on to its peers.
 	sharedByPeers bool
-	// fetchFromPeer gets a newer state from a peer, if one was announced. If it returns false, the
+	// fetchFromPeer gets a newer state from a peer, if one was reported. If it returns false, the
 	// store is read.
 	fetchFromPeer func(context.Context, *readState) bool
 	// publish makes the state available to peers; next is the position from which to read on.
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// sendInTurn waits until the quarantine ledger allows the request to run, chooses a server and sends
+// sendInTurn waits until the quarantine tracker allows the request to run, chooses a server and sends
 // the request to it.
 func (g *Gateway) sendInTurn(ctx context.Context, q *request, tried map[string]bool, ran bool, rel *relay) (sendResult, error) {
 	t, err := g.awaitTurn(ctx, q, ran)
@@ -106,9 +106,9 @@
 		permitted.End(permit.StreamStats{})
 		return unsent, nil
 	}
-	start := choice.Candidate.Server.InstanceID()
-	tried[start] = true
-	g.quarantine.SetServer(q.quarantineID(), t.key, start, g.now())
+	instance := choice.Candidate.Server.InstanceID()
+	tried[instance] = true
+	g.quarantine.SetServer(q.quarantineID(), t.key, instance, g.now())
 	return g.sendTo(ctx, q, choice, permitted, rel)
 }
 
@@ -333,16 +333,16 @@
 	stats.EngineFailed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
 	s := send{Server: server.ID, Reason: choice.Reason, FetchFrom: choice.FetchFrom, Result: sendResultNames[result],
 		Running: choice.Candidate.View.InFlight, UnreadTokens: choice.Candidate.View.UnreadTokens,
-		ExpectedFirstEvent: choice.ExpectedPrefill, FirstEvent: stats.TimeToFirstEvent, LongestGap: stats.LongestGap, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: notices}
+		ExpectedPrefill: choice.ExpectedPrefill, TimeToFirstEvent: stats.TimeToFirstEvent, LongestGap: stats.LongestGap, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: notices}
 	if err != nil {
 		s.Cause = err.Error()
 	}
 	g.quarantine.RecordRun(g.now().Sub(sentAt), g.now())
 	switch {
 	case connectionBroke(ctx, result, err):
-		s.ServerEnded = g.runInterrupted(q, server, quarantine.Crash{Server: server.InstanceID(), SentAt: sentAt, At: g.now()})
+		s.ServerExited = g.runInterrupted(q, server, quarantine.Crash{Server: server.InstanceID(), SentAt: sentAt, At: g.now()})
 	case result == delivered && resp.Status < http.StatusInternalServerError && g.quarantine.HasEntries():
-		g.quarantine.RecordAnswer(q.quarantineID(), g.now())
+		g.quarantine.RecordResponse(q.quarantineID(), g.now())
 	}
 	q.sends = append(q.sends, s)
 	return result, err
--- a/internal/gateway/claims_test.go
+++ b/internal/gateway/claims_test.go
@@ -14,7 +14,7 @@
 	"github.com/merlinpost/merlinpost/internal/routing"
 )
 
-// Guards against claimRepeat polling without a pause when a claim expires within GrantEvery of the last decision.
+// Guards against claimRepeat polling without a pause when a claim expires within GrantInterval of the last decision.
 func TestClaimsThatExpireBetweenDecisionsAreDenied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Settings{Retries: retrybudget.Settings{Ratio: 0.2, Window: 10 * time.Second}}, nil, registry.New(),
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -26,7 +26,7 @@
 // RequestInfo is the information in the headers of a caller's request.
 type RequestInfo struct {
 	ID          string
-	Key         string
+	APIKey      string
 	Deadline    time.Duration // time left for the request, 0 if not specified
 	LastEventID string
 	Prompt      placement.Prompt
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -140,7 +140,7 @@
 // the budget permitted it.
 func (g *Gateway) LendRepeat(service string) bool { return g.budget(service).Lend(g.now()) }
 
-// Stalled reports that the process was stalled since the given time. Requests that arrived during the stall may
+// RecordStall records that the process was stalled since the given time. Requests that arrived during the stall may
 // be old, so requests counted until the backlog is processed do not add to the retry budgets.
 func (g *Gateway) RecordStall(since, until time.Time) {
 	g.mu.Lock()
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -19,7 +19,7 @@
 		return nil
 	}
 	now := g.now()
-	g.notices.RecordAnswer(server.InstanceID(), *notices, sentAt, now)
+	g.notices.RecordResponse(server.InstanceID(), *notices, sentAt, now)
 	for _, kind := range notices.Kinds() {
 		telemetry.Count("merlinpost_server_notices_total", "service", server.Service, "kind", string(kind))
 	}
@@ -102,13 +102,13 @@
 	return false
 }
 
-// Limited returns the servers that state a rate limit, by group.
+// RateLimitedServers returns the servers that state a rate limit, by group.
 func (g *Gateway) RateLimitedServers() map[permit.Group][]string {
 	out := map[permit.Group][]string{}
-	for _, start := range g.notices.Limits().Servers() {
-		if server, listed := g.servers.FindInstance(start); listed {
+	for _, instance := range g.notices.Limits().Servers() {
+		if server, listed := g.servers.FindInstance(instance); listed {
 			group := permit.Group{Service: server.Service, Index: placement.GroupOf(server.ID, g.groupCount(server.Service))}
-			out[group] = append(out[group], start)
+			out[group] = append(out[group], instance)
 		}
 	}
 	return out
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -29,9 +29,9 @@
 	// maxGroups limits the groups of engines that are tried for one send: if two groups of
 	// some 60 engines have no capacity, the whole service most likely has none.
 	maxGroups = 2
-	// maxAvoidedEngines limits the unusable engines listed in the first permit request, so
+	// maxExcludedEngines limits the unusable engines listed in the first permit request, so
 	// that it fits in a datagram.
-	maxAvoidedEngines = 16
+	maxExcludedEngines = 16
 	// maxPermitRequests limits the permit requests for one send. Another one is needed if
 	// a group has refused, or if the granted engine has become unavailable to this gateway.
 	maxPermitRequests = 4
@@ -39,8 +39,8 @@
 
 // Peers communicates with the other gateways.
 type Peers interface {
-	// Ask requests a permit from the gateway that is responsible for a group of engines
-	// and waits for the verdict. The verdict is Granted without an engine if no gateway
+	// RequestPermit requests a permit from the gateway that schedules a group of engines
+	// and waits for the decision. The verdict is Granted without an engine if no gateway
 	// is available to decide.
 	RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a repeated send to a service from their retry budgets and reports
@@ -106,34 +106,34 @@
 	for n, group := 0, 0; n < maxPermitRequests && group < min(maxGroups, len(groups)); n++ {
 		ask.ID = fmt.Sprintf("%s/%d", q.info.ID, q.permitRequests)
 		q.permitRequests++
-		answer, permitted := g.peers.RequestPermit(ctx, permit.Group{Service: q.service, Index: groups[group]}, ask)
+		decision, permitted := g.peers.RequestPermit(ctx, permit.Group{Service: q.service, Index: groups[group]}, ask)
 		if ctx.Err() != nil {
 			permitted.End(permit.StreamStats{})
 			return placement.Choice{}, peers.Permit{}, contextError(ctx, false)
 		}
-		switch answer.Verdict {
+		switch decision.Verdict {
 		case permit.NoEngine:
-			g.recordRefusal(q, answer)
+			g.recordRefusal(q, decision)
 			group++
 			continue
 		case permit.Refused:
-			g.recordRefusal(q, answer)
-			if refused.ID == "" || answer.Wait < refused.Wait {
-				refused = answer
+			g.recordRefusal(q, decision)
+			if refused.ID == "" || decision.Wait < refused.Wait {
+				refused = decision
 			}
 			group++
 			continue
 		}
-		if answer.Engine == "" {
+		if decision.Engine == "" {
 			choice, err := g.chooseUncoordinated(q, candidates)
 			return choice, peers.Permit{}, err
 		}
 		candidates = g.candidates(q.service, tried) // the wait may have taken seconds
-		if choice := grantedChoice(answer, candidates); choice.Candidate != nil {
+		if choice := grantedChoice(decision, candidates); choice.Candidate != nil {
 			return choice, permitted, nil
 		}
 		permitted.End(permit.StreamStats{})
-		ask.ExcludedEngines = append(ask.ExcludedEngines, answer.Engine)
+		ask.ExcludedEngines = append(ask.ExcludedEngines, decision.Engine)
 	}
 	if refused.ID == "" {
 		return placement.Choice{}, peers.Permit{}, g.noServerError(q)
@@ -157,7 +157,7 @@
 // usable reports whether this gateway may send the request to a server.
 func usable(c placement.Candidate) bool { return !c.Tried && !c.View.Avoided && c.RetryAfter == 0 }
 
-// unusableEngines returns up to maxAvoidedEngines engines to which this gateway can't send the request.
+// unusableEngines returns up to maxExcludedEngines engines to which this gateway can't send the request.
 func unusableEngines(candidates []placement.Candidate) []string {
 	var out []string
 	for _, c := range candidates {
@@ -165,19 +165,19 @@
 			out = append(out, c.Server.InstanceID())
 		}
 	}
-	return out[:min(len(out), maxAvoidedEngines)]
+	return out[:min(len(out), maxExcludedEngines)]
 }
 
 // grantedChoice returns the choice for the engine that was granted. It has no candidate if this
 // gateway can no longer use that engine.
-func grantedChoice(answer permit.Decision, candidates []placement.Candidate) placement.Choice {
-	choice := placement.Choice{Reason: placement.Decided, ExpectedPrefill: answer.ExpectedPrefill}
+func grantedChoice(decision permit.Decision, candidates []placement.Candidate) placement.Choice {
+	choice := placement.Choice{Reason: placement.Decided, ExpectedPrefill: decision.ExpectedPrefill}
 	for i := range candidates {
 		c := &candidates[i]
 		switch {
-		case c.Server.InstanceID() == answer.Engine && usable(*c):
+		case c.Server.InstanceID() == decision.Engine && usable(*c):
 			choice.Candidate = c
-		case c.Server.InstanceID() == answer.FetchFrom && !c.View.Avoided:
+		case c.Server.InstanceID() == decision.FetchFrom && !c.View.Avoided:
 			choice.FetchFrom = c.Server.Address
 		}
 	}
@@ -185,8 +185,8 @@
 }
 
 // recordRefusal adds a refused permit request to the sends in the request's log line.
-func (g *Gateway) recordRefusal(q *request, answer permit.Decision) {
-	q.sends = append(q.sends, send{Result: answer.Verdict.String(), Wait: answer.Wait, UnreadTokens: int64(answer.BacklogTokens), RateLimited: answer.RateLimitedEngines,
+func (g *Gateway) recordRefusal(q *request, decision permit.Decision) {
+	q.sends = append(q.sends, send{Result: decision.Verdict.String(), Wait: decision.Wait, UnreadTokens: int64(decision.BacklogTokens), RateLimited: decision.RateLimitedEngines,
 		SentAfter: g.now().Sub(q.start)})
 }
 
@@ -203,18 +203,18 @@
 		FailureDomain: g.settings.Load().FailureDomain}
 	now := g.now()
 	left := q.deadline.Sub(now)
-	answerTime := g.responseTime(q.route.Name).Estimate(prompt.OutputTokens)
+	responseTime := g.responseTime(q.route.Name).Estimate(prompt.OutputTokens)
 	elapsed := now.Sub(q.start)
 	a.ResponseTimeout = left
 	a.Priority = engineRank(q.route.Priority, q.priority)
 	if rel.started {
 		a.Resumed = true
-		remaining := max(0, answerTime-(elapsed-rel.first))
+		remaining := max(0, responseTime-(elapsed-rel.first))
 		a.FirstTokenTimeout = max(left-time.Duration(minRemainingShare*float64(remaining)), minPermitWait)
 		a.FirstTokenTarget = a.FirstTokenTimeout
 		return a
 	}
 	a.FirstTokenTarget = q.route.TargetLatency - elapsed
-	a.FirstTokenTimeout = max(min(callerWait(q.route)-elapsed, left-answerTime), minPermitWait)
+	a.FirstTokenTimeout = max(min(callerWait(q.route)-elapsed, left-responseTime), minPermitWait)
 	return a
 }
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -17,32 +17,32 @@
 	"github.com/merlinpost/merlinpost/internal/standin/worker"
 )
 
-// fakePeers responds to permit requests with the given answers in order, and repeats the last one.
+// fakePeers responds to permit requests with the given decisions in order, and repeats the last one.
 type fakePeers struct {
 	mu             sync.Mutex
 	decisions      []permit.Decision
 	permitRequests []permit.Ask
-	onRequest      func() // called during each Ask
+	onRequest      func() // called during each RequestPermit
 }
 
 func (d *fakePeers) RequestPermit(_ context.Context, _ permit.Group, a permit.Ask) (permit.Decision, peers.Permit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.permitRequests = append(d.permitRequests, a)
-	answer := d.decisions[0]
+	decision := d.decisions[0]
 	if len(d.decisions) > 1 {
 		d.decisions = d.decisions[1:]
 	}
 	if d.onRequest != nil {
 		d.onRequest()
 	}
-	answer.ID = a.ID
-	return answer, peers.Permit{}
+	decision.ID = a.ID
+	return decision, peers.Permit{}
 }
 
 func (d *fakePeers) BorrowRepeat(context.Context, string, string) bool { return false }
 
-// asked returns the permit requests so far.
+// requests returns the permit requests so far.
 func (d *fakePeers) requests() []permit.Ask {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,9 +50,9 @@
 }
 
 var _ = Describe("a gateway that requests permits", func() {
-	start := func(workers int, answers ...permit.Decision) (*harness, *fakePeers) {
+	start := func(workers int, decisions ...permit.Decision) (*harness, *fakePeers) {
 		r := startHarness(workers)
-		d := &fakePeers{decisions: answers}
+		d := &fakePeers{decisions: decisions}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		return r, d
@@ -88,7 +88,7 @@
 		r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s",
 			Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 1000}}}, time.Now(), time.Time{})
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
-		Expect(d.permitRequests).To(HaveLen(2)) // "i-0" is not a listed start
+		Expect(d.permitRequests).To(HaveLen(2)) // "i-0" is not a listed instance
 		Expect(d.permitRequests[1].ExcludedEngines).To(ContainElement("i-0"))
 		Expect(r.workers[0].Runs()).To(HaveLen(1))
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -25,17 +25,17 @@
 // UseTrials sets the coordinator of trials. It must be called before Serve.
 func (g *Gateway) UseTrials(t Trials) { g.trials = t }
 
-// Quarantine returns the ledger of requests that are suspected of crashing servers.
+// Quarantine returns the tracker of requests that are suspected of crashing servers.
 func (g *Gateway) Quarantine() *quarantine.Tracker { return g.quarantine }
 
-// turn is the ledger's permission for one run of a request. The zero turn is used while the
-// ledger watches no requests.
+// turn is the quarantine tracker's permission for one run of a request. The zero turn is used while
+// the tracker has no entries.
 type turn struct {
 	key      uint64
 	isolated bool // the request must not share a server with another suspect
 }
 
-// awaitTurn waits until the ledger allows the request to be sent. An error is the final result of
+// awaitTurn waits until the quarantine tracker allows the request to be sent. An error is the final result of
 // the request. Without this check, each retry of a caller would be sent to another server, through
 // any gateway, and a single request could crash all servers of a service.
 func (g *Gateway) awaitTurn(ctx context.Context, q *request, ran bool) (turn, error) {
@@ -44,25 +44,25 @@
 	}
 	t := turn{key: max(rand.Uint64(), 1)}
 	for {
-		ledgerTurn := g.quarantine.Begin(q.quarantineID(), t.key, g.now())
-		if ledgerTurn.ConfirmAfter > 0 {
-			if err := g.waitForChange(ctx, q, ran, nil, ledgerTurn.ConfirmAfter); err != nil {
+		decision := g.quarantine.Begin(q.quarantineID(), t.key, g.now())
+		if decision.ConfirmAfter > 0 {
+			if err := g.waitForChange(ctx, q, ran, nil, decision.ConfirmAfter); err != nil {
 				g.quarantine.Done(q.quarantineID(), t.key, g.now())
 				return t, err
 			}
-			ledgerTurn = g.quarantine.Confirm(q.quarantineID(), t.key, g.now())
+			decision = g.quarantine.Confirm(q.quarantineID(), t.key, g.now())
 		}
-		t.isolated = ledgerTurn.Isolate
+		t.isolated = decision.Isolate
 		switch {
-		case ledgerTurn.TrialDue:
+		case decision.TrialDue:
 			t.isolated = true
 			return t, g.claimTrial(ctx, q, t, ran)
-		case ledgerTurn.Verdict != nil:
-			return t, g.quarantinedError(q, ledgerTurn.Verdict, ran)
-		case ledgerTurn.Changed == nil:
+		case decision.Verdict != nil:
+			return t, g.quarantinedError(q, decision.Verdict, ran)
+		case decision.Changed == nil:
 			return t, nil
 		}
-		if err := g.waitForChange(ctx, q, ran, ledgerTurn.Changed, ledgerTurn.Wait); err != nil {
+		if err := g.waitForChange(ctx, q, ran, decision.Changed, decision.Wait); err != nil {
 			return t, err
 		}
 	}
@@ -125,8 +125,8 @@
 	if !g.quarantine.HasEntries() {
 		return nil
 	}
-	if ledgerTurn := g.quarantine.Check(q.quarantineID(), t.key); ledgerTurn.Verdict != nil {
-		return g.quarantinedError(q, ledgerTurn.Verdict, ran)
+	if decision := g.quarantine.Check(q.quarantineID(), t.key); decision.Verdict != nil {
+		return g.quarantinedError(q, decision.Verdict, ran)
 	}
 	return nil
 }
@@ -139,8 +139,8 @@
 		return tried
 	}
 	out := g.quarantine.OccupiedServers(t.key, g.now())
-	for start := range tried {
-		out[start] = true
+	for instance := range tried {
+		out[instance] = true
 	}
 	for _, c := range g.candidates(q.service, out) {
 		if usable(c) {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -61,14 +61,14 @@
 // send is the log record of one try to have a server run the request. An entry without a server is a
 // refused permit request.
 type send struct {
-	Server             string        `json:"server"`
-	Reason             string        `json:"reason"` // why the server was chosen
-	FetchFrom          string        `json:"fetch,omitempty"`
-	Result             string        `json:"result"`
-	Cause              string        `json:"cause,omitempty"`
-	Wait               time.Duration `json:"wait,omitempty"`   // estimated by the gateway that refused the permit
-	ExpectedFirstEvent time.Duration `json:"expect,omitempty"` // predicted time to the first event
-	FirstEvent         time.Duration `json:"first,omitempty"`  // measured time to the first event
+	Server           string        `json:"server"`
+	Reason           string        `json:"reason"` // why the server was chosen
+	FetchFrom        string        `json:"fetch,omitempty"`
+	Result           string        `json:"result"`
+	Cause            string        `json:"cause,omitempty"`
+	Wait             time.Duration `json:"wait,omitempty"`   // estimated by the gateway that refused the permit
+	ExpectedPrefill  time.Duration `json:"expect,omitempty"` // predicted time to the first event
+	TimeToFirstEvent time.Duration `json:"first,omitempty"`  // measured time to the first event
 	// RateLimited is the number of servers at their stated rate limits when a permit was refused.
 	RateLimited  int           `json:"limited,omitempty"`
 	Running      int           `json:"running"`
@@ -77,7 +77,7 @@
 	SentAfter    time.Duration `json:"at"`                // time from the request's arrival to this send
 	Took         time.Duration `json:"took"`              // duration of the send, until the response was relayed or failed
 	// ServerEnded is set if the connection broke because the server process exited.
-	ServerEnded bool `json:"ended,omitempty"`
+	ServerExited bool `json:"ended,omitempty"`
 	// Notices are the notices in the response headers, or nil if there are none.
 	Notices *notice.Statement `json:"said,omitempty"`
 	// Repeat is the retry budget's decision on repeating this send, nil if the budget was not consulted.
@@ -165,7 +165,7 @@
 	if q.route = q.table.Route(r.Host, path); q.route == nil {
 		return q, fault.New(fault.NotFound, "no route matches this host and path").WithOutcome(fault.NotRun)
 	}
-	if q.team, err = q.table.Authenticate(q.route, info.Key); err != nil {
+	if q.team, err = q.table.Authenticate(q.route, info.APIKey); err != nil {
 		return q, err
 	}
 	q.setLimits(info)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -117,8 +117,8 @@
 			return
 		case <-tick.C:
 			g.pool.Sweep()
-			g.notices.Sweep(func(start string) bool {
-				_, listed := g.servers.FindInstance(start)
+			g.notices.Sweep(func(instance string) bool {
+				_, listed := g.servers.FindInstance(instance)
 				return listed
 			}, g.now())
 		}
--- a/internal/gateway/server_exits.go
+++ b/internal/gateway/server_exits.go
@@ -19,7 +19,7 @@
 	mu         sync.Mutex
 	byInstance map[string]*exitCheck
 	// pending are the interrupted runs for which it is not known yet whether the server has
-	// exited, keyed by the server's start.
+	// exited, keyed by the server's instance ID.
 	pending map[string][]interruptedRun
 	// lastProbe is the time of the most recent call of probeServers that probed.
 	lastProbe time.Time
@@ -42,21 +42,21 @@
 
 // runInterrupted records that the connection to a server broke while it ran the request, and
 // reports whether the server is known to have exited.
-func (g *Gateway) runInterrupted(q *request, server registry.Server, end quarantine.Crash) bool {
+func (g *Gateway) runInterrupted(q *request, server registry.Server, crash quarantine.Crash) bool {
 	if g.notices.Draining(server.InstanceID()) {
 		return false // a planned shutdown
 	}
 	check := g.checkExit(server)
 	<-check.done
 	if check.exited {
-		g.recordExit(interruptedRun{q.quarantineID(), end})
+		g.recordExit(interruptedRun{q.quarantineID(), crash})
 	} else {
-		g.exits.addPending(interruptedRun{q.quarantineID(), end})
+		g.exits.addPending(interruptedRun{q.quarantineID(), crash})
 	}
 	return check.exited
 }
 
-// recordExit records in the quarantine ledger that a server exited while it ran a request. If this
+// recordExit records in the quarantine tracker that a server exited while it ran a request. If this
 // makes the request a strong suspect, listed servers are probed in the background.
 func (g *Gateway) recordExit(r interruptedRun) {
 	g.quarantine.SetServerCount(g.servers.Reachable(g.now()))
@@ -104,9 +104,9 @@
 func (t *exitTracker) addPending(r interruptedRun) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for start, runs := range t.pending {
+	for instance, runs := range t.pending {
 		if r.crash.At.Sub(runs[len(runs)-1].crash.At) > exitReportTimeout {
-			delete(t.pending, start)
+			delete(t.pending, instance)
 		}
 	}
 	runs := t.pending[r.crash.Server]
@@ -115,18 +115,18 @@
 	}
 }
 
-// serverExited handles a report that a start of a server has exited, from the server list or from
+// serverExited handles a report that a server instance has exited, from the server list or from
 // another server at the same address. It covers exits that checkExit does not detect: if the host
 // fails along with the server, connections are not refused.
-func (g *Gateway) serverExited(start string) {
-	if g.notices.Draining(start) {
+func (g *Gateway) serverExited(instance string) {
+	if g.notices.Draining(instance) {
 		return // a planned shutdown, even if the list does not show it as draining
 	}
 	now := g.now()
-	g.quarantine.RecordServerCrash(start, now)
+	g.quarantine.RecordServerCrash(instance, now)
 	g.exits.mu.Lock()
-	runs := g.exits.pending[start]
-	delete(g.exits.pending, start)
+	runs := g.exits.pending[instance]
+	delete(g.exits.pending, instance)
 	g.exits.mu.Unlock()
 	for _, r := range runs {
 		if now.Sub(r.crash.At) <= exitReportTimeout {
@@ -135,7 +135,7 @@
 	}
 }
 
-// exitCheck is a check whether one start of a server has exited.
+// exitCheck is a check whether one server instance has exited.
 type exitCheck struct {
 	startedAt time.Time
 	done      chan struct{} // closed when exited is set
@@ -150,8 +150,8 @@
 func (g *Gateway) checkExit(server registry.Server) *exitCheck {
 	g.exits.mu.Lock()
 	defer g.exits.mu.Unlock()
-	now, start := g.now(), server.InstanceID()
-	if c := g.exits.byInstance[start]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
+	now, instance := g.now(), server.InstanceID()
+	if c := g.exits.byInstance[instance]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
 		return c
 	}
 	for other, c := range g.exits.byInstance {
@@ -160,7 +160,7 @@
 		}
 	}
 	c := &exitCheck{startedAt: now, done: make(chan struct{})}
-	g.exits.byInstance[start] = c
+	g.exits.byInstance[instance] = c
 	go g.probe(server, c)
 	return c
 }
--- a/internal/notice/board_test.go
+++ b/internal/notice/board_test.go
@@ -35,7 +35,7 @@
 func TestNothingIsKeptWhereNothingIsSaid(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordAnswer(server, Statement{}, at(0), at(10))
+	b.RecordResponse(server, Statement{}, at(0), at(10))
 	g.Expect(b.Empty()).To(BeTrue())
 	g.Expect(b.Due(at(10))).To(BeEmpty())
 	g.Expect(b.Active(server, at(10))).To(BeEmpty())
@@ -44,15 +44,15 @@
 func TestLimitEndsWithAnswerWithoutIt(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordAnswer(server, limit(4), at(0), at(100))
+	b.RecordResponse(server, limit(4), at(0), at(100))
 	g.Expect(b.rate(100)).To(Equal(4.0))
 	g.Expect(b.Active(server, at(300))[0].Age).To(Equal(200 * time.Millisecond))
 
-	b.RecordAnswer(server, Statement{}, at(50), at(150)) // sent before the limit was received, so it may be older
+	b.RecordResponse(server, Statement{}, at(50), at(150)) // sent before the limit was received, so it may be older
 	g.Expect(b.rate(150)).To(Equal(4.0))
-	b.RecordAnswer(server, Statement{Unreadable: []Kind{RateLimit}}, at(160), at(200)) // unreadable, so not evidence of an end
+	b.RecordResponse(server, Statement{Unreadable: []Kind{RateLimit}}, at(160), at(200)) // unreadable, so not evidence of an end
 	g.Expect(b.rate(200)).To(Equal(4.0))
-	b.RecordAnswer(server, Statement{}, at(160), at(210))
+	b.RecordResponse(server, Statement{}, at(160), at(210))
 	g.Expect(b.limits.Limited(server)).To(BeFalse())
 	g.Expect(b.events).To(Equal([]Event{{Server: server, Kind: RateLimit, Limit: 4}, {Server: server, Kind: RateLimit, Ended: true}}))
 }
@@ -60,24 +60,24 @@
 func TestLowerLimitOfReorderedAnswersApplies(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordAnswer(server, limit(4), at(0), at(100))
-	b.RecordAnswer(server, limit(1), at(20), at(110))
+	b.RecordResponse(server, limit(4), at(0), at(100))
+	b.RecordResponse(server, limit(1), at(20), at(110))
 	g.Expect(b.rate(110)).To(Equal(1.0))
-	b.RecordAnswer(server, limit(4), at(30), at(120))
+	b.RecordResponse(server, limit(4), at(30), at(120))
 	g.Expect(b.rate(120)).To(Equal(1.0))
-	b.RecordAnswer(server, limit(8), at(115), at(130))
+	b.RecordResponse(server, limit(8), at(115), at(130))
 	g.Expect(b.rate(130)).To(Equal(8.0))
 }
 
 func TestChangeIsSentThreeTimes(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordAnswer(server, limit(4), at(0), at(100))
+	b.RecordResponse(server, limit(4), at(0), at(100))
 	g.Expect(b.Pending()).To(Receive())
 	sends := 0
 	for now := 100; now < 3000; now += 10 {
 		sends += len(b.Due(at(now)))
-		b.RecordAnswer(server, limit(4), at(now-5), at(now)) // an unchanged limit is no change
+		b.RecordResponse(server, limit(4), at(now-5), at(now)) // an unchanged limit is no change
 	}
 	g.Expect(sends).To(Equal(sendsPerChange))
 	g.Expect(b.All(at(3000))).To(HaveLen(1))
@@ -86,13 +86,13 @@
 func TestNewerReportsAreAccepted(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newTestRegistry(), newTestRegistry()
-	a.RecordAnswer(server, limit(1), at(0), at(100))
+	a.RecordResponse(server, limit(1), at(0), at(100))
 	b.Receive(a.Due(at(100))[0], "edge-a", at(105))
 	g.Expect(b.rate(105)).To(Equal(1.0))
 	g.Expect(b.Active(server, at(205))[0].From).To(Equal("edge-a"))
 	g.Expect(b.Due(at(1000))).To(BeEmpty(), "received reports are not forwarded")
 
-	b.RecordAnswer(server, Statement{}, at(1000), at(1050)) // b learns that the limit has ended
+	b.RecordResponse(server, Statement{}, at(1000), at(1050)) // b learns that the limit has ended
 	ended := b.Due(at(1050))[0]
 	outdated := a.All(at(1060))[0] // a does not know of the end yet
 	reply := b.Receive(outdated, "edge-a", at(1065))
@@ -102,7 +102,7 @@
 	a.Receive(ended, "edge-b", at(1070))
 	g.Expect(a.limits.Limited(server)).To(BeFalse())
 
-	a.RecordAnswer(server, limit(2), at(1200), at(1300)) // limited again
+	a.RecordResponse(server, limit(2), at(1200), at(1300)) // limited again
 	g.Expect(a.Receive(b.report(at(1305)), "edge-b", at(1310))).To(BeNil())
 	g.Expect(a.rate(1310)).To(Equal(2.0), "the end of the earlier limit does not end the new one")
 }
@@ -116,7 +116,7 @@
 func TestUnlistedServersAreRemoved(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordAnswer(server, limit(1), at(0), at(100))
+	b.RecordResponse(server, limit(1), at(0), at(100))
 	listed := true
 	sweep := func(ms int) { b.Sweep(func(string) bool { return listed }, at(ms)) }
 	sweep(200_000)
@@ -132,8 +132,8 @@
 func TestDrainingIsReportedAndPermanent(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newTestRegistry(), newTestRegistry()
-	a.RecordAnswer(server, Statement{Draining: true}, at(0), at(100))
-	a.RecordAnswer(server, Statement{}, at(150), at(200)) // an answer in flight
+	a.RecordResponse(server, Statement{Draining: true}, at(0), at(100))
+	a.RecordResponse(server, Statement{}, at(150), at(200)) // a response in flight
 	g.Expect(a.Draining(server)).To(BeTrue())
 	reports := a.Due(at(300))
 	g.Expect(reports).To(HaveLen(1))
@@ -151,20 +151,20 @@
 func TestDrainingDoesNotEndLimit(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newTestRegistry(), newTestRegistry()
-	b.RecordAnswer(server, limit(4), at(0), at(100))
-	a.RecordAnswer(server, Statement{Draining: true}, at(200), at(300))
+	b.RecordResponse(server, limit(4), at(0), at(100))
+	a.RecordResponse(server, Statement{Draining: true}, at(200), at(300))
 	b.Receive(a.Due(at(300))[0], "edge-a", at(310))
 	g.Expect(b.limits.Limited(server)).To(BeTrue())
 	g.Expect(b.Draining(server)).To(BeTrue())
 }
 
-// Guards against shortening a backoff by a later, shorter one. The backoff ends without a further answer.
+// Guards against shortening a backoff by a later, shorter one. The backoff ends without a further response.
 func TestLongestBackoffApplies(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordAnswer(server, Statement{Backoff: 4 * time.Second}, at(0), at(100))
-	b.RecordAnswer(server, Statement{Backoff: time.Second}, at(10), at(200))
-	b.RecordAnswer(server, Statement{}, at(20), at(300))
+	b.RecordResponse(server, Statement{Backoff: 4 * time.Second}, at(0), at(100))
+	b.RecordResponse(server, Statement{Backoff: time.Second}, at(10), at(200))
+	b.RecordResponse(server, Statement{}, at(20), at(300))
 	g.Expect(b.BackoffRemaining(server, at(1100))).To(Equal(3 * time.Second))
 	g.Expect(b.BackoffRemaining(server, at(4100))).To(BeZero())
 	g.Expect(b.Due(at(400))).To(BeEmpty(), "a backoff applies to this gateway only")
@@ -175,13 +175,13 @@
 	g.Expect(b.Empty()).To(BeTrue())
 }
 
-// Guards against sending a report for every answer of a server that states a different limit in each.
+// Guards against sending a report for every response of a server that states a different limit in each.
 func TestFrequentLimitChangesAreSentAtIntervals(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
 	sends := 0
 	for now := 0; now < 10_000; now += 10 {
-		b.RecordAnswer(server, limit(4+float64(now%50)/100), at(now-5), at(now))
+		b.RecordResponse(server, limit(4+float64(now%50)/100), at(now-5), at(now))
 		sends += len(b.Due(at(now)))
 	}
 	g.Expect(sends).To(BeNumerically("~", 50, 2))
@@ -191,7 +191,7 @@
 // Guards against a deadlock: the server list calls the registry while it holds its own lock, and Sweep calls the list.
 func TestSweepCallsListedWithoutLock(t *testing.T) {
 	b := newTestRegistry()
-	b.RecordAnswer(server, limit(1), at(0), at(100))
+	b.RecordResponse(server, limit(1), at(0), at(100))
 	b.Sweep(func(s string) bool { return !b.Draining(s) }, at(200))
 }
 
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,5 +1,5 @@
 // Package notice tracks notices: statements of backend servers about themselves in the headers of
-// their answers. A notice says that a server is draining, which rate of requests it accepts, or for
+// their responses. A notice says that a server is draining, which rate of requests it accepts, or for
 // how long it wants none. The package uses no clock and no network.
 package notice
 
@@ -14,10 +14,10 @@
 const (
 	Draining  Kind = "draining"   // the server accepts no new work and terminates soon
 	RateLimit Kind = "rate_limit" // the request rate that the server accepts from all gateways together
-	Backoff   Kind = "backoff"    // the time for which the server wants no requests from the gateway that it answered
+	Backoff   Kind = "backoff"    // the time for which the server wants no requests from the gateway that it responded to
 )
 
-// Statement holds the notices of one answer.
+// Statement holds the notices of one response.
 type Statement struct {
 	Draining bool `json:"draining,omitempty"`
 	// Limited reports whether a rate limit is stated; Limit is the limit in requests per second.
@@ -29,7 +29,7 @@
 	Unreadable []Kind `json:"unreadable,omitempty"`
 }
 
-// Empty reports whether the answer has no notices, not even unreadable ones.
+// Empty reports whether the response has no notices, not even unreadable ones.
 func (s Statement) Empty() bool {
 	return !s.Draining && !s.Limited && s.Backoff == 0 && len(s.Unreadable) == 0
 }
@@ -49,7 +49,7 @@
 	return out
 }
 
-// unreadable reports whether the answer has a notice of a kind that could not be parsed.
+// unreadable reports whether the response has a notice of a kind that could not be parsed.
 func (s Statement) unreadable(kind Kind) bool { return slices.Contains(s.Unreadable, kind) }
 
 // MaxLimit is the highest valid rate limit in requests per second. A backend server runs tens to
--- a/internal/notice/registry.go
+++ b/internal/notice/registry.go
@@ -18,8 +18,8 @@
 	maxServers = 4096
 )
 
-// Registry holds the notices that a gateway knows from answers and from the reports of other
-// gateways, by server start: a restarted server has a new entry. It is safe for concurrent use.
+// Registry holds the notices that a gateway knows from responses and from the reports of other
+// gateways, by instance ID: a restarted server has a new entry. It is safe for concurrent use.
 type Registry struct {
 	limits  *ratelimit.Limiter
 	notify  func(Event)
@@ -30,7 +30,7 @@
 	servers map[string]*serverState
 }
 
-// serverState is what is known of one start of a server.
+// serverState is what is known of one server instance.
 type serverState struct {
 	// draining is never reset: a server that is draining does not return to service without a restart.
 	draining      bool
@@ -72,10 +72,10 @@
 // Empty reports whether no notices are recorded for any server.
 func (r *Registry) Empty() bool { return r.size.Load() == 0 }
 
-// RecordAnswer records the notices of an answer to a request that was sent at the given time. Answers
-// may be reordered: a higher limit, or none, counts only if the request was sent after the current
+// RecordResponse records the notices of a response to a request that was sent at the given time.
+// Responses may be reordered: a higher limit, or none, counts only if the request was sent after the current
 // limit was last stated.
-func (r *Registry) RecordAnswer(server string, stated Statement, sent, now time.Time) {
+func (r *Registry) RecordResponse(server string, stated Statement, sent, now time.Time) {
 	if stated.Empty() && r.Empty() {
 		return
 	}
--- a/internal/notice/report.go
+++ b/internal/notice/report.go
@@ -25,7 +25,7 @@
 const (
 	// sendsPerChange is the number of times that a change is sent. resendInterval is the time between the
 	// first two sends, and doubles with each further one. It is also the minimum time before the next
-	// change is sent, because a server may state a different rate in every answer.
+	// change is sent, because a server may state a different rate in every response.
 	sendsPerChange = 3
 	resendInterval = 200 * time.Millisecond
 )
--- a/internal/peers/learnt.go
+++ b/internal/peers/estimates.go
@@ -8,13 +8,12 @@
 	"github.com/merlinpost/merlinpost/internal/enginemodel"
 )
 
-// maxLearntServices limits the services whose engine figures are sent, so that a heartbeat fits
+// maxEstimatedServices limits the services whose engine estimates are sent, so that a heartbeat fits
 // into a datagram: a service takes about 50 of the 1,200 bytes. Services with the most
 // observations come first.
 const maxEstimatedServices = 8
 
-// engineFigures is the performance that a gateway has measured for a service's engines, encoded in about
-// 50 bytes.
+// engineEstimates are a gateway's enginemodel.Estimates for a service's engines, encoded in about 50 bytes.
 type engineEstimates struct {
 	Service                  string  `msgpack:"s"`
 	PrefillPer1000Tokens     float32 `msgpack:"r"` // microseconds per 1,000 prompt tokens
@@ -29,13 +28,13 @@
 
 func fromMicros(v float32) time.Duration { return time.Duration(v * float32(time.Microsecond)) }
 
-// updateLearnt copies the desk's figures for the heartbeats. It must be called from Run's
-// goroutine, which owns the desk.
+// updateEstimates copies the scheduler's estimates for the heartbeats. It must be called from Run's
+// goroutine, which owns the scheduler.
 func (p *Peers) updateEstimates() {
 	var out []engineEstimates
-	for _, l := range p.scheduler.Stats() {
-		if l.Observations > 0 {
-			out = append(out, engineEstimates{l.Service, toMicros(l.PrefillPer1000Tokens), toMicros(l.AttentionPerMillionPairs), toMicros(l.FirstEventLatency), toMicros(l.TokenTime), toMicros(l.MaxEventGap), float32(l.Observations)})
+	for _, s := range p.scheduler.Stats() {
+		if s.Observations > 0 {
+			out = append(out, engineEstimates{s.Service, toMicros(s.PrefillPer1000Tokens), toMicros(s.AttentionPerMillionPairs), toMicros(s.FirstEventLatency), toMicros(s.TokenTime), toMicros(s.MaxEventGap), float32(s.Observations)})
 		}
 	}
 	slices.SortFunc(out, func(a, b engineEstimates) int { return cmp.Compare(b.Observations, a.Observations) })
@@ -44,16 +43,16 @@
 	p.mu.Unlock()
 }
 
-// learntByPeers returns the other gateways' figures for a service's engines that are based on the
+// peerEstimates returns the other gateways' estimates for a service's engines that are based on the
 // most observations. A gateway that becomes the home of a group starts with them.
 func (p *Peers) peerEstimates(service string) (enginemodel.Estimates, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best engineEstimates
 	for _, m := range p.members.known {
-		for _, l := range m.estimates {
-			if l.Service == service && l.Observations > best.Observations {
-				best = l
+		for _, e := range m.estimates {
+			if e.Service == service && e.Observations > best.Observations {
+				best = e
 			}
 		}
 	}
--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -26,8 +26,8 @@
 	if m := p.members.known[b.Host]; m != nil && b.Estimates != nil {
 		m.estimates = b.Estimates
 	}
-	for _, f := range b.States {
-		p.states.receive(f, from, now)
+	for _, report := range b.States {
+		p.states.receive(report, from, now)
 	}
 }
 
@@ -97,7 +97,7 @@
 	p.sendHeartbeat(nil)
 }
 
-// List adds the gateways that the store lists to the known members.
+// AddListed adds the gateways that the store lists to the known members.
 func (p *Peers) AddListed(listed []Member) {
 	p.mu.Lock()
 	p.members.addListed(listed, time.Now())
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -193,7 +193,7 @@
 	return !p.heartbeatAt.IsZero() && !p.leaving && now.After(p.downUntil) && now.Sub(p.heartbeatAt) <= maxMissedHeartbeats*m.heartbeatInterval()
 }
 
-// home returns the live gateway that decides for a key, chosen by rendezvous hashing among those
+// home returns the live gateway that schedules the group with a key, chosen by rendezvous hashing among those
 // with enough cores.
 func (m *members) home(key string, now time.Time) Member {
 	maxCores := m.self.Cores
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
 // Package peers connects the gateways of a deployment. It tracks which gateways are up and which
-// gateway decides where and when prompts are read by a group of engines (the group's home). It also
-// distributes measured engine figures, notices of backend servers, suspected requests, shares of
+// gateway schedules the requests to a group of engines (the group's home). It also
+// distributes estimates of engine performance, notices of backend servers, suspected requests, shares of
 // limits and budgets, and the states that gateways have read from the platform's store, so that not
 // all of them need to read it.
 //
@@ -57,7 +57,7 @@
 	// and notices.
 	Starting bool          `msgpack:"n,omitempty"`
 	States   []stateReport `msgpack:"f,omitempty"`
-	// Learnt are the figures of the engines for which the sender decides.
+	// Estimates are those for the engines whose requests the sender schedules.
 	Estimates []engineEstimates `msgpack:"e,omitempty"`
 }
 
@@ -67,7 +67,7 @@
 	permit.Ask
 }
 
-// firstToken reports that an engine has read a request's prompt.
+// firstToken reports that an engine has completed a request's prefill.
 type firstToken struct {
 	Group permit.Group  `msgpack:"g"`
 	ID    string        `msgpack:"i"`
@@ -85,11 +85,11 @@
 type LocalGateway interface {
 	// Engines returns the engines of a group.
 	Engines(permit.Group) []permit.Engine
-	// Quarantine returns the gateway's records of requests that may crash servers.
+	// Quarantine returns the tracker of requests that may crash servers.
 	Quarantine() *quarantine.Tracker
-	// Notices returns the gateway's records of the servers' statements about themselves.
+	// Notices returns the registry of the servers' statements about themselves.
 	Notices() *notice.Registry
-	// Limited returns the servers that state a rate limit, by group.
+	// RateLimitedServers returns the servers that state a rate limit, by group.
 	RateLimitedServers() map[permit.Group][]string
 	// SetGateways sets the number of gateways, including this one, that share the slack of the retry
 	// budgets; 0 while this gateway has no share.
@@ -97,8 +97,8 @@
 	// LendRepeat grants another gateway a repeated send to a service from this gateway's retry budget, and reports
 	// whether the budget permitted it.
 	LendRepeat(service string) bool
-	// Stalled tells the gateway that the process was stalled since one time and is expected to process the
-	// backlog until the other.
+	// RecordStall records that the process was stalled since the given time and is expected to process
+	// the backlog until the other.
 	RecordStall(since, until time.Time)
 }
 
@@ -126,7 +126,7 @@
 	states         topicStates
 	estimates      []engineEstimates               // by this gateway, as sent in heartbeats
 	pendingPermits map[string]chan permit.Decision // by request ID
-	pendingRepeats map[uint64]chan bool            // unanswered repeatRequests by ID
+	pendingRepeats map[uint64]chan bool            // waiting for a repeatResponse, by ID
 	lastRepeatID   uint64                          // ID of the newest repeatRequest
 	leaving        bool
 	heartbeatAt    time.Time
@@ -176,7 +176,7 @@
 	})
 	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
-	learntLogged := time.Now()
+	estimatesLogged := time.Now()
 	for {
 		var r received
 		select {
@@ -203,21 +203,21 @@
 		p.sendSuspects(now)
 		p.sendNotices(now)
 		p.lendRateShares(now)
-		if now.Sub(learntLogged) >= estimatesLogInterval {
-			learntLogged = now
+		if now.Sub(estimatesLogged) >= estimatesLogInterval {
+			estimatesLogged = now
 			p.logEstimates()
 		}
 	}
 }
 
-// learntLogInterval is the interval at which the learnt engine figures are logged.
+// estimatesLogInterval is the interval at which the engine estimates are logged.
 const estimatesLogInterval = 5 * time.Second
 
-// logLearnt logs the engine figures on which this gateway's decisions are based.
+// logEstimates logs the engine estimates on which this gateway's decisions are based.
 func (p *Peers) logEstimates() {
-	for _, l := range p.scheduler.Stats() {
-		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.PrefillPer1000Tokens, "pairs", l.AttentionPerMillionPairs, "latency", l.FirstEventLatency, "token", l.TokenTime,
-			"longest_pause", l.MaxEventGap, "observed", l.Observations, "waiting", l.Queued, "engines", l.AvailableEngines, "reading", l.PrefillingEngines, "running", l.Running)
+	for _, s := range p.scheduler.Stats() {
+		p.logger.Info("engines learnt", "service", s.Service, "read_1000", s.PrefillPer1000Tokens, "pairs", s.AttentionPerMillionPairs, "latency", s.FirstEventLatency, "token", s.TokenTime,
+			"longest_pause", s.MaxEventGap, "observed", s.Observations, "waiting", s.Queued, "engines", s.AvailableEngines, "reading", s.PrefillingEngines, "running", s.Running)
 	}
 }
 
@@ -266,26 +266,26 @@
 	}
 }
 
-// sendAnswer sends the answer to a permit request.
-func (p *Peers) sendDecision(a permit.Decision, to netip.AddrPort) {
-	telemetry.Count("merlinpost_permit_answers_total", "verdict", a.Verdict.String())
+// sendDecision sends the decision on a permit request.
+func (p *Peers) sendDecision(d permit.Decision, to netip.AddrPort) {
+	telemetry.Count("merlinpost_permit_answers_total", "verdict", d.Verdict.String())
 	if to == p.self {
-		p.deliverDecision(a)
+		p.deliverDecision(d)
 		return
 	}
-	p.send(message{PermitDecision: &a}, to)
+	p.send(message{PermitDecision: &d}, to)
 }
 
-// deliverAnswer passes an answer to the Ask call that waits for it.
-func (p *Peers) deliverDecision(a permit.Decision) {
+// deliverDecision passes a decision to the RequestPermit call that waits for it.
+func (p *Peers) deliverDecision(d permit.Decision) {
 	p.mu.Lock()
-	ch := p.pendingPermits[a.ID]
+	ch := p.pendingPermits[d.ID]
 	p.mu.Unlock()
 	if ch == nil {
 		return
 	}
 	select {
-	case ch <- a:
-	default: // the previous answer has not been received yet; Ask repeats its request
+	case ch <- d:
+	default: // the previous decision has not been received yet; RequestPermit repeats its request
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -165,7 +165,7 @@
 		m.addListed([]Member{member(fmt.Sprint(i), at(i+2))}, time.Unix(0, 0))
 	}
 	datagramsPerSecond := 389 / m.heartbeatInterval().Seconds()
-	// One gateway in 35 decides for a group and sends the figures of one service's engines.
+	// One gateway in 35 schedules a group and sends the estimates of one service's engines.
 	const bytesEach = 90 + 60/35
 	g.Expect(datagramsPerSecond * bytesEach).To(BeNumerically("<", 2000))
 }
@@ -177,20 +177,20 @@
 	in := permit.Group{Service: "model-120b", Index: 3}
 	id := "9c41d07be2a35f68/0"
 	rated := notice.Report{Server: "i-7f3a91c2e4@1765000000000", Draining: true, DrainingAgeMs: 90000, Limited: true, Limit: 0.25, LimitAgeMs: 90000}
-	figures := engineEstimates{"model-120b", 25300, 647, 15234, 8123, 151234, 180}
+	estimates := engineEstimates{"model-120b", 25300, 647, 15234, 8123, 151234, 180}
 	for _, m := range []struct {
 		name  string
 		bytes int
 		message
 	}{
-		{"ask", 150, message{PermitRequest: &permitRequest{in, permit.Ask{ID: id, Priority: 7, UniqueTokens: 6610, PrefixID: "5c1e07a291bd", PrefixTokens: 5382, OutputTokens: 330,
+		{"permit request", 150, message{PermitRequest: &permitRequest{in, permit.Ask{ID: id, Priority: 7, UniqueTokens: 6610, PrefixID: "5c1e07a291bd", PrefixTokens: 5382, OutputTokens: 330,
 			FirstTokenTarget: 2400 * time.Millisecond, MaxEventGap: 800 * time.Millisecond, FirstTokenTimeout: 9 * time.Second, ResponseTimeout: 15 * time.Second,
 			FailureDomain: "barrage-hall"}}}},
-		{"answer", 80, message{PermitDecision: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
+		{"permit decision", 80, message{PermitDecision: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
 		{"first token", 60, message{FirstToken: &firstToken{Group: in, ID: id, Took: 180 * time.Millisecond}}},
 		{"end", 75, message{End: &requestEnd{in, id, permit.StreamStats{Events: 64, Duration: 5 * time.Second, LongestGap: 150 * time.Millisecond}}}},
 		{"heartbeat", 45, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
-		{"heartbeat with figures", 230, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Estimates: []engineEstimates{figures, figures, figures}}}},
+		{"heartbeat with estimates", 230, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Estimates: []engineEstimates{estimates, estimates, estimates}}}},
 		{"suspect", 120, message{Suspects: suspects(1, 1)}},
 		{"strong suspect", 240, message{Suspects: suspects(1, 3)}},
 		{"notice", 80, message{Notices: []notice.Report{rated}}},
@@ -316,14 +316,14 @@
 		Eventually(live(a)).Should(Equal(1))
 	})
 
-	It("exchange the figures that they have learnt of engines", func() {
+	It("exchange their engine estimates", func() {
 		a, _ := open("a")
 		ctx := context.Background()
 		for i := range 300 {
 			r := request(fmt.Sprint("r", i))
 			r.UniqueTokens = 1000 + 10*i
-			answer, permitted := a.RequestPermit(ctx, group, r)
-			Expect(answer.Verdict).To(Equal(permit.Granted))
+			decision, permitted := a.RequestPermit(ctx, group, r)
+			Expect(decision.Verdict).To(Equal(permit.Granted))
 			permitted.FirstToken(time.Duration(r.UniqueTokens) * 100 * time.Microsecond) // 10 tokens a ms
 			permitted.End(permit.StreamStats{})
 		}
@@ -349,8 +349,8 @@
 		Expect(first.Verdict).To(Equal(permit.Granted))
 		second := make(chan permit.Decision, 1)
 		go func() {
-			answer, _ := b.RequestPermit(ctx, group, request("r2"))
-			second <- answer
+			decision, _ := b.RequestPermit(ctx, group, request("r2"))
+			second <- decision
 		}()
 		Consistently(second, 150*time.Millisecond).ShouldNot(Receive())
 		permitted.FirstToken(time.Second)
@@ -364,8 +364,8 @@
 		Eventually(live(a)).Should(Equal(2))
 		stopB()
 		for i := range 8 { // about half of these groups had their home at b
-			answer, _ := a.RequestPermit(context.Background(), permit.Group{Service: "s", Index: i}, request(fmt.Sprint("r", i)))
-			Expect(answer.Verdict).To(Equal(permit.Granted))
+			decision, _ := a.RequestPermit(context.Background(), permit.Group{Service: "s", Index: i}, request(fmt.Sprint("r", i)))
+			Expect(decision.Verdict).To(Equal(permit.Granted))
 		}
 	})
 
@@ -375,8 +375,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan permit.Decision, 1)
 		go func() {
-			answer, _ := a.RequestPermit(ctx, group, request("r2"))
-			done <- answer
+			decision, _ := a.RequestPermit(ctx, group, request("r2"))
+			done <- decision
 		}()
 		Consistently(done, 100*time.Millisecond).ShouldNot(Receive())
 		cancel()
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -32,7 +32,7 @@
 	id    string
 }
 
-// FirstToken reports to the home that the prompt has been read. Took is the time from sending the
+// FirstToken reports to the home that the prefill is complete. Took is the time from sending the
 // request to its first event.
 func (t Permit) FirstToken(took time.Duration) {
 	if t.peers != nil {
@@ -40,16 +40,16 @@
 	}
 }
 
-// End reports to the home that the request has ended, with the statistics of its answer.
+// End reports to the home that the request has ended, with the statistics of its response.
 func (t Permit) End(s permit.StreamStats) {
 	if t.peers != nil {
 		t.peers.send(message{End: &requestEnd{Group: t.group, ID: t.id, StreamStats: s}}, t.home)
 	}
 }
 
-// Ask asks the group's home for permission to send a request, and waits while the permit request is
-// queued. If no home answers, the request may be sent: the answer is then Granted without an
-// engine, and the Permit is zero. When ctx is done, the answer is Refused.
+// RequestPermit asks the group's home for permission to send a request, and waits while the permit
+// request is queued. If no home answers, the request may be sent: the verdict is then Granted without
+// an engine, and the Permit is zero. When ctx is done, the verdict is Refused.
 func (p *Peers) RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
 	ch := make(chan permit.Decision, 1)
 	p.mu.Lock()
@@ -65,12 +65,12 @@
 		p.mu.Lock()
 		home := p.members.home(group.Key(), time.Now()).Address
 		p.mu.Unlock()
-		answer, answered := p.requestFromHome(ctx, home, pendingRequest{group, a, start}, ch)
+		decision, answered := p.requestFromHome(ctx, home, pendingRequest{group, a, start}, ch)
 		if answered {
-			if answer.Verdict != permit.Granted {
-				return answer, Permit{}
+			if decision.Verdict != permit.Granted {
+				return decision, Permit{}
 			}
-			return answer, Permit{p, home, group, a.ID}
+			return decision, Permit{p, home, group, a.ID}
 		}
 		p.mu.Lock()
 		p.members.markUnresponsive(home, time.Now())
@@ -106,9 +106,9 @@
 		case <-ctx.Done():
 			p.send(message{End: &requestEnd{Group: q.group, ID: q.request.ID}}, home)
 			return permit.Decision{ID: q.request.ID, Verdict: permit.Refused}, true
-		case answer := <-ch:
-			if answer.Verdict != permit.Queued {
-				return answer, true
+		case decision := <-ch:
+			if decision.Verdict != permit.Queued {
+				return decision, true
 			}
 			missed = 0
 			timer.Reset(queuedRetryInterval)
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// greet sends a gateway that has just started this gateway's engine figures, so that it need not wait
+// greet sends a gateway that has just started this gateway's engine estimates, so that it need not wait
 // for the next heartbeat. Only maxGreeters gateways also send suspects and notices.
 func (p *Peers) greet(host string, at netip.AddrPort, now time.Time) {
 	p.mu.Lock()
--- a/internal/peers/topicstates.go
+++ b/internal/peers/topicstates.go
@@ -41,31 +41,31 @@
 // reportFor is how long a gateway reports a state after reading it.
 const reportFor = 2 * time.Second
 
-func (f *topicStates) topic(name string) *topicState {
-	if f.topics == nil {
-		f.topics = map[string]*topicState{}
+func (s *topicStates) topic(name string) *topicState {
+	if s.topics == nil {
+		s.topics = map[string]*topicState{}
 	}
-	t := f.topics[name]
+	t := s.topics[name]
 	if t == nil {
 		t = &topicState{changed: make(chan struct{})}
-		f.topics[name] = t
+		s.topics[name] = t
 	}
 	return t
 }
 
 // record stores a state that this gateway has read.
-func (f *topicStates) record(name string, state uint64, at, since time.Time) {
-	t := f.topic(name)
+func (s *topicStates) record(name string, state uint64, at, since time.Time) {
+	t := s.topic(name)
 	// A state that another gateway has reported need not be reported again.
 	if t.own.state != state && (state != t.remote.state || at.After(t.remote.at)) {
-		f.unsent = true
+		s.unsent = true
 	}
 	t.own = observedState{state: state, at: at, since: since}
 }
 
 // receive processes a report of another gateway.
-func (f *topicStates) receive(report stateReport, from netip.AddrPort, now time.Time) {
-	t := f.topic(report.Topic)
+func (s *topicStates) receive(report stateReport, from netip.AddrPort, now time.Time) {
+	t := s.topic(report.Topic)
 	remote := observedState{report.State, now.Add(-time.Duration(report.AgeMs) * time.Millisecond),
 		now.Add(-time.Duration(report.ContactMs) * time.Millisecond), from}
 	if !t.replaces(remote) {
@@ -96,9 +96,9 @@
 
 // reports returns the states to report to the others: those that this gateway has read recently, and later than
 // any other gateway.
-func (f *topicStates) reports(now time.Time) []stateReport {
+func (s *topicStates) reports(now time.Time) []stateReport {
 	var out []stateReport
-	for name, t := range f.topics {
+	for name, t := range s.topics {
 		if age := now.Sub(t.own.at); !t.own.at.IsZero() && age < reportFor && t.own.at.After(t.remote.at) {
 			out = append(out, stateReport{name, t.own.state, age.Milliseconds(), now.Sub(t.own.since).Milliseconds()})
 		}
@@ -115,8 +115,8 @@
 	return t.own.at
 }
 
-// Find records the state of a topic that this gateway read at the given time, and since when the
-// store has answered its calls without interruption.
+// ReportState records the state of a topic that this gateway read at the given time, and since when the
+// store has answered its calls without interruption. The state is reported in heartbeats.
 func (p *Peers) ReportState(topic string, state uint64, at, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,15 +131,15 @@
 	return p.states.topic(topic).remote.since
 }
 
-// Versioned declares that the states of a topic are versions: higher ones are newer.
+// SetVersioned declares that the states of a topic are versions: higher ones are newer.
 func (p *Peers) SetVersioned(topic string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.states.topic(topic).versioned = true
 }
 
-// Newer reports whether another gateway has reported a newer state of a topic than this gateway's. From
-// is the gateway whose report is in use, and at the time at which it read the state.
+// NewerState reports whether another gateway has reported a newer state of a topic than this gateway's.
+// From is the gateway whose report is in use, and at the time at which it read the state.
 func (p *Peers) NewerState(topic string) (at time.Time, from netip.AddrPort, newer bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,14 +147,14 @@
 	return t.remote.at, t.remote.from, t.outdated()
 }
 
-// Heard returns the state of a topic that other gateways have reported, or 0 if there is no report.
+// ReportedState returns the state of a topic that other gateways have reported, or 0 if there is no report.
 func (p *Peers) ReportedState(topic string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.states.topic(topic).remote.state
 }
 
-// Confirmed returns when this gateway's state of a topic was last confirmed to be the newest, and a
+// LastConfirmed returns when this gateway's state of a topic was last confirmed to be the newest, and a
 // channel that is closed when another gateway reports a newer one.
 func (p *Peers) LastConfirmed(topic string) (at time.Time, changed <-chan struct{}) {
 	p.mu.Lock()
@@ -163,16 +163,16 @@
 	return t.confirmedAt(), t.changed
 }
 
-// Small reports whether this host, and whether any live host, has a small processor or a slow link
+// SmallHosts reports whether this host, and whether any live host, has a small processor or a slow link
 // compared with the largest.
-func (p *Peers) SmallHosts() (self, some bool) {
+func (p *Peers) SmallHosts() (self, anyHost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, small := p.members.splitByCapacity(time.Now())
 	return slices.Contains(small, p.members.self.Host), len(small) > 0
 }
 
-// SlowestLink returns the speed of the slowest link of the live gateways in Mbit/s, or 0 if none is known.
+// SlowestLinkMbps returns the speed of the slowest link of the live gateways in Mbit/s, or 0 if none is known.
 func (p *Peers) SlowestLinkMbps() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -17,9 +17,10 @@
 // and let each fatal request crash three more servers.
 type Store interface {
 	// Newest returns the stored values and the end position of the topic.
-	Newest(ctx context.Context) (kept map[string][]byte, end logposition.Position, err error)
+	Newest(ctx context.Context) (values map[string][]byte, end logposition.Position, err error)
 	// Put writes a value, nil to delete it. If at is set, the write succeeds only while the topic still
-	// ends there; otherwise the error has code Conflict, or LogRestored after a restore from a backup.
+	// ends there; otherwise the error has code RevisionConflict, or LogRestored after a restore
+	// from a backup.
 	Put(ctx context.Context, key string, value []byte, at *logposition.Position) error
 }
 
@@ -172,7 +173,7 @@
 
 // read adopts the verdicts in the store; false if the store can't be read.
 func (p *Persister) read(ctx context.Context) bool {
-	kept, _, err := p.store.Newest(ctx)
+	values, _, err := p.store.Newest(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
 			p.logger.Warn("cannot read quarantine from store; will retry", "error", err)
@@ -180,7 +181,7 @@
 		return false
 	}
 	now := p.now()
-	for key, value := range kept {
+	for key, value := range values {
 		id, v, err := decodeEntry(key, value, now)
 		if err != nil {
 			p.logger.Error("invalid quarantine entry in store ignored", "key", key, "error", err)
@@ -276,7 +277,7 @@
 
 // tryClaim makes one attempt to claim the trial.
 func (p *Persister) tryClaim(ctx context.Context, id ID, unwritten bool) (*Verdict, error) {
-	kept, end, err := p.store.Newest(ctx)
+	values, end, err := p.store.Newest(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -285,7 +286,7 @@
 	if current == nil {
 		return nil, nil
 	}
-	value, found := kept[id.String()]
+	value, found := values[id.String()]
 	if !found && !unwritten {
 		p.tracker.clear(id, Elsewhere, now)
 		return nil, nil
--- a/internal/quarantine/scheduling.go
+++ b/internal/quarantine/scheduling.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// Done ends a run. The caller records a crash or an answer first.
+// Done ends a run. The caller records a crash or a response first.
 func (t *Tracker) Done(id ID, key uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -279,9 +279,9 @@
 	}
 }
 
-// RecordAnswer records that a server answered the request, which clears it: the earlier crashes had
+// RecordResponse records that a server answered the request, which clears it: the earlier crashes had
 // another cause.
-func (t *Tracker) RecordAnswer(id ID, now time.Time) { t.clear(id, Answered, now) }
+func (t *Tracker) RecordResponse(id ID, now time.Time) { t.clear(id, Answered, now) }
 
 // Lift ends the quarantine of a request for an operator; false if it is not quarantined.
 func (t *Tracker) Lift(id ID, now time.Time) bool { return t.clear(id, ByOperator, now) }
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -58,7 +58,7 @@
 	harmless := id("harmless")
 	tracker.RecordCrash(harmless, crashAt("i-1", 1), at(1))
 	tracker.RecordCrash(harmless, crashAt("i-2", 2), at(2))
-	tracker.RecordAnswer(harmless, at(2.5))
+	tracker.RecordResponse(harmless, at(2.5))
 	tracker.RecordCrash(harmless, crashAt("i-3", 3), at(3))
 	tracker.RecordCrash(harmless, crashAt("i-0", 2.4), at(3)) // a late report of an earlier crash
 	g.Expect(verdictAt(tracker, harmless, 3.1)).To(BeNil())
@@ -97,7 +97,7 @@
 		tracker.RecordCrash(id(fmt.Sprint(i)), crashAt("i-2", 2), at(2))
 	}
 	for i := range 19 {
-		tracker.RecordAnswer(id(fmt.Sprint(i)), at(2.5))
+		tracker.RecordResponse(id(fmt.Sprint(i)), at(2.5))
 	}
 	last := id("19")
 	tracker.RecordCrash(last, crashAt("i-3", 3), at(3))
@@ -298,7 +298,7 @@
 	decision := tracker.Begin(fatal, 2, due.Add(time.Second))
 	g.Expect(decision.Verdict).NotTo(BeNil())
 	g.Expect(decision.TrialDue).To(BeFalse())
-	tracker.RecordAnswer(fatal, due.Add(2*time.Second))
+	tracker.RecordResponse(fatal, due.Add(2*time.Second))
 	g.Expect(tracker.Begin(fatal, 3, due.Add(3*time.Second))).To(Equal(Decision{}))
 }
 
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -124,7 +124,7 @@
 }
 
 // Lookup returns the entry of a key, or nil if there is none. It returns a fault
-// with code KeyConflict if the key was used with a different body.
+// with code IdempotencyKeyConflict if the key was used with a different body.
 func (s *Store) Lookup(now time.Time, key string, digest uint64) (*Entry, *fault.Error) {
 	s.evictExpired(now)
 	e := s.entries[key]
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -48,8 +48,8 @@
 type Effects interface {
 	// Offer chooses an agent and sends it the attempt. done and doneText are
 	// the number and the text of the chunks already delivered to the caller.
-	// A fault means that nothing was sent: NoLink that an agent may become
-	// reachable soon, LinkBusy that the chosen one can't take an offer now.
+	// A fault means that nothing was sent: BackendServersUnreachable that an
+	// agent may become reachable soon, LinkBusy that the chosen one can't take an offer now.
 	Offer(attempt uint32, done uint32, doneText string) *fault.Error
 	// Send sends a message to the agent of the current attempt. The message
 	// is dropped if the link is down.
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -88,8 +88,8 @@
 	return c.router.picker.Pick(dispatch.Request{FailureDomain: c.router.settings.FailureDomain}, candidates, c.router.rng)
 }
 
-// noCandidateFault returns NoLink if a candidate is only unreachable at present,
-// and NoServer if none is left to try.
+// noCandidateFault returns BackendServersUnreachable if a candidate is only
+// unreachable at present, and NoBackendServer if none is left to try.
 func (c *call) noCandidateFault(candidates []dispatch.Candidate) *fault.Error {
 	for i := range candidates {
 		if !c.tried[candidates[i].Name] && !candidates[i].Draining {
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -22,7 +22,7 @@
 	peers := r.liveRouters()
 	home, listed := peers[rendezvous.First(name, memberNames(peers))]
 	if !listed || r.lendingEndpoint == nil {
-		return r.quota.Admit(time.Now(), name, team, len(peers))
+		return r.localLimiter.Admit(time.Now(), name, team, len(peers))
 	}
 	request := quota.GrantRequest{Seq: r.quotaRequestSeq.Add(1), Team: name, Router: r.processName()}
 	var reply quota.GrantResponse
@@ -35,11 +35,11 @@
 	switch {
 	case !answered:
 		telemetry.Count("merlinpost_lending_fallback_total")
-		r.reportEnded(name, home, r.quota.DiscardGrant(name, request.Seq)) // the home may have granted it
-		return r.quota.Admit(time.Now(), name, team, len(peers))
+		r.reportEnded(name, home, r.localLimiter.DiscardGrant(name, request.Seq)) // the home may have granted it
+		return r.localLimiter.Admit(time.Now(), name, team, len(peers))
 	case reply.Granted:
-		r.quota.StartGranted(time.Now(), name)
-		return func() { r.reportEnded(name, home, r.quota.EndGranted(name, request.Seq)) }, nil
+		r.localLimiter.StartGranted(time.Now(), name)
+		return func() { r.reportEnded(name, home, r.localLimiter.EndGranted(name, request.Seq)) }, nil
 	}
 	return nil, quota.RefusalError(reply, team)
 }
@@ -49,18 +49,18 @@
 
 // reportEnded reports ended requests to the team's home router.
 func (r *Router) reportEnded(name string, home membership.Member, seqs []uint64) {
-	closed := quota.ReleaseNotice{Team: name, Router: r.processName(), Seqs: seqs}
+	notice := quota.ReleaseNotice{Team: name, Router: r.processName(), Seqs: seqs}
 	if home.Name == r.settings.Name {
-		(*teamHome)(r).Release(closed)
+		(*teamHome)(r).Release(notice)
 		return
 	}
-	r.lendingEndpoint.Release(home.Address, closed)
+	r.lendingEndpoint.Release(home.Address, notice)
 }
 
 // teamHome is a Router in its role as the home of teams. It implements lending.Home.
 type teamHome Router
 
-// Lend implements lending.Home.
+// Acquire implements lending.Home.
 func (h *teamHome) Acquire(request quota.GrantRequest) quota.GrantResponse {
 	team := h.Config.View().Teams[request.Team]
 	if team == nil {
@@ -69,10 +69,10 @@
 	return h.homeLimiter.Acquire(time.Now(), request, team, len((*Router)(h).liveRouters()))
 }
 
-// Close implements lending.Home.
+// Release implements lending.Home.
 func (h *teamHome) Release(c quota.ReleaseNotice) { h.homeLimiter.Release(c) }
 
-// Heard implements lending.Home.
+// MarkReachable implements lending.Home.
 func (h *teamHome) MarkReachable(router string) { h.homeLimiter.MarkReachable(time.Now(), router) }
 
 // PeersAddress returns the address that serves quota requests of other routers,
@@ -107,7 +107,7 @@
 	return out
 }
 
-// pingPeers pings every live router each quota.PingEvery, and one that is new to
+// pingPeers pings every live router each quota.PingInterval, and one that is new to
 // the membership list at the next check.
 func (r *Router) pingPeers(ctx context.Context) {
 	lastPing := map[string]time.Time{}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -31,7 +31,7 @@
 	Config          *configlog.Follower
 	members         *membership.Reader
 	links           *linkSet
-	quota           *quota.LocalLimiter
+	localLimiter    *quota.LocalLimiter
 	homeLimiter     *quota.HomeLimiter
 	lendingEndpoint *lending.Transport // nil if every router enforces equal shares only
 	quotaRequestSeq atomic.Uint64
@@ -62,9 +62,9 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	log := configlog.NewClient(set.Log.Address, settings.Millis(set.Log.TimeoutMS))
 	r := &Router{settings: set, logger: logger, incarnation: configlog.NewID(), picker: picker, rng: rng,
-		budget:      retrybudget.New(retrybudget.Settings{Ratio: p.RetryShare, Window: retryBudgetWindow, Slack: p.RetryBurst}, 1, time.Now()),
-		quota:       quota.NewLocalLimiter(time.Now()),
-		homeLimiter: quota.NewHomeLimiter(time.Now())}
+		budget:       retrybudget.New(retrybudget.Settings{Ratio: p.RetryShare, Window: retryBudgetWindow, Slack: p.RetryBurst}, 1, time.Now()),
+		localLimiter: quota.NewLocalLimiter(time.Now()),
+		homeLimiter:  quota.NewHomeLimiter(time.Now())}
 	r.Config = configlog.NewFollower(log, set.Log, true, logger, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.members = membership.NewReader(set.Members.Address, "", settings.Millis(set.Members.PollMS), logger)
 	r.links = newLinkSet(r)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -166,8 +166,8 @@
 }
 
 // Resume asks the agent to continue an answer from chunk Next over this link. An agent
-// that does not hold the attempt replies with an OfferResponse with code NotHeld, and
-// refuses the attempt from then on.
+// that does not hold the attempt replies with an OfferResponse with code RequestNotHeld,
+// and refuses the attempt from then on.
 type Resume struct {
 	ID      string
 	Attempt uint32
