--- a/e2e/callers_test.go
+++ b/e2e/callers_test.go
@@ -23,7 +23,7 @@
 	Served     string // the version that answered
 	Status     int
 	Text       string
-	Whole      bool // the answer ended as it should
+	Complete   bool // the answer ended as it should
 	Code       fault.Code
 	Outcome    fault.Outcome
 	RetryAfter string
@@ -86,7 +86,7 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			o.Whole = true
+			o.Complete = true
 			break
 		}
 		var ev struct {
@@ -113,7 +113,7 @@
 		}
 	}
 	o.Text = text.String()
-	if !o.Whole && o.Code == "" && o.Err == nil {
+	if !o.Complete && o.Code == "" && o.Err == nil {
 		o.Err = errors.New("the stream ended without its end")
 		if err := lines.Err(); err != nil {
 			o.Err = err
@@ -125,7 +125,7 @@
 func (o *outcome) check(prompt string, tokens int) error {
 	want := engine.Answer(prompt, tokens, tokens)
 	switch {
-	case o.Whole && o.Text != want:
+	case o.Complete && o.Text != want:
 		return fmt.Errorf("request %s: a wrong answer: %q instead of %q", o.RequestID, clip(o.Text), clip(want))
 	case !strings.HasPrefix(want, o.Text):
 		return fmt.Errorf("request %s: a part of another answer: %q", o.RequestID, clip(o.Text))
@@ -148,7 +148,7 @@
 	}
 	o.RequestID, o.RetryAfter = h.Get("Merlinpost-Request-Id"), h.Get("Retry-After")
 	if status == http.StatusOK {
-		o.Whole = true
+		o.Complete = true
 	} else {
 		o.takeError(data)
 	}
@@ -196,7 +196,7 @@
 	defer w.mu.Unlock()
 	n := 0
 	for _, o := range w.outcomes {
-		if o.Whole {
+		if o.Complete {
 			n++
 		}
 	}
@@ -209,7 +209,7 @@
 	defer w.mu.Unlock()
 	count := map[string]int{}
 	for _, o := range w.outcomes {
-		if !o.Whole {
+		if !o.Complete {
 			count[fmt.Sprintf("status %d code %s outcome %s err %v", o.Status, o.Code, o.Outcome, o.Err)]++
 		}
 	}
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -45,7 +45,7 @@
 	KeyWindowMS                int
 	Fencing                    bool
 	Links                      string // settings of links and logging, else those of the tests
-	Cuts                       bool   // links to agents and calls of engines pass through cutters
+	Proxied                    bool   // links to agents and calls of engines pass through cutters
 }
 
 // cluster is a deployment of separate processes.
@@ -138,7 +138,7 @@
 // throughCutter returns the address to use for a target: the target's own, or
 // that of a cutter before it.
 func (c *cluster) throughCutter(name, target, port string) (string, error) {
-	if !c.Cuts {
+	if !c.Proxied {
 		return target, nil
 	}
 	if c.cutters[name] == nil {
--- a/e2e/notices_test.go
+++ b/e2e/notices_test.go
@@ -77,7 +77,7 @@
 // say has a server say these lines of itself, and that it closes its connections, as it does after a
 // stream: one on which a request was just sent would else end without an answer, and where no other server
 // takes the request its caller is told so.
-func say(w *worker.Worker, lines ...string) { w.Say(append(lines, "Connection: close")...) }
+func say(w *worker.Worker, lines ...string) { w.SetHeaders(append(lines, "Connection: close")...) }
 
 // askFor sends requests for a while, beside what else happens.
 func (s *speakers) askFor(d time.Duration) {
@@ -101,7 +101,7 @@
 
 // busiest returns the server that has got most requests.
 func (s *speakers) busiest() *worker.Worker {
-	return slices.MaxFunc(s.servers, func(a, b *worker.Worker) int { return a.Asked() - b.Asked() })
+	return slices.MaxFunc(s.servers, func(a, b *worker.Worker) int { return a.RequestCount() - b.RequestCount() })
 }
 
 // worst returns the most arrivals at a server in any limitWindow that begins after a time.
@@ -167,7 +167,7 @@
 	s.asked.Wait()
 	ran := map[string]bool{}
 	for _, w := range s.servers {
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			ran[r.ID] = true
 		}
 	}
@@ -204,7 +204,7 @@
 // prompts' shared parts as before. Cause: of what a server says of itself in its answers only its load
 // was read. Evidence: decision lines of such sends name the limit that the same gateway had just been
 // told, on each kind of route, and the rate does not change at the first word.
-func TestAStatedRateLimitIsKept(t *testing.T) {
+func TestServerRateLimitIsRespected(t *testing.T) {
 	play := func(name, route string, seed uint64, meanwhile func(s *speakers)) {
 		t.Run(name+"/"+route, func(t *testing.T) {
 			t.Parallel()
@@ -268,7 +268,7 @@
 
 // Where all servers are limited to half of what is asked, they get what they allow and hardly less, and
 // who is refused is told so at once, and when to come back.
-func TestWhereAllServersStateALimit(t *testing.T) {
+func TestRateLimitsOnAllServers(t *testing.T) {
 	const limit = 4.0
 	for _, route := range []string{"list", "advice"} {
 		t.Run(route, func(t *testing.T) {
@@ -281,13 +281,13 @@
 			s.askFor(contact)
 			before := 0
 			for _, w := range s.servers {
-				before += w.Asked()
+				before += w.RequestCount()
 			}
 			const during = 6 * time.Second
 			s.askFor(during)
 			used := -before
 			for _, w := range s.servers {
-				used += w.Asked()
+				used += w.RequestCount()
 				s.checkLimit(w, limit, stated)
 			}
 			all := limit * float64(len(s.servers)) * during.Seconds()
@@ -301,7 +301,7 @@
 }
 
 // A limit that a server no longer states is known within seconds, and the server used as the others.
-func TestALimitThatIsTakenBackIsForgotten(t *testing.T) {
+func TestWithdrawnRateLimitIsLifted(t *testing.T) {
 	for _, route := range []string{"list", "advice"} {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
@@ -330,7 +330,7 @@
 // choose it again. Cause: the list alone decided who leaves. Evidence: decision lines of such sends name
 // the server as chosen with a list that is seconds old, right after a line in which it said that it
 // leaves; the same where the store is sound and the list says ready, on each kind of route.
-func TestAServerThatSaysItLeavesGetsNoMore(t *testing.T) {
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	play := func(name, route string, servers int, meanwhile func(s *speakers), served bool) {
 		t.Run(name+"/"+route, func(t *testing.T) {
 			t.Parallel()
@@ -353,7 +353,7 @@
 		play("listed as ready", route, 4, func(*speakers) {}, true)
 	}
 	for _, route := range []string{"post", "report"} {
-		play("store silent", route, 4, func(s *speakers) { s.store.SetMode(platformstore.Silent) }, true)
+		play("store silent", route, 4, func(s *speakers) { s.store.SetMode(platformstore.ModeUnresponsive) }, true)
 		play("no other", route, 1, func(*speakers) {}, false)
 	}
 }
@@ -377,7 +377,7 @@
 }
 
 // Another start at the address of a server that has left serves at once.
-func TestTheNextStartOfAServerThatLeftServesAtOnce(t *testing.T) {
+func TestRestartedServerServesAfterLeaving(t *testing.T) {
 	s := startSpeakers(t, "list", 1, 6)
 	old := s.servers[0]
 	say(old, "Server-Leaving: 1")
@@ -389,7 +389,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Close)
-	next.Born = old.Born + 1
+	next.StartedMS = old.StartedMS + 1
 	if err := s.register(next, appService, "ready"); err != nil {
 		t.Fatal(err)
 	}
@@ -407,22 +407,22 @@
 // gateway chooses them again with its next request. Cause: that time was not read; one server among
 // others was left alone by the pauses after failures, which end after 2 s at most. Evidence: decision
 // lines show the time that was asked for, and the next send to the same server some ms later.
-func TestAServerThatWantsNothingForAWhileIsLeftAlone(t *testing.T) {
+func TestServerRetryAfterIsRespected(t *testing.T) {
 	for route := range servedRoutes {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
 			s := startSpeakers(t, route, 4, 7)
 			s.askFor(time.Second)
 			for _, w := range s.servers {
-				w.Behave(worker.Behaviour{Refuse: true, RetryAfter: fmt.Sprint(rest)})
+				w.SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: fmt.Sprint(rest)})
 			}
 			refusing := time.Now()
 			s.askFor(time.Second)
 			for _, w := range s.servers {
 				if b := wholeStream; servedRoutes[route] == llmService {
-					w.Behave(b)
+					w.SetBehaviour(b)
 				} else {
-					w.Behave(worker.Behaviour{BreakAfter: -1})
+					w.SetBehaviour(worker.Behaviour{AbortAfterEvents: -1})
 				}
 			}
 			s.askFor(rest*time.Second + time.Second)
--- a/e2e/quarantine_test.go
+++ b/e2e/quarantine_test.go
@@ -69,7 +69,7 @@
 	o.mu.Lock()
 	o.workers = append(o.workers, w)
 	o.mu.Unlock()
-	w.EndBy(fatalBody, endsAfter, func() { o.ended(w) })
+	w.CrashOn(fatalBody, endsAfter, func() { o.ended(w) })
 }
 
 // ended notes the end of a server and has it come back as another start.
@@ -102,9 +102,9 @@
 		o.t.Errorf("the server %s does not start again: %v", w.ID, err)
 		return
 	}
-	next.Born = max(next.Born, w.Born+1)
+	next.StartedMS = max(next.StartedMS, w.StartedMS+1)
 	if o.service == llmService {
-		next.Behave(wholeStream)
+		next.SetBehaviour(wholeStream)
 	}
 	o.watch(next)
 	o.fleet.mu.Lock()
@@ -168,7 +168,7 @@
 	}
 	late := 0
 	for _, w := range o.workers {
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			if r.Body == fatalBody && r.At.After(o.ends[2].Add(contact)) {
 				late++
 			}
@@ -212,7 +212,7 @@
 // The evidence: all 26 attempts of the two requests were sent once and within every limit, by all
 // four gateways, for 12 to 15 s; where nothing ties attempts together this test ends 32 to 52 servers
 // on each kind of route.
-func TestARequestThatEndsServersIsQuarantined(t *testing.T) {
+func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
 	for route, service := range servedRoutes {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
@@ -236,7 +236,7 @@
 
 // A verdict outlives those who reached it: three of the four gateways are killed and started
 // again, then all of them at the same time.
-func TestAQuarantineOutlivesItsGateways(t *testing.T) {
+func TestQuarantineSurvivesGatewayRestarts(t *testing.T) {
 	for _, route := range []string{"list", "advice"} {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
@@ -273,7 +273,7 @@
 // What must stay: twelve bodies asked over and over while servers end at random, alone and three at
 // a time, are no fault of any of them. None is refused for it, and all are served once the servers
 // are back.
-func TestRequestsThatEndNothingAreServed(t *testing.T) {
+func TestHarmlessRequestsAreNotQuarantined(t *testing.T) {
 	for route, service := range servedRoutes {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
--- a/e2e/scenario_keyed_test.go
+++ b/e2e/scenario_keyed_test.go
@@ -65,10 +65,10 @@
 	w := state(ts).crowds["calls"]
 	w.wg.Wait()
 	for _, o := range w.outcomes {
-		if o.Err != nil || (!o.Whole && o.Code == "") {
+		if o.Err != nil || (!o.Complete && o.Code == "") {
 			ts.Fatalf("a call got no answer: %+v", o)
 		}
-		if o.Whole && !strings.Contains(o.Text, `"run":1`) {
+		if o.Complete && !strings.Contains(o.Text, `"run":1`) {
 			ts.Fatalf("a call ran again: %s", o.Text)
 		}
 	}
--- a/e2e/scenario_test.go
+++ b/e2e/scenario_test.go
@@ -117,7 +117,7 @@
 	s := state(ts)
 	s.c = newCluster(s.dir, size{Routers: number(ts, o, "routers", 1), Engines: number(ts, o, "engines", 2),
 		Services: number(ts, o, "services", 0), Slots: number(ts, o, "slots", 16), Step: o["step"], Domains: number(ts, o, "domains", 2),
-		KeyWindowMS: number(ts, o, "window", 0), Fencing: o["fencing"] == "true", Cuts: o["cuts"] == "true"})
+		KeyWindowMS: number(ts, o, "window", 0), Fencing: o["fencing"] == "true", Proxied: o["cuts"] == "true"})
 	ts.Check(s.c.start())
 	ts.Setenv("ROUTER", s.c.callers("router-0"))
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -40,7 +40,7 @@
 		t.Skip("run with -soak 10m")
 	}
 	s := &soak{t: t, rnd: rand.New(rand.NewPCG(*soakSeed, 0)), counts: map[string]int{}, executed: map[string]int{},
-		c: newCluster(t.TempDir(), size{Routers: 3, Engines: 12, Services: 4, Domains: 4, Slots: 8, Step: "5ms", KeyWindowMS: 3_600_000, Cuts: true})}
+		c: newCluster(t.TempDir(), size{Routers: 3, Engines: 12, Services: 4, Domains: 4, Slots: 8, Step: "5ms", KeyWindowMS: 3_600_000, Proxied: true})}
 	defer s.c.close()
 	if err := s.c.start(); err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 			s.violate("request %s got no final answer within %s", o.RequestID, answerLimit)
 		}
 		s.take("ask", o, gone)
-		if !o.Whole {
+		if !o.Complete {
 			<-time.After(100 * time.Millisecond) // a caller that was refused comes back later
 		}
 	}
@@ -117,7 +117,7 @@
 	switch {
 	case gone:
 		s.count(kind + " went away")
-	case o.Whole:
+	case o.Complete:
 		s.count(kind + " whole")
 	case o.Err != nil && o.Status != 0:
 		s.count(kind + " cut off by the end of its router")
@@ -144,10 +144,10 @@
 			o := s.c.call(one, fmt.Sprint("router-", rnd.IntN(s.c.Routers)), "receipts", key, "body of "+key)
 			cancel()
 			s.take("call", o, false)
-			if o.Whole && !strings.Contains(o.Text, `"run":1`) {
+			if o.Complete && !strings.Contains(o.Text, `"run":1`) {
 				s.violate("call %s: %s", key, o.Text)
 			}
-			if o.Whole {
+			if o.Complete {
 				break
 			}
 			<-time.After(time.Duration(100+rnd.IntN(400)) * time.Millisecond)
--- a/e2e/storecopy_test.go
+++ b/e2e/storecopy_test.go
@@ -23,20 +23,20 @@
 // they had written again, and the next configuration is not in force on any gateway, for as long as one
 // waits. Offsets are given out again: gateways that wait for records from the old end on never learn of
 // those that came in the place of the lost ones, where these are just as many.
-func TestTheNextConfigurationIsInForceAfterTheStoreComesBackFromACopy(t *testing.T) {
+func TestConfigurationAppliesAfterStoreRestore(t *testing.T) {
 	for name, again := range map[string]int{"fewer": 1, "as many": lostVersions, "more": lostVersions + 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(t, appService, 2)
-			old := f.store.Copy()
+			old := f.store.Snapshot()
 			for range lostVersions {
 				f.configure(nil)
 			}
 			f.waitInForce(t, f.newestVersion(), waitLimit)
-			f.store.SetMode(platformstore.Silent)
+			f.store.SetMode(platformstore.ModeUnresponsive)
 			time.Sleep(storeAway)
 			f.store.Restore(old)
-			f.store.SetMode(platformstore.Up)
+			f.store.SetMode(platformstore.ModeAvailable)
 			for range again - 1 {
 				f.writeAgain()
 			}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -174,9 +174,9 @@
 	for code, n := range l.core.TakeRefusedOffers() {
 		telemetry.Add("merlinpost_agent_refused_total", int(n), "code", string(code))
 	}
-	telemetry.Gauge("merlinpost_agent_held", float64(l.core.AttemptCount()))
-	telemetry.Gauge("merlinpost_agent_tombstones", float64(l.core.TombstoneCount()))
-	telemetry.Gauge("merlinpost_agent_keys", float64(l.core.Keys().Len()))
+	telemetry.SetGauge("merlinpost_agent_held", float64(l.core.AttemptCount()))
+	telemetry.SetGauge("merlinpost_agent_tombstones", float64(l.core.TombstoneCount()))
+	telemetry.SetGauge("merlinpost_agent_keys", float64(l.core.Keys().Len()))
 }
 
 // Send implements execution.Effects.
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -222,8 +222,8 @@
 // startObservation starts the metrics of a valid request.
 func (x *exchange) startObservation() {
 	c := x.class
-	x.observation = telemetry.RequestsOf(x.teamName, x.className).Observe(x.start, telemetry.Targets{
-		FirstToken: settings.Millis(c.FirstTokenMS), BetweenTokens: settings.Millis(c.BetweenTokensMS), Whole: settings.Millis(c.TotalMS)})
+	x.observation = telemetry.RequestMetricsFor(x.teamName, x.className).Observe(x.start, telemetry.LatencyTargets{
+		FirstToken: settings.Millis(c.FirstTokenMS), BetweenTokens: settings.Millis(c.BetweenTokensMS), Total: settings.Millis(c.TotalMS)})
 }
 
 // modelEntry is an entry of the OpenAI-compatible list of models.
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -149,7 +149,7 @@
 	f.view.Store(f.state.View())
 	close(f.changed)
 	f.changed = make(chan struct{})
-	telemetry.Gauge("merlinpost_config_revision", float64(f.state.Revision()))
+	telemetry.SetGauge("merlinpost_config_revision", float64(f.state.Revision()))
 }
 
 func (f *Follower) markReady() {
--- a/internal/configshare/configshare_test.go
+++ b/internal/configshare/configshare_test.go
@@ -149,7 +149,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(time.Since(start)).To(BeNumerically(">", 2*idleTimeout))
 
-		time.AfterFunc(100*time.Millisecond, func() { p.net.Cut(p.serverHost, p.clientHost, true) })
+		time.AfterFunc(100*time.Millisecond, func() { p.net.SetPartitioned(p.serverHost, p.clientHost, true) })
 		start = time.Now()
 		_, _, err = p.fetch(nil)
 		g.Expect(fault.Is(err, fault.LinkLost)).To(BeTrue())
--- a/internal/follow/deployment_test.go
+++ b/internal/follow/deployment_test.go
@@ -72,7 +72,7 @@
 		h := &simulatedGateway{name: spec.name, link: d.net.Host(spec.rate)}
 		servers := registry.New()
 		h.gateway = gateway.New(gateway.Settings{}, platform.Dialect{}, servers, quiet())
-		h.peers = peers.New(spec.name, h.link.Packets(peerPort), peers.Capacity{Cores: spec.cores, LinkMbps: uint32(spec.rate / 1e6)}, h.gateway, quiet())
+		h.peers = peers.New(spec.name, h.link.ListenPacket(peerPort), peers.Capacity{Cores: spec.cores, LinkMbps: uint32(spec.rate / 1e6)}, h.gateway, quiet())
 		listener := h.link.Listen(peerPort)
 		deps := dependencies(h.gateway, servers, h.peers)
 		deps.Share = configshare.New(h.link.DialContext, spec.rate/1e6, quiet())
@@ -106,7 +106,7 @@
 
 // setDisconnected interrupts or restores the connection between a host and the store.
 func (d *deployment) setDisconnected(h *simulatedGateway, disconnected bool) {
-	d.net.Cut(h.link, d.storeHost, disconnected)
+	d.net.SetPartitioned(h.link, d.storeHost, disconnected)
 }
 
 // configOfSize returns a configuration of about the given number of bytes.
@@ -234,7 +234,7 @@
 		for _, h := range d.hosts {
 			before[h.name] = h.link.Received()
 		}
-		d.store.SetDelay(240 * time.Millisecond)
+		d.store.SetResponseDelay(240 * time.Millisecond)
 		d.write(configOfSize(2, 900_000))
 		time.Sleep(applyWithin)
 		for i, h := range d.hosts {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -124,8 +124,8 @@
 		store.Put(platformstore.TopicOperator, "config", []byte(`{"version":8,"routes":[{"kind":"odd"}]}`))
 		store.Put(platformstore.TopicOperator, "config", configVersion(6))
 		store.Put(platformstore.TopicOperator, "other", []byte("x"))
-		reads := store.Reads()
-		Eventually(store.Reads, within).Should(BeNumerically(">", reads+4))
+		reads := store.RequestCount()
+		Eventually(store.RequestCount, within).Should(BeNumerically(">", reads+4))
 		Expect(gw.ConfigVersion()).To(BeEquivalentTo(7))
 		store.Put(platformstore.TopicOperator, "config", configVersion(9))
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(9))
@@ -137,15 +137,15 @@
 	// are written while the store is unavailable.
 	DescribeTable("has the newest configuration in force over a slow link", func(routes, teams int) {
 		set.ApplyWithin = 2 * time.Second
-		store.SetLink(5e6)
+		store.SetBandwidth(5e6)
 		store.Put(platformstore.TopicOperator, "config", largeConfig(1, routes, teams))
 		start()
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(1))
-		store.SetMode(platformstore.Busy)
+		store.SetMode(platformstore.ModeUnavailable)
 		for version := 2; version <= 6; version++ {
 			store.Put(platformstore.TopicOperator, "config", largeConfig(version, routes, teams))
 		}
-		store.SetMode(platformstore.Up)
+		store.SetMode(platformstore.ModeAvailable)
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(6))
 		// The same with a burst of versions.
 		for version := 7; version <= 12; version++ {
@@ -166,8 +166,8 @@
 		put("i-2", "ready")
 		store.Put(platformstore.TopicServers, "i-1", nil)
 		store.Put(platformstore.TopicOperator, "config", configVersion(8))
-		store.Forget(platformstore.TopicServers)
-		store.Forget(platformstore.TopicOperator)
+		store.Truncate(platformstore.TopicServers)
+		store.Truncate(platformstore.TopicOperator)
 		Eventually(ids, within).Should(ConsistOf("i-2"))
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(8))
 	})
@@ -189,16 +189,16 @@
 		store.Put(platformstore.TopicOperator, "config", configVersion(7))
 		start()
 		Eventually(gw.Ready, within).Should(BeTrue())
-		store.SetMode(platformstore.Busy)
-		reads := store.Reads()
-		Eventually(store.Reads, within).Should(BeNumerically(">", reads+6))
+		store.SetMode(platformstore.ModeUnavailable)
+		reads := store.RequestCount()
+		Eventually(store.RequestCount, within).Should(BeNumerically(">", reads+6))
 		Expect(gw.Ready()).To(BeTrue())
 		Expect(ids()).To(ConsistOf("i-1", "i-2"))
 		store.Put(platformstore.TopicServers, "i-1", nil)
 		store.Put(platformstore.TopicServers, "i-2", nil)
-		store.SetMode(platformstore.Up)
-		reads = store.Reads()
-		Eventually(store.Reads, within).Should(BeNumerically(">", reads+6))
+		store.SetMode(platformstore.ModeAvailable)
+		reads = store.RequestCount()
+		Eventually(store.RequestCount, within).Should(BeNumerically(">", reads+6))
 		Expect(ids()).To(ConsistOf("i-1", "i-2"))
 		put("i-1", "ready")
 		Eventually(ids, within).Should(ConsistOf("i-1")) // i-2 was not registered again in time
@@ -222,8 +222,8 @@
 		Eventually(ids, within).Should(ConsistOf("i-1", "i-2"))
 		Eventually(func() int { return disconnected.Rank("x") + other.Rank("x") }, within).Should(Equal(1)) // they have discovered each other
 		Eventually(others.Loaded, within).Should(BeTrue())
-		reads := store.Reads()
-		Eventually(store.Reads, within).Should(BeNumerically(">", reads+6)) // both have read the store repeatedly
+		reads := store.RequestCount()
+		Eventually(store.RequestCount, within).Should(BeNumerically(">", reads+6)) // both have read the store repeatedly
 		unreachable := set
 		unreachable.Address = "127.0.0.1:1"
 		f.SetSettings(unreachable)
@@ -236,10 +236,10 @@
 
 	It("abandons a call that gets no reply", func() {
 		store.Put(platformstore.TopicOperator, "config", configVersion(7))
-		store.SetMode(platformstore.Silent)
+		store.SetMode(platformstore.ModeUnresponsive)
 		start()
-		Eventually(store.Reads, within).Should(BeNumerically(">=", 2))
-		store.SetMode(platformstore.Up)
+		Eventually(store.RequestCount, within).Should(BeNumerically(">=", 2))
+		store.SetMode(platformstore.ModeAvailable)
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(7))
 	})
 })
--- a/internal/follow/lag.go
+++ b/internal/follow/lag.go
@@ -19,20 +19,20 @@
 // logged once, with the reason why the newest version could not be read, and once more when it
 // ends.
 func (l *lagMonitor) observe(inForce, newest int64, why error, within time.Duration, now time.Time) {
-	telemetry.Gauge("merlinpost_config_newest_heard", float64(max(inForce, newest)))
+	telemetry.SetGauge("merlinpost_config_newest_heard", float64(max(inForce, newest)))
 	if newest <= inForce {
 		if l.logged {
 			l.logger.Info("configuration caught up", "config", inForce, "was_behind", now.Sub(l.since))
 		}
 		l.since, l.logged = time.Time{}, false
-		telemetry.Gauge("merlinpost_config_behind_seconds", 0)
+		telemetry.SetGauge("merlinpost_config_behind_seconds", 0)
 		return
 	}
 	if l.since.IsZero() {
 		l.since = now
 	}
 	behind := now.Sub(l.since)
-	telemetry.Gauge("merlinpost_config_behind_seconds", behind.Seconds())
+	telemetry.SetGauge("merlinpost_config_behind_seconds", behind.Seconds())
 	if behind > within && !l.logged {
 		l.logged = true
 		l.logger.Warn("configuration behind", "config", inForce, "newest_heard", newest, "behind", behind, "why", why)
--- a/internal/gateway/gateway_suite_test.go
+++ b/internal/gateway/gateway_suite_test.go
@@ -147,10 +147,10 @@
 }
 
 // runs returns the requests that ran on any worker.
-func (r *harness) runs() []worker.Run {
-	var out []worker.Run
+func (r *harness) runs() []worker.Execution {
+	var out []worker.Execution
 	for _, w := range r.workers {
-		out = append(out, w.Runs()...)
+		out = append(out, w.Executions()...)
 	}
 	return out
 }
@@ -158,7 +158,7 @@
 // setNextBehaviour sets how each worker handles its next request.
 func (r *harness) setNextBehaviour(b worker.Behaviour) {
 	for _, w := range r.workers {
-		w.Next(b)
+		w.QueueBehaviours(b)
 	}
 }
 
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -62,7 +62,7 @@
 	It("sends the request to the granted engine", func() {
 		r, d := start(3, granted("i-2"))
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
-		Expect(r.workers[2].Runs()).To(HaveLen(1))
+		Expect(r.workers[2].Executions()).To(HaveLen(1))
 		Expect(d.permitRequests).To(HaveLen(1))
 	})
 
@@ -72,8 +72,8 @@
 			r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s", Draining: true}}}, time.Now(), time.Time{})
 		}
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
-		Expect(r.workers[0].Runs()).To(BeEmpty())
-		Expect(r.workers[1].Runs()).To(HaveLen(1))
+		Expect(r.workers[0].Executions()).To(BeEmpty())
+		Expect(r.workers[1].Executions()).To(HaveLen(1))
 		Expect(d.permitRequests).To(HaveLen(2))
 		Expect(d.permitRequests[1].ExcludedEngines).To(ContainElement("i-0"))
 		Expect(d.permitRequests[1].ID).NotTo(Equal(d.permitRequests[0].ID))
@@ -90,7 +90,7 @@
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(d.permitRequests).To(HaveLen(2)) // "i-0" is not a listed instance
 		Expect(d.permitRequests[1].ExcludedEngines).To(ContainElement("i-0"))
-		Expect(r.workers[0].Runs()).To(HaveLen(1))
+		Expect(r.workers[0].Executions()).To(HaveLen(1))
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
 			Expect(e.ID).To(BeElementOf("i-0@2000", "i-1"))
 		}
@@ -121,11 +121,11 @@
 
 	It("lists an engine that refused the request in its next permit request", func() {
 		r, d := start(2, granted("i-0"), granted("i-1"))
-		r.workers[0].Next(worker.Behaviour{Refuse: true})
+		r.workers[0].QueueBehaviours(worker.Behaviour{Reject: true})
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(d.permitRequests).To(HaveLen(2))
 		Expect(d.permitRequests[1].ExcludedEngines).To(Equal([]string{"i-0"}))
-		Expect(r.workers[1].Runs()).To(HaveLen(1))
+		Expect(r.workers[1].Executions()).To(HaveLen(1))
 	})
 
 	// Guards against the status 429, which indicates load, for a request whose engines are all
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -60,7 +60,7 @@
 func TestLostAppendResponseCreatesNoSecondRecord(t *testing.T) {
 	g := NewWithT(t)
 	s, log := startLog(t)
-	s.SetFaults(logservice.Faults{LoseAnswers: true})
+	s.SetFaults(logservice.Faults{DropResponses: true})
 	l, _ := acquireLease(t, g, log, "one")
 	g.Expect(l.FencingToken()).To(Equal(uint64(1)))
 	_, _, err := configlog.ReadAll(context.Background(), log, configlog.LeaseStream("agent"), func(e configlog.Entry) {
@@ -74,6 +74,6 @@
 	g := NewWithT(t)
 	s, log := startLog(t)
 	l, _ := acquireLease(t, g, log, "one")
-	s.SetFaults(logservice.Faults{Down: true})
+	s.SetFaults(logservice.Faults{Unavailable: true})
 	g.Expect(l.VerifyHeld(context.Background())).To(BeFalse())
 }
--- a/internal/notice/days_test.go
+++ b/internal/notice/days_test.go
@@ -99,7 +99,7 @@
 	begin time.Time
 
 	mu      sync.Mutex
-	replies map[string]simfleet.Reply
+	replies map[string]simfleet.Response
 	sentAt  map[string]time.Time
 }
 
@@ -116,7 +116,7 @@
 			id := fmt.Sprintf("%s/%s-%d", n.Name, p.route, i)
 			pending.Go(func() {
 				at := time.Now()
-				r := p.Ask(n, p.route, id, "body of "+id)
+				r := p.SendRequest(n, p.route, id, "body of "+id)
 				p.mu.Lock()
 				p.replies[id], p.sentAt[id] = r, at
 				p.mu.Unlock()
@@ -140,18 +140,18 @@
 			if p.draining(i) && now >= p.drainFrom {
 				lines = append(lines, "Server-Leaving: 1")
 			}
-			p.Running(s).Say(lines...)
+			p.CurrentWorker(s).SetHeaders(lines...)
 		}
 		if refuse := now >= p.refuseFrom && now < p.refuseFrom+p.refuseFor; p.backoffServers > 0 && refuse != refusing {
 			refusing = refuse
-			p.SetPace(0)
+			p.SetEventInterval(0)
 			for _, s := range p.Servers[:p.backoffServers] {
 				if refuse {
-					p.Running(s).Behave(worker.Behaviour{Refuse: true, RetryAfter: strconv.FormatFloat(p.backoff.Seconds(), 'f', 3, 64)})
+					p.CurrentWorker(s).SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: strconv.FormatFloat(p.backoff.Seconds(), 'f', 3, 64)})
 				}
 			}
 		}
-		p.Pause(step)
+		p.Sleep(step)
 	}
 }
 
@@ -160,7 +160,7 @@
 
 // injectFault injects one fault and waits until it is over.
 func (p *scenarioRun) injectFault(f fault) {
-	p.Pause(f.at)
+	p.Sleep(f.at)
 	n := p.Nodes[f.node]
 	switch f.kind {
 	case "kill":
@@ -169,14 +169,14 @@
 	case "partition one", "partition in two":
 		isolated := func(i int) bool { return f.kind == "partition in two" && i <= f.node || i == f.node }
 		p.partition(isolated, true)
-		p.Pause(f.duration)
+		p.Sleep(f.duration)
 		p.partition(isolated, false)
 	case "join":
 		p.AddNode(fmt.Sprint("joined-", f.at))
 	case "store partition":
-		p.CutStore(n, true)
-		p.Pause(f.duration)
-		p.CutStore(n, false)
+		p.PartitionStore(n, true)
+		p.Sleep(f.duration)
+		p.PartitionStore(n, false)
 	}
 }
 
@@ -185,7 +185,7 @@
 	for i, a := range p.Nodes {
 		for j, b := range p.Nodes {
 			if i < j && isolated(i) != isolated(j) {
-				p.CutNodes(a, b, cut)
+				p.PartitionNodes(a, b, cut)
 			}
 		}
 	}
@@ -241,7 +241,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, s := range p.Servers {
-		for host, arrivals := range p.arrivalsByGateway(p.Running(s)) {
+		for host, arrivals := range p.arrivalsByGateway(p.CurrentWorker(s)) {
 			slices.SortFunc(arrivals, func(a, b worker.Arrival) int { return a.At.Compare(b.At) })
 			if p.draining(i) {
 				if id := requestAfterDraining(arrivals, p.begin.Add(p.drainFrom+10*time.Millisecond), p.sentAt); id != "" {
@@ -302,12 +302,12 @@
 	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(p.limitUntil)
 	ran := map[string]bool{}
 	for _, s := range p.Servers {
-		for _, r := range p.Running(s).Runs() {
+		for _, r := range p.CurrentWorker(s).Executions() {
 			ran[r.ID] = true
 		}
 	}
 	for _, s := range p.Servers[:p.limitedServers] {
-		if n, allowed := maxInWindow(arrivals(p.Running(s)), from, to), 1.5*p.rate*window.Seconds()+5; float64(n) > allowed {
+		if n, allowed := maxInWindow(arrivals(p.CurrentWorker(s)), from, to), 1.5*p.rate*window.Seconds()+5; float64(n) > allowed {
 			return fmt.Sprintf("%s received %d requests in 4 s, allowed %v", s.ID, n, allowed)
 		}
 	}
@@ -321,8 +321,8 @@
 			return id + " was refused but ran"
 		case retryAfter <= 0:
 			return id + " was refused without a Retry-After time"
-		case r.Took > maxRefusalTime:
-			return fmt.Sprintf("%s was refused after %s", id, r.Took)
+		case r.Elapsed > maxRefusalTime:
+			return fmt.Sprintf("%s was refused after %s", id, r.Elapsed)
 		}
 	}
 	return ""
@@ -339,7 +339,7 @@
 	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(min(p.limitUntil, scenarioDuration-time.Second))
 	n := 0
 	for _, s := range p.Servers {
-		for _, at := range arrivals(p.Running(s)) {
+		for _, at := range arrivals(p.CurrentWorker(s)) {
 			if at.After(from) && at.Before(to) {
 				n++
 			}
@@ -354,8 +354,8 @@
 // run simulates the scenario and returns an error message, or "" if all checks pass.
 func (d scenario) run() (failure string) {
 	synctest.Test(new(testing.T), func(*testing.T) {
-		p := &scenarioRun{Fleet: simfleet.New(d.gateways, d.servers, 1, nil), scenario: d, replies: map[string]simfleet.Reply{}, sentAt: map[string]time.Time{}}
-		defer p.End()
+		p := &scenarioRun{Fleet: simfleet.New(d.gateways, d.servers, 1, nil), scenario: d, replies: map[string]simfleet.Response{}, sentAt: map[string]time.Time{}}
+		defer p.Close()
 		p.begin = time.Now()
 		var tasks sync.WaitGroup
 		tasks.Go(p.sendRequests)
--- a/internal/quarantine/deployment_test.go
+++ b/internal/quarantine/deployment_test.go
@@ -45,13 +45,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fatalActive {
-		w.EndBy(fatal, crashDelay, func() { d.recordFatalCrash(s, w) })
+		w.CrashOn(fatal, crashDelay, func() { d.recordFatalCrash(s, w) })
 	}
 }
 
 // recordFatalCrash counts a crash by the fatal request.
 func (d *deployment) recordFatalCrash(s *simfleet.Server, w *worker.Worker) {
-	if d.Running(s) != w {
+	if d.CurrentWorker(s) != w {
 		return // the instance has stopped for another reason meanwhile
 	}
 	d.mu.Lock()
@@ -62,9 +62,9 @@
 
 // crashServer stops a server without notice and restarts it as a new instance.
 func (d *deployment) crashServer(s *simfleet.Server) {
-	if d.EndServer(s) {
+	if d.KillServer(s) {
 		d.Go(func() {
-			if d.Pause(restartDelay) {
+			if d.Sleep(restartDelay) {
 				d.StartServer(s)
 			}
 		})
@@ -77,23 +77,23 @@
 	d.fatalActive = false
 	d.mu.Unlock()
 	for _, s := range d.Servers {
-		if w := d.Running(s); w != nil {
-			w.EndBy("", 0, nil)
+		if w := d.CurrentWorker(s); w != nil {
+			w.CrashOn("", 0, nil)
 		}
 	}
 }
 
 // sendFatal sends the fatal request to random gateways at an interval, for a duration, and returns the
 // reply that came last.
-func (d *deployment) sendFatal(kind string, every, until time.Duration) (last simfleet.Reply) {
+func (d *deployment) sendFatal(kind string, every, until time.Duration) (last simfleet.Response) {
 	var asked sync.WaitGroup
 	var mu sync.Mutex
 	end := time.Now().Add(until)
 	for i := 0; time.Now().Before(end); i++ {
-		n := d.Nodes[d.Draw(len(d.Nodes))]
+		n := d.Nodes[d.RandIntN(len(d.Nodes))]
 		id := fmt.Sprintf("fatal-%d-%d", d.NextID(), i)
 		asked.Go(func() {
-			r := d.Ask(n, kind, id, fatal)
+			r := d.SendRequest(n, kind, id, fatal)
 			mu.Lock()
 			last = r
 			mu.Unlock()
@@ -113,7 +113,7 @@
 		n := d.Nodes[rnd.IntN(len(d.Nodes))]
 		id := fmt.Sprintf("harmless-%s-%d", kind, d.NextID())
 		asked.Go(func() {
-			r := d.Ask(n, kind, id, fmt.Sprint("question ", i%bodies))
+			r := d.SendRequest(n, kind, id, fmt.Sprint("question ", i%bodies))
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.answers[fmt.Sprint(r.Status, " ", r.Code)]++
--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -89,8 +89,8 @@
 
 func (p *Persister) updateGauges() {
 	list, suspects := p.tracker.List()
-	telemetry.Gauge("merlinpost_quarantined_requests", float64(len(list)))
-	telemetry.Gauge("merlinpost_suspect_requests", float64(suspects))
+	telemetry.SetGauge("merlinpost_quarantined_requests", float64(len(list)))
+	telemetry.SetGauge("merlinpost_suspect_requests", float64(suspects))
 }
 
 // handle logs and counts an event, and updates the store.
--- a/internal/quarantine/property_test.go
+++ b/internal/quarantine/property_test.go
@@ -102,8 +102,8 @@
 func (d scenario) run() (violation string) {
 	bubble := func(*testing.T) {
 		s := deploy(d.gateways, d.servers, 1)
-		defer s.End()
-		s.SetPace(d.eventRun)
+		defer s.Close()
+		s.SetEventInterval(d.eventRun)
 		start := time.Now()
 		var duties sync.WaitGroup
 		duties.Go(func() { s.sendHarmless(d.kind, d.bodies, d.pace, scenarioDuration) })
@@ -135,7 +135,7 @@
 	rnd := rand.New(rand.NewPCG(3, 3))
 	wasPartitioned, wasDown := false, false
 	nextCrash := start.Add(d.crashEvery)
-	for time.Since(start) < scenarioDuration && s.Pause(10*time.Millisecond) {
+	for time.Since(start) < scenarioDuration && s.Sleep(10*time.Millisecond) {
 		now := time.Since(start)
 		if partitioned := d.partitionAt > 0 && now >= d.partitionAt && now < d.partitionAt+d.partitionFor; partitioned != wasPartitioned {
 			wasPartitioned = partitioned
@@ -144,7 +144,7 @@
 		if down := d.storeDownAt > 0 && now >= d.storeDownAt && now < d.storeDownAt+d.storeDownFor; down != wasDown {
 			wasDown = down
 			for _, n := range s.Nodes {
-				s.CutStore(n, down)
+				s.PartitionStore(n, down)
 			}
 		}
 		if d.crashEvery > 0 && !time.Now().Before(nextCrash) {
@@ -160,7 +160,7 @@
 // killNodes kills gateways and restarts them.
 func (s *deployment) killNodes(d scenario, start time.Time) {
 	for i, at := range d.kills {
-		if left := at - time.Since(start); left > 0 && !s.Pause(left) {
+		if left := at - time.Since(start); left > 0 && !s.Sleep(left) {
 			return
 		}
 		nodes := s.Nodes[i%len(s.Nodes) : i%len(s.Nodes)+1]
@@ -192,7 +192,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
-		defer d.End()
+		defer d.Close()
 		d.sendFatal("again", 500*time.Millisecond, 55*time.Second)
 		g.Expect(d.crashCount()).To(Equal(3))
 		d.sendFatal("again", 500*time.Millisecond, 20*time.Second)
@@ -213,10 +213,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				d := deploy(4, 12, 1)
-				defer d.End()
+				defer d.Close()
 				d.Go(func() {
-					for i := 1; d.Pause(time.Duration(100+d.Draw(500)) * time.Millisecond); i++ {
-						from := d.Draw(len(d.Servers))
+					for i := 1; d.Sleep(time.Duration(100+d.RandIntN(500)) * time.Millisecond); i++ {
+						from := d.RandIntN(len(d.Servers))
 						for j := range 1 + i%4/3*2 {
 							d.crashServer(d.Servers[(from+j)%len(d.Servers)])
 						}
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -116,7 +116,7 @@
 	for {
 		now := time.Now()
 		peers := r.liveRouters()
-		telemetry.Gauge("merlinpost_router_peers", float64(len(peers)))
+		telemetry.SetGauge("merlinpost_router_peers", float64(len(peers)))
 		for name, m := range peers {
 			if now.Sub(lastPing[name]) >= quota.PingInterval {
 				lastPing[name] = now
