--- a/internal/simulate/chart/chart.go
+++ b/internal/simulate/chart/chart.go
@@ -43,7 +43,7 @@
 			out.InTime = make([]float64, len(results))
 		}
 		for i, r := range results {
-			out.InTime[i] += r.InTime() / float64(len(seeds))
+			out.InTime[i] += r.OnTimeShare() / float64(len(seeds))
 		}
 	}
 	return out
--- a/internal/simulate/chart/chart_test.go
+++ b/internal/simulate/chart/chart_test.go
@@ -12,7 +12,7 @@
 func TestAChartIsDrawnOfTheMeanOverSeeds(t *testing.T) {
 	g := NewWithT(t)
 	result := func(onTime int) []simulate.ClassResult {
-		return []simulate.ClassResult{{Name: "report", Asked: 10, OnTime: onTime}, {Name: "advice", Asked: 10, OnTime: 10}}
+		return []simulate.ClassResult{{Name: "report", Requests: 10, OnTime: onTime}, {Name: "advice", Requests: 10, OnTime: 10}}
 	}
 	s := Mean(simulate.Product, [][]simulate.ClassResult{result(4), result(8)})
 	g.Expect(s.InTime[0]).To(BeNumerically("~", 0.6, 1e-9))
--- a/internal/simulate/engine.go
+++ b/internal/simulate/engine.go
@@ -1,7 +1,6 @@
-// Package simulate plays a load of model requests against the real placement and
-// permit decisions and a small model of batching engines, in simulated time. A
-// change of the policy is tried in seconds with it; it says nothing about
-// networks, processes or failures.
+// Package simulate is a discrete-event simulation of model requests. It runs the production
+// placement and permit code against a simplified model of batching engines, so that a policy
+// change can be evaluated in seconds. Networks, processes and failures are not modelled.
 package simulate
 
 import (
@@ -12,168 +11,170 @@
 	"github.com/merlinpost/merlinpost/internal/placement"
 )
 
-// EngineModel are the figures of one engine.
+// EngineModel holds the performance parameters of an engine.
 type EngineModel struct {
-	Step        time.Duration // of a batch without prompts to read
-	StepPerRun  time.Duration // more for each running request
-	TokensPerMs float64       // prompt tokens read in a ms
-	Chunk       int           // prompt tokens read in a step at most
-	// PairsMsPerMillion is what attention adds for each million pairs of a prompt token and
-	// a token before it.
-	PairsMsPerMillion float64
-	Slots             int
-	Memory            int // tokens of running requests and cached parts
-	EventTokens       int // generated tokens in an event of a stream
-	FirstLatency      time.Duration
+	BaseStep           time.Duration // duration of a step without prefill
+	StepPerRequest     time.Duration // added for each running request
+	PrefillTokensPerMs float64       // prefill throughput
+	PrefillChunk       int           // maximum prompt tokens processed in a step
+	// AttentionMsPerMillionPairs is the attention cost of prefill, for each million pairs of a
+	// prompt token and a preceding token.
+	AttentionMsPerMillionPairs float64
+	Slots                      int
+	KVCacheTokens              int // KV cache capacity; step counts only the prompts of running requests
+	EventTokens                int // generated tokens for each stream event
+	FirstTokenDelay            time.Duration
 }
 
-// run is a request at an engine.
-type run struct {
+// activeRequest is a request that is waiting or running at an engine.
+type activeRequest struct {
 	*job
-	rank    int
-	unread  int // prompt tokens left to read
-	made    int // tokens generated
-	started time.Time
+	rank             int
+	prefillRemaining int // prompt tokens not yet processed
+	generated        int // tokens generated so far
+	started          time.Time
 }
 
-// engine is one engine during a simulation.
+// engine is the state of a simulated engine.
 type engine struct {
-	model   EngineModel
-	id      string
-	waiting []*run
-	running []*run
-	cached  map[string]time.Time // shared parts by last use
-	used    int
-	busy    bool
-	again   int // shared tokens read although another engine had read them lately
+	model            EngineModel
+	id               string
+	waiting          []*activeRequest
+	running          []*activeRequest
+	prefixLastUsed   map[string]time.Time // by the ID of the shared prefix
+	kvTokensUsed     int
+	busy             bool
+	prefixMissTokens int // shared prompt tokens that were neither cached nor fetched
 }
 
 func newEngine(id string, m EngineModel) *engine {
-	return &engine{model: m, id: id, cached: map[string]time.Time{}}
+	return &engine{model: m, id: id, prefixLastUsed: map[string]time.Time{}}
 }
 
-// cacheFor is how long a shared part stays cached without use. It stands for the
-// memory that finished requests take meanwhile.
-const cacheFor = 12 * time.Second
+// prefixCacheTTL is how long an unused shared prefix stays cached. It approximates eviction by
+// finished requests, whose memory use is not modelled.
+const prefixCacheTTL = 12 * time.Second
 
-// take admits a request. fetched says that the shared parts were copied from
-// another engine that had them.
-func (e *engine) take(j *job, rank int, fetched bool, now time.Time) {
-	r := &run{job: j, rank: rank, unread: j.prompt.Tokens, started: now}
+// enqueue adds a request to the waiting queue. fetched means that the shared prefix was copied
+// from another engine, so that it needs no prefill.
+func (e *engine) enqueue(j *job, rank int, fetched bool, now time.Time) {
+	r := &activeRequest{job: j, rank: rank, prefillRemaining: j.prompt.Tokens, started: now}
 	shared, tokens := j.prompt.Shared()
-	if e.has(shared, now) || fetched {
-		r.unread -= tokens
+	if e.hasPrefix(shared, now) || fetched {
+		r.prefillRemaining -= tokens
 	} else {
-		e.again += tokens
+		e.prefixMissTokens += tokens
 	}
 	if shared != "" {
-		e.cached[shared] = now
+		e.prefixLastUsed[shared] = now
 	}
 	e.waiting = append(e.waiting, r)
 }
 
-func (e *engine) has(part string, now time.Time) bool {
-	at, ok := e.cached[part]
-	return ok && now.Sub(at) <= cacheFor
+func (e *engine) hasPrefix(id string, now time.Time) bool {
+	at, ok := e.prefixLastUsed[id]
+	return ok && now.Sub(at) <= prefixCacheTTL
 }
 
-// admit fills free slots, the most urgent first, while memory lasts.
+// admit moves waiting requests into free slots in rank order, until the next one does not fit
+// into the KV cache. A prompt larger than the cache runs alone.
 func (e *engine) admit() {
-	slices.SortStableFunc(e.waiting, func(a, b *run) int { return a.rank - b.rank })
+	slices.SortStableFunc(e.waiting, func(a, b *activeRequest) int { return a.rank - b.rank })
 	for len(e.waiting) > 0 && len(e.running) < e.model.Slots {
 		r := e.waiting[0]
-		if e.used > 0 && e.used+r.prompt.Tokens > e.model.Memory {
+		if e.kvTokensUsed > 0 && e.kvTokensUsed+r.prompt.Tokens > e.model.KVCacheTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.used += r.prompt.Tokens
+		e.kvTokensUsed += r.prompt.Tokens
 		e.running = append(e.running, r)
 	}
 }
 
-// step does one step at now and returns how long it takes; 0 if there is nothing
-// to do. Its effects count from its end on.
+// step runs one batch step that starts at now and returns its duration, or 0 if the engine is
+// idle. first and end are called with the times of first tokens and of completed responses,
+// which lie at or after the end of the step.
 func (e *engine) step(now time.Time, first func(*job, time.Time), end func(*job, time.Time)) time.Duration {
 	e.admit()
 	if len(e.running) == 0 {
 		return 0
 	}
-	took := e.model.Step
-	chunk := e.model.Chunk
+	duration := e.model.BaseStep
+	budget := e.model.PrefillChunk
 	pairs := 0.0
-	var read []*run
-	for _, r := range e.byRank() {
-		n := min(r.unread, chunk)
+	var prefilled []*activeRequest
+	for _, r := range e.runningByRank() {
+		n := min(r.prefillRemaining, budget)
 		if n > 0 {
-			pairs += float64(n) * float64(r.prompt.Tokens-r.unread)
-			r.unread -= n
-			chunk -= n
-			if r.unread == 0 {
-				read = append(read, r)
+			pairs += float64(n) * float64(r.prompt.Tokens-r.prefillRemaining)
+			r.prefillRemaining -= n
+			budget -= n
+			if r.prefillRemaining == 0 {
+				prefilled = append(prefilled, r)
 			}
 		}
 	}
-	took += time.Duration(float64(e.model.Chunk-chunk) / e.model.TokensPerMs * float64(time.Millisecond))
-	took += time.Duration(pairs / 1e6 * e.model.PairsMsPerMillion * float64(time.Millisecond))
-	took += time.Duration(len(e.running)) * e.model.StepPerRun
-	at := now.Add(took)
-	for _, r := range read {
-		first(r.job, at.Add(e.model.FirstLatency))
+	duration += time.Duration(float64(e.model.PrefillChunk-budget) / e.model.PrefillTokensPerMs * float64(time.Millisecond))
+	duration += time.Duration(pairs / 1e6 * e.model.AttentionMsPerMillionPairs * float64(time.Millisecond))
+	duration += time.Duration(len(e.running)) * e.model.StepPerRequest
+	stepEnd := now.Add(duration)
+	for _, r := range prefilled {
+		first(r.job, stepEnd.Add(e.model.FirstTokenDelay))
 	}
-	e.running = slices.DeleteFunc(e.running, func(r *run) bool {
-		if r.gone {
-			e.used -= r.prompt.Tokens
+	e.running = slices.DeleteFunc(e.running, func(r *activeRequest) bool {
+		if r.expired {
+			e.kvTokensUsed -= r.prompt.Tokens
 			return true
 		}
-		if r.unread > 0 {
+		if r.prefillRemaining > 0 {
 			return false
 		}
-		r.made++
-		if r.made == 1 || r.made%e.model.EventTokens == 0 || r.made == r.output {
-			r.event(at)
+		r.generated++
+		if r.generated == 1 || r.generated%e.model.EventTokens == 0 || r.generated == r.outputTokens {
+			r.recordEvent(stepEnd)
 		}
-		if r.made < r.output {
+		if r.generated < r.outputTokens {
 			return false
 		}
-		e.used -= r.prompt.Tokens
-		end(r.job, at)
+		e.kvTokensUsed -= r.prompt.Tokens
+		end(r.job, stepEnd)
 		return true
 	})
-	e.waiting = slices.DeleteFunc(e.waiting, func(r *run) bool { return r.gone })
-	return took
+	e.waiting = slices.DeleteFunc(e.waiting, func(r *activeRequest) bool { return r.expired })
+	return duration
 }
 
-func (e *engine) byRank() []*run {
+func (e *engine) runningByRank() []*activeRequest {
 	out := slices.Clone(e.running)
-	slices.SortStableFunc(out, func(a, b *run) int { return a.rank - b.rank })
+	slices.SortStableFunc(out, func(a, b *activeRequest) int { return a.rank - b.rank })
 	return out
 }
 
-// job is one request of a caller.
+// job is a client request and its outcome.
 type job struct {
-	id          string
-	class       *Class
-	prompt      placement.Prompt
-	output      int
-	arrived     time.Time
-	sent        time.Time
-	first, done time.Time
-	refused     bool
-	gone        bool // its caller has left
-	group       permit.Group
-	onFirst     func(now time.Time)
-	onEnd       func(now time.Time)
-	ended       bool
-	seen        permit.Stream
-	last        time.Time // of its events
+	id           string
+	class        *Class
+	prompt       placement.Prompt
+	outputTokens int
+	arrived      time.Time
+	sent         time.Time
+	first, done  time.Time
+	refused      bool
+	expired      bool // the deadline has passed and the client has disconnected
+	group        permit.Group
+	onFirst      func(now time.Time)
+	onEnd        func(now time.Time)
+	ended        bool
+	streamStats  permit.Stream
+	lastEvent    time.Time // time of the last stream event
 }
 
-// event counts an event of the job's stream.
-func (j *job) event(at time.Time) {
-	if j.seen.Events > 0 {
-		j.seen.Took += at.Sub(j.last)
-		j.seen.Longest = max(j.seen.Longest, at.Sub(j.last))
+// recordEvent adds an event of the response stream to the job's statistics.
+func (j *job) recordEvent(at time.Time) {
+	if j.streamStats.Events > 0 {
+		j.streamStats.Took += at.Sub(j.lastEvent)
+		j.streamStats.Longest = max(j.streamStats.Longest, at.Sub(j.lastEvent))
 	}
-	j.seen.Events++
-	j.last = at
+	j.streamStats.Events++
+	j.lastEvent = at
 }
--- a/internal/simulate/result.go
+++ b/internal/simulate/result.go
@@ -5,72 +5,75 @@
 	"time"
 )
 
-// results sums up what the callers of each class got.
-func (w *world) results() []ClassResult {
-	again := 0
-	for _, e := range w.engines {
-		again += e.again
+// results aggregates the outcomes of the jobs by class.
+func (s *simulation) results() []ClassResult {
+	prefixMisses := 0
+	for _, e := range s.engines {
+		prefixMisses += e.prefixMissTokens
 	}
-	out := make([]ClassResult, len(w.Classes))
-	for i := range w.Classes {
-		class := &w.Classes[i]
-		r := ClassResult{Name: class.Name, ReadAgainTokens: again}
-		var first []time.Duration
-		for _, j := range w.jobs {
+	out := make([]ClassResult, len(s.Classes))
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		r := ClassResult{Name: class.Name, PrefixMissTokens: prefixMisses}
+		var firstTokens []time.Duration
+		for _, j := range s.jobs {
 			if j.class == class {
-				first = r.count(j, first)
+				firstTokens = r.add(j, firstTokens)
 			}
 		}
-		r.LargestServed = largestServed(w.jobs, class)
-		slices.Sort(first)
-		r.FirstTokenP50, r.FirstTokenP95Ms = percentile(first, 0.5), percentile(first, 0.95)
+		r.LongPromptServedShare = longPromptServedShare(s.jobs, class)
+		slices.Sort(firstTokens)
+		r.FirstTokenP50Ms, r.FirstTokenP95Ms = percentile(firstTokens, 0.5), percentile(firstTokens, 0.95)
 		out[i] = r
 	}
 	return out
 }
 
-// largestTenth is the part of a class's requests whose prompts count as its largest.
-const largestTenth = 10
+// longPromptDivisor defines the long prompts of a class: the longest tenth.
+const longPromptDivisor = 10
 
-// largestServed is the share of the requests with the longest prompts of a class that were
-// answered.
-func largestServed(jobs []*job, class *Class) float64 {
-	var own []*job
+// longPromptServedShare returns the share of a class's long prompts that were answered by
+// their deadline.
+func longPromptServedShare(jobs []*job, class *Class) float64 {
+	var classJobs []*job
 	for _, j := range jobs {
 		if j.class == class {
-			own = append(own, j)
+			classJobs = append(classJobs, j)
 		}
 	}
-	slices.SortFunc(own, func(a, b *job) int { return b.prompt.Tokens - a.prompt.Tokens })
-	own = own[:len(own)/largestTenth]
+	slices.SortFunc(classJobs, func(a, b *job) int { return b.prompt.Tokens - a.prompt.Tokens })
+	classJobs = classJobs[:len(classJobs)/longPromptDivisor]
 	served := 0
-	for _, j := range own {
-		if j.whole() {
+	for _, j := range classJobs {
+		if j.metDeadline() {
 			served++
 		}
 	}
-	return float64(served) / float64(max(1, len(own)))
+	return float64(served) / float64(max(1, len(classJobs)))
 }
 
-// whole reports whether the job was answered before its deadline.
-func (j *job) whole() bool { return !j.done.IsZero() && j.done.Sub(j.arrived) <= j.class.Deadline }
+// metDeadline reports whether the response was complete by the deadline.
+func (j *job) metDeadline() bool {
+	return !j.done.IsZero() && j.done.Sub(j.arrived) <= j.class.Deadline
+}
 
-func (r *ClassResult) count(j *job, first []time.Duration) []time.Duration {
-	r.Asked++
+// add counts the job and appends its time to first token, if it has one, to firstTokens.
+func (r *ClassResult) add(j *job, firstTokens []time.Duration) []time.Duration {
+	r.Requests++
 	if !j.first.IsZero() {
-		first = append(first, j.first.Sub(j.arrived))
+		firstTokens = append(firstTokens, j.first.Sub(j.arrived))
 	}
 	switch {
-	case j.whole() && j.first.Sub(j.arrived) <= j.class.Target && (j.class.Gap == 0 || j.seen.Longest <= j.class.Gap):
+	case j.metDeadline() && j.first.Sub(j.arrived) <= j.class.FirstTokenTarget && (j.class.MaxEventGap == 0 || j.streamStats.Longest <= j.class.MaxEventGap):
 		r.OnTime++
-	case j.whole():
+	case j.metDeadline():
 		r.Late++
 	case j.refused:
 		r.Refused++
 	default:
 		r.Failed++
 	}
-	return first
+	return firstTokens
 }
 
 func percentile(sorted []time.Duration, p float64) float64 {
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -14,234 +14,240 @@
 	"github.com/merlinpost/merlinpost/internal/registry"
 )
 
-// Class is a kind of request.
+// Class is a class of requests with its arrival process, prompt lengths and latency targets.
 type Class struct {
-	Name        string
-	PerSecond   float64
-	Rank        int
-	SharedParts int     // different shared parts
-	Shared      int     // tokens of a shared part
-	Own         float64 // mean tokens of a request's own part
-	OwnSpread   float64 // sigma of its logarithm
-	Output      float64 // mean generated tokens
-	Target      time.Duration
-	Gap         time.Duration // longest pause between events that is on time
-	Deadline    time.Duration
-	// Burst multiplies the rate from BurstAt for BurstFor.
-	Burst             float64
-	BurstAt, BurstFor time.Duration
+	Name               string
+	PerSecond          float64
+	Rank               int
+	SharedPrefixes     int     // number of distinct shared prompt prefixes
+	SharedPrefixTokens int     // length of a shared prefix
+	UniqueTokens       float64 // mean prompt tokens that are unique to a request
+	UniqueTokensSigma  float64 // log-normal sigma of UniqueTokens
+	OutputTokens       float64 // scale of the log-normal number of generated tokens
+	FirstTokenTarget   time.Duration
+	MaxEventGap        time.Duration // longest pause between stream events that is on time; 0 means no limit
+	Deadline           time.Duration
+	// BurstFactor multiplies the rate from BurstStart for BurstDuration.
+	BurstFactor               float64
+	BurstStart, BurstDuration time.Duration
 }
 
-// Variant is a policy.
+// Variant names a placement policy to simulate.
 type Variant string
 
-// The variants: the product's policy; the same with one part of it switched off; and a
-// baseline that sends each request to the engine with the fewest of its own gateway's
-// requests.
+// The variants are the production policy, the production policy with one mechanism disabled,
+// and a baseline that sends each request to the engine with the fewest requests in flight from
+// the same gateway.
 const (
-	Product    Variant = "product"
-	NoPermits  Variant = "no_permits"  // each gateway places by what it knows alone
-	NoHarm     Variant = "no_harm"     // prompts go anywhere, whatever runs there
-	NoPacing   Variant = "no_pacing"   // streams are not left the time to end
-	NoOrder    Variant = "no_order"    // no engine is preferred for a kind of prompt
-	Together   Variant = "together"    // engines are given several prompts at once
-	NoLearning Variant = "no_learning" // start values for all engines
-	NoFetch    Variant = "no_fetch"    // shared parts are read where they lack
-	ByArrival  Variant = "by_arrival"  // late ones are not put behind
-	Patient    Variant = "patient"     // nothing is refused before its limit
-	NoRanks    Variant = "no_ranks"    // all requests are equally urgent
-	Least      Variant = "least_requests"
+	Product       Variant = "product"
+	NoPermits     Variant = "no_permits"  // gateways place requests without permits, by their own view
+	NoHarm        Variant = "no_harm"     // the effect of a prefill on running streams is ignored
+	NoPacing      Variant = "no_pacing"   // the time that running streams need to finish is ignored
+	NoOrder       Variant = "no_order"    // no engine is preferred for short or long prompts
+	Together      Variant = "together"    // an engine may get further prompts during a prefill
+	NoLearning    Variant = "no_learning" // engine performance estimates keep their initial values
+	NoFetch       Variant = "no_fetch"    // missing prefixes are recomputed rather than fetched
+	ByArrival     Variant = "by_arrival"  // requests that can no longer be on time keep their place
+	Patient       Variant = "patient"     // requests are not refused before their wait limit
+	NoRanks       Variant = "no_ranks"    // all requests have the same rank
+	LeastRequests Variant = "least_requests"
 )
 
-// Variants are all variants.
-var Variants = []Variant{Product, NoPermits, NoHarm, NoPacing, NoOrder, Together, NoLearning, NoFetch, ByArrival, Patient, NoRanks, Least}
+// Variants lists all variants.
+var Variants = []Variant{Product, NoPermits, NoHarm, NoPacing, NoOrder, Together, NoLearning, NoFetch, ByArrival, Patient, NoRanks, LeastRequests}
 
-// policies are the variants of the decisions themselves.
-var policies = map[Variant]permit.Policy{
+// permitPolicies holds the variants that change permit decisions.
+var permitPolicies = map[Variant]permit.Policy{
 	NoHarm: {NoHarm: true}, NoPacing: {NoPacing: true}, NoOrder: {NoOrder: true}, Together: {Together: true},
 	NoLearning: {NoLearning: true}, NoFetch: {NoFetch: true}, ByArrival: {ByArrival: true}, Patient: {Patient: true},
 }
 
-// Config is one simulation.
+// Config describes one simulation.
 type Config struct {
 	Engines, Gateways int
 	Engine            EngineModel
 	Classes           []Class
-	Length            time.Duration
+	Duration          time.Duration // simulated time during which requests arrive
 	Seed              uint64
 	Variant           Variant
 }
 
-// ClassResult is what the callers of a class got.
+// ClassResult is the outcome of the requests of one class.
 type ClassResult struct {
-	Name                           string
-	Asked, OnTime, Late, Refused   int
-	Failed                         int // given up or past the deadline
-	ReadAgainTokens                int
-	LargestServed                  float64 // of the tenth with the longest prompts
-	FirstTokenP50, FirstTokenP95Ms float64
+	Name                             string
+	Requests, OnTime, Late, Refused  int
+	Failed                           int     // neither refused nor answered by the deadline
+	PrefixMissTokens                 int     // of all classes together
+	LongPromptServedShare            float64 // of the tenth of the requests with the longest prompts
+	FirstTokenP50Ms, FirstTokenP95Ms float64
 }
 
-// Served is the share of requests that were answered.
-func (r ClassResult) Served() float64 { return float64(r.OnTime+r.Late) / float64(max(1, r.Asked)) }
+// ServedShare returns the share of requests that were answered by their deadline.
+func (r ClassResult) ServedShare() float64 {
+	return float64(r.OnTime+r.Late) / float64(max(1, r.Requests))
+}
 
-// InTime is the share of requests that were answered within their target.
-func (r ClassResult) InTime() float64 { return float64(r.OnTime) / float64(max(1, r.Asked)) }
+// OnTimeShare returns the share of requests that were answered within their latency targets.
+func (r ClassResult) OnTimeShare() float64 { return float64(r.OnTime) / float64(max(1, r.Requests)) }
 
-// event is something that happens at a time.
+// event is a callback that is due at a simulated time.
 type event struct {
 	at  time.Time
 	seq int
-	do  func(now time.Time)
+	run func(now time.Time)
 }
 
-type events []event
+type eventHeap []event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at.Before(h[j].at) || (h[i].at.Equal(h[j].at) && h[i].seq < h[j].seq)
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return last
 }
 
-// world is one simulation under way.
-type world struct {
+// simulation is the state of a running simulation.
+type simulation struct {
 	Config
-	now      time.Time
-	seq      int
-	agenda   events
-	random   *rand.Rand
-	engines  map[string]*engine
-	registry []*registry.Registry // of each gateway
-	desk     *permit.Desk[*ask]   // of all groups
-	jobs     []*job
+	now        time.Time
+	seq        int
+	eventQueue eventHeap
+	rng        *rand.Rand
+	engines    map[string]*engine
+	registries []*registry.Registry         // by gateway
+	permits    *permit.Desk[*permitRequest] // serves all groups
+	jobs       []*job
 }
 
-// ask is a job that waits for a verdict.
-type ask struct {
+// permitRequest is a job that waits for a permit decision.
+type permitRequest struct {
 	job     *job
 	gateway int
-	groups  []int // to be asked in turn
+	groups  []int // groups still to try, the current one first
 }
 
-func (a *ask) group() permit.Group { return permit.Group{Service: service, Index: a.groups[0]} }
+func (p *permitRequest) group() permit.Group {
+	return permit.Group{Service: serviceName, Index: p.groups[0]}
+}
 
 const (
-	// service is the only service of a simulation.
-	service = "s"
-	// maxGroups is how many groups are asked in turn, as gateways do.
+	// serviceName is the only service of a simulation.
+	serviceName = "s"
+	// maxGroups is the number of groups that are tried for a request, as gateways do.
 	maxGroups = 2
 )
 
-// Run plays a simulation. The same Config gives the same result.
+// Run runs a simulation. It is deterministic: the same Config gives the same result.
 func Run(c Config) []ClassResult {
-	w := &world{Config: c, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(c.Seed, 7)),
+	s := &simulation{Config: c, now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(c.Seed, 7)),
 		engines: map[string]*engine{}}
-	w.desk = permit.NewDesk[*ask](w.list, func(string) (enginemodel.Figures, bool) { return enginemodel.Figures{}, false },
-		ratelimit.New(w.random.Float64), policies[c.Variant])
-	var list []registry.Server
+	s.permits = permit.NewDesk[*permitRequest](s.groupEngines, func(string) (enginemodel.Figures, bool) { return enginemodel.Figures{}, false },
+		ratelimit.New(s.rng.Float64), permitPolicies[c.Variant])
+	var servers []registry.Server
 	for i := range c.Engines {
 		id := fmt.Sprintf("e%03d", i)
-		w.engines[id] = newEngine(id, c.Engine)
-		list = append(list, registry.Server{ID: id, Service: service, Address: id, FailureDomain: fmt.Sprint("d", i%4), Slots: c.Engine.Slots})
+		s.engines[id] = newEngine(id, c.Engine)
+		servers = append(servers, registry.Server{ID: id, Service: serviceName, Address: id, FailureDomain: fmt.Sprint("d", i%4), Slots: c.Engine.Slots})
 	}
 	for range c.Gateways {
 		r := registry.New()
-		r.Replace(list, w.now, time.Time{})
-		w.registry = append(w.registry, r)
+		r.Replace(servers, s.now, time.Time{})
+		s.registries = append(s.registries, r)
 	}
-	w.schedule()
-	for w.agenda.Len() > 0 {
-		e := heap.Pop(&w.agenda).(event)
-		w.now = e.at
-		e.do(e.at)
+	s.scheduleArrivals()
+	for s.eventQueue.Len() > 0 {
+		e := heap.Pop(&s.eventQueue).(event)
+		s.now = e.at
+		e.run(e.at)
 	}
-	return w.results()
+	return s.results()
 }
 
-func (w *world) after(d time.Duration, do func(now time.Time)) { w.at(w.now.Add(d), do) }
+func (s *simulation) scheduleAfter(d time.Duration, callback func(now time.Time)) {
+	s.scheduleAt(s.now.Add(d), callback)
+}
 
-func (w *world) at(t time.Time, do func(now time.Time)) {
-	w.seq++
-	heap.Push(&w.agenda, event{t, w.seq, do})
+func (s *simulation) scheduleAt(t time.Time, callback func(now time.Time)) {
+	s.seq++
+	heap.Push(&s.eventQueue, event{t, s.seq, callback})
 }
 
-// schedule draws the arrivals.
-func (w *world) schedule() {
-	start := w.now
-	for i := range w.Classes {
-		class := &w.Classes[i]
-		for t := time.Duration(0); t < w.Length; {
+// scheduleArrivals schedules all arrivals and the periodic processing of the permit queue.
+func (s *simulation) scheduleArrivals() {
+	start := s.now
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		for t := time.Duration(0); t < s.Duration; {
 			rate := class.PerSecond
-			if t >= class.BurstAt && t < class.BurstAt+class.BurstFor {
-				rate *= class.Burst
+			if t >= class.BurstStart && t < class.BurstStart+class.BurstDuration {
+				rate *= class.BurstFactor
 			}
-			t += time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
-			j := w.draw(class)
-			w.jobs = append(w.jobs, j)
-			w.at(start.Add(t), func(now time.Time) { w.arrive(j, now) })
+			t += time.Duration(s.rng.ExpFloat64() / rate * float64(time.Second))
+			j := s.newJob(class)
+			s.jobs = append(s.jobs, j)
+			s.scheduleAt(start.Add(t), func(now time.Time) { s.arrive(j, now) })
 		}
 	}
 	var tick func(time.Time)
 	tick = func(now time.Time) {
-		w.tell(w.desk.Next(now))
-		if now.Sub(start) < w.Length+20*time.Second {
-			w.after(20*time.Millisecond, tick)
+		s.handleDue(s.permits.Next(now))
+		if now.Sub(start) < s.Duration+20*time.Second {
+			s.scheduleAfter(20*time.Millisecond, tick)
 		}
 	}
-	w.after(0, tick)
+	s.scheduleAfter(0, tick)
 }
 
-// list is the members of a group as the first gateway sees them.
-func (w *world) list(group permit.Group) []permit.Engine {
-	candidates := w.candidates(0, w.now)
+// groupEngines returns the engines of a group as seen by the first gateway.
+func (s *simulation) groupEngines(group permit.Group) []permit.Engine {
+	candidates := s.candidates(0, s.now)
 	groups := placement.Groups(len(candidates))
 	var out []permit.Engine
 	for _, c := range candidates {
 		if placement.GroupOf(c.Server.ID, groups) == group.Index {
-			out = append(out, permit.Engine{ID: c.Server.ID, FailureDomain: c.Server.FailureDomain, Open: true, Slots: w.Engine.Slots,
-				Memory: w.Engine.Memory, EventTokens: w.Engine.EventTokens})
+			out = append(out, permit.Engine{ID: c.Server.ID, FailureDomain: c.Server.FailureDomain, Open: true, Slots: s.Engine.Slots,
+				Memory: s.Engine.KVCacheTokens, EventTokens: s.Engine.EventTokens})
 		}
 	}
 	return out
 }
 
-func (w *world) draw(class *Class) *job {
-	own := int(class.Own * math.Exp(class.OwnSpread*w.random.NormFloat64()-class.OwnSpread*class.OwnSpread/2))
-	own = max(own, 16)
-	id := fmt.Sprint("r", len(w.jobs))
-	part := fmt.Sprint(class.Name, w.random.IntN(class.SharedParts))
-	return &job{id: id, class: class, output: max(1, int(class.Output*math.Exp(0.4*w.random.NormFloat64()))),
-		prompt: placement.Prompt{Tokens: class.Shared + own, Output: int(class.Output),
-			Parts: []placement.Part{{ID: part, Tokens: class.Shared}, {ID: id, Tokens: own}}}}
+func (s *simulation) newJob(class *Class) *job {
+	uniqueTokens := int(class.UniqueTokens * math.Exp(class.UniqueTokensSigma*s.rng.NormFloat64()-class.UniqueTokensSigma*class.UniqueTokensSigma/2))
+	uniqueTokens = max(uniqueTokens, 16)
+	id := fmt.Sprint("r", len(s.jobs))
+	prefix := fmt.Sprint(class.Name, s.rng.IntN(class.SharedPrefixes))
+	return &job{id: id, class: class, outputTokens: max(1, int(class.OutputTokens*math.Exp(0.4*s.rng.NormFloat64()))),
+		prompt: placement.Prompt{Tokens: class.SharedPrefixTokens + uniqueTokens, Output: int(class.OutputTokens),
+			Parts: []placement.Part{{ID: prefix, Tokens: class.SharedPrefixTokens}, {ID: id, Tokens: uniqueTokens}}}}
 }
 
-// arrive places a request at a random gateway.
-func (w *world) arrive(j *job, now time.Time) {
+// arrive handles the arrival of a request at a random gateway.
+func (s *simulation) arrive(j *job, now time.Time) {
 	j.arrived = now
-	w.at(now.Add(j.class.Deadline), func(time.Time) { j.gone = true })
-	g := w.random.IntN(w.Gateways)
-	req := placement.Request{Prompt: j.prompt, Key: j.id, Draw: w.random.Float64()}
-	candidates := w.candidates(g, now)
-	switch w.Variant {
-	case Least:
-		w.send(j, g, placement.Plain(req, candidates), now)
+	s.scheduleAt(now.Add(j.class.Deadline), func(time.Time) { j.expired = true })
+	gateway := s.rng.IntN(s.Gateways)
+	req := placement.Request{Prompt: j.prompt, Key: j.id, Draw: s.rng.Float64()}
+	candidates := s.candidates(gateway, now)
+	switch s.Variant {
+	case LeastRequests:
+		s.dispatch(j, gateway, placement.Plain(req, candidates), now)
 	case NoPermits:
-		w.send(j, g, placement.Engine(req, candidates), now)
+		s.dispatch(j, gateway, placement.Engine(req, candidates), now)
 	default:
-		part, _ := j.prompt.Shared()
-		w.ask(&ask{job: j, gateway: g, groups: placement.GroupsFor(part, placement.Groups(len(candidates)))}, now)
+		prefix, _ := j.prompt.Shared()
+		s.requestPermit(&permitRequest{job: j, gateway: gateway, groups: placement.GroupsFor(prefix, placement.Groups(len(candidates)))}, now)
 	}
 }
 
-func (w *world) candidates(g int, now time.Time) []placement.Candidate {
-	backends := w.registry[g].Ready(service)
+func (s *simulation) candidates(gateway int, now time.Time) []placement.Candidate {
+	backends := s.registries[gateway].Ready(serviceName)
 	out := make([]placement.Candidate, len(backends))
 	for i, b := range backends {
 		out[i] = placement.Candidate{Backend: b, Server: b.Server(), View: b.View(now)}
@@ -249,34 +255,34 @@
 	return out
 }
 
-// ask asks for leave at the next group of engines.
-func (w *world) ask(a *ask, now time.Time) {
-	j := a.job
-	part, shared := j.prompt.Shared()
+// requestPermit requests a permit from the current group of engines.
+func (s *simulation) requestPermit(p *permitRequest, now time.Time) {
+	j := p.job
+	prefix, shared := j.prompt.Shared()
 	elapsed := now.Sub(j.arrived)
-	answer := w.desk.Ask(a.group(), permit.Ask{ID: j.id, Rank: w.rank(j), Own: j.prompt.Tokens - shared, Part: part, Shared: shared,
-		Output: j.prompt.Output, Gap: j.class.Gap, Deadline: j.class.Deadline - elapsed, Target: j.class.Target - elapsed,
-		Limit: max(4*j.class.Target-elapsed, 500*time.Millisecond)}, a, now)
-	w.settle(a, answer, now)
+	answer := s.permits.Ask(p.group(), permit.Ask{ID: j.id, Rank: s.rank(j), Own: j.prompt.Tokens - shared, Part: prefix, Shared: shared,
+		Output: j.prompt.Output, Gap: j.class.MaxEventGap, Deadline: j.class.Deadline - elapsed, Target: j.class.FirstTokenTarget - elapsed,
+		Limit: max(4*j.class.FirstTokenTarget-elapsed, 500*time.Millisecond)}, p, now)
+	s.handleAnswer(p, answer, now)
 }
 
-func (w *world) settle(a *ask, answer permit.Answer, now time.Time) {
+func (s *simulation) handleAnswer(p *permitRequest, answer permit.Answer, now time.Time) {
 	switch answer.Verdict {
 	case permit.Granted:
-		a.job.group = a.group()
-		w.send(a.job, a.gateway, w.decided(a, answer, now), now)
+		p.job.group = p.group()
+		s.dispatch(p.job, p.gateway, s.grantedChoice(p, answer, now), now)
 	case permit.Refused, permit.NoEngine:
-		if a.job.refused = len(a.groups) == 1; !a.job.refused {
-			a.groups = a.groups[1:min(len(a.groups), maxGroups)]
-			w.ask(a, now)
+		if p.job.refused = len(p.groups) == 1; !p.job.refused {
+			p.groups = p.groups[1:min(len(p.groups), maxGroups)]
+			s.requestPermit(p, now)
 		}
 	}
 }
 
-// decided is the choice that an answer names.
-func (w *world) decided(a *ask, answer permit.Answer, now time.Time) placement.Choice {
+// grantedChoice returns the placement named by a granted permit.
+func (s *simulation) grantedChoice(p *permitRequest, answer permit.Answer, now time.Time) placement.Choice {
 	out := placement.Choice{FetchFrom: answer.FetchFrom, Reason: placement.Decided}
-	candidates := w.candidates(a.gateway, now)
+	candidates := s.candidates(p.gateway, now)
 	for i := range candidates {
 		if candidates[i].Server.ID == answer.Engine {
 			out.Candidate = &candidates[i]
@@ -285,29 +291,31 @@
 	return out
 }
 
-func (w *world) tell(due []permit.Due[*ask]) {
+// handleDue handles the decisions on queued permit requests, except those whose deadline has
+// passed.
+func (s *simulation) handleDue(due []permit.Due[*permitRequest]) {
 	for _, d := range due {
-		if !d.To.job.gone {
-			w.settle(d.To, d.Answer, w.now)
+		if !d.To.job.expired {
+			s.handleAnswer(d.To, d.Answer, s.now)
 		}
 	}
 }
 
-// send gives the request to an engine.
-func (w *world) send(j *job, g int, c placement.Choice, now time.Time) {
-	e, b := w.engines[c.Candidate.Server.ID], c.Candidate.Backend
-	fetched := c.FetchFrom != "" && w.engines[c.FetchFrom].has(firstPart(j), now)
+// dispatch sends the request to the chosen engine.
+func (s *simulation) dispatch(j *job, gateway int, c placement.Choice, now time.Time) {
+	e, b := s.engines[c.Candidate.Server.ID], c.Candidate.Backend
+	fetched := c.FetchFrom != "" && s.engines[c.FetchFrom].hasPrefix(sharedPrefixID(j), now)
 	_, shared := j.prompt.Shared()
-	unread := j.prompt.Tokens - shared
-	b.Begin(unread)
-	e.take(j, w.rank(j), fetched, now)
+	prefillTokens := j.prompt.Tokens - shared
+	b.Begin(prefillTokens)
+	e.enqueue(j, s.rank(j), fetched, now)
 	first := func(f *job, at time.Time) {
 		f.first = at
-		w.at(at, func(now time.Time) { w.firstToken(f, now) })
+		s.scheduleAt(at, func(now time.Time) { s.firstToken(f, now) })
 	}
 	end := func(f *job, at time.Time) {
 		f.done = at
-		w.at(at, func(now time.Time) { f.onEnd(now) })
+		s.scheduleAt(at, func(now time.Time) { f.onEnd(now) })
 	}
 	j.onEnd = func(now time.Time) {
 		if j.ended {
@@ -315,44 +323,44 @@
 		}
 		j.ended = true
 		b.End()
-		w.desk.End(j.group, j.id, j.seen, now)
-		w.tell(w.desk.Next(now))
+		s.permits.End(j.group, j.id, j.streamStats, now)
+		s.handleDue(s.permits.Next(now))
 	}
-	w.at(j.arrived.Add(j.class.Deadline), func(now time.Time) { j.onEnd(now) })
+	s.scheduleAt(j.arrived.Add(j.class.Deadline), func(now time.Time) { j.onEnd(now) })
 	j.sent = now
 	j.onFirst = func(now time.Time) {
-		b.FirstToken(unread)
+		b.FirstToken(prefillTokens)
 	}
 	if !e.busy {
 		e.busy = true
-		w.step(e, first, end)
+		s.runStep(e, first, end)
 	}
 }
 
-func (w *world) firstToken(j *job, now time.Time) {
+func (s *simulation) firstToken(j *job, now time.Time) {
 	j.onFirst(now)
-	w.desk.FirstToken(j.group, j.id, now.Sub(j.sent), now)
-	w.tell(w.desk.Next(now))
+	s.permits.FirstToken(j.group, j.id, now.Sub(j.sent), now)
+	s.handleDue(s.permits.Next(now))
 }
 
-func (w *world) step(e *engine, first, end func(*job, time.Time)) {
-	took := e.step(w.now, first, end)
-	if took == 0 {
+func (s *simulation) runStep(e *engine, first, end func(*job, time.Time)) {
+	duration := e.step(s.now, first, end)
+	if duration == 0 {
 		e.busy = false
 		return
 	}
-	w.after(took, func(time.Time) { w.step(e, first, end) })
+	s.scheduleAfter(duration, func(time.Time) { s.runStep(e, first, end) })
 }
 
-// rank is the urgency of a job.
-func (w *world) rank(j *job) int {
-	if w.Variant == NoRanks {
+// rank returns the job's scheduling rank at the engine; 0 is the most urgent.
+func (s *simulation) rank(j *job) int {
+	if s.Variant == NoRanks {
 		return 0
 	}
 	return j.class.Rank
 }
 
-func firstPart(j *job) string {
+func sharedPrefixID(j *job) string {
 	id, _ := j.prompt.Shared()
 	return id
 }
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -7,79 +7,79 @@
 	. "github.com/onsi/gomega"
 )
 
-// play runs the Board's load on 12 engines behind 5 gateways.
-func play(v Variant, factor float64, seed uint64) map[string]ClassResult {
+// simulateAdvisory runs the advisory workload on 12 engines behind 5 gateways.
+func simulateAdvisory(v Variant, factor float64, seed uint64) map[string]ClassResult {
 	out := map[string]ClassResult{}
-	for _, r := range Run(Config{Engines: 12, Gateways: 5, Engine: DefaultEngine(), Classes: Board(12, factor),
-		Length: 30 * time.Second, Seed: seed, Variant: v}) {
+	for _, r := range Run(Config{Engines: 12, Gateways: 5, Engine: advisoryEngine(), Classes: advisoryClasses(12, factor),
+		Duration: 30 * time.Second, Seed: seed, Variant: v}) {
 		out[r.Name] = r
 	}
 	return out
 }
 
-func TestASimulationRepeats(t *testing.T) {
-	NewWithT(t).Expect(play(Product, 1, 3)).To(Equal(play(Product, 1, 3)))
+func TestSimulationIsDeterministic(t *testing.T) {
+	NewWithT(t).Expect(simulateAdvisory(Product, 1, 3)).To(Equal(simulateAdvisory(Product, 1, 3)))
 }
 
-func TestAtModerateLoadEverythingIsOnTime(t *testing.T) {
+func TestModerateLoadIsServedOnTime(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(3) {
-		for name, r := range play(Product, 0.6, seed) {
-			g.Expect(r.InTime()).To(BeNumerically(">", 0.97), "%s with seed %d", name, seed)
+		for name, r := range simulateAdvisory(Product, 0.6, seed) {
+			g.Expect(r.OnTimeShare()).To(BeNumerically(">", 0.97), "%s with seed %d", name, seed)
 			g.Expect(r.Refused).To(BeZero())
 		}
 	}
 }
 
-// Through a burst of reports beyond capacity, permits keep those that are served on time:
-// without them the engines take in all at once and most come late.
-func TestPermitsKeepReportsOnTimeThroughABurst(t *testing.T) {
+// During a burst of reports beyond capacity, most reports must meet their targets. Without
+// permits the engines accept all of them at once, and most are late.
+func TestPermitsKeepReportsOnTimeDuringBurst(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(3) {
-		with, without := play(Product, 1.2, seed)["report"], play(NoPermits, 1.2, seed)["report"]
-		g.Expect(with.InTime()).To(BeNumerically(">", without.InTime()+0.4), "seed %d: %+v, %+v", seed, with, without)
-		g.Expect(with.Served()).To(BeNumerically(">", without.Served()-0.02), "seed %d", seed)
+		with, without := simulateAdvisory(Product, 1.2, seed)["report"], simulateAdvisory(NoPermits, 1.2, seed)["report"]
+		g.Expect(with.OnTimeShare()).To(BeNumerically(">", without.OnTimeShare()+0.4), "seed %d: %+v, %+v", seed, with, without)
+		g.Expect(with.ServedShare()).To(BeNumerically(">", without.ServedShare()-0.02), "seed %d", seed)
 	}
 }
 
-// Beyond capacity the interactive classes keep their targets, reports are refused
-// at once rather than left to die, and are not starved.
-func TestBeyondCapacityReportsYield(t *testing.T) {
+// Under overload the interactive classes must meet their targets. Reports must be refused early
+// rather than time out, and must not starve.
+func TestReportsAreShedUnderOverload(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(3) {
-		all := play(Product, 1.5, seed)
-		g.Expect(all["advice"].InTime()).To(BeNumerically(">", 0.9), "seed %d: %+v", seed, all["advice"])
-		g.Expect(all["tag"].InTime()).To(BeNumerically(">", 0.85), "seed %d: %+v", seed, all["tag"])
-		report := all["report"]
-		g.Expect(report.Served()).To(BeNumerically(">", 0.3), "seed %d: %+v", seed, report)
-		g.Expect(report.Failed).To(BeNumerically("<", report.Asked/10), "seed %d: %+v", seed, report)
-		baseline := play(Least, 1.5, seed)
-		g.Expect(all["advice"].InTime()).To(BeNumerically(">", baseline["advice"].InTime()), "seed %d", seed)
+		results := simulateAdvisory(Product, 1.5, seed)
+		g.Expect(results["advice"].OnTimeShare()).To(BeNumerically(">", 0.9), "seed %d: %+v", seed, results["advice"])
+		g.Expect(results["tag"].OnTimeShare()).To(BeNumerically(">", 0.85), "seed %d: %+v", seed, results["tag"])
+		report := results["report"]
+		g.Expect(report.ServedShare()).To(BeNumerically(">", 0.3), "seed %d: %+v", seed, report)
+		g.Expect(report.Failed).To(BeNumerically("<", report.Requests/10), "seed %d: %+v", seed, report)
+		baseline := simulateAdvisory(LeastRequests, 1.5, seed)
+		g.Expect(results["advice"].OnTimeShare()).To(BeNumerically(">", baseline["advice"].OnTimeShare()), "seed %d", seed)
 		g.Expect(report.OnTime).To(BeNumerically(">", baseline["report"].OnTime), "seed %d", seed)
 	}
 }
 
-// Beyond capacity the longest prompts of a class are served nearly as the others are: they are
-// refused no sooner, and do not wait for streams until then. With their own reading time
-// counted, 0.37 of them were served where 0.75 of all were, on a day of the Board's large
-// deployment.
-func TestTheLongestPromptsAreServedAsTheOthersAre(t *testing.T) {
+// Under overload the longest prompts of a class must be served nearly as often as the others:
+// they must not be refused earlier, nor wait for running streams until they are refused. When
+// the decision counted a prompt's own prefill time, only 0.37 of the longest prompts were
+// served against 0.75 of all requests, in a day of load on the large advisory deployment.
+func TestLongPromptsAreServedUnderOverload(t *testing.T) {
 	g := NewWithT(t)
 	for _, scenario := range []string{"advisory", "routes", "reviews"} {
-		s, _ := Find(scenario)
+		s, _ := FindScenario(scenario)
 		for seed := range uint64(3) {
 			for _, r := range Run(Config{Engines: 12, Gateways: 5, Engine: s.Engine, Classes: s.Classes(12, 1.5),
-				Length: 30 * time.Second, Seed: seed, Variant: Product}) {
-				g.Expect(r.LargestServed).To(BeNumerically(">", 0.7*r.Served()), "%s, seed %d: %+v", scenario, seed, r)
+				Duration: 30 * time.Second, Seed: seed, Variant: Product}) {
+				g.Expect(r.LongPromptServedShare).To(BeNumerically(">", 0.7*r.ServedShare()), "%s, seed %d: %+v", scenario, seed, r)
 			}
 		}
 	}
 }
 
-// Requests that share parts meet at few engines, so that less is read again than
-// where each goes to the least loaded.
-func TestHomesSaveReading(t *testing.T) {
+// Requests with a shared prefix are placed on few engines, so that fewer prefix tokens are
+// recomputed than with the least-requests baseline.
+func TestPrefixAffinityReducesPrefill(t *testing.T) {
 	g := NewWithT(t)
-	homes, least := play(Product, 0.8, 1)["report"], play(Least, 0.8, 1)["report"]
-	g.Expect(homes.ReadAgainTokens).To(BeNumerically("<", 6*least.ReadAgainTokens/10))
+	product, baseline := simulateAdvisory(Product, 0.8, 1)["report"], simulateAdvisory(LeastRequests, 0.8, 1)["report"]
+	g.Expect(product.PrefixMissTokens).To(BeNumerically("<", 6*baseline.PrefixMissTokens/10))
 }
