--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -57,9 +57,9 @@
 				_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%d\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t\n", v, seed, r.Name, r.Requests, r.OnTimeShare(), r.ServedShare(),
 					r.Refused, r.Failed, r.FirstTokenP50Ms, r.FirstTokenP95Ms)
 			}
-			seeds, classes = append(seeds, results), chart.Classes(results)
+			seeds, classes = append(seeds, results), chart.ClassNames(results)
 		}
-		series = append(series, chart.Mean(v, seeds))
+		series = append(series, chart.MeanSeries(v, seeds))
 	}
 	if err := table.Flush(); err != nil {
 		return fault.New(fault.BadSettings, "%w", err).InField("simulate")
--- a/internal/simulate/chart/chart.go
+++ b/internal/simulate/chart/chart.go
@@ -1,6 +1,5 @@
-// Package chart draws what simulated variants of the policy gave their callers, as
-// bars of text: a drawing library would add 3 MiB to the memory of every gateway, which
-// is the same program.
+// Package chart draws simulation results as text bar charts. It uses no graphics library,
+// because that would add 3 MiB to the memory of every gateway, which runs the same binary.
 package chart
 
 import (
@@ -12,45 +11,45 @@
 	"github.com/merlinpost/merlinpost/internal/simulate"
 )
 
-// Series is one variant with the mean share of requests that were on time in each
-// class, in the order of the classes.
+// Series holds the mean on-time shares of one variant, by class.
 type Series struct {
-	Variant simulate.Variant
-	InTime  []float64
+	Variant      simulate.Variant
+	OnTimeShares []float64
 }
 
-// barLength is the length in characters of a bar for a share of 1.
+// barLength is the length of the bar for a share of 1, in characters.
 const barLength = 50
 
-// Write draws a group of bars for each class, a bar for each variant.
+// Write draws one group of bars for each class, with one bar for each variant. The shares of
+// each series must be in the order of classes.
 func Write(out io.Writer, classes []string, series []Series) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for i, class := range classes {
-		_, _ = fmt.Fprintf(table, "\n%s: share in time\n", class) // a failure shows at Flush
+		_, _ = fmt.Fprintf(table, "\n%s: share in time\n", class) // Flush reports a write error
 		for _, s := range series {
-			share := min(max(s.InTime[i], 0), 1)
-			_, _ = fmt.Fprintf(table, "%s\t%s\t%.3f\n", s.Variant, strings.Repeat("#", int(share*barLength+0.5)), s.InTime[i])
+			share := min(max(s.OnTimeShares[i], 0), 1)
+			_, _ = fmt.Fprintf(table, "%s\t%s\t%.3f\n", s.Variant, strings.Repeat("#", int(share*barLength+0.5)), s.OnTimeShares[i])
 		}
 	}
 	return table.Flush()
 }
 
-// Mean returns the mean of the results of several seeds of one variant.
-func Mean(v simulate.Variant, seeds [][]simulate.ClassResult) Series {
+// MeanSeries averages the results of one variant over several seeds.
+func MeanSeries(v simulate.Variant, seeds [][]simulate.ClassResult) Series {
 	out := Series{Variant: v}
 	for _, results := range seeds {
-		if out.InTime == nil {
-			out.InTime = make([]float64, len(results))
+		if out.OnTimeShares == nil {
+			out.OnTimeShares = make([]float64, len(results))
 		}
 		for i, r := range results {
-			out.InTime[i] += r.OnTimeShare() / float64(len(seeds))
+			out.OnTimeShares[i] += r.OnTimeShare() / float64(len(seeds))
 		}
 	}
 	return out
 }
 
-// Classes returns the names of the classes of a result.
-func Classes(results []simulate.ClassResult) []string {
+// ClassNames returns the class names of the results, in their order.
+func ClassNames(results []simulate.ClassResult) []string {
 	out := make([]string, len(results))
 	for i, r := range results {
 		out[i] = r.Name
