--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -14,43 +14,44 @@
 	"github.com/merlinpost/merlinpost/internal/standin/engine"
 )
 
-// result is what became of one request.
+// result is the outcome of one request.
 type result struct {
-	req     *request
-	first   time.Duration // from the intended time to the first token
-	whole   time.Duration // from the intended time to the end
-	gaps    []time.Duration
-	tokens  int // delivered
-	code    string
-	outcome string
-	retry   bool // a time to come back was told
-	wrong   bool // a text that is not the prompt's
-	short   bool // ended as whole, but is not
+	req           *request
+	firstToken    time.Duration // from the intended send time to the first token
+	total         time.Duration // from the intended send time to the end of the response
+	tokenGaps     []time.Duration
+	tokens        int // tokens received
+	code          string
+	outcome       string
+	hasRetryAfter bool // the refusal had a Retry-After header
+	wrongContent  bool // the content is not the one expected for the prompt
+	wrongLength   bool // the response ended normally, with too few or too many tokens
 }
 
-// answered reports whether the answer came whole.
-func (r *result) answered() bool { return r.code == "" && !r.wrong && !r.short }
+// answered reports whether the response was complete and correct.
+func (r *result) answered() bool { return r.code == "" && !r.wrongContent && !r.wrongLength }
 
-// slowGapShare is the share of gaps between tokens that may be above target.
-const slowGapShare = 0.05
+// maxSlowGapShare is the share of the gaps between tokens that may exceed the target.
+const maxSlowGapShare = 0.05
 
-// attained reports whether the answer came whole and met its class's targets.
-func (r *result) attained() bool {
+// metTargets reports whether the response was complete and correct and met the targets of its
+// stream.
+func (r *result) metTargets() bool {
 	s := r.req.stream
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	if !r.answered() || (s.FirstTokenMS > 0 && r.first > ms(s.FirstTokenMS)) || (s.TotalMS > 0 && r.whole > ms(s.TotalMS)) {
+	if !r.answered() || (s.FirstTokenMS > 0 && r.firstToken > ms(s.FirstTokenMS)) || (s.TotalMS > 0 && r.total > ms(s.TotalMS)) {
 		return false
 	}
 	slow := 0
-	for _, g := range r.gaps {
+	for _, g := range r.tokenGaps {
 		if s.BetweenTokensMS > 0 && g > ms(s.BetweenTokensMS) {
 			slow++
 		}
 	}
-	return float64(slow) <= slowGapShare*float64(len(r.gaps))
+	return float64(slow) <= maxSlowGapShare*float64(len(r.tokenGaps))
 }
 
-// client sends requests.
+// client sends requests to the routers in turn.
 type client struct {
 	http    *http.Client
 	routers []string
@@ -60,8 +61,9 @@
 	return &client{routers: routers, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}}
 }
 
-// do sends a request that was intended for the given time.
-func (c *client) do(ctx context.Context, r *request, intended time.Time) *result {
+// send sends a request and reads the response. Latencies are measured from the intended time,
+// not from the actual time of sending.
+func (c *client) send(ctx context.Context, r *request, intended time.Time) *result {
 	out := &result{req: r}
 	path, body := "/v1/chat/completions", chatBody(r)
 	if r.stream.Service != "" {
@@ -70,7 +72,7 @@
 	router := c.routers[r.number%len(c.routers)]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+path, bytes.NewReader(body))
 	if err != nil {
-		return out.failed("bad_request", err)
+		return out.fail("bad_request", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+r.team.Key)
 	req.Header.Set("Merlinpost-Class", r.stream.Class)
@@ -80,30 +82,30 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return out.failed("connection", err)
+		return out.fail("connection", err)
 	}
 	defer resp.Body.Close()
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		out.retry = resp.Header.Get("Retry-After") != ""
-		data, _ := io.ReadAll(resp.Body) // the status is what counts
-		out.takeError(data, resp.StatusCode)
+		out.hasRetryAfter = resp.Header.Get("Retry-After") != ""
+		data, _ := io.ReadAll(resp.Body) // without a readable body, the status code is recorded
+		out.recordError(data, resp.StatusCode)
 	case r.stream.Service != "":
-		out.takeReply(resp.Body, intended)
+		out.readServiceReply(resp.Body, intended)
 	default:
 		out.readStream(resp.Body, intended)
 	}
-	out.whole = time.Since(intended)
+	out.total = time.Since(intended)
 	return out
 }
 
-func (r *result) failed(code string, _ error) *result {
+func (r *result) fail(code string, _ error) *result {
 	r.code = code
 	return r
 }
 
 func chatBody(r *request) []byte {
-	data, err := json.Marshal(map[string]any{"model": r.stream.Model, "stream": true, "min_tokens": r.tokens, "max_tokens": r.tokens,
+	data, err := json.Marshal(map[string]any{"model": r.stream.Model, "stream": true, "min_tokens": r.outputTokens, "max_tokens": r.outputTokens,
 		"messages": []map[string]string{{"role": "user", "content": r.prompt}}})
 	if err != nil {
 		return nil
@@ -111,7 +113,7 @@
 	return data
 }
 
-func (r *result) takeError(data []byte, status int) {
+func (r *result) recordError(data []byte, status int) {
 	var e struct {
 		Error struct {
 			Code    string `json:"code"`
@@ -124,18 +126,19 @@
 	r.code, r.outcome = e.Error.Code, e.Error.Outcome
 }
 
-// takeReply reads a plain service's reply, which echoes the request.
-func (r *result) takeReply(body io.Reader, intended time.Time) {
+// readServiceReply reads the reply of a plain service, which must echo the request and report
+// one execution.
+func (r *result) readServiceReply(body io.Reader, intended time.Time) {
 	var reply struct {
 		Run  int    `json:"run"`
 		Echo string `json:"echo"`
 	}
 	if err := json.NewDecoder(body).Decode(&reply); err != nil {
-		r.failed("connection", err)
+		r.fail("connection", err)
 		return
 	}
-	r.first = time.Since(intended)
-	r.wrong = reply.Echo != r.req.prompt || reply.Run != 1
+	r.firstToken = time.Since(intended)
+	r.wrongContent = reply.Echo != r.req.prompt || reply.Run != 1
 }
 
 var (
@@ -143,7 +146,7 @@
 	contentField = []byte(`"content":"`)
 )
 
-// readStream reads the answer and compares each token as it comes.
+// readStream reads a streamed response and compares each token with the expected one.
 func (r *result) readStream(body io.Reader, intended time.Time) {
 	last := time.Time{}
 	ended := false
@@ -158,36 +161,37 @@
 			break
 		}
 		if bytes.HasPrefix(data, []byte(`{"error"`)) {
-			r.takeError(data, http.StatusOK)
+			r.recordError(data, http.StatusOK)
 			return
 		}
-		token := content(data)
+		token := tokenText(data)
 		if token == "" {
 			continue
 		}
 		now := time.Now()
 		if r.tokens == 0 {
-			r.first = now.Sub(intended)
+			r.firstToken = now.Sub(intended)
 		} else {
-			r.gaps = append(r.gaps, now.Sub(last))
+			r.tokenGaps = append(r.tokenGaps, now.Sub(last))
 		}
 		last = now
 		if token != engine.Token(r.req.prompt, r.tokens) {
-			r.wrong = true
+			r.wrongContent = true
 		}
 		r.tokens++
 	}
 	switch {
 	case !ended:
-		r.failed("connection", lines.Err())
-	case r.tokens != r.req.tokens:
-		r.short = true
+		r.fail("connection", lines.Err())
+	case r.tokens != r.req.outputTokens:
+		r.wrongLength = true
 	}
 }
 
-// content takes the text out of an event. The stand-in's tokens need no
-// unescaping, which keeps the tool's own cost low.
-func content(data []byte) string {
+// tokenText extracts the token from a stream event. It searches for the field rather than
+// decoding JSON, to keep the load generator cheap; the tokens of the stand-in engine contain
+// no escape sequences.
+func tokenText(data []byte) string {
 	i := bytes.Index(data, contentField)
 	if i < 0 {
 		return ""
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -6,16 +6,18 @@
 	"slices"
 )
 
-// Plan says which runs an experiment makes: each variant with each factor and
-// each seed. Empty lists mean 1, the scenario's seed, and all variants.
-type Plan struct {
-	Factors []float64
-	Seeds   []uint64
-	Only    []string
+// ExperimentPlan lists the load factors, seeds and variants of an experiment, which runs every
+// combination of them. The defaults for empty lists are factor 1, the scenario's seed and all
+// variants.
+type ExperimentPlan struct {
+	Factors      []float64
+	Seeds        []uint64
+	VariantNames []string
 }
 
-// Experiment makes the runs of a plan, one after another, and reports each.
-func Experiment(ctx context.Context, s *Scenario, p Plan, logger *slog.Logger, done func(*Report)) ([]*Report, error) {
+// RunExperiment makes the runs of a plan one after another and calls onReport after each. If
+// ctx is cancelled, it returns the reports so far, the interrupted run included.
+func RunExperiment(ctx context.Context, s *Scenario, p ExperimentPlan, logger *slog.Logger, onReport func(*Report)) ([]*Report, error) {
 	if len(p.Factors) == 0 {
 		p.Factors = []float64{1}
 	}
@@ -25,16 +27,16 @@
 	var out []*Report
 	for _, factor := range p.Factors {
 		for _, seed := range p.Seeds {
-			for _, v := range s.variants(p.Only) {
+			for _, v := range s.selectVariants(p.VariantNames) {
 				run := *s
 				run.Seed = seed
-				rep, err := Run(ctx, &run, v.Policy, factor, logger)
+				report, err := Run(ctx, &run, v.Policy, factor, logger)
 				if err != nil {
 					return out, err
 				}
-				rep.Variant, rep.Factor = v.Name, factor
-				out = append(out, rep)
-				done(rep)
+				report.Variant, report.Factor = v.Name, factor
+				out = append(out, report)
+				onReport(report)
 				if ctx.Err() != nil {
 					return out, nil
 				}
@@ -44,15 +46,16 @@
 	return out, nil
 }
 
-// variants returns the policies to run: the scenario's own first.
-func (s *Scenario) variants(only []string) []Variant {
+// selectVariants returns the variants to run, the scenario's own policy first. An empty list of
+// names selects all.
+func (s *Scenario) selectVariants(names []string) []Variant {
 	all := []Variant{{Name: "merlinpost"}}
 	if s.Deployment != nil {
 		all[0].Policy = s.Deployment.Policy
 		all = append(all, s.Variants...)
 	}
-	if len(only) == 0 {
+	if len(names) == 0 {
 		return all
 	}
-	return slices.DeleteFunc(all, func(v Variant) bool { return !slices.Contains(only, v.Name) })
+	return slices.DeleteFunc(all, func(v Variant) bool { return !slices.Contains(names, v.Name) })
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -18,31 +18,31 @@
 			Bursts: []Burst{{FromMS: 5000, ForMS: 1000, Factor: 5}}}}}
 }
 
-func TestScheduleIsAFunctionOfTheSeed(t *testing.T) {
+func TestScheduleIsDeterministicForSeed(t *testing.T) {
 	g := NewWithT(t)
-	a, b := schedule(scenario(), 1), schedule(scenario(), 1)
+	a, b := planRequests(scenario(), 1), planRequests(scenario(), 1)
 	g.Expect(len(a)).To(Equal(len(b)))
 	prompts := map[string]bool{}
 	burst, teamA := 0, 0
 	for i := range a {
-		g.Expect(a[i].at).To(Equal(b[i].at))
+		g.Expect(a[i].sendOffset).To(Equal(b[i].sendOffset))
 		g.Expect(a[i].prompt).To(Equal(b[i].prompt))
 		prompts[a[i].prompt] = true
-		if a[i].at >= 5*time.Second && a[i].at < 6*time.Second {
+		if a[i].sendOffset >= 5*time.Second && a[i].sendOffset < 6*time.Second {
 			burst++
 		}
 		if a[i].team.Name == "a" {
 			teamA++
 		}
 	}
-	g.Expect(prompts).To(HaveLen(len(a)), "each prompt is asked once")
+	g.Expect(prompts).To(HaveLen(len(a)), "prompts must be unique")
 	g.Expect(len(a)).To(BeNumerically("~", 1400, 150))
 	g.Expect(burst).To(BeNumerically("~", 500, 80))
 	g.Expect(float64(teamA) / float64(len(a))).To(BeNumerically("~", 0.75, 0.06))
-	g.Expect(len(schedule(scenario(), 2))).To(BeNumerically("~", 2800, 250))
+	g.Expect(len(planRequests(scenario(), 2))).To(BeNumerically("~", 2800, 250))
 }
 
-// events writes an answer of n tokens as a router streams it.
+// events returns a response of n tokens as streamed by a router.
 func events(prompt string, n int, done bool) *bytes.Buffer {
 	var b bytes.Buffer
 	for i := range n {
@@ -54,51 +54,53 @@
 	return &b
 }
 
-func TestWrongShortAndCutAnswersAreCounted(t *testing.T) {
-	req := &request{prompt: "p", tokens: 5, stream: &Stream{Class: "x"}}
+func TestReadStreamDetectsInvalidResponses(t *testing.T) {
+	req := &request{prompt: "p", outputTokens: 5, stream: &Stream{Class: "x"}}
 	for name, c := range map[string]struct {
-		body         *bytes.Buffer
-		answered     bool
-		wrong, short bool
-		code         string
+		body                      *bytes.Buffer
+		answered                  bool
+		wrongContent, wrongLength bool
+		code                      string
 	}{
-		"whole":   {body: events("p", 5, true), answered: true},
-		"short":   {body: events("p", 4, true), short: true},
-		"doubled": {body: events("p", 6, true), short: true},
-		"wrong":   {body: events("q", 5, true), wrong: true},
-		"cut":     {body: events("p", 5, false), code: "connection"},
-		"failed":  {body: bytes.NewBufferString("data: {\"error\":{\"code\":\"engine_failed\",\"outcome\":\"partial\"}}\n\n"), code: "engine_failed"},
+		"complete":      {body: events("p", 5, true), answered: true},
+		"too short":     {body: events("p", 4, true), wrongLength: true},
+		"too long":      {body: events("p", 6, true), wrongLength: true},
+		"wrong content": {body: events("q", 5, true), wrongContent: true},
+		"truncated":     {body: events("p", 5, false), code: "connection"},
+		"error event":   {body: bytes.NewBufferString("data: {\"error\":{\"code\":\"engine_failed\",\"outcome\":\"partial\"}}\n\n"), code: "engine_failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := &result{req: req}
 			r.readStream(c.body, time.Now())
 			g.Expect(r.answered()).To(Equal(c.answered))
-			g.Expect(r.wrong).To(Equal(c.wrong))
-			g.Expect(r.short).To(Equal(c.short))
+			g.Expect(r.wrongContent).To(Equal(c.wrongContent))
+			g.Expect(r.wrongLength).To(Equal(c.wrongLength))
 			g.Expect(r.code).To(Equal(c.code))
 		})
 	}
 }
 
-func TestReportCountsFromTheIntendedTime(t *testing.T) {
+func TestReportAggregatesResults(t *testing.T) {
 	g := NewWithT(t)
 	s := scenario()
 	s.WarmupMS = 1000
 	s.Streams[0].FirstTokenMS = 100
-	req := func(at time.Duration) *request { return &request{at: at, stream: &s.Streams[0], tokens: 2} }
-	rep := report(s, []*result{
-		{req: req(0), first: time.Second, tokens: 2},                                     // warm-up
-		{req: req(2 * time.Second), first: 50 * time.Millisecond, tokens: 2},             // met
-		{req: req(3 * time.Second), first: 150 * time.Millisecond, tokens: 2},            // missed
-		{req: req(4 * time.Second), code: "queue_full", outcome: "not_run", retry: true}, // refused
+	req := func(at time.Duration) *request {
+		return &request{sendOffset: at, stream: &s.Streams[0], outputTokens: 2}
+	}
+	rep := buildReport(s, []*result{
+		{req: req(0), firstToken: time.Second, tokens: 2},                                        // warm-up
+		{req: req(2 * time.Second), firstToken: 50 * time.Millisecond, tokens: 2},                // met
+		{req: req(3 * time.Second), firstToken: 150 * time.Millisecond, tokens: 2},               // missed
+		{req: req(4 * time.Second), code: "queue_full", outcome: "not_run", hasRetryAfter: true}, // refused
 	}, 10*time.Second)
 	c := rep.Classes[0]
 	g.Expect([]int{c.Sent, c.Answered, c.Attained, c.NoRetryAfter}).To(Equal([]int{3, 2, 1, 0}))
 	g.Expect(c.Goodput).To(BeNumerically("~", 2.0/9, 1e-9))
 	g.Expect(c.FirstP99).To(BeNumerically("~", 150, 1))
-	g.Expect(rep.delivered).To(Equal(6))
+	g.Expect(rep.deliveredTokens).To(Equal(6))
 	var text strings.Builder
-	g.Expect(Text(&text, []*Report{rep})).To(Succeed())
+	g.Expect(WriteText(&text, []*Report{rep})).To(Succeed())
 	g.Expect(text.String()).To(ContainSubstring("33.3%"))
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,38 +14,40 @@
 	"github.com/merlinpost/merlinpost/internal/standin/engine"
 )
 
-// Run runs a scenario once, with every rate multiplied by factor, and reports.
+// Run runs a scenario once, with every rate multiplied by factor, and returns its report. It
+// uses the embedded deployment with the given policy if the scenario has one, and otherwise the
+// scenario's routers.
 func Run(ctx context.Context, s *Scenario, policy Policy, factor float64, logger *slog.Logger) (*Report, error) {
 	if s.Deployment == nil {
 		if len(s.Routers) == 0 {
-			return nil, fault.New(fault.BadSettings, "either routers or a deployment is needed").InField("routers")
+			return nil, fault.New(fault.BadSettings, "the scenario needs routers or a deployment").InField("routers")
 		}
-		return drive(ctx, s, s.Routers, factor, func(time.Duration) {}), nil
+		return sendRequests(ctx, s, s.Routers, factor, func(time.Duration) {}), nil
 	}
-	d, err := start(ctx, s, policy, logger)
+	d, err := startDeployment(ctx, s, policy, logger)
 	if err != nil {
 		return nil, err
 	}
 	defer d.Close()
 	slowed := false
-	rep := drive(ctx, s, []string{d.CallersAddress()}, factor, func(at time.Duration) {
+	rep := sendRequests(ctx, s, []string{d.CallersAddress()}, factor, func(at time.Duration) {
 		if dep := s.Deployment; dep.Slow > 1 && !slowed && at >= settings.Millis(dep.SlowFromMS) {
 			slowed = true
 			d.Engines[0].SetFaults(engine.Faults{Slow: dep.Slow})
 		}
 	})
-	rep.addMade(d)
+	rep.addGeneratedTokens(d)
 	return rep, nil
 }
 
-// start starts the embedded deployment of a scenario.
-func start(ctx context.Context, s *Scenario, policy Policy, logger *slog.Logger) (*dev.Deployment, error) {
+// startDeployment starts the embedded deployment of a scenario.
+func startDeployment(ctx context.Context, s *Scenario, policy Policy, logger *slog.Logger) (*dev.Deployment, error) {
 	dep := s.Deployment
 	classes, teams := map[string]*resource.Class{}, map[string]*resource.Team{}
 	var names []string
 	for i := range s.Streams {
-		c := classOf(&s.Streams[i])
-		if e := checkClass(c); e != nil {
+		c := resourceClass(&s.Streams[i])
+		if e := validateClass(c); e != nil {
 			return nil, e
 		}
 		classes[s.Streams[i].Class] = c
@@ -54,7 +56,7 @@
 	for _, t := range s.Teams {
 		teams[t.Name] = &resource.Team{KeysSHA256: []string{resource.HashKey(t.Key)}, DefaultClass: names[0], Classes: names}
 	}
-	off := func(part string) bool { return slices.Contains(policy.Without, part) }
+	disabled := func(part string) bool { return slices.Contains(policy.Without, part) }
 	return dev.Start(ctx, dev.Options{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Engines: dep.Engines, Slots: dep.Slots,
 		Step: time.Duration(dep.StepMS * float64(time.Millisecond)), Classes: classes, Teams: teams,
 		Tune: func(a *settings.Agent) {
@@ -65,20 +67,20 @@
 				a.Admission.MaxPreemptions = *policy.MaxPreemptions
 			}
 			a.Admission.QueueLimit = 100_000
-			a.Admission.Preemption, a.Admission.Floors = !off("preemption"), !off("floors")
-			a.Admission.Fairness, a.Admission.EarlyRefusal = !off("fairness"), !off("early_refusal")
+			a.Admission.Preemption, a.Admission.Floors = !disabled("preemption"), !disabled("floors")
+			a.Admission.Fairness, a.Admission.EarlyRefusal = !disabled("fairness"), !disabled("early_refusal")
 		},
 		TuneRouter: func(r *settings.Router) {
 			if policy.Choice != "" {
 				r.Policy.Choice = policy.Choice
 			}
-			r.Policy.Prefix, r.Policy.Domain = !off("prefix"), !off("domain")
-			r.Policy.Straggler, r.Policy.Corrected = !off("straggler"), !off("corrected")
+			r.Policy.Prefix, r.Policy.Domain = !disabled("prefix"), !disabled("domain")
+			r.Policy.Straggler, r.Policy.Corrected = !disabled("straggler"), !disabled("corrected")
 			r.Callers.MaxRequests = 1_000_000
 		}}, logger)
 }
 
-func classOf(s *Stream) *resource.Class {
+func resourceClass(s *Stream) *resource.Class {
 	wait := s.MaxWaitMS
 	if wait == 0 {
 		wait = 60_000
@@ -87,30 +89,31 @@
 		MaxWaitMS: wait, MaxRunMS: max(wait, 3_600_000), Floor: s.Floor, Preemptible: s.Preemptible, MaxTokens: max(s.TokensMax, 1)}
 }
 
-func checkClass(c *resource.Class) error {
+func validateClass(c *resource.Class) error {
 	if c.Tier == 0 && c.Preemptible {
-		return fault.New(fault.BadSettings, "the top tier is never preempted").InField("stream.preemptible")
+		return fault.New(fault.BadSettings, "a class of tier 0 can't be preemptible, because tier 0 is never preempted").InField("stream.preemptible")
 	}
 	return nil
 }
 
-// tail is how long answers are waited for after the last request was sent.
-const tail = 2 * time.Minute
+// drainTimeout is how long to wait for responses after the end of the scenario.
+const drainTimeout = 2 * time.Minute
 
-// drive sends the planned requests, each at its time, and waits for the
-// answers. each is called before every request with the time since the start.
-func drive(ctx context.Context, s *Scenario, routers []string, factor float64, each func(time.Duration)) *Report {
-	plan := schedule(s, factor)
+// sendRequests sends each planned request at its intended time, without waiting for earlier
+// responses, and waits for all responses at the end. beforeSend is called before each request
+// with its intended offset from the start.
+func sendRequests(ctx context.Context, s *Scenario, routers []string, factor float64, beforeSend func(time.Duration)) *Report {
+	requests := planRequests(s, factor)
 	c := newClient(routers)
-	ctx, cancel := context.WithTimeout(ctx, s.duration()+tail)
+	ctx, cancel := context.WithTimeout(ctx, s.duration()+drainTimeout)
 	defer cancel()
-	results := make([]*result, len(plan))
-	var callers sync.WaitGroup
-	begin := time.Now()
+	results := make([]*result, len(requests))
+	var inFlight sync.WaitGroup
+	start := time.Now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for i := range plan {
-		intended := begin.Add(plan[i].at)
+	for i := range requests {
+		intended := start.Add(requests[i].sendOffset)
 		if d := time.Until(intended); d > 0 {
 			timer.Reset(d)
 			select {
@@ -118,9 +121,9 @@
 			case <-ctx.Done():
 			}
 		}
-		each(plan[i].at)
-		callers.Go(func() { results[i] = c.do(ctx, &plan[i], intended) })
+		beforeSend(requests[i].sendOffset)
+		inFlight.Go(func() { results[i] = c.send(ctx, &requests[i], intended) })
 	}
-	callers.Wait()
-	return report(s, results, time.Since(begin))
+	inFlight.Wait()
+	return buildReport(s, results, time.Since(start))
 }
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -1,7 +1,7 @@
-// Package load is the load and experiment tool: it sends requests at times set
-// beforehand, whatever the system answers (an open loop), checks each answer
-// against what its prompt must give, and reports latencies counted from the
-// intended time of sending, so that a slow system can't hide its own delays.
+// Package load is an open-loop load generator and experiment runner. It sends requests at
+// times planned in advance, independent of the responses, and checks each response against the
+// one expected for its prompt. Latencies are measured from the intended send time, which avoids
+// coordinated omission: a slow system can't hide its own delays.
 package load
 
 import (
@@ -14,95 +14,97 @@
 type Scenario struct {
 	Name string `toml:"name" validate:"required"`
 	Seed uint64 `toml:"seed"`
-	// DurationMS is how long requests are sent; requests intended before
-	// WarmupMS are sent but not counted.
+	// DurationMS is how long requests are sent. Requests planned before WarmupMS are sent but
+	// not included in the results of the classes.
 	DurationMS int `toml:"duration_ms" validate:"min=100,max=86400000"`
 	WarmupMS   int `toml:"warmup_ms" validate:"min=0,ltfield=DurationMS"`
-	// Routers are the callers' APIs to use in turn; empty with a deployment.
+	// Routers are the client API addresses, used in turn. They are ignored with a Deployment.
 	Routers []string `toml:"routers" validate:"dive,ipport"`
-	// Deployment, if given, is started in this process for the run.
+	// Deployment, if set, is started in this process for each run.
 	Deployment *Deployment `toml:"deployment"`
 	Teams      []Team      `toml:"team" validate:"min=1,dive"`
 	Streams    []Stream    `toml:"stream" validate:"min=1,dive"`
-	// Variants run the same requests against changed deployments.
+	// Variants are further policies of the embedded deployment, run with the same requests.
 	Variants []Variant `toml:"variant" validate:"dive"`
 }
 
-// Deployment is an embedded deployment.
+// Deployment configures an embedded deployment.
 type Deployment struct {
 	Engines int     `toml:"engines" validate:"min=1,max=64"`
 	Slots   int     `toml:"slots" validate:"min=1,max=256"`
 	StepMS  float64 `toml:"step_ms" validate:"gt=0,max=1000"`
-	// Slow makes engine 0 slower by this factor from SlowFromMS on.
+	// Slow is the factor by which engine 0 is slowed down from SlowFromMS on; values up to 1
+	// have no effect.
 	Slow       float64 `toml:"slow"`
 	SlowFromMS int     `toml:"slow_from_ms"`
 	Policy     Policy  `toml:"policy"`
 }
 
-// Policy is the policy of an embedded deployment; the zero value is the
-// product's own.
+// Policy configures the scheduling policy of an embedded deployment. The zero value is the
+// default policy.
 type Policy struct {
 	Choice string `toml:"choice" validate:"omitempty,oneof=scored round_robin least_loaded"`
 	Order  string `toml:"order" validate:"omitempty,oneof=tiers fifo"`
-	// MaxPreemptions replaces the default if not nil.
+	// MaxPreemptions overrides the default if set.
 	MaxPreemptions *int `toml:"max_preemptions" validate:"omitempty,min=0,max=100"`
-	// Without switches parts off: "preemption", "floors", "fairness",
+	// Without disables parts of the policy: "preemption", "floors", "fairness",
 	// "early_refusal", "prefix", "domain", "straggler", "corrected".
 	Without []string `toml:"without" validate:"dive,oneof=preemption floors fairness early_refusal prefix domain straggler corrected"`
 }
 
-// Variant is a changed policy to compare.
+// Variant is a named policy to compare with the scenario's own.
 type Variant struct {
 	Name   string `toml:"name" validate:"required"`
 	Policy Policy `toml:"policy"`
 }
 
-// Team sends a share of the requests.
+// Team sends a share of the requests in proportion to its Weight.
 type Team struct {
 	Name   string  `toml:"name" validate:"required"`
 	Key    string  `toml:"key" validate:"required"`
 	Weight float64 `toml:"weight" validate:"gt=0"`
 }
 
-// Stream is a kind of request with its arrivals.
+// Stream is a stream of similar requests with its arrival process.
 type Stream struct {
 	Class string `toml:"class" validate:"required"`
 	Model string `toml:"model" validate:"required_without=Service"`
-	// Service makes the requests plain service calls with a key each.
+	// Service, if set, makes the requests calls to this plain service, each with its own
+	// idempotency key.
 	Service string `toml:"service"`
-	// Rate is the mean of the Poisson arrivals, a second.
+	// Rate is the mean rate of the Poisson arrivals in requests per second, outside of bursts.
 	Rate   float64 `toml:"rate" validate:"gt=0,max=100000"`
 	Bursts []Burst `toml:"burst" validate:"dive"`
-	// TokensMin to TokensMax is the range of answer lengths; LongTail draws
-	// them so that each doubling is as likely as the one before.
+	// TokensMin and TokensMax bound the response length, which is distributed uniformly, or
+	// log-uniformly with LongTail.
 	TokensMin int  `toml:"tokens_min" validate:"min=1,max=100000"`
 	TokensMax int  `toml:"tokens_max" validate:"gtefield=TokensMin,max=100000"`
 	LongTail  bool `toml:"long_tail"`
-	// PromptWords is the length of a prompt's own part; Prefixes prompts
-	// share one of as many prefixes of PrefixWords words.
+	// PromptWords is the number of filler words in the unique part of a prompt. With Prefixes
+	// above 0, each prompt begins with one of that many shared prefixes of PrefixWords words.
 	PromptWords int `toml:"prompt_words" validate:"min=0,max=10000"`
 	Prefixes    int `toml:"prefixes" validate:"min=0,max=10000"`
 	PrefixWords int `toml:"prefix_words" validate:"min=0,max=10000"`
-	// The class's targets; 0 means none. They must be those of the class.
+	// Latency targets; 0 means none. They must match the targets of the class.
 	FirstTokenMS    int `toml:"first_token_ms" validate:"min=0"`
 	BetweenTokensMS int `toml:"between_tokens_ms" validate:"min=0"`
 	TotalMS         int `toml:"total_ms" validate:"min=0"`
-	// Embedded deployments declare the class with these.
+	// Class settings, used only for embedded deployments.
 	Tier        int     `toml:"tier" validate:"min=0,max=4"`
 	MaxWaitMS   int     `toml:"max_wait_ms" validate:"min=0"`
 	Floor       float64 `toml:"floor" validate:"min=0,max=0.5"`
 	Preemptible bool    `toml:"preemptible"`
 }
 
-// Burst multiplies a stream's rate for a time.
+// Burst multiplies a stream's rate by Factor for a period. Overlapping bursts multiply.
 type Burst struct {
 	FromMS int     `toml:"from_ms" validate:"min=0"`
 	ForMS  int     `toml:"for_ms" validate:"min=1"`
 	Factor float64 `toml:"factor" validate:"gt=0,max=1000"`
 }
 
-// Read reads and checks a scenario file.
-func Read(path string) (*Scenario, error) {
+// ReadScenario reads and validates a scenario file.
+func ReadScenario(path string) (*Scenario, error) {
 	s := &Scenario{}
 	if err := settings.ReadFile(path, s); err != nil {
 		return nil, err
@@ -112,7 +114,7 @@
 
 func (s *Scenario) duration() time.Duration { return settings.Millis(s.DurationMS) }
 
-// rateAt returns the stream's rate at a time after the start.
+// rateAt returns the stream's rate at an offset from the start.
 func (s *Stream) rateAt(at time.Duration) float64 {
 	rate := s.Rate
 	for _, b := range s.Bursts {
@@ -124,8 +126,9 @@
 	return rate
 }
 
-// peak returns the stream's highest rate.
-func (s *Stream) peak() float64 {
+// peakRate returns an upper bound of the stream's rate, as if all bursts with a factor above 1
+// overlapped.
+func (s *Stream) peakRate() float64 {
 	peak := s.Rate
 	for _, b := range s.Bursts {
 		if b.Factor > 1 {
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -11,53 +11,53 @@
 
 // request is one planned request.
 type request struct {
-	at     time.Duration // intended time after the start
-	stream *Stream
-	team   *Team
-	prompt string
-	tokens int
-	number int
+	sendOffset   time.Duration // intended send time, from the start of the run
+	stream       *Stream
+	team         *Team
+	prompt       string
+	outputTokens int
+	number       int
 }
 
-// schedule plans all requests of a scenario. It depends on the scenario and
-// its seed alone; factor multiplies every rate.
-func schedule(s *Scenario, factor float64) []request {
+// planRequests plans all requests of a scenario in the order of their send times. The result
+// depends only on the scenario with its seed and on factor, which multiplies every rate.
+func planRequests(s *Scenario, factor float64) []request {
 	var out []request
 	for i := range s.Streams {
-		rnd := rand.New(rand.NewPCG(s.Seed, uint64(i)))
-		out = append(out, arrivals(s, &s.Streams[i], i, factor, rnd)...)
+		rng := rand.New(rand.NewPCG(s.Seed, uint64(i)))
+		out = append(out, poissonArrivals(s, &s.Streams[i], i, factor, rng)...)
 	}
-	sort.SliceStable(out, func(i, j int) bool { return out[i].at < out[j].at })
+	sort.SliceStable(out, func(i, j int) bool { return out[i].sendOffset < out[j].sendOffset })
 	for i := range out {
 		out[i].number = i
 	}
 	return out
 }
 
-// arrivals draws a Poisson process of varying rate by thinning one of the
-// highest rate.
-func arrivals(s *Scenario, stream *Stream, index int, factor float64, rnd *rand.Rand) []request {
+// poissonArrivals samples a non-homogeneous Poisson process by thinning a homogeneous one of the
+// peak rate.
+func poissonArrivals(s *Scenario, stream *Stream, index int, factor float64, rng *rand.Rand) []request {
 	var out []request
-	peak := stream.peak()
-	for at := time.Duration(0); ; {
-		at += time.Duration(rnd.ExpFloat64() / (peak * factor) * float64(time.Second))
-		if at >= s.duration() {
+	peak := stream.peakRate()
+	for offset := time.Duration(0); ; {
+		offset += time.Duration(rng.ExpFloat64() / (peak * factor) * float64(time.Second))
+		if offset >= s.duration() {
 			return out
 		}
-		if rnd.Float64()*peak > stream.rateAt(at) {
+		if rng.Float64()*peak > stream.rateAt(offset) {
 			continue
 		}
-		out = append(out, request{at: at, stream: stream, team: drawTeam(s.Teams, rnd), tokens: stream.drawTokens(rnd),
-			prompt: stream.drawPrompt(index, len(out), rnd)})
+		out = append(out, request{sendOffset: offset, stream: stream, team: drawTeam(s.Teams, rng), outputTokens: stream.drawTokens(rng),
+			prompt: stream.drawPrompt(index, len(out), rng)})
 	}
 }
 
-func drawTeam(teams []Team, rnd *rand.Rand) *Team {
+func drawTeam(teams []Team, rng *rand.Rand) *Team {
 	sum := 0.0
 	for i := range teams {
 		sum += teams[i].Weight
 	}
-	x := rnd.Float64() * sum
+	x := rng.Float64() * sum
 	for i := range teams {
 		if x -= teams[i].Weight; x < 0 {
 			return &teams[i]
@@ -66,19 +66,19 @@
 	return &teams[len(teams)-1]
 }
 
-func (s *Stream) drawTokens(rnd *rand.Rand) int {
+func (s *Stream) drawTokens(rng *rand.Rand) int {
 	if !s.LongTail {
-		return s.TokensMin + rnd.IntN(s.TokensMax-s.TokensMin+1)
+		return s.TokensMin + rng.IntN(s.TokensMax-s.TokensMin+1)
 	}
 	low, high := math.Log(float64(s.TokensMin)), math.Log(float64(s.TokensMax))
-	return int(math.Round(math.Exp(low + rnd.Float64()*(high-low))))
+	return int(math.Round(math.Exp(low + rng.Float64()*(high-low))))
 }
 
-// drawPrompt makes a prompt that no other request of the run has.
-func (s *Stream) drawPrompt(index, number int, rnd *rand.Rand) string {
+// drawPrompt returns a prompt that is unique within the run.
+func (s *Stream) drawPrompt(index, number int, rng *rand.Rand) string {
 	var b strings.Builder
 	if s.Prefixes > 0 {
-		p := rnd.IntN(s.Prefixes)
+		p := rng.IntN(s.Prefixes)
 		for w := range s.PrefixWords {
 			fmt.Fprintf(&b, "p%d-%d-%d ", index, p, w)
 		}
