--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -20,7 +20,7 @@
 func Run(ctx context.Context, s *Scenario, policy Policy, factor float64, logger *slog.Logger) (*Report, error) {
 	if s.Deployment == nil {
 		if len(s.Routers) == 0 {
-			return nil, fault.New(fault.BadSettings, "the scenario needs routers or a deployment").InField("routers")
+			return nil, fault.New(fault.BadSettings, "the scenario needs routers or a deployment").WithField("routers")
 		}
 		return sendRequests(ctx, s, s.Routers, factor, func(time.Duration) {}), nil
 	}
@@ -54,7 +54,7 @@
 		names = append(names, s.Streams[i].Class)
 	}
 	for _, t := range s.Teams {
-		teams[t.Name] = &resource.Team{KeysSHA256: []string{resource.HashKey(t.Key)}, DefaultClass: names[0], Classes: names}
+		teams[t.Name] = &resource.Team{KeysSHA256: []string{resource.HashAPIKey(t.Key)}, DefaultClass: names[0], Classes: names}
 	}
 	disabled := func(part string) bool { return slices.Contains(policy.Without, part) }
 	return dev.Start(ctx, dev.Options{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Engines: dep.Engines, Slots: dep.Slots,
@@ -91,7 +91,7 @@
 
 func validateClass(c *resource.Class) error {
 	if c.Tier == 0 && c.Preemptible {
-		return fault.New(fault.BadSettings, "a class of tier 0 can't be preemptible, because tier 0 is never preempted").InField("stream.preemptible")
+		return fault.New(fault.BadSettings, "a class of tier 0 can't be preemptible, because tier 0 is never preempted").WithField("stream.preemptible")
 	}
 	return nil
 }
--- a/internal/simulate/engine.go
+++ b/internal/simulate/engine.go
@@ -165,15 +165,15 @@
 	onFirst      func(now time.Time)
 	onEnd        func(now time.Time)
 	ended        bool
-	streamStats  permit.Stream
+	streamStats  permit.StreamStats
 	lastEvent    time.Time // time of the last stream event
 }
 
 // recordEvent adds an event of the response stream to the job's statistics.
 func (j *job) recordEvent(at time.Time) {
 	if j.streamStats.Events > 0 {
-		j.streamStats.Took += at.Sub(j.lastEvent)
-		j.streamStats.Longest = max(j.streamStats.Longest, at.Sub(j.lastEvent))
+		j.streamStats.Duration += at.Sub(j.lastEvent)
+		j.streamStats.LongestGap = max(j.streamStats.LongestGap, at.Sub(j.lastEvent))
 	}
 	j.streamStats.Events++
 	j.lastEvent = at
--- a/internal/simulate/result.go
+++ b/internal/simulate/result.go
@@ -64,7 +64,7 @@
 		firstTokens = append(firstTokens, j.first.Sub(j.arrived))
 	}
 	switch {
-	case j.metDeadline() && j.first.Sub(j.arrived) <= j.class.FirstTokenTarget && (j.class.MaxEventGap == 0 || j.streamStats.Longest <= j.class.MaxEventGap):
+	case j.metDeadline() && j.first.Sub(j.arrived) <= j.class.FirstTokenTarget && (j.class.MaxEventGap == 0 || j.streamStats.LongestGap <= j.class.MaxEventGap):
 		r.OnTime++
 	case j.metDeadline():
 		r.Late++
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -58,8 +58,8 @@
 
 // permitPolicies holds the variants that change permit decisions.
 var permitPolicies = map[Variant]permit.Policy{
-	NoHarm: {NoHarm: true}, NoPacing: {NoPacing: true}, NoOrder: {NoOrder: true}, Together: {Together: true},
-	NoLearning: {NoLearning: true}, NoFetch: {NoFetch: true}, ByArrival: {ByArrival: true}, Patient: {Patient: true},
+	NoHarm: {IgnoreInterference: true}, NoPacing: {IgnoreResponseTimeouts: true}, NoOrder: {NoEnginePreference: true}, Together: {ConcurrentPrefills: true},
+	NoLearning: {NoLearning: true}, NoFetch: {NoFetch: true}, ByArrival: {IgnoreLateness: true}, Patient: {NoEarlyRefusal: true},
 }
 
 // Config describes one simulation.
@@ -120,8 +120,8 @@
 	eventQueue eventHeap
 	rng        *rand.Rand
 	engines    map[string]*engine
-	registries []*registry.Registry         // by gateway
-	permits    *permit.Desk[*permitRequest] // serves all groups
+	registries []*registry.Registry              // by gateway
+	permits    *permit.Scheduler[*permitRequest] // serves all groups
 	jobs       []*job
 }
 
@@ -147,7 +147,7 @@
 func Run(c Config) []ClassResult {
 	s := &simulation{Config: c, now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(c.Seed, 7)),
 		engines: map[string]*engine{}}
-	s.permits = permit.NewDesk[*permitRequest](s.groupEngines, func(string) (enginemodel.Figures, bool) { return enginemodel.Figures{}, false },
+	s.permits = permit.NewScheduler[*permitRequest](s.groupEngines, func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false },
 		ratelimit.New(s.rng.Float64), permitPolicies[c.Variant])
 	var servers []registry.Server
 	for i := range c.Engines {
@@ -196,7 +196,7 @@
 	}
 	var tick func(time.Time)
 	tick = func(now time.Time) {
-		s.handleDue(s.permits.Next(now))
+		s.handleDue(s.permits.Poll(now))
 		if now.Sub(start) < s.Duration+20*time.Second {
 			s.scheduleAfter(20*time.Millisecond, tick)
 		}
@@ -207,12 +207,12 @@
 // groupEngines returns the engines of a group as seen by the first gateway.
 func (s *simulation) groupEngines(group permit.Group) []permit.Engine {
 	candidates := s.candidates(0, s.now)
-	groups := placement.Groups(len(candidates))
+	groups := placement.GroupCount(len(candidates))
 	var out []permit.Engine
 	for _, c := range candidates {
 		if placement.GroupOf(c.Server.ID, groups) == group.Index {
-			out = append(out, permit.Engine{ID: c.Server.ID, FailureDomain: c.Server.FailureDomain, Open: true, Slots: s.Engine.Slots,
-				Memory: s.Engine.KVCacheTokens, EventTokens: s.Engine.EventTokens})
+			out = append(out, permit.Engine{ID: c.Server.ID, FailureDomain: c.Server.FailureDomain, Accepting: true, Slots: s.Engine.Slots,
+				KVCacheTokens: s.Engine.KVCacheTokens, TokensPerEvent: s.Engine.EventTokens})
 		}
 	}
 	return out
@@ -224,7 +224,7 @@
 	id := fmt.Sprint("r", len(s.jobs))
 	prefix := fmt.Sprint(class.Name, s.rng.IntN(class.SharedPrefixes))
 	return &job{id: id, class: class, outputTokens: max(1, int(class.OutputTokens*math.Exp(0.4*s.rng.NormFloat64()))),
-		prompt: placement.Prompt{Tokens: class.SharedPrefixTokens + uniqueTokens, Output: int(class.OutputTokens),
+		prompt: placement.Prompt{Tokens: class.SharedPrefixTokens + uniqueTokens, OutputTokens: int(class.OutputTokens),
 			Parts: []placement.Part{{ID: prefix, Tokens: class.SharedPrefixTokens}, {ID: id, Tokens: uniqueTokens}}}}
 }
 
@@ -237,12 +237,12 @@
 	candidates := s.candidates(gateway, now)
 	switch s.Variant {
 	case LeastRequests:
-		s.dispatch(j, gateway, placement.Plain(req, candidates), now)
+		s.dispatch(j, gateway, placement.ChoosePlain(req, candidates), now)
 	case NoPermits:
-		s.dispatch(j, gateway, placement.Engine(req, candidates), now)
+		s.dispatch(j, gateway, placement.ChooseEngine(req, candidates), now)
 	default:
 		prefix, _ := j.prompt.Shared()
-		s.requestPermit(&permitRequest{job: j, gateway: gateway, groups: placement.GroupsFor(prefix, placement.Groups(len(candidates)))}, now)
+		s.requestPermit(&permitRequest{job: j, gateway: gateway, groups: placement.RankGroups(prefix, placement.GroupCount(len(candidates)))}, now)
 	}
 }
 
@@ -260,13 +260,13 @@
 	j := p.job
 	prefix, shared := j.prompt.Shared()
 	elapsed := now.Sub(j.arrived)
-	answer := s.permits.Ask(p.group(), permit.Ask{ID: j.id, Rank: s.rank(j), Own: j.prompt.Tokens - shared, Part: prefix, Shared: shared,
-		Output: j.prompt.Output, Gap: j.class.MaxEventGap, Deadline: j.class.Deadline - elapsed, Target: j.class.FirstTokenTarget - elapsed,
-		Limit: max(4*j.class.FirstTokenTarget-elapsed, 500*time.Millisecond)}, p, now)
+	answer := s.permits.Submit(p.group(), permit.Ask{ID: j.id, Priority: s.rank(j), UniqueTokens: j.prompt.Tokens - shared, PrefixID: prefix, PrefixTokens: shared,
+		OutputTokens: j.prompt.OutputTokens, MaxEventGap: j.class.MaxEventGap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.FirstTokenTarget - elapsed,
+		FirstTokenTimeout: max(4*j.class.FirstTokenTarget-elapsed, 500*time.Millisecond)}, p, now)
 	s.handleAnswer(p, answer, now)
 }
 
-func (s *simulation) handleAnswer(p *permitRequest, answer permit.Answer, now time.Time) {
+func (s *simulation) handleAnswer(p *permitRequest, answer permit.Decision, now time.Time) {
 	switch answer.Verdict {
 	case permit.Granted:
 		p.job.group = p.group()
@@ -280,7 +280,7 @@
 }
 
 // grantedChoice returns the placement named by a granted permit.
-func (s *simulation) grantedChoice(p *permitRequest, answer permit.Answer, now time.Time) placement.Choice {
+func (s *simulation) grantedChoice(p *permitRequest, answer permit.Decision, now time.Time) placement.Choice {
 	out := placement.Choice{FetchFrom: answer.FetchFrom, Reason: placement.Decided}
 	candidates := s.candidates(p.gateway, now)
 	for i := range candidates {
@@ -293,10 +293,10 @@
 
 // handleDue handles the decisions on queued permit requests, except those whose deadline has
 // passed.
-func (s *simulation) handleDue(due []permit.Due[*permitRequest]) {
+func (s *simulation) handleDue(due []permit.Notification[*permitRequest]) {
 	for _, d := range due {
 		if !d.To.job.expired {
-			s.handleAnswer(d.To, d.Answer, s.now)
+			s.handleAnswer(d.To, d.Decision, s.now)
 		}
 	}
 }
@@ -307,7 +307,7 @@
 	fetched := c.FetchFrom != "" && s.engines[c.FetchFrom].hasPrefix(sharedPrefixID(j), now)
 	_, shared := j.prompt.Shared()
 	prefillTokens := j.prompt.Tokens - shared
-	b.Begin(prefillTokens)
+	b.BeginRequest(prefillTokens)
 	e.enqueue(j, s.rank(j), fetched, now)
 	first := func(f *job, at time.Time) {
 		f.first = at
@@ -322,14 +322,14 @@
 			return
 		}
 		j.ended = true
-		b.End()
-		s.permits.End(j.group, j.id, j.streamStats, now)
-		s.handleDue(s.permits.Next(now))
+		b.EndRequest()
+		s.permits.Finish(j.group, j.id, j.streamStats, now)
+		s.handleDue(s.permits.Poll(now))
 	}
 	s.scheduleAt(j.arrived.Add(j.class.Deadline), func(now time.Time) { j.onEnd(now) })
 	j.sent = now
 	j.onFirst = func(now time.Time) {
-		b.FirstToken(prefillTokens)
+		b.RecordFirstToken(prefillTokens)
 	}
 	if !e.busy {
 		e.busy = true
@@ -339,8 +339,8 @@
 
 func (s *simulation) firstToken(j *job, now time.Time) {
 	j.onFirst(now)
-	s.permits.FirstToken(j.group, j.id, now.Sub(j.sent), now)
-	s.handleDue(s.permits.Next(now))
+	s.permits.RecordFirstToken(j.group, j.id, now.Sub(j.sent), now)
+	s.handleDue(s.permits.Poll(now))
 }
 
 func (s *simulation) runStep(e *engine, first, end func(*job, time.Time)) {
