--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -172,9 +172,9 @@
 	for code, n := range d.core.TakeRefused() {
 		telemetry.Add("merlinpost_agent_refused_total", int(n), "code", string(code))
 	}
-	telemetry.Gauge("merlinpost_agent_held", float64(d.core.Held()))
-	telemetry.Gauge("merlinpost_agent_tombstones", float64(d.core.Tombstones()))
-	telemetry.Gauge("merlinpost_agent_keys", float64(d.core.Book().Len()))
+	telemetry.SetGauge("merlinpost_agent_held", float64(d.core.Held()))
+	telemetry.SetGauge("merlinpost_agent_tombstones", float64(d.core.Tombstones()))
+	telemetry.SetGauge("merlinpost_agent_keys", float64(d.core.Book().Len()))
 }
 
 // Send implements execution.Effects.
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -157,9 +157,9 @@
 	failed := q.lastSent()
 	failed.Repeat = &d
 	telemetry.Count("merlinpost_retry_budget_decisions_total", "service", q.service, "cause", failed.Result, "verdict", verdict)
-	telemetry.Gauge("merlinpost_retry_budget_taken", float64(d.Taken), "service", q.service)
-	telemetry.Gauge("merlinpost_retry_budget_allowed", d.Allowed, "service", q.service)
-	telemetry.Seconds("merlinpost_retry_budget_wait_seconds", d.Waited, "service", q.service, "verdict", verdict)
+	telemetry.SetGauge("merlinpost_retry_budget_taken", float64(d.Taken), "service", q.service)
+	telemetry.SetGauge("merlinpost_retry_budget_allowed", d.Allowed, "service", q.service)
+	telemetry.ObserveDuration("merlinpost_retry_budget_wait_seconds", d.Waited, "service", q.service, "verdict", verdict)
 	return d.Granted
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -170,7 +170,7 @@
 		}
 	}
 	g.ConfirmTable(at)
-	telemetry.Gauge("merlinpost_config_version", float64(t.Version))
+	telemetry.SetGauge("merlinpost_config_version", float64(t.Version))
 	return true
 }
 
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -201,5 +201,5 @@
 	default:
 		g.refuse(w, q, err)
 	}
-	telemetry.Seconds("merlinpost_gateway_request_seconds", g.now().Sub(q.start), "team", q.teamName(), "class", q.route.Name)
+	telemetry.ObserveDuration("merlinpost_gateway_request_seconds", g.now().Sub(q.start), "team", q.teamName(), "class", q.route.Name)
 }
--- a/internal/peers/beats.go
+++ b/internal/peers/beats.go
@@ -52,7 +52,7 @@
 	}
 	p.mu.Unlock()
 	if changed {
-		telemetry.Gauge("merlinpost_gateways_live", float64(live))
+		telemetry.SetGauge("merlinpost_gateways_live", float64(live))
 		p.logger.Info("live gateways changed", "live", live)
 	}
 	if due {
--- a/internal/telemetry/request.go
+++ b/internal/telemetry/request.go
@@ -7,92 +7,95 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Requests holds the metrics of one team in one class. Looking it up once a
-// request keeps the name building off the path of each token.
-type Requests struct {
-	firstToken, betweenTokens, whole *metrics.Histogram
-	class                            string
-	team                             string
+// RequestMetrics holds the metrics of one team in one class. It is looked up
+// once per request so that metric names are not rebuilt for every token.
+type RequestMetrics struct {
+	firstToken, betweenTokens, duration *metrics.Histogram
+	class                               string
+	team                                string
 }
 
-var requests sync.Map // of "team\x00class" to *Requests
+var requestMetrics sync.Map // *RequestMetrics by team + "\x00" + class
 
-// RequestsOf returns the metrics of a team in a class.
-func RequestsOf(team, class string) *Requests {
+// RequestMetricsFor returns the metrics of a team in a class. It is safe for
+// concurrent use.
+func RequestMetricsFor(team, class string) *RequestMetrics {
 	key := team + "\x00" + class
-	if r, ok := requests.Load(key); ok {
-		return r.(*Requests)
+	if r, ok := requestMetrics.Load(key); ok {
+		return r.(*RequestMetrics)
 	}
 	labels := []string{"team", team, "class", class}
-	r := &Requests{class: class, team: team,
-		firstToken:    metrics.GetOrCreateHistogram(name("merlinpost_first_token_seconds", labels)),
-		betweenTokens: metrics.GetOrCreateHistogram(name("merlinpost_between_tokens_seconds", labels)),
-		whole:         metrics.GetOrCreateHistogram(name("merlinpost_request_seconds", labels))}
-	actual, _ := requests.LoadOrStore(key, r)
-	return actual.(*Requests)
+	r := &RequestMetrics{class: class, team: team,
+		firstToken:    metrics.GetOrCreateHistogram(metricName("merlinpost_first_token_seconds", labels)),
+		betweenTokens: metrics.GetOrCreateHistogram(metricName("merlinpost_between_tokens_seconds", labels)),
+		duration:      metrics.GetOrCreateHistogram(metricName("merlinpost_request_seconds", labels))}
+	actual, _ := requestMetrics.LoadOrStore(key, r)
+	return actual.(*RequestMetrics)
 }
 
-// Targets are the latency targets of a class; 0 means none.
-type Targets struct{ FirstToken, BetweenTokens, Whole time.Duration }
+// LatencyTargets are the latency targets of a class. A zero value means that
+// there is no target.
+type LatencyTargets struct{ FirstToken, BetweenTokens, Total time.Duration }
 
-// Observation follows one request's timing. It belongs to one goroutine.
+// Observation records the timing of one request. It is not safe for concurrent
+// use.
 type Observation struct {
-	metrics  *Requests
-	targets  Targets
-	start    time.Time
-	last     time.Time
-	tokens   int
-	slowGaps int
-	first    time.Duration
+	metrics    *RequestMetrics
+	targets    LatencyTargets
+	start      time.Time
+	lastToken  time.Time
+	tokens     int
+	slowGaps   int
+	firstToken time.Duration
 }
 
-// Observe starts the observation of a request.
-func (r *Requests) Observe(start time.Time, targets Targets) *Observation {
+// Observe starts recording a request that arrived at start.
+func (r *RequestMetrics) Observe(start time.Time, targets LatencyTargets) *Observation {
 	return &Observation{metrics: r, targets: targets, start: start}
 }
 
-// Token takes in a token passed on.
+// Token records that a token was relayed to the caller.
 func (o *Observation) Token(now time.Time) {
 	o.tokens++
 	if o.tokens == 1 {
-		o.first = now.Sub(o.start)
-		o.metrics.firstToken.Update(o.first.Seconds())
+		o.firstToken = now.Sub(o.start)
+		o.metrics.firstToken.Update(o.firstToken.Seconds())
 	} else {
-		gap := now.Sub(o.last)
+		gap := now.Sub(o.lastToken)
 		o.metrics.betweenTokens.Update(gap.Seconds())
 		if o.targets.BetweenTokens > 0 && gap > o.targets.BetweenTokens {
 			o.slowGaps++
 		}
 	}
-	o.last = now
+	o.lastToken = now
 }
 
-// slowGapShare is the share of gaps that may be above the target: the target
-// holds for 95 in 100.
-const slowGapShare = 0.05
+// maxSlowGapRatio is the fraction of gaps between tokens that may exceed the
+// target: the target applies to the 95th percentile.
+const maxSlowGapRatio = 0.05
 
-// End takes in the end of the request; code is empty for a whole answer.
+// End records the end of the request. code is the error code, or empty if the
+// response was complete.
 func (o *Observation) End(now time.Time, code, outcome string) {
-	whole := now.Sub(o.start)
-	o.metrics.whole.Update(whole.Seconds())
+	total := now.Sub(o.start)
+	o.metrics.duration.Update(total.Seconds())
 	result := "answered"
 	if code != "" {
 		result = "failed"
 		Count("merlinpost_request_failures_total", "class", o.metrics.class, "code", code, "outcome", outcome)
 	}
 	Count("merlinpost_requests_total", "team", o.metrics.team, "class", o.metrics.class, "result", result)
-	met := code == "" && o.met(whole)
-	attained := "missed"
-	if met {
-		attained = "met"
+	targetResult := "missed"
+	if code == "" && o.meetsTargets(total) {
+		targetResult = "met"
 		Add("merlinpost_goodput_tokens_total", o.tokens, "class", o.metrics.class)
 	}
-	Count("merlinpost_targets_total", "class", o.metrics.class, "result", attained)
+	Count("merlinpost_targets_total", "class", o.metrics.class, "result", targetResult)
 	Add("merlinpost_tokens_total", o.tokens, "class", o.metrics.class)
 }
 
-func (o *Observation) met(whole time.Duration) bool {
+func (o *Observation) meetsTargets(total time.Duration) bool {
 	t := o.targets
-	return (t.FirstToken == 0 || o.first <= t.FirstToken) && (t.Whole == 0 || whole <= t.Whole) &&
-		float64(o.slowGaps) <= slowGapShare*float64(max(0, o.tokens-1))
+	return (t.FirstToken == 0 || o.firstToken <= t.FirstToken) && (t.Total == 0 || total <= t.Total) &&
+		float64(o.slowGaps) <= maxSlowGapRatio*float64(max(0, o.tokens-1))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry holds the process's metrics and its logger. Counters come
-// first; log lines are for changes of state only.
+// Package telemetry provides the metrics and the logger of a process. Events
+// are counted in metrics; only state changes are logged.
 package telemetry
 
 import (
@@ -14,11 +14,12 @@
 	"github.com/merlinpost/merlinpost/internal/settings"
 )
 
-// labelEscapes quotes a label's value as the Prometheus text format asks.
-var labelEscapes = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+// labelEscaper escapes label values for the Prometheus text format.
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// name builds a metric name from label pairs.
-func name(metric string, labels []string) string {
+// metricName returns the metric with its labels, given as alternating names and
+// values.
+func metricName(metric string, labels []string) string {
 	if len(labels) == 0 {
 		return metric
 	}
@@ -31,31 +32,31 @@
 		}
 		b.WriteString(labels[i])
 		b.WriteString(`="`)
-		b.WriteString(labelEscapes.Replace(labels[i+1]))
+		b.WriteString(labelEscaper.Replace(labels[i+1]))
 		b.WriteByte('"')
 	}
 	b.WriteByte('}')
 	return b.String()
 }
 
-// Count adds 1 to a counter; labels are name and value in turn.
+// Count adds 1 to a counter. Labels are given as alternating names and values.
 func Count(metric string, labels ...string) {
-	metrics.GetOrCreateCounter(name(metric, labels)).Inc()
+	metrics.GetOrCreateCounter(metricName(metric, labels)).Inc()
 }
 
 // Add adds n to a counter.
 func Add(metric string, n int, labels ...string) {
-	metrics.GetOrCreateCounter(name(metric, labels)).Add(n)
+	metrics.GetOrCreateCounter(metricName(metric, labels)).Add(n)
 }
 
-// Gauge sets a gauge.
-func Gauge(metric string, value float64, labels ...string) {
-	metrics.GetOrCreateGauge(name(metric, labels), nil).Set(value)
+// SetGauge sets the value of a gauge.
+func SetGauge(metric string, value float64, labels ...string) {
+	metrics.GetOrCreateGauge(metricName(metric, labels), nil).Set(value)
 }
 
-// Seconds records a duration in a histogram.
-func Seconds(metric string, d time.Duration, labels ...string) {
-	metrics.GetOrCreateHistogram(name(metric, labels)).Update(d.Seconds())
+// ObserveDuration records a duration, in seconds, in a histogram.
+func ObserveDuration(metric string, d time.Duration, labels ...string) {
+	metrics.GetOrCreateHistogram(metricName(metric, labels)).Update(d.Seconds())
 }
 
 // Handler serves the metrics in the Prometheus text format.
@@ -66,10 +67,11 @@
 	})
 }
 
-// NewLogger returns a logger as the settings ask.
+// NewLogger returns a logger that writes to w with the configured format and
+// level.
 func NewLogger(w io.Writer, set settings.Logging) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(set.Level)) // settings were checked
+	_ = level.UnmarshalText([]byte(set.Level)) // the level was validated with the settings
 	opts := &slog.HandlerOptions{Level: level}
 	if set.Format == "json" {
 		return slog.New(slog.NewJSONHandler(w, opts))
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -10,15 +10,15 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestLabelsAreQuoted(t *testing.T) {
-	NewWithT(t).Expect(name("m", []string{"team", "a\"b\\c\n"})).To(Equal(`m{team="a\"b\\c\n"}`))
+func TestLabelValuesAreEscaped(t *testing.T) {
+	NewWithT(t).Expect(metricName("m", []string{"team", "a\"b\\c\n"})).To(Equal(`m{team="a\"b\\c\n"}`))
 }
 
-func TestTargetsHoldFor95In100Gaps(t *testing.T) {
+func TestTokenGapTargetAppliesTo95thPercentile(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(0, 0)
 	observe := func(slow int) *Observation {
-		o := RequestsOf("t", "c").Observe(start, Targets{FirstToken: time.Second, BetweenTokens: 50 * time.Millisecond})
+		o := RequestMetricsFor("t", "c").Observe(start, LatencyTargets{FirstToken: time.Second, BetweenTokens: 50 * time.Millisecond})
 		now := start
 		for i := range 101 {
 			gap := 10 * time.Millisecond
@@ -30,12 +30,12 @@
 		}
 		return o
 	}
-	g.Expect(observe(5).met(time.Second)).To(BeTrue())
-	g.Expect(observe(6).met(time.Second)).To(BeFalse())
+	g.Expect(observe(5).meetsTargets(time.Second)).To(BeTrue())
+	g.Expect(observe(6).meetsTargets(time.Second)).To(BeFalse())
 }
 
 // BenchmarkTeamHistograms reports the live memory of the histograms of 2,500
-// teams in two classes each, filled with latencies of a few decades.
+// teams in two classes each, with latencies over several orders of magnitude.
 func BenchmarkTeamHistograms(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -44,7 +44,7 @@
 	for b.Loop() {
 		for i := range 2500 {
 			for _, class := range []string{"x", "y"} {
-				o := RequestsOf(fmt.Sprint("team", rounds, "-", i), class).Observe(time.Unix(0, 0), Targets{})
+				o := RequestMetricsFor(fmt.Sprint("team", rounds, "-", i), class).Observe(time.Unix(0, 0), LatencyTargets{})
 				now := time.Unix(0, 0)
 				for range 50 {
 					now = now.Add(time.Duration(rand.IntN(1_000_000_000)))
