--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,6 +1,6 @@
-// Package decisionlog writes structured log lines without ever holding up the
-// code that logs: lines go through a bounded queue and are dropped, and counted,
-// when it is full.
+// Package decisionlog writes structured log lines without blocking the caller.
+// Lines go through a bounded queue; when the queue is full they are dropped and
+// counted.
 package decisionlog
 
 import (
@@ -15,88 +15,95 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// queueLines bounds the lines that wait to be written: at some 300 bytes a line
-// they take 150 KB.
-const queueLines = 512
+// queueCapacity is the maximum number of lines waiting to be written. At about
+// 300 bytes per line a full queue takes 150 KB.
+const queueCapacity = 512
 
-// Writer is an io.Writer that never blocks. Each Write is one line.
+// Writer is an io.Writer whose Write never blocks. Each call to Write is one
+// line.
 type Writer struct {
 	lines chan []byte
 	done  chan struct{}
 }
 
-// NewWriter starts writing to w. Close ends it.
-func NewWriter(w io.Writer) *Writer {
-	q := &Writer{lines: make(chan []byte, queueLines), done: make(chan struct{})}
-	go q.run(w)
-	return q
+// NewWriter starts a goroutine that writes queued lines to dst until Close is
+// called.
+func NewWriter(dst io.Writer) *Writer {
+	w := &Writer{lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
+	go w.run(dst)
+	return w
 }
 
-func (q *Writer) run(w io.Writer) {
-	defer close(q.done)
-	for line := range q.lines {
+func (w *Writer) run(dst io.Writer) {
+	defer close(w.done)
+	for line := range w.lines {
 		if line == nil {
 			return
 		}
-		if _, err := w.Write(line); err != nil {
+		if _, err := dst.Write(line); err != nil {
 			telemetry.Count("merlinpost_log_lines_dropped_total", "reason", "write_failed")
 		}
 	}
 }
 
-// Write queues a copy of the line, or drops it when the queue is full.
-func (q *Writer) Write(line []byte) (int, error) {
+// Write queues a copy of the line, or drops the line if the queue is full. It
+// never returns an error.
+func (w *Writer) Write(line []byte) (int, error) {
 	select {
-	case q.lines <- append([]byte(nil), line...):
+	case w.lines <- append([]byte(nil), line...):
 	default:
 		telemetry.Count("merlinpost_log_lines_dropped_total", "reason", "queue_full")
 	}
 	return len(line), nil
 }
 
-// Close writes what is queued. Lines that come later are dropped.
-func (q *Writer) Close() {
-	q.lines <- nil
-	<-q.done
+// Close writes the queued lines and stops the writer. Lines written after Close
+// are dropped.
+func (w *Writer) Close() {
+	w.lines <- nil
+	<-w.done
 }
 
-// NewLogger returns a logger of JSON lines on the writer.
-func NewLogger(q *Writer) *slog.Logger {
-	return slog.New(slog.NewJSONHandler(q, &slog.HandlerOptions{Level: slog.LevelInfo}))
+// NewLogger returns a logger that writes JSON lines to w.
+func NewLogger(w *Writer) *slog.Logger {
+	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: slog.LevelInfo}))
 }
 
-// Sampled reports whether the success of the request with this ID is logged when
-// one in n is. All processes keep the same requests, because the choice goes by
-// the ID.
+// Sampled reports whether the successful request with this ID is logged at a
+// sampling rate of one in n. The decision depends only on the ID, so that all
+// processes log the same requests.
 func Sampled(id string, n uint64) bool { return n <= 1 || xxhash.Sum64String(id)%n == 0 }
 
 const (
-	// failuresPerSecond and failureBurst bound the lines about failures of one
-	// kind: a storm of callers with an old key must not cost what serves the others.
-	failuresPerSecond = 20
-	failureBurst      = 100
+	// maxLinesPerSecond and maxLineBurst limit the log lines for failures of one
+	// kind. Otherwise many callers with an outdated key would use up resources
+	// needed to serve the other callers.
+	maxLinesPerSecond = 20
+	maxLineBurst      = 100
 )
 
-// Limiter bounds the lines of each kind. It is safe for concurrent use.
+// Limiter limits the rate of log lines of each kind. The zero value is ready to
+// use. It is safe for concurrent use.
 type Limiter struct {
-	mu    sync.Mutex
-	kinds map[string]*rate.Limiter
+	mu       sync.Mutex
+	limiters map[string]*rate.Limiter
 }
 
-// Allow reports whether a line of the kind may be written now. One that may not is
-// counted. Kinds must come from a fixed set.
+// Allow reports whether a line of the kind may be written now, and counts it as
+// dropped if not. Kinds must come from a fixed set, because the limiter of a kind
+// is never removed.
 func (l *Limiter) Allow(kind string, now time.Time) bool {
 	l.mu.Lock()
-	if l.kinds == nil {
-		l.kinds = map[string]*rate.Limiter{}
+	if l.limiters == nil {
+		l.limiters = map[string]*rate.Limiter{}
 	}
-	k := l.kinds[kind]
-	if k == nil {
-		k = rate.NewLimiter(failuresPerSecond, failureBurst)
-		l.kinds[kind] = k
+	limiter := l.limiters[kind]
+	if limiter == nil {
+		limiter = rate.NewLimiter(maxLinesPerSecond, maxLineBurst)
+		l.limiters[kind] = limiter
 	}
 	l.mu.Unlock()
-	if k.AllowN(now, 1) {
+	if limiter.AllowN(now, 1) {
 		return true
 	}
 	telemetry.Count("merlinpost_log_lines_dropped_total", "reason", "limited")
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -9,31 +9,31 @@
 	. "github.com/onsi/gomega"
 )
 
-// stuck is a writer that does not return before it is let go.
-type stuck struct {
+// blockedWriter is a writer whose Write blocks until unblock is closed.
+type blockedWriter struct {
 	strings.Builder
-	free chan struct{}
+	unblock chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
-	return s.Builder.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	return w.Builder.Write(p)
 }
 
 func TestLoggingNeverBlocks(t *testing.T) {
 	g := NewWithT(t)
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{unblock: make(chan struct{})}
 	w := NewWriter(out)
 	logger := NewLogger(w)
-	for i := range 3 * queueLines {
+	for i := range 3 * queueCapacity {
 		logger.Info("line", "n", i)
 	}
-	close(out.free)
+	close(out.unblock)
 	w.Close()
 	lines := strings.Count(out.String(), "\n")
-	g.Expect(lines).To(BeNumerically(">=", queueLines))
-	g.Expect(lines).To(BeNumerically("<=", queueLines+1))
-	logger.Info("after the end") // is dropped, not a panic
+	g.Expect(lines).To(BeNumerically(">=", queueCapacity))
+	g.Expect(lines).To(BeNumerically("<=", queueCapacity+1))
+	logger.Info("after close") // dropped without a panic
 }
 
 func TestAllProcessesSampleTheSameIDs(t *testing.T) {
@@ -48,7 +48,7 @@
 	g.Expect(Sampled("x", 1)).To(BeTrue())
 }
 
-func TestAStormOfOneFailureDoesNotSilenceOthers(t *testing.T) {
+func TestLimiterIsIndependentPerKind(t *testing.T) {
 	g := NewWithT(t)
 	var l Limiter
 	now, written := time.Unix(0, 0), 0
@@ -57,7 +57,7 @@
 			written++
 		}
 	}
-	g.Expect(written).To(Equal(failureBurst))
+	g.Expect(written).To(Equal(maxLineBurst))
 	g.Expect(l.Allow("link_lost", now)).To(BeTrue())
 	g.Expect(l.Allow("unauthorized", now.Add(time.Second))).To(BeTrue())
 }
