--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -1,6 +1,7 @@
-// Package settings reads and checks the TOML settings of the two binaries and
-// of the load tool. Decoding is strict: an unknown, ill-typed or out-of-range
-// key is an error that names the file, the line where known, and the key.
+// Package settings reads and validates the TOML settings files of the two
+// binaries and of the load tool. Decoding is strict: an unknown key, a value of
+// the wrong type or a value out of range is an error that names the file, the
+// line if known, and the key.
 package settings
 
 import (
@@ -17,9 +18,9 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// NewValidator returns a validator that reports fields by their name under the
-// given struct tag ("toml" or "json") and knows the rule "ipport": an IP
-// address with a port, never a host name.
+// NewValidator returns a validator that reports fields by their name in the
+// given struct tag ("toml" or "json"). It adds the rule "ipport", which accepts
+// an IP address with a port and no host names.
 func NewValidator(tag string) *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -34,8 +35,8 @@
 	return v
 }
 
-// FieldError turns a validator error into a fault of the given code that names
-// the first field at fault. A nil err gives nil.
+// FieldError converts a validator error to a fault with the given code that names
+// the first invalid field. It returns nil if err is nil.
 func FieldError(code fault.Code, err error) *fault.Error {
 	if err == nil {
 		return nil
@@ -56,8 +57,8 @@
 	return fault.New(code, "value %v breaks the rule %q", first.Value(), rule).InField(path)
 }
 
-// ReadFile decodes the TOML file at path over the defaults already in target
-// and checks it. Errors have code BadSettings.
+// ReadFile decodes the TOML file at path into target, which holds the defaults,
+// and validates the result. Errors have code BadSettings.
 func ReadFile(path string, target any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -66,7 +67,8 @@
 	return Decode(path, data, target)
 }
 
-// Decode is ReadFile for data already read; name is used in errors.
+// Decode is like ReadFile for data in memory. name stands for the file name in
+// errors.
 func Decode(name string, data []byte, target any) error {
 	dec := toml.NewDecoder(strings.NewReader(string(data))).DisallowUnknownFields()
 	if err := dec.Decode(target); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -2,50 +2,53 @@
 
 import "time"
 
-// Logging says how a process writes its log.
+// Logging configures the log output of a process.
 type Logging struct {
 	Format string `toml:"format" validate:"oneof=text json"`
 	Level  string `toml:"level" validate:"oneof=debug info warn error"`
 }
 
-// Log says where the platform's append-only log service is.
+// Log configures the connection to the platform's append-only log service.
 type Log struct {
 	Address string `toml:"address" validate:"required,ipport"`
-	// TimeoutMS bounds one append or read, milliseconds.
+	// TimeoutMS is the time limit of one append or read.
 	TimeoutMS int `toml:"timeout_ms" validate:"min=50,max=60000"`
-	// PollMS is how long a read waits at the log for a new record.
+	// PollMS is how long a long-polling read waits for a new record.
 	PollMS int `toml:"poll_ms" validate:"min=100,max=60000"`
 	// SnapshotEvery is the number of records after which a snapshot of the
-	// configuration is due. Snapshots come from routers only.
+	// configuration is written. Only routers write snapshots.
 	SnapshotEvery int `toml:"snapshot_every" validate:"min=1,max=100000"`
-	// SnapshotAgeMS is the age after which a snapshot is due although few
-	// records came; keep it well under the log's retention.
+	// SnapshotAgeMS is the age after which a new snapshot is written even if
+	// there were fewer than SnapshotEvery records. It must be well below the
+	// log's retention period.
 	SnapshotAgeMS int `toml:"snapshot_age_ms" validate:"min=1000"`
 }
 
-// Members says where the platform's membership list is.
+// Members configures the connection to the platform's membership list.
 type Members struct {
-	// Address may be empty: then only the declared pools are used.
+	// Address may be empty; only the declared pools are used then.
 	Address string `toml:"address" validate:"omitempty,ipport"`
 	PollMS  int    `toml:"poll_ms" validate:"min=100,max=60000"`
 }
 
-// Link holds the timing of a link between router and agent.
+// Link configures the timing of a link between a router and an agent.
 type Link struct {
-	// HeartbeatMS is the time between heartbeats of a link with requests on
-	// it and nothing else to send; a link without has a twentieth as many.
+	// HeartbeatMS is the interval between heartbeats on a link that has
+	// requests in progress but nothing else to send. A link without requests
+	// sends a twentieth as many.
 	HeartbeatMS int `toml:"heartbeat_ms" validate:"min=50,max=60000"`
-	// SilentMS is how long a link may bring nothing before it is replaced.
+	// SilentMS is how long nothing may be received on a link before it is
+	// replaced.
 	SilentMS int `toml:"silent_ms" validate:"min=100,max=120000,gtfield=HeartbeatMS"`
-	// LostMS is how long a request waits for its agent to be reached again
-	// before its attempt counts as lost; LostRepeatableMS is the same for work
-	// that may go on elsewhere, where waiting costs the caller more than a
-	// repeated prefill costs the pool.
+	// LostMS is how long a request waits for the link to its agent to be
+	// restored before the attempt counts as lost. LostRepeatableMS is the same
+	// for work that may continue on another backend server: there, waiting costs
+	// the caller more than a repeated prefill costs the pool.
 	LostMS           int `toml:"lost_ms" validate:"min=100,max=600000"`
 	LostRepeatableMS int `toml:"lost_repeatable_ms" validate:"min=100,max=600000"`
 }
 
-// Router is the settings file of "merlinpost router".
+// Router holds the settings of "merlinpost router".
 type Router struct {
 	Name          string    `toml:"name" validate:"required,max=128"`
 	FailureDomain string    `toml:"failure_domain" validate:"required,max=128"`
@@ -59,38 +62,41 @@
 	Logging       Logging   `toml:"logging"`
 }
 
-// Callers is the callers' side of a router.
+// Callers configures the callers' API of a router.
 type Callers struct {
 	Listen string `toml:"listen" validate:"required,ipport"`
-	// MaxBodyBytes bounds a request body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64 `toml:"max_body_bytes" validate:"min=1024,max=4194304"`
-	// BalancerLagMS is how long a stopping router still accepts requests
-	// after it has failed its readiness check.
+	// BalancerLagMS is how long a stopping router still accepts requests after
+	// its readiness check has begun to fail, until the load balancer has
+	// noticed.
 	BalancerLagMS int `toml:"balancer_lag_ms" validate:"min=0,max=600000"`
-	// HeaderTimeoutMS and BodyTimeoutMS bound a slow client's request.
+	// HeaderTimeoutMS and BodyTimeoutMS are the time limits for reading a
+	// request, against slow clients.
 	HeaderTimeoutMS int `toml:"header_timeout_ms" validate:"min=100,max=600000"`
 	BodyTimeoutMS   int `toml:"body_timeout_ms" validate:"min=100,max=600000"`
-	// StallTimeoutMS is how long a reader of an answer may take nothing.
+	// StallTimeoutMS is how long a client may read nothing of its response.
 	StallTimeoutMS int `toml:"stall_timeout_ms" validate:"min=100,max=600000"`
-	// MaxRequests bounds the requests in progress at this router.
+	// MaxRequests is the maximum number of requests in progress at this router.
 	MaxRequests int `toml:"max_requests" validate:"min=1,max=1000000"`
 }
 
-// Operators is the operators' side of a router.
+// Operators configures the operators' API of a router.
 type Operators struct {
 	Listen string `toml:"listen" validate:"required,ipport"`
 	// Keys are SHA-256 hashes of operator keys, in hexadecimal.
 	Keys []OperatorKey `toml:"keys" validate:"dive"`
 }
 
-// Peers is how routers share the teams' limits.
+// Peers configures how routers share the teams' limits.
 type Peers struct {
-	// Listen is a UDP address for the asks of other routers; it must be the
-	// router's address on the membership list. Empty: equal shares only.
+	// Listen is the UDP address for requests from other routers. It must be the
+	// router's address in the membership list. If it is empty, each router gets
+	// an equal share.
 	Listen string `toml:"listen" validate:"omitempty,ipport"`
 }
 
-// OperatorKey gives one operator access.
+// OperatorKey grants access to one operator.
 type OperatorKey struct {
 	Name   string `toml:"name" validate:"required"`
 	SHA256 string `toml:"sha256" validate:"len=64,hexadecimal"`
@@ -98,24 +104,25 @@
 
 // Policy selects how a router chooses backend servers and retries.
 type Policy struct {
-	// Choice is "scored", or a baseline: "round_robin" or "least_loaded".
+	// Choice is "scored", or one of the baselines "round_robin" and
+	// "least_loaded".
 	Choice string `toml:"choice" validate:"oneof=scored round_robin least_loaded"`
 	// Subset is how many agents of a pool this router keeps links to.
 	Subset int `toml:"subset" validate:"min=1,max=4096"`
-	// Prefix, Domain, Straggler and Corrected switch parts of the score.
+	// Prefix, Domain, Straggler and Corrected enable parts of the score.
 	Prefix    bool `toml:"prefix"`
 	Domain    bool `toml:"domain"`
 	Straggler bool `toml:"straggler"`
 	Corrected bool `toml:"corrected"`
-	// RetryShare is the retry budget: retries per first offer.
+	// RetryShare is the retry budget, as retries per first attempt.
 	RetryShare float64 `toml:"retry_share" validate:"min=0,max=1"`
-	// RetryBurst is the number of retries allowed with no recent traffic.
+	// RetryBurst is the number of retries allowed without recent traffic.
 	RetryBurst float64 `toml:"retry_burst" validate:"min=0,max=10000"`
-	// MaxAttempts bounds the offers of one request.
+	// MaxAttempts is the maximum number of attempts per request.
 	MaxAttempts int `toml:"max_attempts" validate:"min=1,max=100"`
 }
 
-// Agent is the settings file of "merlinpost-agent".
+// Agent holds the settings of "merlinpost-agent".
 type Agent struct {
 	// Name is the backend server's name in its pool.
 	Name          string    `toml:"name" validate:"required,max=128"`
@@ -131,27 +138,28 @@
 	Logging       Logging   `toml:"logging"`
 }
 
-// Server is the backend server that an agent stands beside.
+// Server configures the backend server that an agent runs beside.
 type Server struct {
 	Kind    string `toml:"kind" validate:"oneof=engine service"`
 	Address string `toml:"address" validate:"required,ipport"`
-	// Slots is how many requests the agent lets run there at once.
+	// Slots is the maximum number of requests running on the server at once.
 	Slots int `toml:"slots" validate:"min=1,max=4096"`
-	// Fencing says that the engine refuses orders with an old number.
+	// Fencing states that the engine rejects orders from the agent, such as to
+	// load a model, that carry an outdated fencing token.
 	Fencing bool `toml:"fencing"`
-	// StallMS is how long an engine may give nothing before the call fails.
+	// StallMS is how long an engine may produce no output before the call fails.
 	StallMS int `toml:"stall_ms" validate:"min=100,max=600000"`
 }
 
-// Admission is the policy of an agent's queue.
+// Admission configures the queue of an agent.
 type Admission struct {
 	// Order is "tiers", or the baseline "fifo".
 	Order string `toml:"order" validate:"oneof=tiers fifo"`
-	// QueueLimit bounds the waiting requests of each tier.
+	// QueueLimit is the maximum number of waiting requests in each tier.
 	QueueLimit int `toml:"queue_limit" validate:"min=1,max=1000000"`
-	// MaxPreemptions is how often one request may be preempted.
+	// MaxPreemptions is the maximum number of preemptions of one request.
 	MaxPreemptions int `toml:"max_preemptions" validate:"min=0,max=100"`
-	// Preemption, Floors, Fairness and EarlyRefusal switch parts off.
+	// Preemption, Floors, Fairness and EarlyRefusal enable parts of the policy.
 	Preemption   bool `toml:"preemption"`
 	Floors       bool `toml:"floors"`
 	Fairness     bool `toml:"fairness"`
@@ -160,16 +168,16 @@
 	FloorWindowMS int `toml:"floor_window_ms" validate:"min=100,max=3600000"`
 }
 
-// Weights bounds how many backend servers of a pool load weights at once from
-// the platform's rate-limited store.
+// Weights limits how many backend servers of a pool load weights at once from
+// the platform's rate-limited store. Servers load in time slots.
 type Weights struct {
-	// TurnMS is how long each turn at the store lasts; 0: no turns.
+	// TurnMS is the length of a time slot; 0 disables time slots.
 	TurnMS int `toml:"turn_ms" validate:"min=0,max=3600000"`
-	// AtOnce is how many servers of a pool have their turn together.
+	// AtOnce is the number of servers of a pool that share a time slot.
 	AtOnce int `toml:"at_once" validate:"min=1,max=4096"`
 }
 
-// Timing defaults; docs/OPERATIONS.md says when to change them.
+// Default link timing; docs/OPERATIONS.md describes when to change it.
 const (
 	defaultHeartbeatMS = 1000
 	defaultSilentMS    = 2500
@@ -187,7 +195,8 @@
 		LostRepeatableMS: defaultLostRepeatableMS}
 }
 
-// DefaultRouter returns the defaults that a settings file is read over.
+// DefaultRouter returns the default settings of a router. Required settings
+// without a default are empty.
 func DefaultRouter() Router {
 	return Router{
 		Callers: Callers{Listen: "127.0.0.1:8080", MaxBodyBytes: 1 << 20, BalancerLagMS: 5000,
@@ -202,7 +211,8 @@
 	}
 }
 
-// DefaultAgent returns the defaults that a settings file is read over.
+// DefaultAgent returns the default settings of an agent. Required settings
+// without a default are empty.
 func DefaultAgent() Agent {
 	return Agent{
 		Server: Server{Kind: "engine", Slots: 8, StallMS: 10000},
@@ -216,5 +226,5 @@
 	}
 }
 
-// Millis converts a setting in milliseconds.
+// Millis converts a setting in milliseconds to a duration.
 func Millis(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,23 +10,23 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-const goodRouter = `
+const validRouter = `
 name = "router-1"
 failure_domain = "a"
 [log]
 address = "127.0.0.1:7000"
 `
 
-func TestSettingsNameTheKeyAtFault(t *testing.T) {
+func TestDecodeErrorNamesTheInvalidKey(t *testing.T) {
 	for name, c := range map[string]struct{ text, field, message string }{
-		"unknown key":   {goodRouter + "adress = \"x\"\n", "log.adress", "file.toml:6"},
-		"ill-typed":     {goodRouter + "poll_ms = \"soon\"\n", "log.poll_ms", "file.toml:6"},
-		"out of range":  {goodRouter + "poll_ms = 1\n", "log.poll_ms", "min=100"},
-		"host name":     {"name=\"r\"\nfailure_domain=\"a\"\n[log]\naddress=\"localhost:7000\"\n", "log.address", "ipport"},
-		"missing":       {"failure_domain=\"a\"\n[log]\naddress=\"127.0.0.1:1\"\n", "name", "required"},
-		"wrong choice":  {goodRouter + "[policy]\nchoice=\"best\"\n", "policy.choice", "oneof"},
-		"not toml":      {"name = = 3", "", "file.toml:1"},
-		"silent < beat": {goodRouter + "[link]\nsilent_ms=500\n", "link.silent_ms", "gtfield"},
+		"unknown key":            {validRouter + "adress = \"x\"\n", "log.adress", "file.toml:6"},
+		"wrong type":             {validRouter + "poll_ms = \"soon\"\n", "log.poll_ms", "file.toml:6"},
+		"out of range":           {validRouter + "poll_ms = 1\n", "log.poll_ms", "min=100"},
+		"host name":              {"name=\"r\"\nfailure_domain=\"a\"\n[log]\naddress=\"localhost:7000\"\n", "log.address", "ipport"},
+		"missing":                {"failure_domain=\"a\"\n[log]\naddress=\"127.0.0.1:1\"\n", "name", "required"},
+		"wrong choice":           {validRouter + "[policy]\nchoice=\"best\"\n", "policy.choice", "oneof"},
+		"not toml":               {"name = = 3", "", "file.toml:1"},
+		"silent below heartbeat": {validRouter + "[link]\nsilent_ms=500\n", "link.silent_ms", "gtfield"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -39,16 +39,16 @@
 	}
 }
 
-func TestSettingsKeepDefaults(t *testing.T) {
+func TestDecodeKeepsDefaults(t *testing.T) {
 	g := NewWithT(t)
 	s := DefaultRouter()
-	g.Expect(Decode("file.toml", []byte(goodRouter), &s)).To(Succeed())
+	g.Expect(Decode("file.toml", []byte(validRouter), &s)).To(Succeed())
 	g.Expect(s.Policy.Subset).To(Equal(16))
 	g.Expect(s.Log.Address).To(Equal("127.0.0.1:7000"))
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(goodRouter))
+	f.Add([]byte(validRouter))
 	f.Add([]byte("[log]\npoll_ms = -1"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := DefaultRouter()
@@ -58,9 +58,9 @@
 	})
 }
 
-// The examples list every key with its default: reading one over nothing gives
-// the defaults, but for what is required.
-func TestExamplesAreTheDefaults(t *testing.T) {
+// The example files list every key with its default value. Decoding one into a
+// zero value must give the defaults, except for the required settings.
+func TestExampleFilesListTheDefaults(t *testing.T) {
 	g := NewWithT(t)
 	var router Router
 	g.Expect(ReadFile("../../examples/router.example.toml", &router)).To(Succeed())
