--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli is the command line of the two binaries: parsing by go-arg,
-// signals, exit codes. What the commands do is in packages of their own.
+// Package cli implements the command line of the two binaries: argument parsing
+// with go-arg, signals and exit codes. The commands themselves are implemented in
+// other packages.
 package cli
 
 import (
@@ -23,74 +24,75 @@
 	exitUsage  = 2
 )
 
-// OperatorFlags say which router an operator's command talks to.
+// OperatorFlags select the router that an operator's command calls.
 type OperatorFlags struct {
 	Operators string `arg:"--operators,env:MERLINPOST_OPERATORS" default:"127.0.0.1:8081" help:"IP address and port of a router's operators' API"`
 	Key       string `arg:"--key,env:MERLINPOST_OPERATOR_KEY" default:"dev-operator" help:"operator's key"`
 }
 
 type arguments struct {
-	Router   *routerCmd   `arg:"subcommand:router" help:"run a router"`
-	Gateway  *gatewayCmd  `arg:"subcommand:gateway" help:"run a gateway on the platform, before backend servers without an agent"`
-	Dev      *devCmd      `arg:"subcommand:dev" help:"run the whole path on embedded stand-ins"`
-	Validate *validateCmd `arg:"subcommand:validate" help:"check settings and resource files"`
-	HashKey  *hashKeyCmd  `arg:"subcommand:hash-key" help:"print the hash under which a key is configured"`
-	Apply    *applyCmd    `arg:"subcommand:apply" help:"apply a file of resources, whole or not at all"`
-	Get      *getCmd      `arg:"subcommand:get" help:"show resources"`
-	Delete   *deleteCmd   `arg:"subcommand:delete" help:"delete a resource"`
-	Watch    *watchCmd    `arg:"subcommand:watch" help:"show changes of a kind as they take effect"`
-	History  *historyCmd  `arg:"subcommand:history" help:"show the earlier contents of a resource"`
-	Withdraw *withdrawCmd `arg:"subcommand:withdraw" help:"put back an earlier content as a new change"`
-	Op       *opCmd       `arg:"subcommand:operation" help:"show what became of an operation"`
-	Status   *statusCmd   `arg:"subcommand:status" help:"show which process has which revision in force"`
-	Load     *loadCmd     `arg:"subcommand:load" help:"run a load scenario and report"`
-	Simulate *simulateCmd `arg:"subcommand:simulate" help:"play a load against the placement of prompts, in simulated time"`
-	Standin  *standinCmd  `arg:"subcommand:standin" help:"run a stand-in of an outside system"`
+	Router    *routerCmd    `arg:"subcommand:router" help:"run a router"`
+	Gateway   *gatewayCmd   `arg:"subcommand:gateway" help:"run a gateway on the platform, in front of backend servers without an agent"`
+	Dev       *devCmd       `arg:"subcommand:dev" help:"run a complete deployment in one process, with stand-ins for the outside systems"`
+	Validate  *validateCmd  `arg:"subcommand:validate" help:"validate settings and resource files"`
+	HashKey   *hashKeyCmd   `arg:"subcommand:hash-key" help:"print the hash under which a key is configured"`
+	Apply     *applyCmd     `arg:"subcommand:apply" help:"apply all resources of a file, or none of them"`
+	Get       *getCmd       `arg:"subcommand:get" help:"show resources"`
+	Delete    *deleteCmd    `arg:"subcommand:delete" help:"delete a resource"`
+	Watch     *watchCmd     `arg:"subcommand:watch" help:"show changes to resources of a kind as they take effect"`
+	History   *historyCmd   `arg:"subcommand:history" help:"show the versions of a resource"`
+	Withdraw  *withdrawCmd  `arg:"subcommand:withdraw" help:"restore an earlier version of a resource as a new change"`
+	Operation *operationCmd `arg:"subcommand:operation" help:"show the result of an operation"`
+	Status    *statusCmd    `arg:"subcommand:status" help:"show the processes and the revision that each has in force"`
+	Load      *loadCmd      `arg:"subcommand:load" help:"run a load scenario and report the results"`
+	Simulate  *simulateCmd  `arg:"subcommand:simulate" help:"simulate a load on the scheduling of prompts"`
+	Standin   *standinCmd   `arg:"subcommand:standin" help:"run a stand-in for an outside system"`
 }
 
-// Description implements go-arg's Described.
+// Description implements arg.Described.
 func (arguments) Description() string {
 	return "merlinpost routes language-model traffic with service levels and priorities."
 }
 
-// runner is a command after parsing.
-type runner interface {
+// command is a parsed command.
+type command interface {
 	run(ctx context.Context, out io.Writer) error
 }
 
-func (a *arguments) command() runner {
+func (a *arguments) selectedCommand() command {
 	for _, c := range []struct {
-		set bool
-		run runner
+		selected bool
+		command  command
 	}{
 		{a.Router != nil, a.Router}, {a.Gateway != nil, a.Gateway}, {a.Dev != nil, a.Dev}, {a.Validate != nil, a.Validate}, {a.HashKey != nil, a.HashKey},
 		{a.Apply != nil, a.Apply}, {a.Get != nil, a.Get}, {a.Delete != nil, a.Delete}, {a.Watch != nil, a.Watch},
-		{a.History != nil, a.History}, {a.Withdraw != nil, a.Withdraw}, {a.Op != nil, a.Op}, {a.Status != nil, a.Status},
+		{a.History != nil, a.History}, {a.Withdraw != nil, a.Withdraw}, {a.Operation != nil, a.Operation}, {a.Status != nil, a.Status},
 		{a.Load != nil, a.Load}, {a.Simulate != nil, a.Simulate}, {a.Standin != nil, a.Standin},
 	} {
-		if c.set {
-			return c.run
+		if c.selected {
+			return c.command
 		}
 	}
 	return nil
 }
 
-// Main is the main function of merlinpost.
+// Main runs merlinpost with the given arguments and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	var a arguments
-	return parseAndRun(&a, "merlinpost", args, out, errOut, a.command)
+	return parseAndRun(&a, "merlinpost", args, out, errOut, a.selectedCommand)
 }
 
-// AgentMain is the main function of merlinpost-agent.
+// AgentMain runs merlinpost-agent with the given arguments and returns its exit
+// code.
 func AgentMain(args []string, out, errOut io.Writer) int {
 	var a agentCmd
-	return parseAndRun(&a, "merlinpost-agent", args, out, errOut, func() runner { return &a })
+	return parseAndRun(&a, "merlinpost-agent", args, out, errOut, func() command { return &a })
 }
 
-func parseAndRun(dest any, program string, args []string, out, errOut io.Writer, command func() runner) int {
+func parseAndRun(dest any, program string, args []string, out, errOut io.Writer, selected func() command) int {
 	parser, err := arg.NewParser(arg.Config{Program: program, Out: out}, dest)
 	if err != nil {
-		return report(errOut, err)
+		return reportError(errOut, err)
 	}
 	switch err := parser.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
@@ -101,16 +103,17 @@
 		_, _ = fmt.Fprintln(errOut, "error:", err)
 		return exitUsage
 	}
-	c := command()
+	c := selected()
 	if c == nil {
 		parser.WriteHelp(errOut)
 		return exitUsage
 	}
-	return report(errOut, c.run(context.Background(), out))
+	return reportError(errOut, c.run(context.Background(), out))
 }
 
-// report prints a failure with its type and returns the exit code.
-func report(errOut io.Writer, err error) int {
+// reportError prints err, if any, with its code and outcome, and returns the exit
+// code.
+func reportError(errOut io.Writer, err error) int {
 	if err == nil {
 		return exitOK
 	}
@@ -123,9 +126,9 @@
 	return exitFailed
 }
 
-// stopSignals returns a channel that is closed at the first SIGTERM or
-// interrupt, and a context that ends at the second.
-func stopSignals(ctx context.Context) (context.Context, <-chan struct{}) {
+// notifyStop returns a channel that is closed at the first SIGTERM or SIGINT, for
+// a graceful stop, and a context that is cancelled at the second.
+func notifyStop(ctx context.Context) (context.Context, <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -21,66 +21,66 @@
 )
 
 type gatewayCmd struct {
-	MetricsPort int    `arg:"--metrics-port" default:"9464" help:"port of the metrics page on the host's address; 0 for none"`
-	LogOneIn    uint64 `arg:"--log-one-in" default:"16" help:"log one in so many plain successes"`
+	MetricsPort int    `arg:"--metrics-port" default:"9464" help:"port of the metrics endpoint on the host's address; 0 disables it"`
+	LogOneIn    uint64 `arg:"--log-one-in" default:"16" help:"log one in this many plain successes"`
 }
 
-// memoryShare is the part of the host's memory at which the garbage collector
-// works harder; the rest is for what it does not see, such as socket buffers.
-const memoryShare = 0.7
+// memoryLimitRatio is the fraction of the host's memory that is set as the Go
+// memory limit. The rest is for memory that the garbage collector does not see,
+// such as socket buffers.
+const memoryLimitRatio = 0.7
 
-func limitMemory(megabytes float64) {
+func setMemoryLimit(megabytes float64) {
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * megabytes * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * megabytes * (1 << 20)))
 	}
 }
 
 func (c *gatewayCmd) run(ctx context.Context, _ io.Writer) error {
-	// Before anything else: a SIGHUP that comes during the start must not end the
-	// process.
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
+	// Must come first, so that a SIGHUP during the start does not end the process.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
 	set, err := platform.ReadSettings()
 	if err != nil {
 		return err
 	}
-	limitMemory(set.MemoryMB)
-	lines := decisionlog.NewWriter(os.Stdout)
-	defer lines.Close()
-	logger := decisionlog.NewLogger(lines)
-	own := platform.Own{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
+	setMemoryLimit(set.MemoryMB)
+	logWriter := decisionlog.NewWriter(os.Stdout)
+	defer logWriter.Close()
+	logger := decisionlog.NewLogger(logWriter)
+	options := platform.Own{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
 	servers := registry.New()
-	g := gateway.New(set.Gateway(own), platform.Dialect{}, servers, logger)
-	others, err := peers.Open(set.Host, set.Peers(), set.Capacity(), g, logger)
+	gw := gateway.New(set.Gateway(options), platform.Dialect{}, servers, logger)
+	peerGroup, err := peers.Open(set.Host, set.Peers(), set.Capacity(), gw, logger)
 	if err != nil {
 		return err
 	}
-	g.UsePeers(others)
-	asks, err := net.Listen("tcp", set.Peers())
+	gw.UsePeers(peerGroup)
+	shareListener, err := net.Listen("tcp", set.Peers())
 	if err != nil {
 		return fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
 	}
 	share := configshare.New((&net.Dialer{}).DialContext, set.LinkMbps, logger)
-	ctx, stop := stopSignals(ctx)
+	ctx, stop := notifyStop(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	follower := follow.New(follow.Parts{
 		Connect: func(address string) follow.Store { return platform.NewStore(address, logger) }, Topics: platform.Topics, Decoder: platform.Decoder{},
-		Gateway: g, Servers: servers, Peers: others, Share: share, Logger: logger,
+		Gateway: gw, Servers: servers, Peers: peerGroup, Share: share, Logger: logger,
 	}, set.Follow())
-	keeper := quarantine.NewKeeper(g.Quarantine(), follower.Quarantine(), set.Host, logger)
-	g.UseTrials(keeper)
-	go keeper.Run(ctx)
-	go share.Serve(ctx, asks)
+	quarantineSync := quarantine.NewKeeper(gw.Quarantine(), follower.Quarantine(), set.Host, logger)
+	gw.UseTrials(quarantineSync)
+	go quarantineSync.Run(ctx)
+	go share.Serve(ctx, shareListener)
 	go follower.Run(ctx)
-	go others.Run(ctx)
-	go platform.WatchSettings(ctx, set, hangup, logger, func(s platform.Settings) {
+	go peerGroup.Run(ctx)
+	go platform.WatchSettings(ctx, set, reload, logger, func(s platform.Settings) {
 		follower.SetSettings(s.Follow())
-		g.SetSettings(s.Gateway(own))
+		gw.SetSettings(s.Gateway(options))
 	})
 	go func() {
 		<-stop
-		others.Leave()
+		peerGroup.Leave()
 	}()
-	return g.Serve(ctx, stop)
+	return gw.Serve(ctx, stop)
 }
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -13,10 +13,10 @@
 
 type loadCmd struct {
 	Scenario string    `arg:"positional,required" help:"scenario file (TOML)"`
-	Factors  []float64 `arg:"--factor,separate" help:"multiply every rate; repeat for a table (default 1)"`
-	Seeds    []uint64  `arg:"--seed,separate" help:"seed in place of the file's; repeat for a spread"`
-	Only     []string  `arg:"--variant,separate" help:"run only this variant; repeat for several (default all)"`
-	JSON     string    `arg:"--json" help:"write the reports to this file, too"`
+	Factors  []float64 `arg:"--factor,separate" help:"factor for every request rate; repeat for several (default 1)"`
+	Seeds    []uint64  `arg:"--seed,separate" help:"random seed instead of the scenario's; repeat for several"`
+	Variants []string  `arg:"--variant,separate" help:"run only this variant; repeat for several (default all)"`
+	JSON     string    `arg:"--json" help:"also write the reports to this file, as JSON"`
 }
 
 func (c *loadCmd) run(ctx context.Context, out io.Writer) error {
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := stopSignals(ctx)
+	ctx, stop := notifyStop(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -32,8 +32,8 @@
 		cancel()
 	}()
 	logger := telemetry.NewLogger(os.Stderr, settings.Logging{Format: "text", Level: "error"})
-	reports, err := load.Experiment(ctx, s, load.Plan{Factors: c.Factors, Seeds: c.Seeds, Only: c.Only}, logger, func(r *load.Report) {
-		_, _ = fmt.Fprintf(os.Stderr, "done: variant %q factor %.2f seed %d\n", r.Variant, r.Factor, r.Seed) // progress only
+	reports, err := load.Experiment(ctx, s, load.Plan{Factors: c.Factors, Seeds: c.Seeds, Only: c.Variants}, logger, func(r *load.Report) {
+		_, _ = fmt.Fprintf(os.Stderr, "done: variant %q factor %.2f seed %d\n", r.Variant, r.Factor, r.Seed) // an error is ignored: the line only shows progress
 	})
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 		return err
 	}
 	if err := load.JSON(f, reports); err != nil {
-		_ = f.Close() // the write's error is the one to report
+		_ = f.Close() // the error of the write is reported
 		return err
 	}
 	return f.Close()
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -29,8 +29,8 @@
 type applyCmd struct {
 	OperatorFlags
 	File      string `arg:"-f,--file,required" help:"TOML file of [[resource]] tables"`
-	DryRun    bool   `arg:"--dry-run" help:"show what would change, and check it, without doing it"`
-	Operation string `arg:"--operation" help:"operation id, to repeat a change whose answer was lost"`
+	DryRun    bool   `arg:"--dry-run" help:"show and validate the changes without applying them"`
+	Operation string `arg:"--operation" help:"operation id, to repeat a change whose response was lost"`
 }
 
 func (c *applyCmd) run(ctx context.Context, out io.Writer) error {
@@ -58,22 +58,23 @@
 		return c.explain(ctx, out, desired, fault.From(err))
 	}
 	if accepted.DryRun {
-		_, err = fmt.Fprintln(out, "valid; nothing was changed")
+		_, err = fmt.Fprintln(out, "valid; nothing was changed (dry run)")
 		return err
 	}
-	_, err = fmt.Fprintf(out, "in force: revision %d, operation %s\n", accepted.Revision, accepted.Operation)
+	_, err = fmt.Fprintf(out, "applied: revision %d, operation %s\n", accepted.Revision, accepted.Operation)
 	return err
 }
 
-// explain adds to a failed change what its operator needs next: how to repeat
-// it, or what differs now from what another operator set.
+// explain adds to a failed change what the operator needs to continue: how to
+// repeat it if its outcome is unknown, or, after a conflict, the differences from
+// the configuration now in force.
 func (c *applyCmd) explain(ctx context.Context, out io.Writer, desired []resource.Desired, e *fault.Error) error {
 	switch {
 	case e.Outcome == fault.Unknown:
 		e.Message += "; repeat with --operation " + c.Operation
 	case e.Code == fault.Conflict:
 		if _, lines, err := c.client().Plan(ctx, desired); err == nil {
-			if _, err := fmt.Fprintln(out, "another change was first; against it:\n"+strings.Join(lines, "\n")); err != nil {
+			if _, err := fmt.Fprintln(out, "conflict with an earlier change; differences from the configuration now in force:\n"+strings.Join(lines, "\n")); err != nil {
 				return err
 			}
 		}
@@ -84,7 +85,7 @@
 type getCmd struct {
 	OperatorFlags
 	Kind string `arg:"positional,required" help:"class, team, pool, model, service or rollout"`
-	Name string `arg:"positional" help:"one resource; else all of the kind"`
+	Name string `arg:"positional" help:"name of a resource (default all of the kind)"`
 }
 
 func (c *getCmd) run(ctx context.Context, out io.Writer) error {
@@ -99,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	return table(out, "NAME\tREVISION\tSPEC", func(w io.Writer) error {
+	return writeTable(out, "NAME\tREVISION\tSPEC", func(w io.Writer) error {
 		for _, r := range list {
 			if _, err := fmt.Fprintf(w, "%s\t%d\t%s\n", r.Name, r.Revision, r.Spec); err != nil {
 				return err
@@ -115,7 +116,7 @@
 	return enc.Encode(v)
 }
 
-func table(out io.Writer, header string, rows func(io.Writer) error) error {
+func writeTable(out io.Writer, header string, rows func(io.Writer) error) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	if _, err := fmt.Fprintln(w, header); err != nil {
 		return err
@@ -147,7 +148,7 @@
 }
 
 func (c *watchCmd) run(ctx context.Context, out io.Writer) error {
-	ctx, stop := stopSignals(ctx)
+	ctx, stop := notifyStop(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -155,11 +156,11 @@
 		cancel()
 	}()
 	return c.client().Watch(ctx, c.Kind, func(r query.Resource) {
-		what := string(r.Spec)
+		content := string(r.Spec)
 		if r.Deleted {
-			what = "deleted"
+			content = "deleted"
 		}
-		_, _ = fmt.Fprintf(out, "%d %s/%s %s\n", r.Revision, r.Kind, r.Name, what) // a closed pipe ends the process
+		_, _ = fmt.Fprintf(out, "%d %s/%s %s\n", r.Revision, r.Kind, r.Name, content) // writing to a closed pipe ends the process by SIGPIPE
 	})
 }
 
@@ -174,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	return table(out, "REVISION\tTIME\tACTOR\tOPERATION\tSPEC", func(w io.Writer) error {
+	return writeTable(out, "REVISION\tTIME\tACTOR\tOPERATION\tSPEC", func(w io.Writer) error {
 		for _, v := range versions {
 			spec := string(v.Spec)
 			if spec == "" {
@@ -192,7 +193,7 @@
 	OperatorFlags
 	Kind string `arg:"positional,required"`
 	Name string `arg:"positional,required"`
-	To   string `arg:"--to" help:"revision to go back to; else the one before the last"`
+	To   string `arg:"--to" help:"revision to restore (default the one before the last)"`
 }
 
 func (c *withdrawCmd) run(ctx context.Context, out io.Writer) error {
@@ -204,27 +205,27 @@
 	return err
 }
 
-type opCmd struct {
+type operationCmd struct {
 	OperatorFlags
 	ID string `arg:"positional,required"`
 }
 
-func (c *opCmd) run(ctx context.Context, out io.Writer) error {
-	res, err := c.client().Operation(ctx, c.ID)
+func (c *operationCmd) run(ctx context.Context, out io.Writer) error {
+	result, err := c.client().Operation(ctx, c.ID)
 	if err != nil {
 		return err
 	}
-	return printJSON(out, res)
+	return printJSON(out, result)
 }
 
 type statusCmd struct {
 	OperatorFlags
-	All []string `arg:"--also,separate" help:"operators' API of a further router"`
+	MoreRouters []string `arg:"--also,separate" help:"IP address and port of another router's operators' API; repeat for several"`
 }
 
 func (c *statusCmd) run(ctx context.Context, out io.Writer) error {
-	return table(out, "FROM\tPROCESS\tROLE\tUP\tLEAVING\tREVISION\tRUNNING\tQUEUED", func(w io.Writer) error {
-		for _, address := range append([]string{c.Operators}, c.All...) {
+	return writeTable(out, "FROM\tPROCESS\tROLE\tUP\tLEAVING\tREVISION\tRUNNING\tQUEUED", func(w io.Writer) error {
+		for _, address := range append([]string{c.Operators}, c.MoreRouters...) {
 			status, err := operator.New(address, c.Key).Status(ctx)
 			if err != nil {
 				return err
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -27,18 +27,18 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := stopSignals(ctx)
+	ctx, stop := notifyStop(ctx)
 	return r.Serve(ctx, stop)
 }
 
 type agentCmd struct {
 	Config   string `arg:"--config,required" help:"settings file (TOML)"`
-	Validate bool   `arg:"--validate" help:"check the settings and exit"`
+	Validate bool   `arg:"--validate" help:"validate the settings and exit"`
 }
 
-// Description implements go-arg's Described.
+// Description implements arg.Described.
 func (agentCmd) Description() string {
-	return "merlinpost-agent runs beside a backend server and is the only one to speak to it."
+	return "merlinpost-agent runs beside a backend server and is its only client."
 }
 
 func (c *agentCmd) run(ctx context.Context, out io.Writer) error {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := stopSignals(ctx)
+	ctx, stop := notifyStop(ctx)
 	context.AfterFunc(ctx, a.Stop)
 	go func() {
 		<-stop
@@ -70,7 +70,7 @@
 }
 
 func (c *devCmd) run(ctx context.Context, out io.Writer) error {
-	ctx, stop := stopSignals(ctx)
+	ctx, stop := notifyStop(ctx)
 	logger := telemetry.NewLogger(os.Stderr, settings.Logging{Format: "text", Level: c.LogLevel})
 	d, err := dev.Start(ctx, dev.Options{Callers: c.Callers, Operators: c.Operators}, logger)
 	if err != nil {
@@ -119,7 +119,7 @@
 }
 
 type hashKeyCmd struct {
-	Key string `arg:"positional,required" help:"the key"`
+	Key string `arg:"positional,required" help:"key of a team or an operator"`
 }
 
 func (c *hashKeyCmd) run(_ context.Context, out io.Writer) error {
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -14,14 +14,14 @@
 )
 
 type simulateCmd struct {
-	Scenario string        `arg:"--scenario" default:"advisory" help:"advisory, routes, reviews or slow: engines and load"`
+	Scenario string        `arg:"--scenario" default:"advisory" help:"engines and load: advisory, routes, reviews or slow"`
 	Engines  int           `arg:"--engines" default:"12" help:"number of engines"`
 	Gateways int           `arg:"--gateways" default:"5" help:"number of gateways"`
-	Factor   float64       `arg:"--factor" default:"1" help:"load against the scenario's"`
-	Length   time.Duration `arg:"--length" default:"30s" help:"simulated time with arrivals"`
-	Seeds    uint64        `arg:"--seeds" default:"3" help:"number of seeds, from 1 on"`
-	Variants []string      `arg:"--variant,separate" help:"one of product, no_permits, no_harm, no_pacing, no_order, together, no_learning, no_fetch, by_arrival, patient, no_ranks, least_requests; all if left out"`
-	Plot     bool          `arg:"--plot" help:"draw the shares in time below the table"`
+	Factor   float64       `arg:"--factor" default:"1" help:"factor for the scenario's load"`
+	Length   time.Duration `arg:"--length" default:"30s" help:"simulated time during which requests arrive"`
+	Seeds    uint64        `arg:"--seeds" default:"3" help:"number of random seeds, starting at 1"`
+	Variants []string      `arg:"--variant,separate" help:"variant to simulate: product, no_permits, no_harm, no_pacing, no_order, together, no_learning, no_fetch, by_arrival, patient, no_ranks, least_requests; repeat for several (default all)"`
+	Plot     bool          `arg:"--plot" help:"plot the shares of requests answered in time below the table"`
 }
 
 func (c *simulateCmd) run(_ context.Context, out io.Writer) error {
@@ -30,14 +30,14 @@
 	}
 	scenario, found := simulate.Find(c.Scenario)
 	if !found {
-		return fault.New(fault.BadSettings, "%q is no scenario", c.Scenario).InField("--scenario")
+		return fault.New(fault.BadSettings, "unknown scenario %q", c.Scenario).InField("--scenario")
 	}
 	variants := simulate.Variants
 	if len(c.Variants) > 0 {
 		variants = nil
 		for _, name := range c.Variants {
 			if !slices.Contains(simulate.Variants, simulate.Variant(name)) {
-				return fault.New(fault.BadSettings, "%q is no variant", name).InField("--variant")
+				return fault.New(fault.BadSettings, "unknown variant %q", name).InField("--variant")
 			}
 			variants = append(variants, simulate.Variant(name))
 		}
@@ -49,7 +49,7 @@
 		classes []string
 	)
 	for _, v := range variants {
-		var seeds [][]simulate.ClassResult
+		var seedResults [][]simulate.ClassResult
 		for seed := uint64(1); seed <= c.Seeds; seed++ {
 			results := simulate.Run(simulate.Config{Engines: c.Engines, Gateways: c.Gateways, Engine: scenario.Engine,
 				Classes: scenario.Classes(c.Engines, c.Factor), Length: c.Length, Seed: seed, Variant: v})
@@ -57,9 +57,9 @@
 				_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%d\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t\n", v, seed, r.Name, r.Asked, r.InTime(), r.Served(),
 					r.Refused, r.Failed, r.FirstTokenP50, r.FirstTokenP95Ms)
 			}
-			seeds, classes = append(seeds, results), chart.Classes(results)
+			seedResults, classes = append(seedResults, results), chart.Classes(results)
 		}
-		series = append(series, chart.Mean(v, seeds))
+		series = append(series, chart.Mean(v, seedResults))
 	}
 	if err := table.Flush(); err != nil {
 		return fault.New(fault.BadSettings, "%w", err).InField("simulate")
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -39,12 +39,13 @@
 	case c.Service != nil:
 		return c.Service.run(ctx, out)
 	}
-	return fault.New(fault.BadRequest, "which stand-in? log, members, weights, engine or service")
+	return fault.New(fault.BadRequest, "no stand-in given; use log, members, weights, engine or service")
 }
 
-// serveUntilStopped serves a stand-in and prints its address.
+// serveUntilStopped serves a stand-in at an address, prints the address that it
+// listens on and returns at the first stop signal.
 func serveUntilStopped(ctx context.Context, out io.Writer, address string, h http.Handler) error {
-	ctx, stop := stopSignals(ctx)
+	ctx, stop := notifyStop(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	actual, err := standin.Serve(ctx, address, h)
@@ -63,7 +64,7 @@
 
 type standinLogCmd struct {
 	Listen string `arg:"--listen" default:"127.0.0.1:7000"`
-	File   string `arg:"--file" help:"keep the records in this file over restarts"`
+	File   string `arg:"--file" help:"store the records in this file, to keep them across restarts"`
 }
 
 func (c *standinLogCmd) run(ctx context.Context, out io.Writer) error {
@@ -75,28 +76,28 @@
 }
 
 type standinMembersCmd struct {
-	Listen string        `arg:"--listen" default:"127.0.0.1:7001"`
-	Lag    time.Duration `arg:"--lag" default:"1s" help:"how late changes show"`
-	Member []string      `arg:"--member,separate" help:"a live member from the start, as role,name,address"`
+	Listen  string        `arg:"--listen" default:"127.0.0.1:7001"`
+	Lag     time.Duration `arg:"--lag" default:"1s" help:"delay until changes are visible"`
+	Members []string      `arg:"--member,separate" help:"initial live member as role,name,address; repeat for several"`
 }
 
 func (c *standinMembersCmd) run(ctx context.Context, out io.Writer) error {
-	list := members.New(c.Lag)
-	for _, m := range c.Member {
+	memberList := members.New(c.Lag)
+	for _, m := range c.Members {
 		role, rest, _ := strings.Cut(m, ",")
 		name, address, ok := strings.Cut(rest, ",")
 		if !ok {
-			return fault.New(fault.BadRequest, "%q is not role,name,address", m).InField("--member")
+			return fault.New(fault.BadRequest, "member %q does not have the form role,name,address", m).InField("--member")
 		}
-		list.Set(membership.Member{Name: name, Role: role, Address: address, State: membership.Live}, false)
+		memberList.Set(membership.Member{Name: name, Role: role, Address: address, State: membership.Live}, false)
 	}
-	return serveUntilStopped(ctx, out, c.Listen, list.Handler())
+	return serveUntilStopped(ctx, out, c.Listen, memberList.Handler())
 }
 
 type standinWeightsCmd struct {
 	Listen string `arg:"--listen" default:"127.0.0.1:7002"`
-	Size   int    `arg:"--size" default:"4000000" help:"bytes of each model's weights"`
-	Rate   int    `arg:"--rate" default:"8000000" help:"bytes a second for all readers"`
+	Size   int    `arg:"--size" default:"4000000" help:"size of each model's weights in bytes"`
+	Rate   int    `arg:"--rate" default:"8000000" help:"bytes per second, for all readers together"`
 }
 
 func (c *standinWeightsCmd) run(ctx context.Context, out io.Writer) error {
@@ -104,24 +105,24 @@
 }
 
 type standinEngineCmd struct {
-	Listen    string        `arg:"--listen" default:"127.0.0.1:7100"`
-	Name      string        `arg:"--name" default:"engine"`
-	Step      time.Duration `arg:"--step" default:"3ms" help:"time of a decoding step"`
-	StepPer   time.Duration `arg:"--step-per-sequence" default:"20us" help:"what each running sequence adds to a step"`
-	Prefill   time.Duration `arg:"--prefill" default:"500us" help:"time to prefill a block of 16 words"`
-	Batch     int           `arg:"--batch" default:"16" help:"most sequences at once"`
-	Cache     int           `arg:"--cache" default:"4096" help:"blocks in the prefix cache"`
-	Fencing   bool          `arg:"--fencing" help:"refuse orders with an old fencing number"`
-	Lag       time.Duration `arg:"--report-lag" default:"1s" help:"age of load reports and cache events"`
-	EventLoss float64       `arg:"--event-loss" default:"0.05" help:"share of cache events lost"`
-	Weights   string        `arg:"--weights" help:"address of the weight store"`
-	Loaded    []string      `arg:"--loaded,separate" help:"target loaded from the start"`
-	Seed      uint64        `arg:"--seed" default:"1"`
+	Listen          string        `arg:"--listen" default:"127.0.0.1:7100"`
+	Name            string        `arg:"--name" default:"engine"`
+	Step            time.Duration `arg:"--step" default:"3ms" help:"duration of a decoding step"`
+	StepPerSequence time.Duration `arg:"--step-per-sequence" default:"20us" help:"time that each running sequence adds to a step"`
+	PrefillPerBlock time.Duration `arg:"--prefill" default:"500us" help:"time to prefill a block of 16 words"`
+	Batch           int           `arg:"--batch" default:"16" help:"maximum number of sequences running at once"`
+	Cache           int           `arg:"--cache" default:"4096" help:"size of the prefix cache in blocks"`
+	Fencing         bool          `arg:"--fencing" help:"reject orders with an outdated fencing token"`
+	ReportLag       time.Duration `arg:"--report-lag" default:"1s" help:"age of load reports and cache events"`
+	EventLoss       float64       `arg:"--event-loss" default:"0.05" help:"fraction of cache events that are lost"`
+	Weights         string        `arg:"--weights" help:"address of the weight store"`
+	Loaded          []string      `arg:"--loaded,separate" help:"target that is loaded at the start; repeat for several"`
+	Seed            uint64        `arg:"--seed" default:"1"`
 }
 
 func (c *standinEngineCmd) run(ctx context.Context, out io.Writer) error {
-	e := engine.New(engine.Config{Name: c.Name, Step: c.Step, StepPerSeq: c.StepPer, PrefillPerBlock: c.Prefill, MaxBatch: c.Batch,
-		CacheBlocks: c.Cache, Fencing: c.Fencing, ReportLag: c.Lag, EventLoss: c.EventLoss, Weights: c.Weights, Loaded: c.Loaded, Seed: c.Seed})
+	e := engine.New(engine.Config{Name: c.Name, Step: c.Step, StepPerSeq: c.StepPerSequence, PrefillPerBlock: c.PrefillPerBlock, MaxBatch: c.Batch,
+		CacheBlocks: c.Cache, Fencing: c.Fencing, ReportLag: c.ReportLag, EventLoss: c.EventLoss, Weights: c.Weights, Loaded: c.Loaded, Seed: c.Seed})
 	go e.Run(ctx)
 	return serveUntilStopped(ctx, out, c.Listen, e.Handler())
 }
