--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -7,12 +7,12 @@
 	"sort"
 )
 
-// specDiff lists the fields that differ between two specs, a line each; none
-// if they mean the same.
+// specDiff lists the top-level fields that differ between two specs, with a line
+// for each removed and each added value. It returns nil if the specs are equal.
 func specDiff(before, after json.RawMessage) []string {
 	var a, b map[string]any
-	_ = json.Unmarshal(before, &a) // an absent spec counts as empty
-	_ = json.Unmarshal(after, &b)  // the document was checked
+	_ = json.Unmarshal(before, &a) // an absent spec is treated as empty
+	_ = json.Unmarshal(after, &b)  // the spec was validated with its document
 	fields := map[string]bool{}
 	for k := range a {
 		fields[k] = true
@@ -25,22 +25,22 @@
 		names = append(names, k)
 	}
 	sort.Strings(names)
-	var out []string
+	var lines []string
 	for _, k := range names {
 		if reflect.DeepEqual(a[k], b[k]) {
 			continue
 		}
 		if v, ok := a[k]; ok {
-			out = append(out, fmt.Sprintf("  - %s = %s", k, compact(v)))
+			lines = append(lines, fmt.Sprintf("  - %s = %s", k, compactJSON(v)))
 		}
 		if v, ok := b[k]; ok {
-			out = append(out, fmt.Sprintf("  + %s = %s", k, compact(v)))
+			lines = append(lines, fmt.Sprintf("  + %s = %s", k, compactJSON(v)))
 		}
 	}
-	return out
+	return lines
 }
 
-func compact(v any) string {
+func compactJSON(v any) string {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Sprint(v)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the client of the operators' API that the command line
-// uses.
+// Package operator provides the client of the operators' API for the command
+// line.
 package operator
 
 import (
@@ -22,17 +22,18 @@
 
 // Client calls one router's operators' API.
 type Client struct {
-	base string
-	key  string
-	http *http.Client
+	baseURL string
+	key     string
+	http    *http.Client
 }
 
-// callTimeout bounds a call; it is above the time a change may take to settle.
+// callTimeout is the time limit of a call. It must be longer than a change may
+// take to complete.
 const callTimeout = 15 * time.Second
 
-// New returns a client of the API at an IP address and port.
+// New returns a client of the API at the given IP address and port.
 func New(address, key string) *Client {
-	return &Client{base: "http://" + address + "/v1/", key: key, http: &http.Client{}}
+	return &Client{baseURL: "http://" + address + "/v1/", key: key, http: &http.Client{}}
 }
 
 func (c *Client) send(ctx context.Context, method, path string, body any, header http.Header) (*http.Response, error) {
@@ -44,7 +45,7 @@
 		}
 		in = bytes.NewReader(data)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, in)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, in)
 	if err != nil {
 		return nil, fault.New(fault.BadRequest, "%w", err)
 	}
@@ -62,7 +63,7 @@
 	defer resp.Body.Close()
 	var e adminapi.ErrorBody
 	if json.NewDecoder(resp.Body).Decode(&e) != nil || e.Code == "" {
-		return nil, fault.New(fault.Internal, "%s %s: status %d", method, path, resp.StatusCode)
+		return nil, fault.New(fault.Internal, "%s %s: unexpected response with status %d", method, path, resp.StatusCode)
 	}
 	message := e.Message
 	if e.Operation != "" {
@@ -71,7 +72,7 @@
 	return nil, &fault.Error{Code: e.Code, Outcome: e.Outcome, Field: e.Field, Message: message}
 }
 
-// call makes a call and decodes its answer into out.
+// call sends a request and decodes the JSON response into out.
 func (c *Client) call(ctx context.Context, method, path string, body, out any, header http.Header) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -81,7 +82,7 @@
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-		return fault.New(fault.Internal, "%s %s: decode answer: %w", method, path, err)
+		return fault.New(fault.Internal, "%s %s: decode response: %w", method, path, err)
 	}
 	return nil
 }
@@ -98,7 +99,7 @@
 	return out, c.call(ctx, http.MethodGet, resourcePath(kind, name), nil, &out, nil)
 }
 
-// History returns the kept contents of a resource, newest last.
+// History returns the retained versions of a resource, newest last.
 func (c *Client) History(ctx context.Context, kind, name string) (out []resource.Version, err error) {
 	return out, c.call(ctx, http.MethodGet, resourcePath(kind, name)+"/history", nil, &out, nil)
 }
@@ -108,7 +109,8 @@
 	return out, c.call(ctx, http.MethodDelete, resourcePath(kind, name), nil, &out, nil)
 }
 
-// Withdraw puts back the content of a revision, or the one before the last.
+// Withdraw restores a resource to its content at the revision to, or to the
+// version before the last if to is empty.
 func (c *Client) Withdraw(ctx context.Context, kind, name, to string) (out command.Accepted, err error) {
 	path := resourcePath(kind, name) + "/withdraw"
 	if to != "" {
@@ -117,7 +119,7 @@
 	return out, c.call(ctx, http.MethodPost, path, nil, &out, nil)
 }
 
-// Change submits a set of changes under an operation id, which may be empty.
+// Change submits a change set. The operation id may be empty.
 func (c *Client) Change(ctx context.Context, set command.ChangeSet, operation string) (out command.Accepted, err error) {
 	header := http.Header{}
 	if operation != "" {
@@ -131,12 +133,12 @@
 	return out, c.call(ctx, http.MethodGet, "operations/"+url.PathEscape(id), nil, &out, nil)
 }
 
-// Status returns what the router knows of the processes.
+// Status returns the state of all processes as known to the router.
 func (c *Client) Status(ctx context.Context) (out query.Status, err error) {
 	return out, c.call(ctx, http.MethodGet, "status", nil, &out, nil)
 }
 
-// Watch gives each resource of a kind that changes to f, until ctx ends.
+// Watch calls f for each change to a resource of a kind until ctx ends.
 func (c *Client) Watch(ctx context.Context, kind string, f func(query.Resource)) error {
 	resp, err := c.send(ctx, http.MethodGet, url.PathEscape(kind)+"?watch", nil, nil)
 	if err != nil {
@@ -153,11 +155,11 @@
 	if ctx.Err() != nil {
 		return nil
 	}
-	return fault.New(fault.LinkLost, "the watch ended: %v", lines.Err())
+	return fault.New(fault.LinkLost, "watch of kind %q ended: %v", kind, lines.Err())
 }
 
-// Plan compares the desired resources of a document with what is in force and
-// returns the changes that are needed, with a line about each.
+// Plan compares the desired resources with the configuration in force. It returns
+// the changes that are needed and a description of them, line by line.
 func (c *Client) Plan(ctx context.Context, desired []resource.Desired) (command.ChangeSet, []string, error) {
 	var set command.ChangeSet
 	var lines []string
