--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,5 +1,5 @@
-// Package assembly puts the parts of a process together from its settings. The
-// command line and the embedded deployment both use it.
+// Package assembly builds a router from its settings. It is used by the command
+// line and by the deployment in one process (package dev).
 package assembly
 
 import (
@@ -19,20 +19,20 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// Router is a router with its APIs and listening sockets.
+// Router is a router with its HTTP APIs and listening sockets.
 type Router struct {
 	*router.Router
 	listeners router.Listeners
 	pages     router.Pages
 }
 
-// NewRouter opens the sockets of a router and puts it together.
+// NewRouter builds a router and opens its listening sockets.
 func NewRouter(set settings.Router, logger *slog.Logger) (*Router, error) {
 	r, err := router.New(set, logger)
 	if err != nil {
 		return nil, err
 	}
-	operators, err := adminapi.New(set.Operators.Keys, openPages(r),
+	operators, err := adminapi.New(set.Operators.Keys, publicRoutes(r),
 		command.New(r.Config, time.Now), query.New(r.Config, r.Status))
 	if err != nil {
 		return nil, err
@@ -45,8 +45,8 @@
 	return &Router{r, listeners, router.Pages{Callers: callers, Operators: operators}}, nil
 }
 
-// openPages are the operators' pages that need no key.
-func openPages(r *router.Router) func(app *iris.Application) {
+// publicRoutes registers the routes of the operators' API that need no key.
+func publicRoutes(r *router.Router) func(app *iris.Application) {
 	return func(app *iris.Application) {
 		app.Get("/metrics", iris.FromStd(telemetry.Handler()))
 		app.Get("/healthz", func(ctx iris.Context) { _, _ = fmt.Fprintln(ctx.ResponseWriter(), "ok") })
@@ -64,7 +64,8 @@
 // OperatorsAddress returns the address of the operators' API.
 func (r *Router) OperatorsAddress() string { return r.listeners.Operators.Addr().String() }
 
-// Serve runs the router until ctx ends or, gracefully, until stop is closed.
+// Serve runs the router until ctx ends, or until the graceful shutdown that
+// begins when stop is closed is complete.
 func (r *Router) Serve(ctx context.Context, stop <-chan struct{}) error {
 	return r.Router.Serve(ctx, stop, r.listeners, r.pages)
 }
