--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,6 +1,6 @@
-// Package dev runs a whole deployment in one process: stand-ins of the outside
-// systems, agents beside the stand-in backend servers, and a router. All of
-// them talk over real sockets on the loopback.
+// Package dev runs a complete deployment in one process: stand-ins for the
+// outside systems, stand-in backend servers with an agent each, and a router. They
+// communicate over real sockets on the loopback interface.
 package dev
 
 import (
@@ -25,39 +25,42 @@
 	"github.com/merlinpost/merlinpost/internal/standin/plain"
 )
 
-// The keys of the deployment.
+// Keys for the APIs of the deployment.
 const (
 	TeamKey     = "dev"
 	OperatorKey = "dev-operator"
 )
 
 const (
-	domains      = 2
-	anyPort      = "127.0.0.1:0"
-	readyWithin  = 15 * time.Second
-	readyPoll    = 20 * time.Millisecond
-	devStep      = 3 * time.Millisecond
-	devSlots     = 16
-	defaultEach  = 2
-	devKeyWindow = 10 * 60 * 1000
+	failureDomains    = 2
+	ephemeralAddress  = "127.0.0.1:0"
+	readyTimeout      = 15 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	defaultStep       = 3 * time.Millisecond
+	defaultSlots      = 16
+	defaultServers    = 2
+	keyWindowMS       = 10 * 60 * 1000
 )
 
-// Options is the size of the deployment.
+// Options configures a deployment.
 type Options struct {
+	// Callers and Operators are the addresses of the router's APIs.
 	Callers, Operators string
-	// Engines and Services are numbers of backend servers; 0: two of each.
+	// Engines and Services are the numbers of backend servers (default 2 each).
 	Engines, Services int
-	// Step is the engines' step time; 0: 3 ms. Slots is their batch size and
-	// the agents' slots; 0: 16.
-	Step  time.Duration
+	// Step is the duration of an engine's decoding step (default 3 ms).
+	Step time.Duration
+	// Slots is the batch size of the engines and the number of slots of each
+	// agent (default 16).
 	Slots int
 	// Classes and Teams replace the default ones if not nil.
 	Classes map[string]*resource.Class
 	Teams   map[string]*resource.Team
-	// Tune changes an agent's settings before it starts.
-	Tune func(*settings.Agent)
-	// TuneRouter changes the router's settings before it starts.
-	TuneRouter func(*settings.Router)
+	// ConfigureAgent, if not nil, modifies an agent's settings before it starts.
+	ConfigureAgent func(*settings.Agent)
+	// ConfigureRouter, if not nil, modifies the router's settings before it
+	// starts.
+	ConfigureRouter func(*settings.Router)
 }
 
 // Deployment is a running deployment.
@@ -66,7 +69,8 @@
 	Log     *logservice.Service
 	Members *members.List
 	Engines []*engine.Engine
-	// EngineAddresses are where the engines can be called directly.
+	// EngineAddresses are the engines' own addresses, for calls that bypass the
+	// router and the agents.
 	EngineAddresses []string
 	Services        []*plain.Service
 	Agents          []*agent.Agent
@@ -75,10 +79,10 @@
 	servers                    map[string][]resource.Server
 	cancel                     context.CancelFunc
 	stopRouter                 chan struct{}
-	duties                     sync.WaitGroup
+	tasks                      sync.WaitGroup
 }
 
-// Start starts the deployment and returns when it serves requests.
+// Start starts a deployment and returns when it is ready to serve requests.
 func Start(ctx context.Context, opts Options, logger *slog.Logger) (*Deployment, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	d := &Deployment{cancel: cancel, servers: map[string][]resource.Server{}, stopRouter: make(chan struct{})}
@@ -91,16 +95,16 @@
 
 func (d *Deployment) start(ctx context.Context, opts Options, logger *slog.Logger) error {
 	if opts.Engines == 0 {
-		opts.Engines = defaultEach
+		opts.Engines = defaultServers
 	}
 	if opts.Services == 0 {
-		opts.Services = defaultEach
+		opts.Services = defaultServers
 	}
 	if opts.Step == 0 {
-		opts.Step = devStep
+		opts.Step = defaultStep
 	}
 	if opts.Slots == 0 {
-		opts.Slots = devSlots
+		opts.Slots = defaultSlots
 	}
 	if opts.Classes == nil {
 		opts.Classes = defaultClasses()
@@ -122,7 +126,7 @@
 			return err
 		}
 	}
-	if err := d.seed(opts); err != nil {
+	if err := d.writeInitialConfig(opts); err != nil {
 		return err
 	}
 	if err := d.startRouter(ctx, opts, logger); err != nil {
@@ -133,24 +137,24 @@
 
 func (d *Deployment) startPlatform(ctx context.Context) (err error) {
 	d.Log, d.Members = logservice.New(), members.New(time.Second)
-	if d.logAddress, err = standin.Serve(ctx, anyPort, d.Log.Handler()); err != nil {
+	if d.logAddress, err = standin.Serve(ctx, ephemeralAddress, d.Log.Handler()); err != nil {
 		return err
 	}
-	d.membersAddress, err = standin.Serve(ctx, anyPort, d.Members.Handler())
+	d.membersAddress, err = standin.Serve(ctx, ephemeralAddress, d.Members.Handler())
 	return err
 }
 
-func domain(i int) string { return string(rune('a' + i%domains)) }
+func failureDomain(i int) string { return string(rune('a' + i%failureDomains)) }
 
 func (d *Deployment) addEngine(ctx context.Context, i int, opts Options, logger *slog.Logger) error {
 	e := engine.New(engine.Config{Name: fmt.Sprint("engine-", i), Step: opts.Step, StepPerSeq: opts.Step / 150,
 		PrefillPerBlock: opts.Step / 6, MaxBatch: opts.Slots, CacheBlocks: 4096, Fencing: i%2 == 0, ReportLag: time.Second,
 		EventLoss: 0.05, Loaded: []string{"advisory@" + resource.BaseVersion}, Seed: uint64(i)})
-	address, err := standin.Serve(ctx, anyPort, e.Handler())
+	address, err := standin.Serve(ctx, ephemeralAddress, e.Handler())
 	if err != nil {
 		return err
 	}
-	d.duties.Go(func() { e.Run(ctx) })
+	d.tasks.Go(func() { e.Run(ctx) })
 	d.Engines = append(d.Engines, e)
 	d.EngineAddresses = append(d.EngineAddresses, address)
 	return d.addAgent(ctx, "engines", settings.Server{Kind: "engine", Address: address, Slots: opts.Slots, Fencing: i%2 == 0, StallMS: 10000}, i, opts, logger)
@@ -158,7 +162,7 @@
 
 func (d *Deployment) addService(ctx context.Context, i int, opts Options, logger *slog.Logger) error {
 	s := plain.New("receipts")
-	address, err := standin.Serve(ctx, anyPort, s.Handler())
+	address, err := standin.Serve(ctx, ephemeralAddress, s.Handler())
 	if err != nil {
 		return err
 	}
@@ -169,19 +173,19 @@
 
 func (d *Deployment) addAgent(ctx context.Context, pool string, server settings.Server, i int, opts Options, logger *slog.Logger) error {
 	set := settings.DefaultAgent()
-	set.Name, set.FailureDomain = fmt.Sprintf("%s-%d", pool, i), domain(i)
-	set.Listen, set.Metrics, set.Server = anyPort, anyPort, server
+	set.Name, set.FailureDomain = fmt.Sprintf("%s-%d", pool, i), failureDomain(i)
+	set.Listen, set.Metrics, set.Server = ephemeralAddress, ephemeralAddress, server
 	set.Log.Address, set.Members.Address = d.logAddress, d.membersAddress
-	if opts.Tune != nil {
-		opts.Tune(&set)
+	if opts.ConfigureAgent != nil {
+		opts.ConfigureAgent(&set)
 	}
 	a, err := agent.New(set, logger)
 	if err != nil {
 		return err
 	}
-	d.duties.Go(func() {
+	d.tasks.Go(func() {
 		if err := a.Run(ctx); err != nil {
-			logger.Error("agent ended", "error", err)
+			logger.Error("agent failed", "error", err)
 		}
 	})
 	d.Agents = append(d.Agents, a)
@@ -197,13 +201,13 @@
 	}
 }
 
-// seed puts the first configuration on the log.
-func (d *Deployment) seed(opts Options) error {
+// writeInitialConfig appends the initial configuration to the log.
+func (d *Deployment) writeInitialConfig(opts Options) error {
 	rec := resource.Record{Operation: "seed", Actor: "dev"}
 	put := func(kind resource.Kind, name string, spec resource.Spec) {
 		data, err := json.Marshal(spec)
 		if err != nil {
-			data = nil // the check below names it
+			data = nil // reported by the check below
 		}
 		rec.Changes = append(rec.Changes, resource.Change{Verb: resource.Put, Kind: kind, Name: name, Spec: data})
 	}
@@ -216,14 +220,14 @@
 	put(resource.KindPool, "engines", &resource.Pool{Servers: d.servers["engines"]})
 	put(resource.KindPool, "workers", &resource.Pool{Servers: d.servers["workers"]})
 	put(resource.KindModel, "advisory", &resource.Model{Pool: "engines"})
-	put(resource.KindService, "receipts", &resource.Service{Pool: "workers", Path: "/receipts", KeyWindowMS: devKeyWindow})
+	put(resource.KindService, "receipts", &resource.Service{Pool: "workers", Path: "/receipts", KeyWindowMS: keyWindowMS})
 	put(resource.KindService, "status", &resource.Service{Pool: "workers", Path: "/status", MayRepeat: true})
 	if err := resource.NewFold().Check(rec); err != nil {
 		return err
 	}
 	data, err := json.Marshal(rec)
 	if err != nil {
-		return fault.New(fault.Internal, "encode seed: %w", err)
+		return fault.New(fault.Internal, "encode initial configuration: %w", err)
 	}
 	_, err = d.Log.Append(configlog.StreamConfig, data)
 	return err
@@ -231,14 +235,14 @@
 
 func (d *Deployment) startRouter(ctx context.Context, opts Options, logger *slog.Logger) error {
 	set := settings.DefaultRouter()
-	set.Name, set.FailureDomain = "router-0", domain(0)
+	set.Name, set.FailureDomain = "router-0", failureDomain(0)
 	set.Callers.Listen, set.Operators.Listen = opts.Callers, opts.Operators
-	set.Callers.BalancerLagMS = 0 // there is no balancer
-	set.Peers.Listen = anyPort
+	set.Callers.BalancerLagMS = 0 // there is no load balancer to wait for
+	set.Peers.Listen = ephemeralAddress
 	set.Operators.Keys = []settings.OperatorKey{{Name: "dev", SHA256: resource.HashKey(OperatorKey)}}
 	set.Log.Address, set.Members.Address = d.logAddress, d.membersAddress
-	if opts.TuneRouter != nil {
-		opts.TuneRouter(&set)
+	if opts.ConfigureRouter != nil {
+		opts.ConfigureRouter(&set)
 	}
 	r, err := assembly.NewRouter(set, logger)
 	if err != nil {
@@ -246,23 +250,24 @@
 	}
 	d.Router = r
 	d.Members.Set(membership.Member{Name: set.Name, Role: "router", Address: r.PeersAddress(), FailureDomain: set.FailureDomain, State: membership.Live}, false)
-	d.duties.Go(func() {
+	d.tasks.Go(func() {
 		if err := r.Serve(ctx, d.stopRouter); err != nil {
-			logger.Error("router ended", "error", err)
+			logger.Error("router failed", "error", err)
 		}
 	})
 	return nil
 }
 
-// waitReady waits until the router has a link to every agent that serves.
+// waitReady waits until the router is ready and has a link to every agent, and
+// every agent is serving.
 func (d *Deployment) waitReady(ctx context.Context) error {
-	deadline := time.NewTimer(readyWithin)
+	deadline := time.NewTimer(readyTimeout)
 	defer deadline.Stop()
-	for !d.ready() {
+	for !d.routerAndAgentsReady() {
 		select {
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		case <-deadline.C:
-			return fault.New(fault.NotReady, "the deployment was not ready within %s", readyWithin)
+			return fault.New(fault.NotReady, "deployment not ready within %s", readyTimeout)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -270,18 +275,19 @@
 	return nil
 }
 
-func (d *Deployment) ready() bool {
-	up := 0
+func (d *Deployment) routerAndAgentsReady() bool {
+	serving := 0
 	for _, p := range d.Status() {
 		if p.Role == "agent" && p.Up && p.Serving {
-			up++
+			serving++
 		}
 	}
-	return d.Ready() && up == len(d.Agents)
+	return d.Ready() && serving == len(d.Agents)
 }
 
-// Wait waits for stop and then stops gracefully: the router first, the agents
-// after it.
+// Wait waits until stop is closed and then shuts down gracefully: the router
+// completes its requests before the agents are stopped. If ctx ends, requests in
+// progress are cut off.
 func (d *Deployment) Wait(ctx context.Context, stop <-chan struct{}) error {
 	select {
 	case <-stop:
@@ -290,7 +296,7 @@
 	close(d.stopRouter)
 	for d.Open() > 0 && ctx.Err() == nil {
 		select {
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -298,8 +304,8 @@
 	return nil
 }
 
-// Close ends everything at once.
+// Close stops the router, the agents and the stand-ins at once and waits for them.
 func (d *Deployment) Close() {
 	d.cancel()
-	d.duties.Wait()
+	d.tasks.Wait()
 }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -18,8 +18,8 @@
 	"github.com/merlinpost/merlinpost/internal/standin/engine"
 )
 
-func start(t testing.TB, opts Options) *Deployment {
-	opts.Callers, opts.Operators = anyPort, anyPort
+func startDeployment(t testing.TB, opts Options) *Deployment {
+	opts.Callers, opts.Operators = ephemeralAddress, ephemeralAddress
 	d, err := Start(context.Background(), opts, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,8 @@
 	return d
 }
 
-// post makes a request and returns the answer's status and body.
+// post sends a request to the callers' API and returns the status and the body of
+// the response.
 func post(d *Deployment, path, class, body string, header ...string) (int, string, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+d.CallersAddress()+path, strings.NewReader(body))
 	if err != nil {
@@ -48,10 +49,10 @@
 	return resp.StatusCode, string(data), err
 }
 
-// The embedded deployment serves models and services, and stops gracefully.
-func TestTheWholePathInOneProcess(t *testing.T) {
+// The deployment serves models and services and shuts down gracefully.
+func TestDeploymentServesModelsAndServices(t *testing.T) {
 	g := NewWithT(t)
-	d := start(t, Options{})
+	d := startDeployment(t, Options{})
 	status, text, err := post(d, "/v1/completions", "helpline", `{"model":"advisory","prompt":"p","max_tokens":7}`)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(status).To(Equal(200), text)
@@ -67,33 +68,33 @@
 	g.Expect(d.Wait(context.Background(), stop)).To(Succeed())
 }
 
-// BenchmarkRelay streams answers of 318 tokens to 64 callers at once through
-// router, agent and engine stand-in in one process, and reports tokens a second
-// and the processor time of all of them, callers included, for each token.
+// BenchmarkRelay streams responses of 318 tokens to 64 concurrent callers through
+// the router, the agents and the engine stand-ins in one process. It reports tokens
+// per second and the CPU time of the whole process, callers included, per token.
 func BenchmarkRelay(b *testing.B) {
 	const callers, tokens = 64, 318
-	d := start(b, Options{Engines: 2, Slots: callers, Step: 2 * time.Millisecond})
-	used := func() time.Duration {
+	d := startDeployment(b, Options{Engines: 2, Slots: callers, Step: 2 * time.Millisecond})
+	cpuTime := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 			b.Fatal(err)
 		}
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
-	begin, cpu, n := time.Now(), used(), 0
+	started, startCPU, relayed := time.Now(), cpuTime(), 0
 	for b.Loop() {
 		var wg sync.WaitGroup
 		for i := range callers {
 			wg.Go(func() {
-				body := fmt.Sprintf(`{"model":"advisory","stream":true,"min_tokens":%d,"max_tokens":%d,"prompt":"caller %d round %d"}`, tokens, tokens, i, n)
+				body := fmt.Sprintf(`{"model":"advisory","stream":true,"min_tokens":%d,"max_tokens":%d,"prompt":"caller %d round %d"}`, tokens, tokens, i, relayed)
 				if status, text, err := post(d, "/v1/completions", "helpline", body); err != nil || status != 200 || !bytes.HasSuffix([]byte(text), []byte("[DONE]\n\n")) {
 					b.Error(status, err)
 				}
 			})
 		}
 		wg.Wait()
-		n += callers * tokens
+		relayed += callers * tokens
 	}
-	b.ReportMetric(float64(n)/time.Since(begin).Seconds(), "tokens/s")
-	b.ReportMetric(float64((used()-cpu).Microseconds())/float64(n), "cpu-us/token")
+	b.ReportMetric(float64(relayed)/time.Since(started).Seconds(), "tokens/s")
+	b.ReportMetric(float64((cpuTime()-startCPU).Microseconds())/float64(relayed), "cpu-us/token")
 }
