--- a/cmd/merlinpost-agent/main.go
+++ b/cmd/merlinpost-agent/main.go
@@ -1,4 +1,4 @@
-// Command merlinpost-agent runs beside a backend server.
+// Command merlinpost-agent runs beside a backend server, as its only client.
 package main
 
 import (
--- a/cmd/merlinpost/main.go
+++ b/cmd/merlinpost/main.go
@@ -1,5 +1,5 @@
-// Command merlinpost is the router on entry hosts and the operators' command
-// line.
+// Command merlinpost runs a router or a gateway and provides the command line for
+// operators.
 package main
 
 import (
