--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -48,7 +48,7 @@
 	logWriter := decisionlog.NewWriter(os.Stdout)
 	defer logWriter.Close()
 	logger := decisionlog.NewLogger(logWriter)
-	options := platform.Own{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
+	options := platform.Options{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
 	servers := registry.New()
 	gw := gateway.New(set.Gateway(options), platform.Dialect{}, servers, logger)
 	peerGroup, err := peers.Open(set.Host, set.Peers(), set.Capacity(), gw, logger)
@@ -58,17 +58,17 @@
 	gw.UsePeers(peerGroup)
 	shareListener, err := net.Listen("tcp", set.Peers())
 	if err != nil {
-		return fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
+		return fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
 	share := configshare.New((&net.Dialer{}).DialContext, set.LinkMbps, logger)
 	ctx, stop := notifyStop(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	follower := follow.New(follow.Parts{
+	follower := follow.New(follow.Dependencies{
 		Connect: func(address string) follow.Store { return platform.NewStore(address, logger) }, Topics: platform.Topics, Decoder: platform.Decoder{},
 		Gateway: gw, Servers: servers, Peers: peerGroup, Share: share, Logger: logger,
 	}, set.Follow())
-	quarantineSync := quarantine.NewKeeper(gw.Quarantine(), follower.Quarantine(), set.Host, logger)
+	quarantineSync := quarantine.NewPersister(gw.Quarantine(), follower.Quarantine(), set.Host, logger)
 	gw.UseTrials(quarantineSync)
 	go quarantineSync.Run(ctx)
 	go share.Serve(ctx, shareListener)
@@ -80,7 +80,7 @@
 	})
 	go func() {
 		<-stop
-		peerGroup.Leave()
+		peerGroup.AnnounceLeave()
 	}()
 	return gw.Serve(ctx, stop)
 }
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -72,7 +72,7 @@
 	switch {
 	case e.Outcome == fault.Unknown:
 		e.Message += "; repeat with --operation " + c.Operation
-	case e.Code == fault.Conflict:
+	case e.Code == fault.RevisionConflict:
 		if _, lines, err := c.client().Plan(ctx, desired); err == nil {
 			if _, err := fmt.Fprintln(out, "conflict with an earlier change; differences from the configuration now in force:\n"+strings.Join(lines, "\n")); err != nil {
 				return err
