--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -51,12 +51,12 @@
 	options := platform.Options{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
 	servers := registry.New()
 	gw := gateway.New(set.Gateway(options), platform.Dialect{}, servers, logger)
-	peerGroup, err := peers.Open(set.Host, set.Peers(), set.Capacity(), gw, logger)
+	peerGroup, err := peers.Open(set.Host, set.PeerAddress(), set.Capacity(), gw, logger)
 	if err != nil {
 		return err
 	}
 	gw.UsePeers(peerGroup)
-	shareListener, err := net.Listen("tcp", set.Peers())
+	shareListener, err := net.Listen("tcp", set.PeerAddress())
 	if err != nil {
 		return fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
