--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -168,7 +168,7 @@
 		if lag := time.Since(next); lag > d {
 			next = time.Now() // the machine was late: do not catch up in a rush
 		}
-		if !standin.Pause(ctx, time.Until(next)) {
+		if !standin.SleepContext(ctx, time.Until(next)) {
 			return
 		}
 		e.endStep()
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -136,7 +136,7 @@
 			<-r.Context().Done()
 			return
 		}
-		if !standin.Pause(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
+		if !standin.SleepContext(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
 			return
 		}
 		if f.Down {
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -80,7 +80,7 @@
 	s.total++
 	run, f := s.runs[string(data)], s.faults
 	s.mu.Unlock()
-	if !standin.Pause(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
+	if !standin.SleepContext(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
 		return
 	}
 	if f.LoseAnswers {
--- a/internal/standin/platformstore/store.go
+++ b/internal/standin/platformstore/store.go
@@ -106,7 +106,7 @@
 	s.mu.Lock()
 	perPiece, chunked, delay := s.perPiece, s.chunked, s.delay
 	s.mu.Unlock()
-	if !standin.Pause(r.Context(), delay) {
+	if !standin.SleepContext(r.Context(), delay) {
 		return
 	}
 	if !chunked {
@@ -118,7 +118,7 @@
 		if perPiece > 0 {
 			n = min(n, pieceBytes)
 			s.link.Lock()
-			alive := standin.Pause(r.Context(), perPiece*time.Duration(n)/pieceBytes)
+			alive := standin.SleepContext(r.Context(), perPiece*time.Duration(n)/pieceBytes)
 			s.link.Unlock()
 			if !alive {
 				return
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds what the stand-ins of outside systems share: JSON over
-// HTTP, and listening on a port of the loopback or a given address. The
-// stand-ins live in the packages below it, one for each outside system.
+// Package standin provides helpers shared by the stand-ins for external
+// systems: JSON over HTTP, context-aware sleeping and an HTTP server on a given
+// address. The subpackages implement the stand-ins, one per external system.
 package standin
 
 import (
@@ -12,27 +12,27 @@
 	"time"
 )
 
-const maxBody = 8 << 20
+const maxRequestBytes = 8 << 20
 
-// WriteJSON answers with v.
+// WriteJSON writes a response with the given status and v encoded as JSON.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a client that went away is its own matter
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
 
-// ReadJSON decodes the request into v; it answers 400 and returns false when
-// that fails.
+// ReadJSON decodes the JSON request body into v. If decoding fails, it responds
+// with status 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(v)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	}
 	return err == nil
 }
 
-// Pause waits for d and reports whether the context is still alive.
-func Pause(ctx context.Context, d time.Duration) bool {
+// SleepContext waits for d. It returns false if ctx is done before that.
+func SleepContext(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// Serve listens on address and serves h until ctx ends; it returns the address
-// in use. Port 0 takes a free port.
+// Serve listens on address and serves h in the background until ctx is done. It
+// returns the actual listen address. Port 0 selects a free port.
 func Serve(ctx context.Context, address string, h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	go func() {
-		_ = srv.Serve(ln) // ends with ErrServerClosed
+		_ = srv.Serve(ln) // returns ErrServerClosed after Close
 	}()
 	context.AfterFunc(ctx, func() { _ = srv.Close() })
 	return ln.Addr().String(), nil
