--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,6 +1,6 @@
-// Package plain stands in for a plain service beside the model engines, such
-// as one that prints receipts or sends alerts. It keeps its own record of what
-// it ran, so that a test can count runs.
+// Package plain is a stand-in for an HTTP service that is not a model engine,
+// such as one that prints receipts or sends alerts. It records every call that
+// it executes, so that a test can detect duplicate executions.
 package plain
 
 import (
@@ -13,34 +13,38 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
-// Faults are the failures that the stand-in acts out.
+// Faults are the failures that the stand-in simulates.
 type Faults struct {
-	// SlowMS delays each call after it took effect, milliseconds.
-	SlowMS int `json:"slow_ms"`
-	// LoseAnswers closes the connection after a call took effect.
-	LoseAnswers bool `json:"lose_answers"`
+	// DelayMS is the delay, in milliseconds, between executing a call and
+	// responding to it.
+	DelayMS int `json:"slow_ms"`
+	// DropResponses closes the connection after a call has been executed,
+	// without a response.
+	DropResponses bool `json:"lose_answers"`
 }
 
-// Service echoes each call with a run number.
+// Service responds to each call with the request body and the number of times
+// this body has been executed.
 type Service struct {
 	mu     sync.Mutex
 	name   string
-	runs   map[string]int // by body
+	runs   map[string]int // executions by request body
 	total  int
 	faults Faults
 }
 
-// New returns a service with an empty record.
+// New returns a service that has executed no calls.
 func New(name string) *Service { return &Service{name: name, runs: map[string]int{}} }
 
-// Reply is the answer to a call.
-type Reply struct {
+// Response is the response to a call.
+type Response struct {
 	Service string `json:"service"`
-	Run     int    `json:"run"` // how often this body was run
+	Run     int    `json:"run"` // number of executions of this body so far
 	Echo    string `json:"echo"`
 }
 
-// Handler serves POST on any path, PUT /standin/faults and GET /standin/runs.
+// Handler serves POST on any path, PUT /standin/faults and GET /standin/runs,
+// which returns the executions by request body.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /standin/faults", func(w http.ResponseWriter, r *http.Request) {
@@ -54,11 +58,11 @@
 	mux.HandleFunc("GET /standin/runs", func(w http.ResponseWriter, _ *http.Request) {
 		standin.WriteJSON(w, http.StatusOK, s.Runs())
 	})
-	mux.HandleFunc("POST /", s.call)
+	mux.HandleFunc("POST /", s.handleCall)
 	return mux
 }
 
-// Runs returns how often each body was run.
+// Runs returns the number of executions by request body.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +73,7 @@
 	return out
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -80,17 +84,17 @@
 	s.total++
 	run, f := s.runs[string(data)], s.faults
 	s.mu.Unlock()
-	if !standin.SleepContext(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
+	if !standin.SleepContext(r.Context(), time.Duration(f.DelayMS)*time.Millisecond) {
 		return
 	}
-	if f.LoseAnswers {
+	if f.DropResponses {
 		panic(http.ErrAbortHandler)
 	}
-	reply, err := json.Marshal(Reply{s.name, run, string(data)})
+	response, err := json.Marshal(Response{s.name, run, string(data)})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(reply)
+	_, _ = w.Write(response)
 }
