--- a/internal/standin/members/members.go
+++ b/internal/standin/members/members.go
@@ -1,5 +1,6 @@
-// Package members stands in for the platform's membership list, which lags:
-// a change shows only after a delay, and may be wrong.
+// Package members is a stand-in for the platform's membership list. Like the
+// real list it is eventually consistent: a change becomes visible only after a
+// delay, and the list may be wrong.
 package members
 
 import (
@@ -18,44 +19,45 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
-type entry struct {
-	member membership.Member
-	shows  time.Time
-	gone   bool
+type pendingChange struct {
+	member    membership.Member
+	visibleAt time.Time
+	removed   bool
 }
 
-// List is the membership list.
+// List is the membership list. It is safe for concurrent use.
 type List struct {
 	mu      sync.Mutex
 	lag     time.Duration
 	visible map[string]membership.Member
-	pending []entry
+	pending []pendingChange
 }
 
-// New returns an empty list whose changes show after lag.
+// New returns an empty list whose changes become visible after lag.
 func New(lag time.Duration) *List {
 	return &List{lag: lag, visible: map[string]membership.Member{}}
 }
 
-// Set puts a member on the list, or with gone takes it off.
-func (l *List) Set(m membership.Member, gone bool) {
+// Set adds or updates a member, or removes it if removed is set. The change
+// becomes visible after the list's lag.
+func (l *List) Set(m membership.Member, removed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pending = append(l.pending, entry{m, time.Now().Add(l.lag), gone})
+	l.pending = append(l.pending, pendingChange{m, time.Now().Add(l.lag), removed})
 }
 
-// Members returns what the list shows now.
+// Members returns the visible members, sorted by name.
 func (l *List) Members() []membership.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for len(l.pending) > 0 && !l.pending[0].shows.After(now) {
-		e := l.pending[0]
+	for len(l.pending) > 0 && !l.pending[0].visibleAt.After(now) {
+		change := l.pending[0]
 		l.pending = l.pending[1:]
-		if e.gone {
-			delete(l.visible, e.member.Name)
+		if change.removed {
+			delete(l.visible, change.member.Name)
 		} else {
-			l.visible[e.member.Name] = e.member
+			l.visible[change.member.Name] = change.member
 		}
 	}
 	out := make([]membership.Member, 0, len(l.visible))
@@ -66,26 +68,26 @@
 	return out
 }
 
-// Handler serves GET /v1/members and, for tests and demos, PUT and DELETE
-// /standin/members.
+// Handler serves GET /v1/members and, to control the stand-in in tests and
+// demos, PUT and DELETE /standin/members.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/members", l.handleList)
-	change := func(gone bool) http.HandlerFunc {
+	set := func(removed bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			var m membership.Member
 			if standin.ReadJSON(w, r, &m) {
-				l.Set(m, gone)
+				l.Set(m, removed)
 			}
 		}
 	}
-	mux.HandleFunc("PUT /standin/members", change(false))
-	mux.HandleFunc("DELETE /standin/members", change(true))
+	mux.HandleFunc("PUT /standin/members", set(false))
+	mux.HandleFunc("DELETE /standin/members", set(true))
 	return mux
 }
 
-// handleList answers with all members or, with ?name=, with that one. The ETag
-// lets a reader skip a list that it has.
+// handleList returns all members or, with ?name=, only that one. The ETag lets
+// a client revalidate its copy and receive 304 if the list has not changed.
 func (l *List) handleList(w http.ResponseWriter, r *http.Request) {
 	list := l.Members()
 	if name := r.URL.Query().Get("name"); name != "" {
