--- a/internal/standin/logservice/file.go
+++ b/internal/standin/logservice/file.go
@@ -7,16 +7,16 @@
 	"os"
 )
 
-// line is one record in the file of a stand-in that keeps its records over
-// restarts, as the platform's service does.
-type line struct {
+// fileRecord is one line of the file that persists the records across restarts,
+// as the platform's service does.
+type fileRecord struct {
 	Stream string `json:"stream"`
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// Open returns a log that keeps its records in the file; with an empty path it
-// keeps them in memory only.
+// Open returns a log that persists its records in the file at path and loads
+// those already in it. If path is empty, the log is in memory only.
 func Open(path string) (*Service, error) {
 	s := New()
 	if path == "" {
@@ -27,17 +27,17 @@
 		return nil, fmt.Errorf("log file: %w", err)
 	}
 	lines := bufio.NewScanner(f)
-	lines.Buffer(nil, 2*maxRecord)
+	lines.Buffer(nil, 2*maxRecordBytes)
 	for lines.Scan() {
-		var l line
-		if json.Unmarshal(lines.Bytes(), &l) != nil {
-			continue // a write that a kill cut short was never answered
+		var rec fileRecord
+		if json.Unmarshal(lines.Bytes(), &rec) != nil {
+			continue // partial write of a killed process; it was never acknowledged
 		}
-		st := s.stream(l.Stream)
+		st := s.stream(rec.Stream)
 		if len(st.records) == 0 {
-			st.first = l.Offset
+			st.firstOffset = rec.Offset
 		}
-		st.records = append(st.records, l.Data)
+		st.records = append(st.records, rec.Data)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("log file: %w", err)
@@ -46,12 +46,12 @@
 	return s, nil
 }
 
-// keep writes a record to the file, if there is one.
-func (s *Service) keep(stream string, offset uint64, data []byte) error {
+// persist appends a record to the file, if the log has one.
+func (s *Service) persist(stream string, offset uint64, data []byte) error {
 	if s.file == nil {
 		return nil
 	}
-	text, err := json.Marshal(line{stream, offset, data})
+	text, err := json.Marshal(fileRecord{stream, offset, data})
 	if err == nil {
 		_, err = s.file.Write(append(text, '\n'))
 	}
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -1,6 +1,6 @@
-// Package logservice stands in for the platform's append-only log service: the
-// same protocol, in memory, with faults that a test or an operator of a demo
-// can switch on.
+// Package logservice is a stand-in for the platform's append-only log service.
+// It speaks the same protocol, keeps its records in memory and optionally in a
+// file, and simulates faults that are switched on by tests or in demos.
 package logservice
 
 import (
@@ -16,28 +16,31 @@
 )
 
 const (
-	maxRecord    = 1 << 20
-	maxReadBytes = 8 << 20
+	maxRecordBytes = 1 << 20
+	maxReadBytes   = 8 << 20
 )
 
-// Faults are the failures that the stand-in acts out.
+// Faults are the failures that the stand-in simulates.
 type Faults struct {
-	// Down refuses every call with status 503.
-	Down bool `json:"down"`
-	// Silent accepts calls and never answers them.
-	Silent bool `json:"silent"`
-	// LoseAnswers closes the connection after an append took effect.
-	LoseAnswers bool `json:"lose_answers"`
-	// SlowMS delays every answer, milliseconds.
-	SlowMS int `json:"slow_ms"`
-	// Keep bounds the records kept of each stream; 0 keeps all.
-	Keep int `json:"keep"`
+	// Unavailable rejects every call with status 503.
+	Unavailable bool `json:"down"`
+	// Unresponsive accepts calls and never responds to them.
+	Unresponsive bool `json:"silent"`
+	// DropResponses closes the connection after a record has been appended,
+	// without a response.
+	DropResponses bool `json:"lose_answers"`
+	// DelayMS is the delay of every response, in milliseconds.
+	DelayMS int `json:"slow_ms"`
+	// RetainedRecords is the maximum number of records retained per stream; 0
+	// retains all.
+	RetainedRecords int `json:"keep"`
 }
 
+// stream is one append-only sequence of records.
 type stream struct {
-	first   uint64
-	records [][]byte
-	grown   chan struct{}
+	firstOffset uint64 // offset of the oldest retained record
+	records     [][]byte
+	appended    chan struct{} // closed and replaced at each append
 }
 
 // Service is the log. The zero value is not usable; call New.
@@ -45,35 +48,37 @@
 	mu      sync.Mutex
 	streams map[string]*stream
 	faults  Faults
-	file    *os.File // nil: in memory only
+	file    *os.File // nil if the log is in memory only
 }
 
 // New returns an empty log.
 func New() *Service { return &Service{streams: map[string]*stream{}} }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the simulated faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 	for _, st := range s.streams {
-		st.trim(f.Keep)
+		st.trim(f.RetainedRecords)
 	}
 }
 
+// stream returns the named stream and creates it if needed. The caller holds mu.
 func (s *Service) stream(name string) *stream {
 	st, ok := s.streams[name]
 	if !ok {
-		st = &stream{first: 1, grown: make(chan struct{})}
+		st = &stream{firstOffset: 1, appended: make(chan struct{})}
 		s.streams[name] = st
 	}
 	return st
 }
 
-func (st *stream) trim(keep int) {
-	if keep > 0 && len(st.records) > keep {
-		drop := len(st.records) - keep
-		st.first += uint64(drop)
+// trim drops the oldest records beyond maxRecords; 0 means no limit.
+func (st *stream) trim(maxRecords int) {
+	if maxRecords > 0 && len(st.records) > maxRecords {
+		drop := len(st.records) - maxRecords
+		st.firstOffset += uint64(drop)
 		st.records = append([][]byte(nil), st.records[drop:]...)
 	}
 }
@@ -83,41 +88,41 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stream(name)
-	offset := st.first + uint64(len(st.records))
-	if err := s.keep(name, offset, data); err != nil {
+	offset := st.firstOffset + uint64(len(st.records))
+	if err := s.persist(name, offset, data); err != nil {
 		return 0, err
 	}
 	st.records = append(st.records, data)
-	st.trim(s.faults.Keep)
-	close(st.grown)
-	st.grown = make(chan struct{})
+	st.trim(s.faults.RetainedRecords)
+	close(st.appended)
+	st.appended = make(chan struct{})
 	return offset, nil
 }
 
-// read returns a batch, whether the offset is gone, and a channel that is
-// closed at the next append.
+// read returns a batch that starts at offset from, whether that offset has been
+// trimmed, and a channel that is closed at the next append.
 func (s *Service) read(name string, from uint64) (configlog.Batch, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stream(name)
-	b := configlog.Batch{First: st.first, Next: st.first + uint64(len(st.records)), Entries: []configlog.Entry{}}
-	if from < st.first {
+	b := configlog.Batch{First: st.firstOffset, Next: st.firstOffset + uint64(len(st.records)), Entries: []configlog.Entry{}}
+	if from < st.firstOffset {
 		return b, true, nil
 	}
 	size := 0
 	for i := from; i < b.Next && size < maxReadBytes; i++ {
-		data := st.records[i-st.first]
+		data := st.records[i-st.firstOffset]
 		size += len(data)
 		b.Entries = append(b.Entries, configlog.Entry{Offset: i, Data: data})
 	}
-	return b, false, st.grown
+	return b, false, st.appended
 }
 
-// Handler serves the log's protocol and PUT /standin/faults.
+// Handler serves the log service's protocol and PUT /standin/faults.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/streams/{stream}/records", s.guard(s.handleAppend))
-	mux.HandleFunc("GET /v1/streams/{stream}/records", s.guard(s.handleRead))
+	mux.HandleFunc("POST /v1/streams/{stream}/records", s.withFaults(s.handleAppend))
+	mux.HandleFunc("GET /v1/streams/{stream}/records", s.withFaults(s.handleRead))
 	mux.HandleFunc("PUT /standin/faults", func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
 		if standin.ReadJSON(w, r, &f) {
@@ -127,20 +132,21 @@
 	return mux
 }
 
-func (s *Service) guard(next http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the simulated faults before it calls next.
+func (s *Service) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.faults
 		s.mu.Unlock()
-		if f.Silent {
+		if f.Unresponsive {
 			<-r.Context().Done()
 			return
 		}
-		if !standin.SleepContext(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
+		if !standin.SleepContext(r.Context(), time.Duration(f.DelayMS)*time.Millisecond) {
 			return
 		}
-		if f.Down {
-			http.Error(w, "log is down", http.StatusServiceUnavailable)
+		if f.Unavailable {
+			http.Error(w, "log service unavailable (simulated fault)", http.StatusServiceUnavailable)
 			return
 		}
 		next(w, r)
@@ -148,7 +154,7 @@
 }
 
 func (s *Service) handleAppend(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecord))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecordBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -159,9 +165,9 @@
 		return
 	}
 	s.mu.Lock()
-	lose := s.faults.LoseAnswers
+	dropResponse := s.faults.DropResponses
 	s.mu.Unlock()
-	if lose {
+	if dropResponse {
 		panic(http.ErrAbortHandler)
 	}
 	standin.WriteJSON(w, http.StatusOK, map[string]uint64{"offset": offset})
@@ -170,15 +176,15 @@
 func (s *Service) handleRead(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		http.Error(w, "from: not an offset", http.StatusBadRequest)
+		http.Error(w, "query parameter from: not an unsigned integer", http.StatusBadRequest)
 		return
 	}
 	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	deadline := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer deadline.Stop()
 	for {
-		b, gone, grown := s.read(r.PathValue("stream"), from)
-		if gone {
+		b, trimmed, appended := s.read(r.PathValue("stream"), from)
+		if trimmed {
 			standin.WriteJSON(w, http.StatusGone, b)
 			return
 		}
@@ -187,7 +193,7 @@
 			return
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-deadline.C:
 			standin.WriteJSON(w, http.StatusOK, b)
 			return
