--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights stands in for the platform's weight store, which is
-// rate-limited: every download shares one rate.
+// Package weights is a stand-in for the platform's model weight store. Like the
+// real store it is rate-limited: all downloads share one bandwidth limit.
 package weights
 
 import (
@@ -11,23 +11,24 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
-const chunk = 64 << 10
+const chunkBytes = 64 << 10
 
-// Store serves GET /v1/weights/{target}.
+// Store serves GET /v1/weights/{target} with zero bytes as the weights.
 type Store struct {
 	size    int
 	limiter *rate.Limiter
-	active  atomic.Int64
-	peak    atomic.Int64
+	active  atomic.Int64 // downloads in progress
+	peak    atomic.Int64 // maximum of active
 }
 
-// New returns a store whose weights have size bytes each and that gives
-// bytesPerSecond to all readers together.
+// New returns a store in which the weights of every target have size bytes. All
+// concurrent downloads together are limited to bytesPerSecond.
 func New(size, bytesPerSecond int) *Store {
-	return &Store{size: size, limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunk)}
+	return &Store{size: size, limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkBytes)}
 }
 
-// Handler serves the store and GET /standin/peak, the most downloads at once.
+// Handler serves the store and GET /standin/peak, which returns the highest
+// number of concurrent downloads so far.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/weights/{target}", s.download)
@@ -38,19 +39,19 @@
 }
 
 func (s *Store) download(w http.ResponseWriter, r *http.Request) {
-	now := s.active.Add(1)
+	active := s.active.Add(1)
 	defer s.active.Add(-1)
-	for peak := s.peak.Load(); now > peak && !s.peak.CompareAndSwap(peak, now); peak = s.peak.Load() {
+	for peak := s.peak.Load(); active > peak && !s.peak.CompareAndSwap(peak, active); peak = s.peak.Load() {
 	}
-	buf := make([]byte, chunk)
-	for left := s.size; left > 0; {
-		n := min(left, chunk)
+	buf := make([]byte, chunkBytes)
+	for remaining := s.size; remaining > 0; {
+		n := min(remaining, chunkBytes)
 		if s.limiter.WaitN(r.Context(), n) != nil {
 			return
 		}
 		if _, err := w.Write(buf[:n]); err != nil {
 			return
 		}
-		left -= n
+		remaining -= n
 	}
 }
