--- a/e2e/gatewaysoak_checks_test.go
+++ b/e2e/gatewaysoak_checks_test.go
@@ -210,7 +210,7 @@
 			}
 		}
 		if w := retryrule.Worst(rule, requests, repeats); w.Excess() > 0 {
-			s.violate("%d repeats at %s within %s, %.0f are allowed", w.Repeats, service, retryWindow, w.Allowed)
+			s.violate("%d repeats at %s within %s, %.0f are allowed", w.Retries, service, retryWindow, w.Allowed)
 		}
 	}
 }
--- a/e2e/retrybudget_test.go
+++ b/e2e/retrybudget_test.go
@@ -98,7 +98,7 @@
 		granted += strings.Count(g.earlier.String()+g.log.String(), `"repeat":{"granted":true`)
 	}
 	t.Logf("seed %d: %d requests, %d repeats, %d granted in the gateways' logs; worst window from %s: %d repeats for %d requests, %.0f allowed", seed, len(r.requests), len(r.repeats), granted,
-		r.worst.Begin.Sub(begin).Round(10*time.Millisecond), r.worst.Repeats, r.worst.Requests, r.worst.Allowed)
+		r.worst.Start.Sub(begin).Round(10*time.Millisecond), r.worst.Retries, r.worst.Requests, r.worst.Allowed)
 	return r
 }
 
@@ -127,7 +127,7 @@
 			p := runRetryLoad(t, retryLoad{route: route, failing: worker.Behaviour{Refuse: true}, failPerTen: 5, perSecond: 50,
 				burstFactor: 5, burstAt: 2 * time.Second, burstEnd: 11 * time.Second, failAt: 9 * time.Second, length: 22 * time.Second}, 1)
 			if p.worst.Excess() > 0 {
-				t.Errorf("%d repeats where %.0f are allowed", p.worst.Repeats, p.worst.Allowed)
+				t.Errorf("%d repeats where %.0f are allowed", p.worst.Retries, p.worst.Allowed)
 			}
 		})
 	}
@@ -139,6 +139,6 @@
 	p := runRetryLoad(t, retryLoad{route: "list", failing: worker.Behaviour{Drop: true}, failPerTen: 5, perSecond: 50,
 		failAt: 3 * time.Second, length: 20 * time.Second, killEvery: 1200 * time.Millisecond}, 1)
 	if p.worst.Excess() > 0 {
-		t.Errorf("%d repeats where %.0f are allowed", p.worst.Repeats, p.worst.Allowed)
+		t.Errorf("%d repeats where %.0f are allowed", p.worst.Retries, p.worst.Allowed)
 	}
 }
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -227,7 +227,7 @@
 		d := drawFleetDay(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
 		worst, repeats := d.play()
 		if repeats > 0 && worst.Excess() > 0 {
-			t.Fatalf("%d repeats for %d requests in a window, %.1f allowed\n%+v", worst.Repeats, worst.Requests, worst.Allowed, d)
+			t.Fatalf("%d repeats for %d requests in a window, %.1f allowed\n%+v", worst.Retries, worst.Requests, worst.Allowed, d)
 		}
 	})
 }
--- a/internal/standin/retryrule/retryrule.go
+++ b/internal/standin/retryrule/retryrule.go
@@ -1,7 +1,7 @@
-// Package retryrule checks the repeated sends of a whole system against the platform's rule: in any window a
-// service receives at most a fixed ratio of its requests as repeats, plus a slack. The requests are those of
-// the window itself, of the window that begins half a window earlier, or of the window before it, whichever
-// has the most.
+// Package retryrule checks the retries of a whole system against the platform's rule: in any window, a service
+// receives at most a fixed ratio of its requests as retries, plus a slack. The request count is that of the
+// window itself, of the window that starts half a window earlier, or of the preceding window, whichever is the
+// highest.
 package retryrule
 
 import (
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// Rule is the platform's bound on repeats.
+// Rule is the platform's limit on retries.
 type Rule struct {
-	Ratio  float64
+	Ratio  float64 // retries allowed per request
 	Window time.Duration
-	Slack  float64
+	Slack  float64 // retries allowed per window in addition to Ratio
 }
 
-// Window holds the counts of one window.
+// Window holds the counts for one window.
 type Window struct {
-	Begin    time.Time
-	Repeats  int
-	Requests int // the largest count of the three windows that the rule considers
-	// Allowed is the number of repeats that the rule permits.
+	Start    time.Time
+	Retries  int
+	Requests int // the highest count of the three windows that the rule considers
+	// Allowed is the number of retries that the rule permits.
 	Allowed float64
 }
 
-// Excess returns the number of repeats above the allowed number; it is negative below it.
-func (w Window) Excess() float64 { return float64(w.Repeats) - w.Allowed }
+// Excess returns the number of retries above the allowed number. It is negative if there are fewer.
+func (w Window) Excess() float64 { return float64(w.Retries) - w.Allowed }
 
 // startsPerWindow is the number of evenly spaced window starts that are checked per window length, in addition
-// to those at which the number of repeats changes.
+// to those at which the number of retries changes.
 const startsPerWindow = 200
 
-// Worst returns the window with the largest excess, or the zero Window if there are no repeats. Requests are
-// timed when their callers send them, repeats when they reach a server.
-func Worst(rule Rule, requests, repeats []time.Time) Window {
-	requests, repeats = sorted(requests), sorted(repeats)
+// Worst returns the window with the largest excess, or the zero Window if there are no retries. The time of a
+// request is when its caller sends it, the time of a retry is when it reaches a server.
+func Worst(rule Rule, requests, retries []time.Time) Window {
+	requests, retries = sorted(requests), sorted(retries)
 	var worst Window
-	for i, begin := range starts(rule, repeats) {
-		w := rule.window(begin, requests, repeats)
+	for i, start := range windowStarts(rule, retries) {
+		w := rule.window(start, requests, retries)
 		if i == 0 || w.Excess() > worst.Excess() {
 			worst = w
 		}
@@ -47,40 +47,40 @@
 	return worst
 }
 
-// starts returns the window starts to check.
-func starts(rule Rule, repeats []time.Time) []time.Time {
-	if len(repeats) == 0 {
+// windowStarts returns the window starts to check.
+func windowStarts(rule Rule, retries []time.Time) []time.Time {
+	if len(retries) == 0 {
 		return nil
 	}
 	var out []time.Time
-	for _, at := range repeats {
+	for _, at := range retries {
 		out = append(out, at, at.Add(time.Nanosecond-rule.Window))
 	}
-	last := repeats[len(repeats)-1]
-	for at := repeats[0].Add(-rule.Window); at.Before(last); at = at.Add(rule.Window / startsPerWindow) {
+	last := retries[len(retries)-1]
+	for at := retries[0].Add(-rule.Window); at.Before(last); at = at.Add(rule.Window / startsPerWindow) {
 		out = append(out, at)
 	}
 	return out
 }
 
-// window counts the window that starts at begin.
-func (r Rule) window(begin time.Time, requests, repeats []time.Time) Window {
-	w := Window{Begin: begin, Repeats: between(repeats, begin, r.Window)}
+// window returns the counts for the window that starts at start.
+func (r Rule) window(start time.Time, requests, retries []time.Time) Window {
+	w := Window{Start: start, Retries: countWithin(retries, start, r.Window)}
 	for _, earlier := range []time.Duration{0, r.Window / 2, r.Window} {
-		w.Requests = max(w.Requests, between(requests, begin.Add(-earlier), r.Window))
+		w.Requests = max(w.Requests, countWithin(requests, start.Add(-earlier), r.Window))
 	}
 	w.Allowed = r.Ratio*float64(w.Requests) + r.Slack
 	return w
 }
 
-// WorstSplit is like Worst with a stricter bound: the fraction current of the ratio applies to the requests of the
-// window itself, the rest to those of the window before it. Requests is not set in the result.
-func WorstSplit(rule Rule, current float64, requests, repeats []time.Time) Window {
-	requests, repeats = sorted(requests), sorted(repeats)
+// WorstSplit is like Worst with a stricter limit: the fraction current of the ratio applies to the requests of the
+// window itself, the rest to those of the preceding window. Requests is not set in the result.
+func WorstSplit(rule Rule, current float64, requests, retries []time.Time) Window {
+	requests, retries = sorted(requests), sorted(retries)
 	var worst Window
-	for i, begin := range starts(rule, repeats) {
-		w := Window{Begin: begin, Repeats: between(repeats, begin, rule.Window)}
-		weighted := current*float64(between(requests, begin, rule.Window)) + (1-current)*float64(between(requests, begin.Add(-rule.Window), rule.Window))
+	for i, start := range windowStarts(rule, retries) {
+		w := Window{Start: start, Retries: countWithin(retries, start, rule.Window)}
+		weighted := current*float64(countWithin(requests, start, rule.Window)) + (1-current)*float64(countWithin(requests, start.Add(-rule.Window), rule.Window))
 		w.Allowed = rule.Ratio*weighted + rule.Slack
 		if i == 0 || w.Excess() > worst.Excess() {
 			worst = w
@@ -89,10 +89,10 @@
 	return worst
 }
 
-// between counts the times in [begin, begin+span).
-func between(times []time.Time, begin time.Time, span time.Duration) int {
-	end := begin.Add(span)
-	from := sort.Search(len(times), func(i int) bool { return !times[i].Before(begin) })
+// countWithin returns the number of times in [start, start+span). The times must be sorted.
+func countWithin(times []time.Time, start time.Time, span time.Duration) int {
+	end := start.Add(span)
+	from := sort.Search(len(times), func(i int) bool { return !times[i].Before(start) })
 	to := sort.Search(len(times), func(i int) bool { return !times[i].Before(end) })
 	return to - from
 }
