--- a/e2e/gateways_test.go
+++ b/e2e/gateways_test.go
@@ -120,14 +120,14 @@
 		for _, g := range f.gateways {
 			f.kill(g)
 		}
-		f.store.SetMode(platformstore.Busy)
+		f.store.SetMode(platformstore.ModeUnavailable)
 		for _, g := range f.gateways {
 			Expect(f.start(g)).To(Succeed())
 		}
 		g := f.gateways[0]
 		Eventually(func() int { return f.ask(ctx, g, "post", "early").status }).Should(Equal(503))
 		Expect(f.ready(g)).To(BeFalse())
-		f.store.SetMode(platformstore.Up)
+		f.store.SetMode(platformstore.ModeAvailable)
 		Expect(f.waitReady()).To(Succeed())
 		for i, g := range f.gateways {
 			served(f, g, "post", fmt.Sprint("back", i))
@@ -181,7 +181,7 @@
 		for _, g := range f.gateways {
 			Eventually(func() int { return f.ask(ctx, g, "post", "revoked").status }).Should(Equal(401))
 		}
-		f.store.Forget(platformstore.TopicOperator)
+		f.store.Truncate(platformstore.TopicOperator)
 		for _, g := range f.gateways {
 			Consistently(func() int { return f.ask(ctx, g, "post", "still").status }, 500*time.Millisecond).Should(Equal(401))
 		}
--- a/e2e/gatewaysoak_faults_test.go
+++ b/e2e/gatewaysoak_faults_test.go
@@ -59,12 +59,12 @@
 		cut := s.cutter(names[rnd.IntN(len(names))])
 		switch rnd.IntN(15) {
 		case 0:
-			s.store.SetMode([]platformstore.Mode{platformstore.Busy, platformstore.Silent}[rnd.IntN(2)])
+			s.store.SetMode([]platformstore.Mode{platformstore.ModeUnavailable, platformstore.ModeUnresponsive}[rnd.IntN(2)])
 			wait(ctx, pause)
-			s.store.SetMode(platformstore.Up)
+			s.store.SetMode(platformstore.ModeAvailable)
 		case 1:
-			s.store.Forget(platformstore.TopicServers)
-			s.store.Forget(platformstore.TopicOperator)
+			s.store.Truncate(platformstore.TopicServers)
+			s.store.Truncate(platformstore.TopicOperator)
 		case 2:
 			s.configure(nil)
 		case 3:
@@ -136,7 +136,7 @@
 
 // calmDown ends what lasts.
 func (s *gatewaySoak) calmDown() {
-	s.store.SetMode(platformstore.Up)
+	s.store.SetMode(platformstore.ModeAvailable)
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	for _, c := range s.cutters {
--- a/e2e/notices_test.go
+++ b/e2e/notices_test.go
@@ -353,7 +353,7 @@
 		play("listed as ready", route, 4, func(*speakers) {}, true)
 	}
 	for _, route := range []string{"post", "report"} {
-		play("store silent", route, 4, func(s *speakers) { s.store.SetMode(platformstore.Silent) }, true)
+		play("store silent", route, 4, func(s *speakers) { s.store.SetMode(platformstore.ModeUnresponsive) }, true)
 		play("no other", route, 1, func(*speakers) {}, false)
 	}
 }
--- a/e2e/storecopy_test.go
+++ b/e2e/storecopy_test.go
@@ -28,15 +28,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(t, appService, 2)
-			old := f.store.Copy()
+			old := f.store.Snapshot()
 			for range lostVersions {
 				f.configure(nil)
 			}
 			f.waitInForce(t, f.newestVersion(), waitLimit)
-			f.store.SetMode(platformstore.Silent)
+			f.store.SetMode(platformstore.ModeUnresponsive)
 			time.Sleep(storeAway)
 			f.store.Restore(old)
-			f.store.SetMode(platformstore.Up)
+			f.store.SetMode(platformstore.ModeAvailable)
 			for range again - 1 {
 				f.writeAgain()
 			}
--- a/internal/follow/deployment_test.go
+++ b/internal/follow/deployment_test.go
@@ -236,7 +236,7 @@
 		for _, h := range d.hosts {
 			before[h.name] = h.link.Received()
 		}
-		d.store.SetDelay(240 * time.Millisecond)
+		d.store.SetResponseDelay(240 * time.Millisecond)
 		d.write(sized(2, 900_000))
 		time.Sleep(simulatedApply)
 		for i, h := range d.hosts {
--- a/internal/standin/platformstore/store.go
+++ b/internal/standin/platformstore/store.go
@@ -1,7 +1,7 @@
 // Package platformstore is a stand-in for the platform's metadata store: keyed
-// topics with one partition, read by offset or by the newest record of each
-// key. Tests write to it as the operator and the backend servers do, and make it
-// fail.
+// topics with a single partition, which are read by offset or as the latest
+// record of each key. Tests write to it in place of the operator and the backend
+// servers, and inject failures.
 package platformstore
 
 import (
@@ -21,20 +21,20 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
-// Topics of the operator and of the backend servers.
+// Topics written by the operator and by the backend servers.
 const (
 	TopicOperator = "keyed.op"
 	TopicServers  = "keyed.servers"
 )
 
-// Mode says how the store answers.
+// Mode determines how the store responds to calls.
 type Mode int
 
-// The modes.
+// Modes of the store.
 const (
-	Up     Mode = iota
-	Busy        // 503 at once
-	Silent      // no answer until the caller gives up
+	ModeAvailable    Mode = iota
+	ModeUnavailable       // responds with 503 immediately
+	ModeUnresponsive      // does not respond until the caller disconnects
 )
 
 type record struct {
@@ -43,12 +43,12 @@
 }
 
 type topic struct {
-	first   int64
+	first   int64 // offset of the oldest retained record
 	records []record
-	newest  map[string]newest
+	latest  map[string]latestRecord // by key
 }
 
-type newest struct {
+type latestRecord struct {
 	value  []byte
 	offset int64
 }
@@ -57,54 +57,57 @@
 type Store struct {
 	*httptest.Server
 
-	mu      sync.Mutex
-	topics  map[string]*topic
-	mode    Mode
-	changed chan struct{} // closed and replaced at each change
-	era     int           // told in all answers; it rises when the store comes back from a copy
-	reads   int
-	// PageSize is the number of records on a page of the newest ones.
-	PageSize int
-	chunked  bool // replies do not state their length
-	delay    time.Duration
-	link     sync.Mutex // held while a piece of a reply is on its way
-	// appending is held from the check of an append's condition to its end.
-	appending sync.Mutex
-	perPiece  time.Duration
+	mu           sync.Mutex
+	topics       map[string]*topic
+	mode         Mode
+	changed      chan struct{} // closed and replaced at each change
+	era          int           // sent with all responses; incremented by Restore
+	requestCount int
+	// PageSize is the maximum number of latest records per page.
+	PageSize      int
+	chunked       bool // responses use chunked encoding, without Content-Length
+	responseDelay time.Duration
+	linkMu        sync.Mutex // held while a chunk of a response crosses the link
+	// appendMu is held from the check of an append's condition until the append is complete.
+	appendMu  sync.Mutex
+	chunkTime time.Duration
 }
 
-// pieceBytes is how much of a reply crosses a slow link at once.
-const pieceBytes = 8 << 10
+// chunkBytes is the size of the chunks in which a response crosses a link of
+// limited bandwidth.
+const chunkBytes = 8 << 10
 
-// SetLink has replies cross one link of so many bits a second together; 0 for a link
-// that takes no time.
-func (s *Store) SetLink(bitsPerSecond float64) {
+// SetBandwidth limits the bandwidth that all responses together use; 0 means no
+// limit.
+func (s *Store) SetBandwidth(bitsPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.perPiece = 0
+	s.chunkTime = 0
 	if bitsPerSecond > 0 {
-		s.perPiece = time.Duration(8 * pieceBytes / bitsPerSecond * float64(time.Second))
+		s.chunkTime = time.Duration(8 * chunkBytes / bitsPerSecond * float64(time.Second))
 	}
 }
 
-// SetChunked has replies come in chunks, without stating their length.
+// SetChunked selects whether responses use chunked encoding, without
+// Content-Length.
 func (s *Store) SetChunked(chunked bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chunked = chunked
 }
 
-// SetDelay has each reply begin so much later.
-func (s *Store) SetDelay(delay time.Duration) {
+// SetResponseDelay delays the start of each response.
+func (s *Store) SetResponseDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delay = delay
+	s.responseDelay = delay
 }
 
-// reply writes a reply at the pace of the link.
-func (s *Store) reply(w http.ResponseWriter, r *http.Request, body []byte) {
+// writeResponse writes a response after the configured delay and within the
+// configured bandwidth.
+func (s *Store) writeResponse(w http.ResponseWriter, r *http.Request, body []byte) {
 	s.mu.Lock()
-	perPiece, chunked, delay := s.perPiece, s.chunked, s.delay
+	perPiece, chunked, delay := s.chunkTime, s.chunked, s.responseDelay
 	s.mu.Unlock()
 	if !standin.SleepContext(r.Context(), delay) {
 		return
@@ -116,113 +119,115 @@
 	for len(body) > 0 {
 		n := len(body)
 		if perPiece > 0 {
-			n = min(n, pieceBytes)
-			s.link.Lock()
-			alive := standin.SleepContext(r.Context(), perPiece*time.Duration(n)/pieceBytes)
-			s.link.Unlock()
-			if !alive {
+			n = min(n, chunkBytes)
+			s.linkMu.Lock()
+			ok := standin.SleepContext(r.Context(), perPiece*time.Duration(n)/chunkBytes)
+			s.linkMu.Unlock()
+			if !ok {
 				return
 			}
 		}
 		if _, err := w.Write(body[:n]); err != nil || flusher.Flush() != nil {
-			return // the caller has left
+			return // the caller has disconnected
 		}
 		body = body[n:]
 	}
 }
 
-// Start returns a running store without records. Close ends it.
+// Start returns an empty store that is served on a local port until Close.
 func Start() *Store {
 	s := New()
 	s.Server = httptest.NewServer(s.Handler())
 	return s
 }
 
-// New returns a store without records that is not served yet.
+// New returns an empty store that is not served yet.
 func New() *Store {
 	return &Store{topics: map[string]*topic{}, changed: make(chan struct{}), PageSize: 500}
 }
 
-// Handler answers the calls.
+// Handler serves the store's protocol.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /merlinpost/log-read", s.read)
-	mux.HandleFunc("GET /merlinpost/log-newest", s.newest)
-	mux.HandleFunc("POST /merlinpost/log-append", s.append)
+	mux.HandleFunc("GET /merlinpost/log-read", s.handleRead)
+	mux.HandleFunc("GET /merlinpost/log-newest", s.handleLatest)
+	mux.HandleFunc("POST /merlinpost/log-append", s.handleAppend)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Store-Era", strconv.Itoa(s.Era()))
 		mux.ServeHTTP(w, r)
 	})
 }
 
-// Era returns how often the store has come back from a copy.
+// Era returns the number of calls of Restore so far.
 func (s *Store) Era() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// Copy is the store's contents at a moment.
-type Copy struct{ topics map[string]*topic }
+// Snapshot is a copy of the store's contents.
+type Snapshot struct{ topics map[string]*topic }
 
-// Copy returns the contents as they are now.
-func (s *Store) Copy() Copy {
+// Snapshot returns a copy of the current contents.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{copyTopics(s.topics)}
+	return Snapshot{copyTopics(s.topics)}
 }
 
 func copyTopics(topics map[string]*topic) map[string]*topic {
 	out := map[string]*topic{}
 	for name, t := range topics {
-		out[name] = &topic{first: t.first, records: slices.Clone(t.records), newest: maps.Clone(t.newest)}
+		out[name] = &topic{first: t.first, records: slices.Clone(t.records), latest: maps.Clone(t.latest)}
 	}
 	return out
 }
 
-// Restore has the store come back from a copy: what was written since is gone, offsets are given out
-// again, and the era rises.
-func (s *Store) Restore(c Copy) {
+// Restore replaces the contents with a snapshot, like a recovery from a backup: records written since the
+// snapshot are lost, their offsets are reused, and the era is incremented.
+func (s *Store) Restore(snapshot Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.topics = copyTopics(c.topics)
+	s.topics = copyTopics(snapshot.topics)
 	s.era++
-	s.wake()
+	s.notifyChange()
 }
 
 // Address returns the IP:PORT of the store.
 func (s *Store) Address() string { return s.Listener.Addr().String() }
 
-// SetMode changes how the store answers.
+// SetMode changes how the store responds to calls.
 func (s *Store) SetMode(m Mode) {
 	s.mu.Lock()
 	s.mode = m
-	s.wake()
+	s.notifyChange()
 	s.mu.Unlock()
 }
 
-// Reads returns the number of calls so far.
-func (s *Store) Reads() int {
+// RequestCount returns the number of calls so far.
+func (s *Store) RequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reads
+	return s.requestCount
 }
 
-func (s *Store) wake() {
+// notifyChange wakes the readers that wait for new records. The caller holds mu.
+func (s *Store) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
+// topic returns the named topic and creates it if needed. The caller holds mu.
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
-		t = &topic{newest: map[string]newest{}}
+		t = &topic{latest: map[string]latestRecord{}}
 		s.topics[name] = t
 	}
 	return t
 }
 
-// Put appends a record; a nil value drops the key.
+// Put appends a record; a nil value deletes the key.
 func (s *Store) Put(name, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,51 +235,52 @@
 	offset := t.first + int64(len(t.records))
 	t.records = append(t.records, record{key, value})
 	if value == nil {
-		delete(t.newest, key)
+		delete(t.latest, key)
 	} else {
-		t.newest[key] = newest{value, offset}
+		t.latest[key] = latestRecord{value, offset}
 	}
-	s.wake()
+	s.notifyChange()
 }
 
 // PutJSON appends a record whose value is v as JSON.
 func (s *Store) PutJSON(name, key string, v any) {
 	value, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // a test's own value
+		panic(err) // v comes from a test and must be encodable
 	}
 	s.Put(name, key, value)
 }
 
-// Forget deletes the records of a topic; the newest of each key stays.
-func (s *Store) Forget(name string) {
+// Truncate deletes the records of a topic. The latest record of each key remains
+// available to calls for the latest records.
+func (s *Store) Truncate(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
 	t.first += int64(len(t.records))
 	t.records = nil
-	s.wake()
+	s.notifyChange()
 }
 
-// admit applies the mode; false when the call has been answered.
-func (s *Store) admit(w http.ResponseWriter, r *http.Request) bool {
+// applyMode counts the call and applies the mode. It returns false if the call must not be processed further.
+func (s *Store) applyMode(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
-	s.reads++
+	s.requestCount++
 	mode := s.mode
 	s.mu.Unlock()
 	switch mode {
-	case Busy:
+	case ModeUnavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return false
-	case Silent:
+	case ModeUnresponsive:
 		<-r.Context().Done()
 		return false
 	}
 	return true
 }
 
-func (s *Store) read(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, r) {
+func (s *Store) handleRead(w http.ResponseWriter, r *http.Request) {
+	if !s.applyMode(w, r) {
 		return
 	}
 	query := r.URL.Query()
@@ -283,10 +289,10 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	wait, _ := strconv.Atoi(query.Get("wait_ms")) // none is 0
+	wait, _ := strconv.Atoi(query.Get("wait_ms")) // 0 if absent
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
-	for waiting := true; ; {
+	for timedOut := false; ; {
 		s.mu.Lock()
 		t := s.topic(query.Get("topic"))
 		changed, end := s.changed, t.first+int64(len(t.records))
@@ -295,28 +301,29 @@
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
-		case from < end || !waiting:
-			body := frames(end, t.first, t.records[min(from-t.first, int64(len(t.records))):], maxBytes(query))
+		case from < end || timedOut:
+			body := encodeRecords(end, t.first, t.records[min(from-t.first, int64(len(t.records))):], maxReadBytes(query))
 			s.mu.Unlock()
-			s.reply(w, r, body)
+			s.writeResponse(w, r, body)
 			return
 		}
 		s.mu.Unlock()
 		select {
 		case <-changed:
 		case <-timer.C:
-			waiting = false
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// append takes in the keyed records of a topic of the system's own.
-func (s *Store) append(w http.ResponseWriter, r *http.Request) {
-	// Only once the body is read does net/http notice that the caller leaves.
+// handleAppend appends keyed records to a topic. It rejects the topics that only the operator and the backend
+// servers may write.
+func (s *Store) handleAppend(w http.ResponseWriter, r *http.Request) {
+	// net/http detects that the caller has disconnected only after the body has been read.
 	body, err := io.ReadAll(r.Body)
-	if err != nil || !s.admit(w, r) {
+	if err != nil || !s.applyMode(w, r) {
 		return
 	}
 	name := r.URL.Query().Get("topic")
@@ -324,9 +331,9 @@
 		w.WriteHeader(http.StatusForbidden)
 		return
 	}
-	s.appending.Lock()
-	defer s.appending.Unlock()
-	if at := r.URL.Query().Get("at"); at != "" && at != strconv.FormatInt(s.end(name), 10) {
+	s.appendMu.Lock()
+	defer s.appendMu.Unlock()
+	if at := r.URL.Query().Get("at"); at != "" && at != strconv.FormatInt(s.endOffset(name), 10) {
 		w.WriteHeader(http.StatusPreconditionFailed)
 		return
 	}
@@ -335,32 +342,32 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		n, key := int(binary.BigEndian.Uint32(body)), int(body[4])
-		if n > len(body)-4 || key > n-1 {
+		n, keyLen := int(binary.BigEndian.Uint32(body)), int(body[4])
+		if n > len(body)-4 || keyLen > n-1 {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		record := body[4 : 4+n]
 		var value []byte
-		if 1+key < n {
-			value = record[1+key:]
+		if 1+keyLen < n {
+			value = record[1+keyLen:]
 		}
-		s.Put(name, string(record[1:1+key]), value)
+		s.Put(name, string(record[1:1+keyLen]), value)
 		body = body[4+n:]
 	}
 	_, _ = io.WriteString(w, `{"offset":0,"end_offset":1}`)
 }
 
-// end is the offset of a topic's next record.
-func (s *Store) end(name string) int64 {
+// endOffset returns the offset of a topic's next record.
+func (s *Store) endOffset(name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
 	return t.first + int64(len(t.records))
 }
 
-// maxBytes is how much a read returns at most.
-func maxBytes(query url.Values) int {
+// maxReadBytes returns the maximum size of a read's response, 1 MiB by default.
+func maxReadBytes(query url.Values) int {
 	kb, err := strconv.Atoi(query.Get("max_kb"))
 	if err != nil {
 		kb = 1024
@@ -368,12 +375,12 @@
 	return kb << 10
 }
 
-// frames encodes records up to about most bytes, the first one whatever its size.
-func frames(end, first int64, records []record, most int) []byte {
+// encodeRecords encodes records up to about limit bytes. The first record is included whatever its size.
+func encodeRecords(end, first int64, records []record, limit int) []byte {
 	out := binary.BigEndian.AppendUint64(nil, uint64(end))
 	out = binary.BigEndian.AppendUint64(out, uint64(first))
 	for i, r := range records {
-		if i > 0 && len(out)+len(r.value) > most {
+		if i > 0 && len(out)+len(r.value) > limit {
 			break
 		}
 		out = binary.BigEndian.AppendUint32(out, uint32(1+len(r.key)+len(r.value)))
@@ -384,8 +391,9 @@
 	return out
 }
 
-func (s *Store) newest(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, r) {
+// handleLatest returns one page of the latest records, sorted by key.
+func (s *Store) handleLatest(w http.ResponseWriter, r *http.Request) {
+	if !s.applyMode(w, r) {
 		return
 	}
 	type item struct {
@@ -401,8 +409,8 @@
 	s.mu.Lock()
 	t := s.topic(r.URL.Query().Get("topic"))
 	page.End = t.first + int64(len(t.records))
-	keys := make([]string, 0, len(t.newest))
-	for key := range t.newest {
+	keys := make([]string, 0, len(t.latest))
+	for key := range t.latest {
 		if key > r.URL.Query().Get("after") {
 			keys = append(keys, key)
 		}
@@ -412,13 +420,13 @@
 		keys, page.More = keys[:s.PageSize], true
 	}
 	for _, key := range keys {
-		n := t.newest[key]
+		n := t.latest[key]
 		page.Items = append(page.Items, item{key, base64.StdEncoding.EncodeToString(n.value), n.offset})
 	}
 	s.mu.Unlock()
 	body, err := json.Marshal(page)
 	if err != nil {
-		panic(err) // strings and numbers
+		panic(err) // cannot fail: page holds only strings, integers and booleans
 	}
-	s.reply(w, r, body)
+	s.writeResponse(w, r, body)
 }
