--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -237,7 +237,7 @@
 		return nil, err
 	}
 	if service == llmService {
-		w.Behave(wholeStream)
+		w.SetBehaviour(wholeStream)
 	}
 	f.mu.Lock()
 	f.workers = append(f.workers, w)
@@ -248,7 +248,7 @@
 // streamEvents is the length of a stream, with a pause that makes it last.
 const streamEvents = 8
 
-var wholeStream = worker.Behaviour{Events: streamEvents, BreakAfter: -1, Pace: 5 * time.Millisecond}
+var wholeStream = worker.Behaviour{Events: streamEvents, AbortAfterEvents: -1, EventInterval: 5 * time.Millisecond}
 
 func (f *fleet) register(w *worker.Worker, service, state string) error {
 	address, err := f.through(w.ID, w.Address())
@@ -260,7 +260,7 @@
 	n := f.beats
 	f.mu.Unlock()
 	f.store.PutJSON(platformstore.TopicServers, w.ID, map[string]any{"service": service, "address": address, "zone": "z", "slots": f.slots(w),
-		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": n, "born": w.Born})
+		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": n, "born": w.StartedMS})
 	return nil
 }
 
@@ -416,9 +416,9 @@
 // want is the right body for a request.
 func want(route, id string) string {
 	if route == "report" || route == "advice" {
-		return worker.Stream(id, streamEvents)
+		return worker.StreamBody(id, streamEvents)
 	}
-	return worker.Answer(id)
+	return worker.ResponseBody(id)
 }
 
 // logLine is a line of a gateway's log.
--- a/e2e/gatewaysoak_checks_test.go
+++ b/e2e/gatewaysoak_checks_test.go
@@ -108,7 +108,7 @@
 			return
 		}
 	} else {
-		w.Say("Server-Leaving: 1") // while the list calls it ready
+		w.SetHeaders("Server-Leaving: 1") // while the list calls it ready
 	}
 	left := time.Now()
 	wait(ctx, drainWithin+2*drainMargin)
@@ -154,7 +154,7 @@
 	}
 	ran := map[string]int{}
 	for _, w := range s.workers {
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			ran[r.ID]++
 			if want := "body of " + r.ID; r.Body != want || r.Header.Get("X-Tenant") != "team" {
 				s.violate("%s ran with body %q for team %q", r.ID, r.Body, r.Header.Get("X-Tenant"))
--- a/e2e/gatewaysoak_faults_test.go
+++ b/e2e/gatewaysoak_faults_test.go
@@ -70,7 +70,7 @@
 		case 3:
 			s.configure(grown(s.newestVersion() % 7 * 200)) // what is drawn afterwards stays as it was
 		case 4:
-			w.Next(misbehaviours(w)...)
+			w.QueueBehaviours(misbehaviours(w)...)
 		case 5:
 			w.CloseConnections()
 		case 6:
@@ -111,12 +111,12 @@
 		s.fleet.mu.Unlock()
 		pause := time.Duration(100+rnd.IntN(900)) * time.Millisecond
 		if i := rnd.IntN(len(said) + 1); i < len(said) {
-			w.Say(said[i]...)
+			w.SetHeaders(said[i]...)
 		} else {
-			w.Next(worker.Behaviour{Refuse: true, RetryAfter: "0.4"}, worker.Behaviour{Refuse: true, RetryAfter: "soon"})
+			w.QueueBehaviours(worker.Behaviour{Reject: true, RetryAfter: "0.4"}, worker.Behaviour{Reject: true, RetryAfter: "soon"})
 		}
 		wait(ctx, pause)
-		w.Say()
+		w.SetHeaders()
 		s.calm.RUnlock()
 		wait(ctx, pause/2)
 	}
@@ -152,9 +152,9 @@
 	if serviceOf(w) == llmService {
 		events = streamEvents
 	}
-	return []worker.Behaviour{{Drop: true}, {Refuse: true},
-		{Events: events, ExtraBefore: true, BreakAfter: -1}, {Events: streamEvents, BreakAfter: 3},
-		{Events: events, Unframed: true, BreakAfter: -1}, {Events: events, NoSeal: true, BreakAfter: -1}}
+	return []worker.Behaviour{{DropConnection: true}, {Reject: true},
+		{Events: events, ForeignResponseFirst: true, AbortAfterEvents: -1}, {Events: streamEvents, AbortAfterEvents: 3},
+		{Events: events, CloseDelimited: true, AbortAfterEvents: -1}, {Events: events, OmitSeal: true, AbortAfterEvents: -1}}
 }
 
 func serviceOf(w *worker.Worker) string {
@@ -208,9 +208,9 @@
 		return
 	}
 	if serviceOf(next) == llmService {
-		next.Behave(wholeStream)
+		next.SetBehaviour(wholeStream)
 	}
-	next.Born = max(next.Born, old.Born+1)
+	next.StartedMS = max(next.StartedMS, old.StartedMS+1)
 	s.fleet.mu.Lock()
 	s.fleet.workers[i] = next
 	s.fleet.mu.Unlock()
--- a/e2e/notices_test.go
+++ b/e2e/notices_test.go
@@ -77,7 +77,7 @@
 // say has a server say these lines of itself, and that it closes its connections, as it does after a
 // stream: one on which a request was just sent would else end without an answer, and where no other server
 // takes the request its caller is told so.
-func say(w *worker.Worker, lines ...string) { w.Say(append(lines, "Connection: close")...) }
+func say(w *worker.Worker, lines ...string) { w.SetHeaders(append(lines, "Connection: close")...) }
 
 // askFor sends requests for a while, beside what else happens.
 func (s *speakers) askFor(d time.Duration) {
@@ -101,7 +101,7 @@
 
 // busiest returns the server that has got most requests.
 func (s *speakers) busiest() *worker.Worker {
-	return slices.MaxFunc(s.servers, func(a, b *worker.Worker) int { return a.Asked() - b.Asked() })
+	return slices.MaxFunc(s.servers, func(a, b *worker.Worker) int { return a.RequestCount() - b.RequestCount() })
 }
 
 // worst returns the most arrivals at a server in any limitWindow that begins after a time.
@@ -167,7 +167,7 @@
 	s.asked.Wait()
 	ran := map[string]bool{}
 	for _, w := range s.servers {
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			ran[r.ID] = true
 		}
 	}
@@ -281,13 +281,13 @@
 			s.askFor(contact)
 			before := 0
 			for _, w := range s.servers {
-				before += w.Asked()
+				before += w.RequestCount()
 			}
 			const during = 6 * time.Second
 			s.askFor(during)
 			used := -before
 			for _, w := range s.servers {
-				used += w.Asked()
+				used += w.RequestCount()
 				s.checkLimit(w, limit, stated)
 			}
 			all := limit * float64(len(s.servers)) * during.Seconds()
@@ -389,7 +389,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Close)
-	next.Born = old.Born + 1
+	next.StartedMS = old.StartedMS + 1
 	if err := s.register(next, appService, "ready"); err != nil {
 		t.Fatal(err)
 	}
@@ -414,15 +414,15 @@
 			s := startSpeakers(t, route, 4, 7)
 			s.askFor(time.Second)
 			for _, w := range s.servers {
-				w.Behave(worker.Behaviour{Refuse: true, RetryAfter: fmt.Sprint(rest)})
+				w.SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: fmt.Sprint(rest)})
 			}
 			refusing := time.Now()
 			s.askFor(time.Second)
 			for _, w := range s.servers {
 				if b := wholeStream; servedRoutes[route] == llmService {
-					w.Behave(b)
+					w.SetBehaviour(b)
 				} else {
-					w.Behave(worker.Behaviour{BreakAfter: -1})
+					w.SetBehaviour(worker.Behaviour{AbortAfterEvents: -1})
 				}
 			}
 			s.askFor(rest*time.Second + time.Second)
--- a/e2e/quarantine_test.go
+++ b/e2e/quarantine_test.go
@@ -69,7 +69,7 @@
 	o.mu.Lock()
 	o.workers = append(o.workers, w)
 	o.mu.Unlock()
-	w.EndBy(fatalBody, endsAfter, func() { o.ended(w) })
+	w.CrashOn(fatalBody, endsAfter, func() { o.ended(w) })
 }
 
 // ended notes the end of a server and has it come back as another start.
@@ -102,9 +102,9 @@
 		o.t.Errorf("the server %s does not start again: %v", w.ID, err)
 		return
 	}
-	next.Born = max(next.Born, w.Born+1)
+	next.StartedMS = max(next.StartedMS, w.StartedMS+1)
 	if o.service == llmService {
-		next.Behave(wholeStream)
+		next.SetBehaviour(wholeStream)
 	}
 	o.watch(next)
 	o.fleet.mu.Lock()
@@ -168,7 +168,7 @@
 	}
 	late := 0
 	for _, w := range o.workers {
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			if r.Body == fatalBody && r.At.After(o.ends[2].Add(contact)) {
 				late++
 			}
--- a/e2e/retrybudget_test.go
+++ b/e2e/retrybudget_test.go
@@ -57,7 +57,7 @@
 		wait(ctx, l.failAt)
 		for _, w := range f.workers {
 			if serviceOf(w) == service {
-				w.BehavePartly(l.failPerTen, 10, l.failing)
+				w.SetPartialBehaviour(l.failPerTen, 10, l.failing)
 			}
 		}
 	})
@@ -124,7 +124,7 @@
 	for _, route := range []string{"list", "post", "report"} {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
-			p := runRetryLoad(t, retryLoad{route: route, failing: worker.Behaviour{Refuse: true}, failPerTen: 5, perSecond: 50,
+			p := runRetryLoad(t, retryLoad{route: route, failing: worker.Behaviour{Reject: true}, failPerTen: 5, perSecond: 50,
 				burstFactor: 5, burstAt: 2 * time.Second, burstEnd: 11 * time.Second, failAt: 9 * time.Second, length: 22 * time.Second}, 1)
 			if p.worst.Excess() > 0 {
 				t.Errorf("%d repeats where %.0f are allowed", p.worst.Retries, p.worst.Allowed)
@@ -136,7 +136,7 @@
 // Guards against gateways that get a fresh allowance of repeats with each start.
 func TestRetryBudgetHoldsWhileGatewaysAreKilledInTurn(t *testing.T) {
 	t.Parallel()
-	p := runRetryLoad(t, retryLoad{route: "list", failing: worker.Behaviour{Drop: true}, failPerTen: 5, perSecond: 50,
+	p := runRetryLoad(t, retryLoad{route: "list", failing: worker.Behaviour{DropConnection: true}, failPerTen: 5, perSecond: 50,
 		failAt: 3 * time.Second, length: 20 * time.Second, killEvery: 1200 * time.Millisecond}, 1)
 	if p.worst.Excess() > 0 {
 		t.Errorf("%d repeats where %.0f are allowed", p.worst.Retries, p.worst.Allowed)
--- a/internal/notice/days_test.go
+++ b/internal/notice/days_test.go
@@ -138,14 +138,14 @@
 			if p.leaves(i) && now >= p.leaveAt {
 				lines = append(lines, "Server-Leaving: 1")
 			}
-			p.Running(s).Say(lines...)
+			p.Running(s).SetHeaders(lines...)
 		}
 		if refuse := now >= p.refuseAt && now < p.refuseAt+p.refuseFor; p.resting > 0 && refuse != refusing {
 			refusing = refuse
 			p.SetPace(0)
 			for _, s := range p.Servers[:p.resting] {
 				if refuse {
-					p.Running(s).Behave(worker.Behaviour{Refuse: true, RetryAfter: strconv.FormatFloat(p.rest.Seconds(), 'f', 3, 64)})
+					p.Running(s).SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: strconv.FormatFloat(p.rest.Seconds(), 'f', 3, 64)})
 				}
 			}
 		}
@@ -296,7 +296,7 @@
 	from, to := p.begin.Add(p.limitAt+contact), p.begin.Add(p.liftAt)
 	ran := map[string]bool{}
 	for _, s := range p.Servers {
-		for _, r := range p.Running(s).Runs() {
+		for _, r := range p.Running(s).Executions() {
 			ran[r.ID] = true
 		}
 	}
--- a/internal/quarantine/deployment_test.go
+++ b/internal/quarantine/deployment_test.go
@@ -45,7 +45,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fatal {
-		w.EndBy(fatal, endsAfter, func() { d.fatalEnd(s, w) })
+		w.CrashOn(fatal, endsAfter, func() { d.fatalEnd(s, w) })
 	}
 }
 
@@ -78,7 +78,7 @@
 	d.mu.Unlock()
 	for _, s := range d.Servers {
 		if w := d.Running(s); w != nil {
-			w.EndBy("", 0, nil)
+			w.CrashOn("", 0, nil)
 		}
 	}
 }
--- a/internal/quarantine/system_test.go
+++ b/internal/quarantine/system_test.go
@@ -243,7 +243,7 @@
 		if w == nil {
 			continue
 		}
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			if r.Body == body && r.At.After(newest) {
 				found, newest = i, r.At
 			}
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -61,7 +61,7 @@
 	ms := func(from, to int) time.Duration { return time.Duration(from+rnd.IntN(to-from)) * time.Millisecond }
 	d := fleetDay{seed: seed, gateways: 1 + rnd.IntN(5), servers: 4 + rnd.IntN(12), route: pick(rnd, "once", "again", "stream", "resume"),
 		every: ms(20, 100), oneGateway: rnd.IntN(4) == 0}
-	failures := []worker.Behaviour{{Refuse: true}, {Drop: true}, {Events: simfleet.Events, BreakAfter: 3}}
+	failures := []worker.Behaviour{{Reject: true}, {DropConnection: true}, {Events: simfleet.Events, AbortAfterEvents: 3}}
 	for range 3 + rnd.IntN(5) {
 		d.changes = append(d.changes, change{ms(0, 28000), pick(rnd, 0.2, 1, 1, 2, 4), pick(rnd, 0, 0, 3, 6, 10), pick(rnd, failures...)})
 	}
@@ -121,7 +121,7 @@
 		p.mu.Unlock()
 		for _, s := range p.Servers {
 			if w := p.Running(s); w != nil {
-				w.BehavePartly(c.failing, 10, c.failure)
+				w.SetPartialBehaviour(c.failing, 10, c.failure)
 			}
 		}
 	}
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -220,7 +220,7 @@
 	s.start++
 	s.port++
 	w := worker.StartOn(s.ID, s.link.Listen(s.port))
-	w.Behave(f.behaviour())
+	w.SetBehaviour(f.behaviour())
 	s.at = w
 	s.all = append(s.all, w)
 	f.started(s, w)
@@ -236,7 +236,7 @@
 
 func (f *Fleet) list(s *Server, state string) {
 	f.Store.PutJSON(platformstore.TopicServers, s.ID, map[string]any{"service": service, "address": s.at.Address(), "zone": "z", "slots": 64,
-		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": s.start, "born": s.at.Born})
+		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": s.start, "born": s.at.StartedMS})
 }
 
 // EndServer ends a server without a word; false if it is away.
@@ -301,14 +301,14 @@
 	f.pace = pace
 	for _, s := range f.Servers {
 		if s.at != nil {
-			s.at.Behave(f.behaviour())
+			s.at.SetBehaviour(f.behaviour())
 		}
 	}
 }
 
 // behaviour is what servers do.
 func (f *Fleet) behaviour() worker.Behaviour {
-	return worker.Behaviour{Events: Events, BreakAfter: -1, Pace: f.pace}
+	return worker.Behaviour{Events: Events, AbortAfterEvents: -1, EventInterval: f.pace}
 }
 
 // Reply is what a caller got.
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,7 +1,7 @@
-// Package worker is a stand-in for a worker of the platform: one HTTP/1.1
-// backend server that proves its answers, refuses requests meant for another
-// start, and misbehaves as it is told. It writes its answers byte by byte, so
-// that broken ones can be given too.
+// Package worker is a stand-in for a worker of the platform: an HTTP/1.1
+// backend server that seals its responses, rejects requests addressed to another
+// instance, and simulates configurable faults. It writes raw HTTP to the
+// connection so that it can also send malformed responses.
 package worker
 
 import (
@@ -16,86 +16,91 @@
 	"time"
 )
 
-// Run is one request that the worker has begun to work on.
-type Run struct {
+// Execution is a request that the worker has started to process.
+type Execution struct {
 	ID     string
 	Method string
 	Target string
 	Body   string
 	Header http.Header
-	// From is the number of the first event of a stream.
-	From int
-	At   time.Time
+	// LastEventID is the request's Last-Event-Id, 0 if absent. A stream starts
+	// with the event after it.
+	LastEventID int
+	At          time.Time
 }
 
-// Arrival is a request that has come, whether it ran or was refused.
+// Arrival is a received request, whether executed or rejected.
 type Arrival struct {
 	ID string
 	At time.Time
 }
 
-// Behaviour says what the worker does with the next requests.
+// Behaviour determines how the worker handles a request.
 type Behaviour struct {
-	// Refuse answers 503 without having run the request.
-	Refuse bool
-	// RetryAfter is when a refused caller may come back, in seconds; empty says nothing.
+	// Reject responds with 503 without executing the request.
+	Reject bool
+	// RetryAfter is the Retry-After header of a rejection, in seconds; empty omits it.
 	RetryAfter string
-	// Status is the status of the answer; 0 is 200.
+	// Status is the status code of the response; 0 means 200.
 	Status int
-	// Events is the number of events of a stream; 0 gives a plain answer.
+	// Events is the number of events of a streamed response; 0 means a response
+	// that is not streamed.
 	Events int
-	// BreakAfter ends the connection in the middle of the event behind so many;
-	// -1 never.
-	BreakAfter int
-	// Hang gives no answer until the caller leaves.
+	// AbortAfterEvents is the number of complete events after which the
+	// connection is closed in the middle of the next one; -1 means never.
+	AbortAfterEvents int
+	// Hang sends no response until the caller disconnects.
 	Hang bool
-	// Drop closes the connection without an answer.
-	Drop bool
-	// Unframed answers have no length and end with the connection.
-	Unframed bool
-	// ExtraBefore sends an answer to another request first.
-	ExtraBefore bool
-	// NoSeal leaves out the proof.
-	NoSeal bool
-	// Early answers 413 before the body is read, and reads it then.
-	Early bool
-	// Pace is the pause between events.
-	Pace time.Duration
+	// DropConnection closes the connection without a response.
+	DropConnection bool
+	// CloseDelimited sends the response without a length; the end of the
+	// connection delimits it.
+	CloseDelimited bool
+	// ForeignResponseFirst sends a response to another request before the proper one.
+	ForeignResponseFirst bool
+	// OmitSeal omits the X-Response-Seal and X-Server-Load headers.
+	OmitSeal bool
+	// RejectBeforeBody responds with 413 before it reads the request body.
+	RejectBeforeBody bool
+	// EventInterval is the time between events.
+	EventInterval time.Duration
 }
 
 // Worker is the stand-in. It is safe for concurrent use.
 type Worker struct {
 	ID string
-	// Born is when the process started, Unix ms.
-	Born     int64
-	listener net.Listener
-
-	mu        sync.Mutex
-	behaviour Behaviour
-	once      []Behaviour // for the next requests, before behaviour
-	partial   Behaviour   // for partialN of every partialOf requests
-	partialN  int
-	partialOf int
-	runs      []Run
-	left      int // callers that closed their connection while a request ran
-	conns     map[net.Conn]bool
-	opened    int
-	arrivals  []Arrival
-	fatal     fatality
-	notices   string // header lines with what it says of itself in all answers
+	// StartedMS is the start time of the worker in Unix milliseconds.
+	StartedMS int64
+	listener  net.Listener
+
+	mu              sync.Mutex
+	behaviour       Behaviour
+	queued          []Behaviour // for the next requests, one each; takes precedence over behaviour
+	partial         Behaviour   // for partialN of every partialOf requests
+	partialN        int
+	partialOf       int
+	executions      []Execution
+	disconnects     int // callers that disconnected while their request was processed
+	conns           map[net.Conn]bool
+	connectionCount int
+	arrivals        []Arrival
+	crashTrigger    crashTrigger
+	extraHeaders    string // header lines added to all responses
 }
 
-// fatality is a request that ends the worker which begins it.
-type fatality struct {
-	body  string
-	after time.Duration
-	ended func()
+// crashTrigger describes a request that crashes the worker that executes it.
+type crashTrigger struct {
+	body    string
+	after   time.Duration
+	onCrash func()
 }
 
-// Start returns a running worker that gives plain answers. Close ends it.
+// Start returns a worker that listens on a local port and responds normally until
+// Close.
 func Start(id string) (*Worker, error) { return StartAt(id, "127.0.0.1:0") }
 
-// StartAt is Start at an address, as when a worker starts again where it was.
+// StartAt is like Start with a given address, for example to restart a worker at
+// its previous address.
 func StartAt(id, address string) (*Worker, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -104,9 +109,9 @@
 	return StartOn(id, l), nil
 }
 
-// StartOn is Start on a listener, which the worker owns.
+// StartOn is like Start with a listener, which the worker closes.
 func StartOn(id string, l net.Listener) *Worker {
-	w := &Worker{ID: id, Born: time.Now().UnixMilli(), listener: l, behaviour: Behaviour{BreakAfter: -1}, conns: map[net.Conn]bool{}}
+	w := &Worker{ID: id, StartedMS: time.Now().UnixMilli(), listener: l, behaviour: Behaviour{AbortAfterEvents: -1}, conns: map[net.Conn]bool{}}
 	go w.accept()
 	return w
 }
@@ -114,13 +119,13 @@
 // Address returns the IP:PORT of the worker.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// Close ends the worker and its connections.
+// Close stops the worker and closes its connections.
 func (w *Worker) Close() {
 	_ = w.listener.Close()
 	w.CloseConnections()
 }
 
-// CloseConnections ends the open connections.
+// CloseConnections closes the open connections.
 func (w *Worker) CloseConnections() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,82 +134,84 @@
 	}
 }
 
-// Behave sets what the worker does from now on.
-func (w *Worker) Behave(b Behaviour) {
+// SetBehaviour sets how the worker handles requests from now on.
+func (w *Worker) SetBehaviour(b Behaviour) {
 	w.mu.Lock()
 	w.behaviour = b
 	w.mu.Unlock()
 }
 
-// Next sets what the worker does with the next request only.
-func (w *Worker) Next(b ...Behaviour) {
+// QueueBehaviours sets how the worker handles the next requests, one behaviour
+// per request.
+func (w *Worker) QueueBehaviours(b ...Behaviour) {
 	w.mu.Lock()
-	w.once = append(w.once, b...)
+	w.queued = append(w.queued, b...)
 	w.mu.Unlock()
 }
 
-// BehavePartly sets what the worker does with n out of every "of" requests from now on.
-func (w *Worker) BehavePartly(n, of int, b Behaviour) {
+// SetPartialBehaviour sets how the worker handles n out of every "of" requests from now on.
+func (w *Worker) SetPartialBehaviour(n, of int, b Behaviour) {
 	w.mu.Lock()
 	w.partial, w.partialN, w.partialOf = b, n, of
 	w.mu.Unlock()
 }
 
-// EndBy has the worker end when it has run a request with this body for a while. It calls
-// ended then.
-func (w *Worker) EndBy(body string, after time.Duration, ended func()) {
+// CrashOn makes the worker crash after it has processed a request with this body for the
+// given time. It then calls onCrash.
+func (w *Worker) CrashOn(body string, after time.Duration, onCrash func()) {
 	w.mu.Lock()
-	w.fatal = fatality{body, after, ended}
+	w.crashTrigger = crashTrigger{body, after, onCrash}
 	w.mu.Unlock()
 }
 
-// Say has the worker say these header lines of itself in all its answers from now on, such as
-// "Server-Limit: 1".
-func (w *Worker) Say(lines ...string) {
+// SetHeaders sets header lines, such as "Server-Limit: 1", that the worker adds to all its
+// responses from now on.
+func (w *Worker) SetHeaders(lines ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.notices = ""
+	w.extraHeaders = ""
 	for _, line := range lines {
-		w.notices += line + "\r\n"
+		w.extraHeaders += line + "\r\n"
 	}
 }
 
-// says returns what the worker says of itself.
-func (w *Worker) says() string {
+// headerLines returns the additional header lines.
+func (w *Worker) headerLines() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.notices
+	return w.extraHeaders
 }
 
-// Runs returns what has run so far.
-func (w *Worker) Runs() []Run {
+// Executions returns the requests executed so far.
+func (w *Worker) Executions() []Execution {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Run(nil), w.runs...)
+	return append([]Execution(nil), w.executions...)
 }
 
-// Left returns how many callers left while their request ran.
-func (w *Worker) Left() int {
+// Disconnects returns the number of callers that disconnected while their request was
+// processed.
+func (w *Worker) Disconnects() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.left
+	return w.disconnects
 }
 
-// Opened returns the number of connections so far.
-func (w *Worker) Opened() int {
+// ConnectionCount returns the number of connections accepted so far.
+func (w *Worker) ConnectionCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.opened
+	return w.connectionCount
 }
 
-// Asked returns how many requests have come, refused ones included.
-func (w *Worker) Asked() int {
+// RequestCount returns the number of requests received so far, including rejected ones.
+func (w *Worker) RequestCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.arrivals)
 }
 
-// Arrivals returns the requests that have come, refused ones included.
+// Arrivals returns the requests received so far, including rejected ones.
 func (w *Worker) Arrivals() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -219,7 +226,7 @@
 		}
 		w.mu.Lock()
 		w.conns[c] = true
-		w.opened++
+		w.connectionCount++
 		w.mu.Unlock()
 		go w.serve(c)
 	}
@@ -238,19 +245,20 @@
 		if err != nil {
 			return
 		}
-		if !w.answer(c, r, req) {
+		if !w.handleRequest(c, r, req) {
 			return
 		}
 	}
 }
 
-func (w *Worker) next(id string) Behaviour {
+// nextBehaviour records a request and returns how to handle it.
+func (w *Worker) nextBehaviour(id string) Behaviour {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.arrivals = append(w.arrivals, Arrival{id, time.Now()})
-	if len(w.once) > 0 {
-		b := w.once[0]
-		w.once = w.once[1:]
+	if len(w.queued) > 0 {
+		b := w.queued[0]
+		w.queued = w.queued[1:]
 		return b
 	}
 	if w.partialN > 0 && len(w.arrivals)%w.partialOf < w.partialN {
@@ -259,18 +267,18 @@
 	return w.behaviour
 }
 
-// answer serves one request; false ends the connection.
-func (w *Worker) answer(c net.Conn, r *bufio.Reader, req *http.Request) bool {
+// handleRequest handles one request. It returns false if the connection must be closed.
+func (w *Worker) handleRequest(c net.Conn, r *bufio.Reader, req *http.Request) bool {
 	id := req.Header.Get("X-Attempt-Id")
 	if expect := req.Header.Get("X-Expect-Instance"); expect != "" && expect != w.ID {
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return false
 		}
-		return w.plain(c, id, http.StatusMisdirectedRequest, "X-Instance-Id: "+w.ID+"\r\n", "")
+		return w.writeResponse(c, id, http.StatusMisdirectedRequest, "X-Instance-Id: "+w.ID+"\r\n", "")
 	}
-	b := w.next(id)
-	if b.Early {
-		ok := w.plain(c, id, http.StatusRequestEntityTooLarge, w.seal(id), "too long")
+	b := w.nextBehaviour(id)
+	if b.RejectBeforeBody {
+		ok := w.writeResponse(c, id, http.StatusRequestEntityTooLarge, w.sealHeaders(id), "too long")
 		_, err := io.Copy(io.Discard, req.Body)
 		return ok && err == nil
 	}
@@ -278,68 +286,69 @@
 	if err != nil {
 		return false
 	}
-	if b.Refuse {
+	if b.Reject {
 		headers := "X-Not-Executed: 1\r\n"
 		if b.RetryAfter != "" {
 			headers += "Retry-After: " + b.RetryAfter + "\r\n"
 		}
-		return w.plain(c, id, http.StatusServiceUnavailable, headers, "")
+		return w.writeResponse(c, id, http.StatusServiceUnavailable, headers, "")
 	}
-	from, _ := strconv.Atoi(req.Header.Get("Last-Event-Id")) // none is 0
+	lastEventID, _ := strconv.Atoi(req.Header.Get("Last-Event-Id")) // 0 if absent
 	w.mu.Lock()
-	w.runs = append(w.runs, Run{ID: id, Method: req.Method, Target: req.RequestURI, Body: string(body), Header: req.Header, From: from, At: time.Now()})
-	fatal := w.fatal
+	w.executions = append(w.executions, Execution{ID: id, Method: req.Method, Target: req.RequestURI, Body: string(body), Header: req.Header, LastEventID: lastEventID, At: time.Now()})
+	trigger := w.crashTrigger
 	w.mu.Unlock()
-	if fatal.ended != nil && string(body) == fatal.body {
-		return w.endBy(c, id, fatal, b.Events > 0)
+	if trigger.onCrash != nil && string(body) == trigger.body {
+		return w.crash(c, id, trigger, b.Events > 0)
 	}
 	switch {
-	case b.Drop:
+	case b.DropConnection:
 		return false
 	case b.Hang:
-		w.hang(r)
+		w.awaitDisconnect(r)
 		return false
 	}
-	if b.ExtraBefore && !w.plain(c, "foreign", http.StatusOK, w.seal("foreign"), "for somebody else") {
+	if b.ForeignResponseFirst && !w.writeResponse(c, "foreign", http.StatusOK, w.sealHeaders("foreign"), "response to another request") {
 		return false
 	}
 	if b.Events > 0 {
-		return w.stream(c, r, id, from, b)
+		return w.writeStream(c, r, id, lastEventID, b)
 	}
-	seal := w.seal(id)
-	if b.NoSeal {
+	seal := w.sealHeaders(id)
+	if b.OmitSeal {
 		seal = ""
 	}
 	status := b.Status
 	if status == 0 {
 		status = http.StatusOK
 	}
-	if b.Unframed {
-		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d OK\r\nX-Attempt-Id: %s\r\n%s%sConnection: close\r\n\r\n%s", status, id, seal, w.says(), Answer(id))
+	if b.CloseDelimited {
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d OK\r\nX-Attempt-Id: %s\r\n%s%sConnection: close\r\n\r\n%s", status, id, seal, w.headerLines(), ResponseBody(id))
 		return false
 	}
-	return w.plain(c, id, status, seal, Answer(id))
+	return w.writeResponse(c, id, status, seal, ResponseBody(id))
 }
 
-// endBy runs a request that ends the worker, with the head of a stream where one is asked for.
-func (w *Worker) endBy(c net.Conn, id string, f fatality, stream bool) bool {
+// crash crashes the worker while it processes a request. If stream is set, it first sends
+// the header of a streamed response.
+func (w *Worker) crash(c net.Conn, id string, trigger crashTrigger, stream bool) bool {
 	if stream {
-		_ = w.streamHead(c, id) // the caller sees what comes of it
+		_ = w.writeStreamHeader(c, id) // the connection is closed in any case
 	}
-	time.Sleep(f.after)
+	time.Sleep(trigger.after)
 	w.Close()
-	f.ended()
+	trigger.onCrash()
 	return false
 }
 
-// Answer is the body of the plain answer to a request.
-func Answer(id string) string { return "answer to " + id }
+// ResponseBody returns the body of the response to a request that is not streamed.
+func ResponseBody(id string) string { return "answer to " + id }
 
-// Event is an event of a stream.
+// Event returns event n of a stream.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s part %d\n\n", n, id, n) }
 
-// Stream is a whole stream of n events.
-func Stream(id string, n int) string {
+// StreamBody returns the whole body of a stream of n events.
+func StreamBody(id string, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		b.WriteString(Event(id, i))
@@ -347,41 +356,42 @@
 	return b.String()
 }
 
-func (w *Worker) seal(id string) string {
+// sealHeaders returns the header lines that prove which worker processed which request.
+func (w *Worker) sealHeaders(id string) string {
 	return fmt.Sprintf("X-Response-Seal: %s.%s\r\nX-Server-Load: 1,0,8\r\n", w.ID, id)
 }
 
-func (w *Worker) plain(c net.Conn, id string, status int, headers, body string) bool {
+func (w *Worker) writeResponse(c net.Conn, id string, status int, headers, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nX-Attempt-Id: %s\r\n%s%sContent-Length: %d\r\n\r\n%s",
-		status, http.StatusText(status), id, headers, w.says(), len(body), body)
+		status, http.StatusText(status), id, headers, w.headerLines(), len(body), body)
 	return err == nil
 }
 
-// hang waits until the caller leaves.
-func (w *Worker) hang(r *bufio.Reader) {
+// awaitDisconnect waits until the caller disconnects and counts it.
+func (w *Worker) awaitDisconnect(r *bufio.Reader) {
 	_, _ = r.Peek(1)
 	w.mu.Lock()
-	w.left++
+	w.disconnects++
 	w.mu.Unlock()
 }
 
-func (w *Worker) streamHead(c net.Conn, id string) error {
+func (w *Worker) writeStreamHeader(c net.Conn, id string) error {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\n%s%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
-		id, w.seal(id), w.says())
+		id, w.sealHeaders(id), w.headerLines())
 	return err
 }
 
-func (w *Worker) stream(c net.Conn, r *bufio.Reader, id string, from int, b Behaviour) bool {
-	gone := make(chan struct{})
-	if b.Pace > 0 {
-		go func() { w.hang(r); close(gone) }()
+func (w *Worker) writeStream(c net.Conn, r *bufio.Reader, id string, lastEventID int, b Behaviour) bool {
+	disconnected := make(chan struct{})
+	if b.EventInterval > 0 {
+		go func() { w.awaitDisconnect(r); close(disconnected) }()
 	}
-	if err := w.streamHead(c, id); err != nil {
+	if err := w.writeStreamHeader(c, id); err != nil {
 		return false
 	}
-	for n := from + 1; n <= b.Events; n++ {
+	for n := lastEventID + 1; n <= b.Events; n++ {
 		event := Event(id, n)
-		if b.BreakAfter >= 0 && n > b.BreakAfter {
+		if b.AbortAfterEvents >= 0 && n > b.AbortAfterEvents {
 			half := event[:len(event)/2]
 			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(half), half)
 			return false
@@ -389,14 +399,14 @@
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event); err != nil {
 			return false
 		}
-		if b.Pace > 0 {
+		if b.EventInterval > 0 {
 			select {
-			case <-gone:
+			case <-disconnected:
 				return false
-			case <-time.After(b.Pace):
+			case <-time.After(b.EventInterval):
 			}
 		}
 	}
 	_, err := io.WriteString(c, "0\r\n\r\n")
-	return err == nil && b.Pace == 0
+	return err == nil && b.EventInterval == 0
 }
