--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -1,6 +1,6 @@
-// Package simfleet runs gateways, backend servers and the platform's store as they are on one network in
-// memory. It waits on channels and timers alone, so that it lives in a testing/synctest bubble, where
-// days of it take seconds.
+// Package simfleet runs a complete deployment on one in-memory network: real gateways with the stand-ins for
+// backend servers and for the platform's store. It blocks only on channels and timers, so that it can run in a
+// testing/synctest bubble, where days of simulated time take seconds.
 package simfleet
 
 import (
@@ -32,68 +32,69 @@
 
 const (
 	storePort, peerPort, workerPort = 8223, 7340, 9000
-	// service is the only service.
-	service = "s"
-	// Events is the length of a stream.
-	Events = 8
+	// serviceName is the name of the only service.
+	serviceName = "s"
+	// StreamEvents is the number of events of each stream.
+	StreamEvents = 8
 	// RetryRatio, RetryWindow and RetrySlack are the settings of the retry budget.
 	RetryRatio, RetryWindow, RetrySlack = 0.2, 10 * time.Second, 12
-	// DrainWithin and ApplyWithin are the times in which the list and the configuration must be in force.
+	// DrainWithin and ApplyWithin are the times within which changes of the server list and of the configuration
+	// must take effect.
 	DrainWithin, ApplyWithin = 2 * time.Second, 2 * time.Second
-	// settled is how long a new fleet is left alone.
-	settled = 4 * time.Second
+	// settleTime is how long New waits for a new fleet to reach a steady state.
+	settleTime = 4 * time.Second
 )
 
-// Node is an entry host. Its gateway can be killed and started again.
+// Node is a host that runs a gateway, which can be killed and restarted.
 type Node struct {
-	Name string
-	Link *memnet.Host
-	at   atomic.Pointer[process]
+	Name    string
+	Host    *memnet.Host
+	current atomic.Pointer[process]
 }
 
-// process is one start of a gateway.
+// process is one run of a gateway, from its start until it is killed.
 type process struct {
 	gateway *gateway.Gateway
 	peers   *peers.Peers
-	up      context.Context
-	kill    context.CancelFunc
-	duties  sync.WaitGroup
+	ctx     context.Context
+	cancel  context.CancelFunc
+	tasks   sync.WaitGroup
 }
 
-// Gateway returns the gateway that runs now, or ran last.
-func (n *Node) Gateway() *gateway.Gateway { return n.at.Load().gateway }
+// Gateway returns the running gateway, or the last one if none is running.
+func (n *Node) Gateway() *gateway.Gateway { return n.current.Load().gateway }
 
-// Server is a host of a backend server.
+// Server is a host that runs a backend server, which can be killed and restarted.
 type Server struct {
-	ID    string
-	link  *memnet.Host
-	port  uint16
-	at    *worker.Worker // nil while it is away
-	start int
-	all   []*worker.Worker // of all its starts
+	ID       string
+	host     *memnet.Host
+	port     uint16
+	current  *worker.Worker // nil while the server is down
+	sequence int
+	workers  []*worker.Worker // one for each start so far
 }
 
-// Fleet is the deployment.
+// Fleet is a simulated deployment.
 type Fleet struct {
-	Nodes   []*Node // those of the begin
-	Servers []*Server
-	Store   *platformstore.Store
-	started func(*Server, *worker.Worker) // called with each start of a server
-
-	net     *memnet.Network
-	storeAt *memnet.Host
-	running sync.WaitGroup
-	stop    context.Context
-	cancel  context.CancelFunc
-	nextID  atomic.Int64
-
-	mu    sync.Mutex
-	rnd   *rand.Rand
-	pace  time.Duration
-	nodes []*Node // all of them
+	Nodes         []*Node // the nodes started by New
+	Servers       []*Server
+	Store         *platformstore.Store
+	onServerStart func(*Server, *worker.Worker) // called for each start of a server
+
+	net       *memnet.Network
+	storeHost *memnet.Host
+	tasks     sync.WaitGroup
+	ctx       context.Context
+	cancel    context.CancelFunc
+	nextID    atomic.Int64
+
+	mu            sync.Mutex
+	rng           *rand.Rand
+	eventInterval time.Duration
+	nodes         []*Node // all nodes, including those added by AddNode
 }
 
-// Routes are the kinds of route, by name.
+// Routes holds the configured routes by name, with the settings that differ between them.
 var Routes = map[string]map[string]any{
 	"once":   {"kind": "non_idempotent"},
 	"again":  {"kind": "idempotent"},
@@ -101,54 +102,54 @@
 	"resume": {"kind": "streaming", "session_affinity": true, "stream_resumption": true},
 }
 
-func configuration() []byte {
+func encodeConfig() []byte {
 	var routes []map[string]any
-	for name, more := range Routes {
-		route := map[string]any{"name": name, "host": "a.example", "path_prefix": "/" + name + "/", "service": service,
+	for name, settings := range Routes {
+		route := map[string]any{"name": name, "host": "a.example", "path_prefix": "/" + name + "/", "service": serviceName,
 			"timeout_ms": 6000, "target_latency_ms": 300, "max_attempts": 2, "priority": 0}
-		for k, v := range more {
+		for k, v := range settings {
 			route[k] = v
 		}
 		routes = append(routes, route)
 	}
 	value, err := json.Marshal(map[string]any{"version": 1, "routes": routes,
-		"services": []any{map[string]any{"name": service, "engine": map[string]any{"slots": 64, "kv_capacity_tokens": 500000}}},
+		"services": []any{map[string]any{"name": serviceName, "engine": map[string]any{"slots": 64, "kv_capacity_tokens": 500000}}},
 		"tenants":  []any{map[string]any{"name": "team", "api_keys": []string{"key"}}}})
 	if err != nil {
-		panic(err) // strings and numbers
+		panic(err) // cannot fail: the values are plain JSON types
 	}
 	return value
 }
 
-// New starts gateways and servers and waits until all is settled. Started is called with each start of a
-// server before it is listed; nil for nothing.
-func New(gateways, servers int, seed uint64, started func(*Server, *worker.Worker)) *Fleet {
-	if started == nil {
-		started = func(*Server, *worker.Worker) {}
+// New starts gateways and servers and waits until the fleet has settled. onServerStart, which may be nil, is called
+// for each start of a server before the server is added to the server list.
+func New(gateways, servers int, seed uint64, onServerStart func(*Server, *worker.Worker)) *Fleet {
+	if onServerStart == nil {
+		onServerStart = func(*Server, *worker.Worker) {}
 	}
-	f := &Fleet{net: memnet.New(500 * time.Microsecond), Store: platformstore.New(), rnd: rand.New(rand.NewPCG(seed, 1)), started: started}
-	f.stop, f.cancel = context.WithCancel(context.Background())
-	f.storeAt = f.net.Host(0)
-	listener := f.storeAt.Listen(storePort)
+	f := &Fleet{net: memnet.New(500 * time.Microsecond), Store: platformstore.New(), rng: rand.New(rand.NewPCG(seed, 1)), onServerStart: onServerStart}
+	f.ctx, f.cancel = context.WithCancel(context.Background())
+	f.storeHost = f.net.Host(0)
+	listener := f.storeHost.Listen(storePort)
 	store := &http.Server{Handler: f.Store.Handler()}
-	f.running.Go(func() { _ = store.Serve(listener) }) // ends with ErrServerClosed
-	context.AfterFunc(f.stop, func() { _ = store.Close() })
-	f.Store.Put(platformstore.TopicOperator, "config", configuration())
+	f.tasks.Go(func() { _ = store.Serve(listener) }) // returns ErrServerClosed after Close
+	context.AfterFunc(f.ctx, func() { _ = store.Close() })
+	f.Store.Put(platformstore.TopicOperator, "config", encodeConfig())
 	for i := range servers {
-		s := &Server{ID: fmt.Sprint("i-", i), link: f.net.Host(0), port: workerPort}
+		s := &Server{ID: fmt.Sprint("i-", i), host: f.net.Host(0), port: workerPort}
 		f.Servers = append(f.Servers, s)
 		f.StartServer(s)
 	}
 	for i := range gateways {
 		f.Nodes = append(f.Nodes, f.AddNode(fmt.Sprint("edge-", i)))
 	}
-	time.Sleep(settled)
+	time.Sleep(settleTime)
 	return f
 }
 
-// AddNode starts a further gateway on a host of its own.
+// AddNode starts an additional gateway on a new host.
 func (f *Fleet) AddNode(name string) *Node {
-	n := &Node{Name: name, Link: f.net.Host(0)}
+	n := &Node{Name: name, Host: f.net.Host(0)}
 	f.mu.Lock()
 	f.nodes = append(f.nodes, n)
 	f.mu.Unlock()
@@ -156,174 +157,179 @@
 	return n
 }
 
-// End ends everything.
-func (f *Fleet) End() {
+// Close stops all gateways, servers and background tasks.
+func (f *Fleet) Close() {
 	for _, n := range f.nodes {
 		f.KillNode(n)
 	}
 	f.mu.Lock()
 	f.cancel()
 	for _, s := range f.Servers {
-		if s.at != nil {
-			s.at.Close()
+		if s.current != nil {
+			s.current.Close()
 		}
 	}
 	f.mu.Unlock()
 	f.net.Close()
-	f.running.Wait()
-	time.Sleep(5 * time.Second) // connections that were being opened
+	f.tasks.Wait()
+	time.Sleep(5 * time.Second) // let pending connection attempts finish
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// StartNode starts a gateway that knows nothing.
+// StartNode starts a gateway without any state from earlier runs.
 func (f *Fleet) StartNode(n *Node) {
 	p := &process{}
-	p.up, p.kill = context.WithCancel(f.stop)
+	p.ctx, p.cancel = context.WithCancel(f.ctx)
 	servers := registry.New()
 	p.gateway = gateway.New(gateway.Settings{Retries: retrybudget.Settings{Ratio: RetryRatio, Window: RetryWindow, Slack: RetrySlack}},
-		platform.Dialect{}, servers, quiet())
-	p.gateway.UseNetwork(n.Link.DialContext)
-	others := peers.New(n.Name, n.Link.Packets(peerPort), peers.Capacity{Cores: 0.3}, p.gateway, quiet())
+		platform.Dialect{}, servers, discardLogger())
+	p.gateway.UseNetwork(n.Host.DialContext)
+	others := peers.New(n.Name, n.Host.Packets(peerPort), peers.Capacity{Cores: 0.3}, p.gateway, discardLogger())
 	p.gateway.UsePeers(others)
 	p.peers = others
-	share := configshare.New(n.Link.DialContext, 0, quiet())
-	follower := follow.New(follow.Parts{Connect: func(address string) follow.Store { return platform.NewStoreOver(n.Link.DialContext, address, quiet()) },
-		Topics: platform.Topics, Decoder: platform.Decoder{}, Gateway: p.gateway, Servers: servers, Peers: others, Share: share, Logger: quiet()},
-		follow.Settings{Address: f.storeAt.Address(storePort).String(), DrainWithin: DrainWithin, ApplyWithin: ApplyWithin})
-	keeper := quarantine.NewKeeper(p.gateway.Quarantine(), follower.Quarantine(), n.Name, quiet())
+	share := configshare.New(n.Host.DialContext, 0, discardLogger())
+	follower := follow.New(follow.Parts{Connect: func(address string) follow.Store {
+		return platform.NewStoreOver(n.Host.DialContext, address, discardLogger())
+	},
+		Topics: platform.Topics, Decoder: platform.Decoder{}, Gateway: p.gateway, Servers: servers, Peers: others, Share: share, Logger: discardLogger()},
+		follow.Settings{Address: f.storeHost.Address(storePort).String(), DrainWithin: DrainWithin, ApplyWithin: ApplyWithin})
+	keeper := quarantine.NewKeeper(p.gateway.Quarantine(), follower.Quarantine(), n.Name, discardLogger())
 	p.gateway.UseTrials(keeper)
-	asks := n.Link.Listen(peerPort)
-	for _, duty := range []func(){func() { keeper.Run(p.up) }, func() { share.Serve(p.up, asks) }, func() { follower.Run(p.up) }, func() { others.Run(p.up) }} {
-		p.duties.Go(duty)
+	shareListener := n.Host.Listen(peerPort)
+	for _, task := range []func(){func() { keeper.Run(p.ctx) }, func() { share.Serve(p.ctx, shareListener) }, func() { follower.Run(p.ctx) }, func() { others.Run(p.ctx) }} {
+		p.tasks.Go(task)
 	}
-	n.at.Store(p)
+	n.current.Store(p)
 }
 
-// KillNode ends a gateway with everything that it knows.
+// KillNode kills a gateway; its state is lost.
 func (f *Fleet) KillNode(n *Node) {
-	p := n.at.Load()
-	p.kill()
-	p.duties.Wait()
+	p := n.current.Load()
+	p.cancel()
+	p.tasks.Wait()
 }
 
-// LeaveNode has a gateway announce that it is about to stop. It keeps serving until it is killed.
-func (f *Fleet) LeaveNode(n *Node) { n.at.Load().peers.Leave() }
+// AnnounceNodeStop makes a gateway announce that it is about to stop. It keeps serving until it is killed.
+func (f *Fleet) AnnounceNodeStop(n *Node) { n.current.Load().peers.Leave() }
 
-// StartServer starts a server as another start under its ID, at another address, and lists it.
+// StartServer starts a server under its ID at a new port and adds it to the server list.
 func (f *Fleet) StartServer(s *Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stop.Err() != nil {
+	if f.ctx.Err() != nil {
 		return
 	}
-	s.start++
+	s.sequence++
 	s.port++
-	w := worker.StartOn(s.ID, s.link.Listen(s.port))
-	w.SetBehaviour(f.behaviour())
-	s.at = w
-	s.all = append(s.all, w)
-	f.started(s, w)
-	f.list(s, "ready")
+	w := worker.StartOn(s.ID, s.host.Listen(s.port))
+	w.SetBehaviour(f.workerBehaviour())
+	s.current = w
+	s.workers = append(s.workers, w)
+	f.onServerStart(s, w)
+	f.publishServer(s, "ready")
 }
 
-// List writes a server's entry with another state.
-func (f *Fleet) List(s *Server, state string) {
+// SetServerState changes the state of a server in the server list.
+func (f *Fleet) SetServerState(s *Server, state string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.list(s, state)
+	f.publishServer(s, state)
 }
 
-func (f *Fleet) list(s *Server, state string) {
-	f.Store.PutJSON(platformstore.TopicServers, s.ID, map[string]any{"service": service, "address": s.at.Address(), "zone": "z", "slots": 64,
-		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": s.start, "born": s.at.StartedMS})
+// publishServer writes a server's entry in the server list. The caller holds mu.
+func (f *Fleet) publishServer(s *Server, state string) {
+	f.Store.PutJSON(platformstore.TopicServers, s.ID, map[string]any{"service": serviceName, "address": s.current.Address(), "zone": "z", "slots": 64,
+		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": s.sequence, "born": s.current.StartedMS})
 }
 
-// EndServer ends a server without a word; false if it is away.
-func (f *Fleet) EndServer(s *Server) bool {
+// KillServer kills a server without changing the server list. It returns false if the server is not running.
+func (f *Fleet) KillServer(s *Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s.at == nil {
+	if s.current == nil {
 		return false
 	}
-	s.at.Close()
-	s.at = nil
+	s.current.Close()
+	s.current = nil
 	return true
 }
 
-// Running returns the start of a server that runs, nil for none.
-func (f *Fleet) Running(s *Server) *worker.Worker {
+// CurrentWorker returns the running worker of a server, or nil if the server is down.
+func (f *Fleet) CurrentWorker(s *Server) *worker.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return s.at
+	return s.current
 }
 
-// Starts returns all starts of a server so far.
-func (f *Fleet) Starts(s *Server) []*worker.Worker {
+// Workers returns the workers of all starts of a server so far.
+func (f *Fleet) Workers(s *Server) []*worker.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*worker.Worker(nil), s.all...)
+	return append([]*worker.Worker(nil), s.workers...)
 }
 
-// Go has something go on until the fleet ends, which waits for it.
-func (f *Fleet) Go(duty func()) { f.running.Go(duty) }
+// Go runs task in the background. Close waits for it to return.
+func (f *Fleet) Go(task func()) { f.tasks.Go(task) }
 
-// Pause waits; false when the fleet has ended.
-func (f *Fleet) Pause(t time.Duration) bool {
+// Sleep waits for d. It returns false if the fleet is closed before that.
+func (f *Fleet) Sleep(d time.Duration) bool {
 	select {
-	case <-time.After(t):
+	case <-time.After(d):
 		return true
-	case <-f.stop.Done():
+	case <-f.ctx.Done():
 		return false
 	}
 }
 
-// Draw returns a random number below n.
-func (f *Fleet) Draw(n int) int {
+// RandIntN returns a random number in [0, n) from the fleet's seeded generator.
+func (f *Fleet) RandIntN(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.rnd.IntN(n)
+	return f.rng.IntN(n)
 }
 
-// NextID returns a number that was not returned before.
+// NextID returns a unique number.
 func (f *Fleet) NextID() int64 { return f.nextID.Add(1) }
 
-// CutNodes ends or restores the links between two gateways' hosts.
-func (f *Fleet) CutNodes(a, b *Node, cut bool) { f.net.Cut(a.Link, b.Link, cut) }
+// PartitionNodes interrupts or restores the path between two gateways' hosts.
+func (f *Fleet) PartitionNodes(a, b *Node, interrupted bool) { f.net.Cut(a.Host, b.Host, interrupted) }
 
-// CutStore ends or restores the link from a gateway's host to the store.
-func (f *Fleet) CutStore(n *Node, cut bool) { f.net.Cut(n.Link, f.storeAt, cut) }
+// PartitionStore interrupts or restores the path between a gateway's host and the store.
+func (f *Fleet) PartitionStore(n *Node, interrupted bool) {
+	f.net.Cut(n.Host, f.storeHost, interrupted)
+}
 
-// SetPace sets the pause between the events of streams.
-func (f *Fleet) SetPace(pace time.Duration) {
+// SetEventInterval sets the time between the events of streams.
+func (f *Fleet) SetEventInterval(interval time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.pace = pace
+	f.eventInterval = interval
 	for _, s := range f.Servers {
-		if s.at != nil {
-			s.at.SetBehaviour(f.behaviour())
+		if s.current != nil {
+			s.current.SetBehaviour(f.workerBehaviour())
 		}
 	}
 }
 
-// behaviour is what servers do.
-func (f *Fleet) behaviour() worker.Behaviour {
-	return worker.Behaviour{Events: Events, AbortAfterEvents: -1, EventInterval: f.pace}
+// workerBehaviour returns the behaviour of all servers.
+func (f *Fleet) workerBehaviour() worker.Behaviour {
+	return worker.Behaviour{Events: StreamEvents, AbortAfterEvents: -1, EventInterval: f.eventInterval}
 }
 
-// Reply is what a caller got.
-type Reply struct {
+// Response is a gateway's response as its caller sees it.
+type Response struct {
 	Status     int
-	Code       string // of the gateway's own answers
+	Code       string // error code of a response that the gateway generated itself
 	RetryAfter string
-	Broken     bool // the answer was not whole
-	Took       time.Duration
+	Aborted    bool // the response ended early
+	Elapsed    time.Duration
 }
 
-// Ask sends a request to a gateway and waits for what comes of it.
-func (f *Fleet) Ask(n *Node, route, id, body string) (r Reply) {
-	p, begin := n.at.Load(), time.Now()
-	req := httptest.NewRequestWithContext(p.up, http.MethodPost, "/"+route+"/x", strings.NewReader(body))
+// SendRequest sends a request to a gateway and waits for the outcome.
+func (f *Fleet) SendRequest(n *Node, route, id, body string) (r Response) {
+	p, start := n.current.Load(), time.Now()
+	req := httptest.NewRequestWithContext(p.ctx, http.MethodPost, "/"+route+"/x", strings.NewReader(body))
 	req.Host = "a.example"
 	req.Header.Set("X-Attempt-Id", id)
 	req.Header.Set("Api-Key", "key")
@@ -338,11 +344,11 @@
 		if e := recover(); e != nil && e != http.ErrAbortHandler {
 			panic(e)
 		} else if e != nil {
-			r = Reply{Status: w.Code, Broken: true, Took: time.Since(begin)}
+			r = Response{Status: w.Code, Aborted: true, Elapsed: time.Since(start)}
 		}
 	}()
 	p.gateway.ServeHTTP(w, req)
-	r = Reply{Status: w.Code, RetryAfter: w.Header().Get("Retry-After"), Took: time.Since(begin)}
+	r = Response{Status: w.Code, RetryAfter: w.Header().Get("Retry-After"), Elapsed: time.Since(start)}
 	var doc struct {
 		Error struct{ Code string }
 	}
