--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -121,7 +121,7 @@
 
 func (c *standinEngineCmd) run(ctx context.Context, out io.Writer) error {
 	e := engine.New(engine.Config{Name: c.Name, Step: c.Step, StepPerSeq: c.StepPer, PrefillPerBlock: c.Prefill, MaxBatch: c.Batch,
-		CacheBlocks: c.Cache, Fencing: c.Fencing, ReportLag: c.Lag, EventLoss: c.EventLoss, Weights: c.Weights, Loaded: c.Loaded, Seed: c.Seed})
+		CacheBlocks: c.Cache, Fencing: c.Fencing, ReportLag: c.Lag, EventLossRate: c.EventLoss, WeightsAddress: c.Weights, LoadedModels: c.Loaded, Seed: c.Seed})
 	go e.Run(ctx)
 	return serveUntilStopped(ctx, out, c.Listen, e.Handler())
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -145,7 +145,7 @@
 func (d *Deployment) addEngine(ctx context.Context, i int, opts Options, logger *slog.Logger) error {
 	e := engine.New(engine.Config{Name: fmt.Sprint("engine-", i), Step: opts.Step, StepPerSeq: opts.Step / 150,
 		PrefillPerBlock: opts.Step / 6, MaxBatch: opts.Slots, CacheBlocks: 4096, Fencing: i%2 == 0, ReportLag: time.Second,
-		EventLoss: 0.05, Loaded: []string{"advisory@" + resource.BaseVersion}, Seed: uint64(i)})
+		EventLossRate: 0.05, LoadedModels: []string{"advisory@" + resource.BaseVersion}, Seed: uint64(i)})
 	address, err := standin.Serve(ctx, anyPort, e.Handler())
 	if err != nil {
 		return err
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -31,7 +31,7 @@
 	rep := drive(ctx, s, []string{d.CallersAddress()}, factor, func(at time.Duration) {
 		if dep := s.Deployment; dep.Slow > 1 && !slowed && at >= settings.Millis(dep.SlowFromMS) {
 			slowed = true
-			d.Engines[0].SetFaults(engine.Faults{Slow: dep.Slow})
+			d.Engines[0].SetFaults(engine.Faults{StepTimeFactor: dep.Slow})
 		}
 	})
 	rep.addMade(d)
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -1,10 +1,10 @@
-// Package engine stands in for a model engine: continuous batching with a step
-// time, a prompt-prefix cache with limited memory, priorities, cancel and
-// resume of streams, KV export and import, late and gappy cache events,
-// lagging load reports, and orders with or without a fencing check.
+// Package engine is a stand-in for a model engine. It simulates continuous
+// batching with a step time, a prompt-prefix cache of limited size, priorities,
+// cancellation and resumption of streams, KV export and import, delayed and lossy
+// cache events, delayed load reports, and orders with or without fencing.
 //
-// Its answers are a function of the prompt, so that a test can tell whose
-// answer it holds and whether it is whole.
+// Answers are a deterministic function of the prompt, so that a test can verify
+// which prompt an answer belongs to and whether it is complete.
 package engine
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Answers have, unless the request bounds them, shortAnswer to shortAnswer+answerSpread-1
-// tokens, as the prompt decides.
+// Unless the request limits it, the length of an answer is determined by the prompt and
+// lies between minAnswerTokens and minAnswerTokens+answerTokenRange-1 tokens.
 const (
-	shortAnswer  = 16
-	answerSpread = 48
+	minAnswerTokens  = 16
+	answerTokenRange = 48
 )
 
 // Token returns token i of the answer to a prompt.
@@ -31,10 +31,10 @@
 	return fmt.Sprintf("w%04x ", uint16(x>>32))
 }
 
-// Length returns the number of tokens of the answer to a prompt: as the prompt
-// decides, but at least min and, unless max is 0, at most max.
-func Length(prompt string, min, max int) int {
-	n := shortAnswer + int(xxhash.Sum64String(prompt)%answerSpread)
+// AnswerLength returns the number of tokens of the answer to a prompt. The prompt
+// determines it, but it is at least min and, unless max is 0, at most max.
+func AnswerLength(prompt string, min, max int) int {
+	n := minAnswerTokens + int(xxhash.Sum64String(prompt)%answerTokenRange)
 	if n < min {
 		n = min
 	}
@@ -44,10 +44,10 @@
 	return n
 }
 
-// Answer returns the whole answer to a prompt.
+// Answer returns the complete answer to a prompt.
 func Answer(prompt string, min, max int) string {
 	var b strings.Builder
-	for i := range Length(prompt, min, max) {
+	for i := range AnswerLength(prompt, min, max) {
 		b.WriteString(Token(prompt, i))
 	}
 	return b.String()
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,19 +10,19 @@
 // blockWords is the number of words in one block of the prefix cache.
 const blockWords = 16
 
-// prefixCache is a least-recently-used set of prompt prefixes, by blocks.
+// prefixCache is an LRU set of prompt prefixes, stored as block hashes.
 type prefixCache struct {
-	limit  int
-	order  *list.List // of uint64, most recently used first
+	limit  int        // in blocks
+	lru    *list.List // of uint64, most recently used first
 	byHash map[uint64]*list.Element
 }
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, order: list.New(), byHash: map[uint64]*list.Element{}}
+	return &prefixCache{limit: limit, lru: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
-// blockHashes returns a hash for each whole block of the prompt; each covers
-// the prompt up to the end of its block.
+// blockHashes returns a hash for each complete block of the prompt. Each hash
+// covers the prompt up to the end of its block.
 func blockHashes(prompt string) []uint64 {
 	words := strings.Fields(prompt)
 	var out []uint64
@@ -37,33 +37,34 @@
 	return out
 }
 
-// use counts the leading blocks that are held, and then holds all of them. It
-// returns the blocks that were added and those evicted.
-func (c *prefixCache) use(blocks []uint64) (hit int, added, evicted []uint64) {
+// insert counts the leading blocks that are cached and then caches all blocks. It
+// returns this count, the blocks that were added and those that were evicted.
+func (c *prefixCache) insert(blocks []uint64) (hit int, added, evicted []uint64) {
 	for hit < len(blocks) && c.byHash[blocks[hit]] != nil {
 		hit++
 	}
 	for _, b := range blocks {
 		if e := c.byHash[b]; e != nil {
-			c.order.MoveToFront(e)
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.byHash[b] = c.order.PushFront(b)
+		c.byHash[b] = c.lru.PushFront(b)
 		added = append(added, b)
 	}
-	for c.order.Len() > c.limit {
-		oldest := c.order.Back()
+	for c.lru.Len() > c.limit {
+		oldest := c.lru.Back()
 		b := oldest.Value.(uint64)
-		c.order.Remove(oldest)
+		c.lru.Remove(oldest)
 		delete(c.byHash, b)
 		evicted = append(evicted, b)
 	}
 	return hit, added, evicted
 }
 
+// blocks returns the cached blocks, most recently used first.
 func (c *prefixCache) blocks() []uint64 {
-	out := make([]uint64, 0, c.order.Len())
-	for e := c.order.Front(); e != nil; e = e.Next() {
+	out := make([]uint64, 0, c.lru.Len())
+	for e := c.lru.Front(); e != nil; e = e.Next() {
 		out = append(out, e.Value.(uint64))
 	}
 	return out
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -10,60 +10,61 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
-// Config is the size and speed of an engine.
+// Config holds the capacity and speed of an engine.
 type Config struct {
 	Name string
-	// Step is the time of one decoding step, in which every running
-	// sequence gains a token.
+	// Step is the duration of one decoding step, in which every running
+	// sequence generates one token.
 	Step time.Duration
-	// StepPerSeq is what each running sequence adds to a step.
+	// StepPerSeq is the time that each running sequence adds to a step.
 	StepPerSeq time.Duration
-	// PrefillPerBlock is what each prompt block that is not cached adds to
-	// the step in which its request starts.
+	// PrefillPerBlock is the time that each prompt block that is not cached
+	// adds to the step in which its request starts.
 	PrefillPerBlock time.Duration
 	MaxBatch        int
 	CacheBlocks     int
-	// Fencing refuses orders with an old number.
+	// Fencing rejects orders with an outdated fencing token.
 	Fencing bool
 	// ReportLag is the age of load reports and cache events.
 	ReportLag time.Duration
-	// EventLoss is the share of cache events that are lost.
-	EventLoss float64
-	Weights   string // address of the weight store; empty: loads take no time
-	Loaded    []string
-	Seed      uint64
+	// EventLossRate is the probability that a cache event is dropped.
+	EventLossRate  float64
+	WeightsAddress string // address of the weight store; if empty, loading takes no time
+	LoadedModels   []string
+	Seed           uint64
 }
 
-// Faults are the failures that the stand-in acts out.
+// Faults are the failures that the stand-in simulates.
 type Faults struct {
-	// Slow multiplies the step time; 0 and 1 mean no change.
-	Slow float64 `json:"slow"`
-	// Frozen stops all steps.
+	// StepTimeFactor multiplies the step time; values up to 1 have no effect.
+	StepTimeFactor float64 `json:"slow"`
+	// Frozen suspends all steps.
 	Frozen bool `json:"frozen"`
-	// NoReports refuses load reports and cache events.
+	// NoReports rejects requests for load reports and cache events with 503.
 	NoReports bool `json:"no_reports"`
-	// FailAfter ends each stream with an error after so many tokens.
-	FailAfter int `json:"fail_after"`
+	// FailAfterTokens is the number of tokens generated for a request, over all
+	// its executions, after which its answer fails; 0 means never.
+	FailAfterTokens int `json:"fail_after"`
 }
 
 // sequence is one request in the engine.
 type sequence struct {
-	id       string
-	model    string
-	seed     uint64
-	priority int
-	arrival  uint64
-	next     int // next token to make
-	total    int
-	blocks   []uint64
-	prompt   int // prompt length in words
-	cached   int // blocks found in the cache
-	out      chan string
-	done     chan struct{} // closed by the reader: it went away
-	failed   error
+	id           string
+	model        string
+	seed         uint64
+	priority     int
+	arrival      uint64
+	generated    int // tokens generated so far, including resumed ones
+	totalTokens  int
+	blocks       []uint64
+	promptWords  int // length of the prompt
+	cachedBlocks int // leading blocks found in the cache
+	out          chan string
+	done         chan struct{} // closed when the HTTP handler returns
+	err          error
 }
 
-// Execution is a line of the engine's own record of what it ran.
+// Execution records how often and how far the engine executed a request.
 type Execution struct {
 	RequestID string `json:"request_id"`
 	Starts    int    `json:"starts"`
@@ -71,27 +72,28 @@
 	Finished  int    `json:"finished"`
 }
 
-// Engine is the stand-in. Call New, then Run.
+// Engine is the stand-in. It must be created with New and processes requests
+// while Run is running.
 type Engine struct {
 	cfg Config
 
-	mu      sync.Mutex
-	faults  Faults
-	waiting []*sequence
-	running []*sequence
-	arrived uint64
-	cache   *prefixCache
-	record  map[string]*Execution
-	loaded  map[string]bool
-	role    string
-	fence   uint64
-	orders  []Order
-	events  []CacheEvent
-	reports []Report
-	tokens  uint64
-	wake    chan struct{}
-	rand    *rand.Rand
-	exports map[string][]uint64
+	mu           sync.Mutex
+	faults       Faults
+	waiting      []*sequence
+	running      []*sequence
+	arrivalCount uint64
+	cache        *prefixCache
+	executions   map[string]*Execution
+	loaded       map[string]bool
+	role         string
+	fence        uint64
+	orders       []Order
+	events       []CacheEvent
+	reports      []Report
+	tokensTotal  uint64
+	wake         chan struct{}
+	rng          *rand.Rand
+	exports      map[string][]uint64
 }
 
 // Report is a load report.
@@ -104,7 +106,7 @@
 	Cached  int       `json:"cached_blocks"`
 }
 
-// CacheEvent says that prefix blocks were stored or evicted.
+// CacheEvent reports prefix blocks that were stored or evicted.
 type CacheEvent struct {
 	Seq     uint64    `json:"seq"`
 	At      time.Time `json:"at"`
@@ -112,44 +114,46 @@
 	Evicted []uint64  `json:"evicted,omitempty"`
 }
 
-// New returns an engine that has loaded cfg.Loaded.
+// New returns an engine in which cfg.LoadedModels are loaded.
 func New(cfg Config) *Engine {
-	e := &Engine{cfg: cfg, cache: newPrefixCache(cfg.CacheBlocks), record: map[string]*Execution{},
+	e := &Engine{cfg: cfg, cache: newPrefixCache(cfg.CacheBlocks), executions: map[string]*Execution{},
 		loaded: map[string]bool{}, role: "mixed", wake: make(chan struct{}, 1),
-		rand: rand.New(rand.NewPCG(cfg.Seed, 1)), exports: map[string][]uint64{}}
-	for _, m := range cfg.Loaded {
+		rng: rand.New(rand.NewPCG(cfg.Seed, 1)), exports: map[string][]uint64{}}
+	for _, m := range cfg.LoadedModels {
 		e.loaded[m] = true
 	}
 	return e
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the simulated faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	e.faults = f
 	e.mu.Unlock()
-	e.poke()
+	e.wakeUp()
 }
 
-func (e *Engine) poke() {
+// wakeUp signals Run that there may be work.
+func (e *Engine) wakeUp() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// submit puts a sequence into the waiting queue.
-func (e *Engine) submit(s *sequence) {
+// enqueue adds a sequence to the waiting queue, which is ordered by priority and
+// then by arrival.
+func (e *Engine) enqueue(s *sequence) {
 	e.mu.Lock()
-	e.arrived++
-	s.arrival = e.arrived
+	e.arrivalCount++
+	s.arrival = e.arrivalCount
 	e.waiting = append(e.waiting, s)
 	sort.SliceStable(e.waiting, func(i, j int) bool { return e.waiting[i].priority < e.waiting[j].priority })
 	e.mu.Unlock()
-	e.poke()
+	e.wakeUp()
 }
 
-// Run makes steps until ctx ends.
+// Run executes steps until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
@@ -158,98 +162,104 @@
 			select {
 			case <-e.wake:
 			case <-ctx.Done():
-			case <-time.After(reportEvery):
+			case <-time.After(reportInterval):
 			}
-			e.report(0)
+			e.recordReport(0)
 			next = time.Now()
 			continue
 		}
 		next = next.Add(d)
 		if lag := time.Since(next); lag > d {
-			next = time.Now() // the machine was late: do not catch up in a rush
+			next = time.Now() // after a scheduling delay, do not catch up with a burst of steps
 		}
 		if !standin.SleepContext(ctx, time.Until(next)) {
 			return
 		}
 		e.endStep()
-		e.report(d)
+		e.recordReport(d)
 	}
 }
 
 // reportEvery is the time between load reports.
-const reportEvery = 50 * time.Millisecond
+const reportInterval = 50 * time.Millisecond
 
-func (e *Engine) report(step time.Duration) {
+// recordReport appends a load report unless the last one is more recent than
+// reportInterval.
+func (e *Engine) recordReport(step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if n := len(e.reports); n > 0 && now.Sub(e.reports[n-1].At) < reportEvery {
+	if n := len(e.reports); n > 0 && now.Sub(e.reports[n-1].At) < reportInterval {
 		return
 	}
 	e.reports = append(e.reports, Report{now, len(e.running), len(e.waiting),
-		float64(step) / float64(time.Millisecond), e.tokens, e.cache.order.Len()})
+		float64(step) / float64(time.Millisecond), e.tokensTotal, e.cache.lru.Len()})
 	if len(e.reports) > 1000 {
 		e.reports = append([]Report(nil), e.reports[500:]...)
 	}
 }
 
-// beginStep fills the batch and returns how long the step takes.
+// beginStep fills the batch and returns the duration of the step. It returns
+// false if there is nothing to execute.
 func (e *Engine) beginStep() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Frozen {
 		return 0, false
 	}
-	e.dropGone()
+	e.removeCancelled()
 	prefill := 0
 	for len(e.running) < e.cfg.MaxBatch && len(e.waiting) > 0 {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		prefill += e.start(s)
+		prefill += e.startSequence(s)
 	}
 	if len(e.running) == 0 {
 		return 0, false
 	}
 	d := e.cfg.Step + time.Duration(len(e.running))*e.cfg.StepPerSeq + time.Duration(prefill)*e.cfg.PrefillPerBlock
-	if e.faults.Slow > 1 {
-		d = time.Duration(float64(d) * e.faults.Slow)
+	if e.faults.StepTimeFactor > 1 {
+		d = time.Duration(float64(d) * e.faults.StepTimeFactor)
 	}
 	return d, true
 }
 
-// start moves a sequence into the batch and returns the blocks to prefill.
-func (e *Engine) start(s *sequence) int {
-	hit, added, evicted := e.cache.use(s.blocks)
-	s.cached = hit
+// startSequence adds a sequence to the batch and returns the number of blocks to
+// prefill.
+func (e *Engine) startSequence(s *sequence) int {
+	hit, added, evicted := e.cache.insert(s.blocks)
+	s.cachedBlocks = hit
 	if len(added)+len(evicted) > 0 {
-		e.emit(CacheEvent{At: time.Now(), Stored: added, Evicted: evicted})
+		e.recordCacheEvent(CacheEvent{At: time.Now(), Stored: added, Evicted: evicted})
 	}
-	x := e.record[s.id]
+	x := e.executions[s.id]
 	if x == nil {
 		x = &Execution{RequestID: s.id}
-		e.record[s.id] = x
+		e.executions[s.id] = x
 	}
 	x.Starts++
 	e.running = append(e.running, s)
 	return len(s.blocks) - hit
 }
 
-const keptEvents = 4096
+// maxEvents is the maximum number of retained cache events.
+const maxEvents = 4096
 
-func (e *Engine) emit(ev CacheEvent) {
+// recordCacheEvent assigns the next sequence number to an event and retains it.
+func (e *Engine) recordCacheEvent(ev CacheEvent) {
 	ev.Seq = 1
 	if n := len(e.events); n > 0 {
 		ev.Seq = e.events[n-1].Seq + 1
 	}
 	e.events = append(e.events, ev)
-	if len(e.events) > keptEvents {
-		e.events = append([]CacheEvent(nil), e.events[keptEvents/2:]...)
+	if len(e.events) > maxEvents {
+		e.events = append([]CacheEvent(nil), e.events[maxEvents/2:]...)
 	}
 }
 
-// dropGone removes the sequences whose reader went away.
-func (e *Engine) dropGone() {
-	keep := func(list []*sequence) []*sequence {
+// removeCancelled removes the sequences whose HTTP handler has returned.
+func (e *Engine) removeCancelled() {
+	active := func(list []*sequence) []*sequence {
 		out := list[:0]
 		for _, s := range list {
 			select {
@@ -260,34 +270,34 @@
 		}
 		return out
 	}
-	e.waiting, e.running = keep(e.waiting), keep(e.running)
+	e.waiting, e.running = active(e.waiting), active(e.running)
 }
 
-// endStep gives each running sequence its token.
+// endStep generates one token for each running sequence.
 func (e *Engine) endStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dropGone()
-	still := e.running[:0]
+	e.removeCancelled()
+	remaining := e.running[:0]
 	for _, s := range e.running {
-		x := e.record[s.id]
-		if e.faults.FailAfter > 0 && x.Tokens >= e.faults.FailAfter {
-			s.failed = errInjected
+		x := e.executions[s.id]
+		if e.faults.FailAfterTokens > 0 && x.Tokens >= e.faults.FailAfterTokens {
+			s.err = errInjected
 			close(s.out)
 			continue
 		}
-		if s.next < s.total {
-			s.out <- token(s.seed, s.next) // has room for the whole answer
-			s.next++
+		if s.generated < s.totalTokens {
+			s.out <- token(s.seed, s.generated) // never blocks: buffered for the whole answer
+			s.generated++
 			x.Tokens++
-			e.tokens++
+			e.tokensTotal++
 		}
-		if s.next >= s.total {
+		if s.generated >= s.totalTokens {
 			x.Finished++
 			close(s.out)
 			continue
 		}
-		still = append(still, s)
+		remaining = append(remaining, s)
 	}
-	e.running = still
+	e.running = remaining
 }
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -17,8 +17,9 @@
 
 var errInjected = errors.New("injected failure")
 
-// Request is the body of a completion request: the published fields that the
-// stand-in honours, and the engine's own extensions below them.
+// Request is the body of a completion request. The first group of fields are
+// those of the public API that the stand-in supports, the second group are
+// extensions of the engine.
 type Request struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
@@ -28,23 +29,23 @@
 	Stream    bool      `json:"stream"`
 
 	RequestID string  `json:"request_id"`
-	Priority  int     `json:"priority"` // lower goes first
+	Priority  int     `json:"priority"` // lower values are scheduled first
 	Resume    *Resume `json:"resume"`
 }
 
-// Message is one message of a chat.
+// Message is a chat message.
 type Message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// Resume asks for an answer to go on after the tokens already made.
+// Resume requests the rest of an answer after the tokens already generated.
 type Resume struct {
 	Tokens int    `json:"tokens"`
-	Text   string `json:"text"`
+	Text   string `json:"text"` // the text of these tokens
 }
 
-// PromptText returns the text that the answer depends on.
+// PromptText returns the prompt, or the concatenated messages of a chat.
 func (r *Request) PromptText() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -56,6 +57,7 @@
 	return strings.Join(parts, "\n")
 }
 
+// text returns the text of a message whose content is a string or a list of parts.
 func (m Message) text() string {
 	var s string
 	if json.Unmarshal(m.Content, &s) == nil {
@@ -64,18 +66,19 @@
 	var list []struct {
 		Text string `json:"text"`
 	}
-	_ = json.Unmarshal(m.Content, &list) // an unknown form counts as empty
+	_ = json.Unmarshal(m.Content, &list) // content of any other form is treated as empty
 	for _, part := range list {
 		s += part.Text
 	}
 	return s
 }
 
-// Handler serves the engine's protocol and its /standin controls.
+// Handler serves the engine's protocol and the /standin endpoints that control
+// and inspect the stand-in.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.complete(w, r, true) })
-	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { e.complete(w, r, false) })
+	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.handleCompletion(w, r, true) })
+	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { e.handleCompletion(w, r, false) })
 	mux.HandleFunc("GET /v1/models", e.handleModels)
 	mux.HandleFunc("GET /v1/load", e.handleLoad)
 	mux.HandleFunc("GET /v1/cache_events", e.handleEvents)
@@ -99,27 +102,27 @@
 	return mux
 }
 
-// Executions returns the engine's own record, by request.
+// Executions returns what the engine has executed, sorted by request ID.
 func (e *Engine) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]Execution, 0, len(e.record))
-	for _, x := range e.record {
+	out := make([]Execution, 0, len(e.executions))
+	for _, x := range e.executions {
 		out = append(out, *x)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].RequestID < out[j].RequestID })
 	return out
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request, chat bool) {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request, chat bool) {
 	var req Request
 	if !standin.ReadJSON(w, r, &req) {
 		return
 	}
 	e.mu.Lock()
-	known := e.loaded[req.Model]
+	loaded := e.loaded[req.Model]
 	e.mu.Unlock()
-	if !known {
+	if !loaded {
 		http.Error(w, fmt.Sprintf("model %q is not loaded", req.Model), http.StatusNotFound)
 		return
 	}
@@ -128,37 +131,37 @@
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
-	e.submit(s)
+	e.enqueue(s)
 	defer close(s.done)
-	out := &writer{w: w, chat: chat, req: &req, seq: s}
+	out := &completionWriter{w: w, chat: chat, req: &req, seq: s}
 	if req.Stream {
-		out.stream(r)
+		out.writeStream(r)
 		return
 	}
-	out.whole(r)
+	out.writeFull(r)
 }
 
 func newSequence(req *Request) (*sequence, error) {
 	prompt := req.PromptText()
 	s := &sequence{id: req.RequestID, model: req.Model, seed: xxhash.Sum64String(prompt), priority: req.Priority,
-		total: Length(prompt, req.MinTokens, req.MaxTokens), blocks: blockHashes(prompt), prompt: len(strings.Fields(prompt)),
+		totalTokens: AnswerLength(prompt, req.MinTokens, req.MaxTokens), blocks: blockHashes(prompt), promptWords: len(strings.Fields(prompt)),
 		done: make(chan struct{})}
 	if req.Resume != nil {
-		var have strings.Builder
+		var want strings.Builder
 		for i := range req.Resume.Tokens {
-			have.WriteString(token(s.seed, i))
+			want.WriteString(token(s.seed, i))
 		}
-		if have.String() != req.Resume.Text {
-			return nil, fmt.Errorf("resume: the text is not the first %d tokens of this answer", req.Resume.Tokens)
+		if want.String() != req.Resume.Text {
+			return nil, fmt.Errorf("resume: text does not match the first %d tokens of the answer", req.Resume.Tokens)
 		}
-		s.next = min(req.Resume.Tokens, s.total)
+		s.generated = min(req.Resume.Tokens, s.totalTokens)
 	}
-	s.out = make(chan string, s.total-s.next+1)
+	s.out = make(chan string, s.totalTokens-s.generated+1)
 	return s, nil
 }
 
-// writer gives an answer in the published format.
-type writer struct {
+// completionWriter writes an answer in the format of the public API.
+type completionWriter struct {
 	w    http.ResponseWriter
 	chat bool
 	req  *Request
@@ -166,11 +169,11 @@
 }
 
 type choice struct {
-	Index   int     `json:"index"`
-	Delta   *delta  `json:"delta,omitempty"`
-	Message *delta  `json:"message,omitempty"`
-	Text    *string `json:"text,omitempty"`
-	Finish  *string `json:"finish_reason"`
+	Index        int     `json:"index"`
+	Delta        *delta  `json:"delta,omitempty"`
+	Message      *delta  `json:"message,omitempty"`
+	Text         *string `json:"text,omitempty"`
+	FinishReason *string `json:"finish_reason"`
 }
 
 type delta struct {
@@ -184,7 +187,7 @@
 	Total      int `json:"total_tokens"`
 }
 
-type body struct {
+type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -193,8 +196,8 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (o *writer) body(streaming bool, text string, finish string, use *usage) body {
-	b := body{ID: o.seq.id, Object: "text_completion", Created: time.Now().Unix(), Model: o.req.Model, Usage: use}
+func (o *completionWriter) completion(streaming bool, text string, finish string, use *usage) completion {
+	b := completion{ID: o.seq.id, Object: "text_completion", Created: time.Now().Unix(), Model: o.req.Model, Usage: use}
 	c := choice{}
 	switch {
 	case o.chat && streaming:
@@ -205,25 +208,26 @@
 		c.Text = &text
 	}
 	if finish != "" {
-		c.Finish = &finish
+		c.FinishReason = &finish
 	}
 	b.Choices = []choice{c}
 	return b
 }
 
-func (o *writer) usage() *usage {
-	return &usage{o.seq.prompt, o.seq.next, o.seq.prompt + o.seq.next}
+func (o *completionWriter) usage() *usage {
+	return &usage{o.seq.promptWords, o.seq.generated, o.seq.promptWords + o.seq.generated}
 }
 
-// finish tells why the answer ended, as the published format does.
-func (o *writer) finish() string {
-	if o.req.MaxTokens > 0 && o.seq.total == o.req.MaxTokens {
+// finishReason returns the reason why the answer ended, as defined by the public
+// API.
+func (o *completionWriter) finishReason() string {
+	if o.req.MaxTokens > 0 && o.seq.totalTokens == o.req.MaxTokens {
 		return "length"
 	}
 	return "stop"
 }
 
-func (o *writer) event(b body) bool {
+func (o *completionWriter) writeEvent(b completion) bool {
 	data, err := json.Marshal(b)
 	if err != nil {
 		return false
@@ -234,7 +238,7 @@
 	return true
 }
 
-func (o *writer) stream(r *http.Request) {
+func (o *completionWriter) writeStream(r *http.Request) {
 	o.w.Header().Set("Content-Type", "text/event-stream")
 	flusher, _ := o.w.(http.Flusher)
 	flusher.Flush()
@@ -242,10 +246,10 @@
 		select {
 		case text, ok := <-o.seq.out:
 			if !ok {
-				o.endStream()
+				o.finishStream()
 				return
 			}
-			if !o.event(o.body(true, text, "", nil)) {
+			if !o.writeEvent(o.completion(true, text, "", nil)) {
 				return
 			}
 			flusher.Flush()
@@ -255,15 +259,15 @@
 	}
 }
 
-func (o *writer) endStream() {
-	if o.seq.failed != nil {
+func (o *completionWriter) finishStream() {
+	if o.seq.err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	o.event(o.body(true, "", o.finish(), o.usage()))
+	o.writeEvent(o.completion(true, "", o.finishReason(), o.usage()))
 	_, _ = fmt.Fprint(o.w, "data: [DONE]\n\n")
 }
 
-func (o *writer) whole(r *http.Request) {
+func (o *completionWriter) writeFull(r *http.Request) {
 	var text strings.Builder
 	for {
 		select {
@@ -272,11 +276,11 @@
 				text.WriteString(t)
 				continue
 			}
-			if o.seq.failed != nil {
-				http.Error(o.w, o.seq.failed.Error(), http.StatusInternalServerError)
+			if o.seq.err != nil {
+				http.Error(o.w, o.seq.err.Error(), http.StatusInternalServerError)
 				return
 			}
-			standin.WriteJSON(o.w, http.StatusOK, o.body(false, text.String(), o.finish(), o.usage()))
+			standin.WriteJSON(o.w, http.StatusOK, o.completion(false, text.String(), o.finishReason(), o.usage()))
 			return
 		case <-r.Context().Done():
 			return
@@ -295,12 +299,12 @@
 	standin.WriteJSON(w, http.StatusOK, map[string]any{"loaded": names, "role": e.role, "fence": e.fence})
 }
 
-// handleLoad answers with a report that is ReportLag old.
+// handleLoad returns the latest load report that is at least ReportLag old.
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.NoReports {
-		http.Error(w, "no reports", http.StatusServiceUnavailable)
+		http.Error(w, "load reports unavailable (simulated fault)", http.StatusServiceUnavailable)
 		return
 	}
 	limit := time.Now().Add(-e.cfg.ReportLag)
@@ -314,19 +318,20 @@
 	standin.WriteJSON(w, http.StatusOK, out)
 }
 
-// handleEvents answers with old enough events, some of them lost.
+// handleEvents returns the cache events that are older than ReportLag. Each event
+// is dropped with probability EventLossRate.
 func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.NoReports {
-		http.Error(w, "no events", http.StatusServiceUnavailable)
+		http.Error(w, "cache events unavailable (simulated fault)", http.StatusServiceUnavailable)
 		return
 	}
 	limit := time.Now().Add(-e.cfg.ReportLag)
 	out := []CacheEvent{}
 	for _, ev := range e.events {
-		if ev.Seq >= from && ev.At.Before(limit) && e.rand.Float64() >= e.cfg.EventLoss {
+		if ev.Seq >= from && ev.At.Before(limit) && e.rng.Float64() >= e.cfg.EventLossRate {
 			out = append(out, ev)
 		}
 	}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -8,13 +8,13 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
-// Order is an order to the engine.
+// Order is a control command for the engine.
 type Order struct {
 	Op      string `json:"op"` // "load", "unload" or "role"
 	Target  string `json:"target"`
 	Adapter bool   `json:"adapter"`
 	Role    string `json:"role"`
-	Fence   uint64 `json:"fence"`
+	Fence   uint64 `json:"fence"` // fencing token of the sender
 	By      string `json:"by"`
 }
 
@@ -23,12 +23,12 @@
 	if !standin.ReadJSON(w, r, &o) {
 		return
 	}
-	if status, text := e.admitOrder(o); status != http.StatusOK {
-		http.Error(w, text, status)
+	if status, message := e.acceptOrder(o); status != http.StatusOK {
+		http.Error(w, message, status)
 		return
 	}
-	if o.Op == "load" && e.cfg.Weights != "" {
-		if err := fetchWeights(r.Context(), e.cfg.Weights, o.Target); err != nil {
+	if o.Op == "load" && e.cfg.WeightsAddress != "" {
+		if err := fetchWeights(r.Context(), e.cfg.WeightsAddress, o.Target); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
@@ -46,11 +46,13 @@
 	standin.WriteJSON(w, http.StatusOK, o)
 }
 
-func (e *Engine) admitOrder(o Order) (int, string) {
+// acceptOrder validates an order and its fencing token and records it. It
+// returns the HTTP status and an error message.
+func (e *Engine) acceptOrder(o Order) (int, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.Op != "load" && o.Op != "unload" && o.Op != "role" {
-		return http.StatusBadRequest, "op: not an order"
+		return http.StatusBadRequest, `op: must be "load", "unload" or "role"`
 	}
 	if e.cfg.Fencing {
 		if o.Fence < e.fence {
@@ -62,13 +64,14 @@
 	return http.StatusOK, ""
 }
 
-// handleExport gives the cached blocks; id is a name for the export.
+// handleExport returns the cached blocks. The id in the path is only echoed.
 func (e *Engine) handleExport(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	standin.WriteJSON(w, http.StatusOK, map[string]any{"id": r.PathValue("id"), "blocks": e.cache.blocks()})
 }
 
+// handleImport adds blocks to the cache.
 func (e *Engine) handleImport(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Blocks []uint64 `json:"blocks"`
@@ -78,7 +81,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, added, evicted := e.cache.use(in.Blocks)
-	e.emit(CacheEvent{At: time.Now(), Stored: added, Evicted: evicted})
+	_, added, evicted := e.cache.insert(in.Blocks)
+	e.recordCacheEvent(CacheEvent{At: time.Now(), Stored: added, Evicted: evicted})
 	standin.WriteJSON(w, http.StatusOK, map[string]int{"stored": len(added)})
 }
