--- a/internal/standin/memnet/memnet.go
+++ b/internal/standin/memnet/memnet.go
@@ -1,6 +1,7 @@
-// Package memnet is a network in memory: datagrams and connections among hosts whose links
-// have a rate and a delay and can be cut. It waits on channels and timers alone, so that
-// it works inside a testing/synctest bubble, where time passes only while all wait.
+// Package memnet is an in-memory network with datagrams and connections between hosts. Links
+// have a bandwidth and a delay, and paths can be interrupted to simulate partitions. It
+// blocks only on channels and timers, so that it works in a testing/synctest bubble, where
+// time advances only while all goroutines are blocked.
 package memnet
 
 import (
@@ -14,45 +15,45 @@
 )
 
 const (
-	// piece is how many bytes of a connection cross a link at once.
-	piece = 2 << 10
-	// ring is how many datagrams and connections wait at a host.
-	ring = 1024
+	// segmentBytes is the maximum number of bytes of a connection that cross a link at once.
+	segmentBytes = 2 << 10
+	// queueLength is the capacity of the receive queue of a PacketConn and of a listener's backlog.
+	queueLength = 1024
 )
 
-// Network joins hosts. It is safe for concurrent use.
+// Network connects hosts. It is safe for concurrent use.
 type Network struct {
 	delay time.Duration
 
-	mu        sync.Mutex
-	hosts     []*Host
-	packets   map[netip.AddrPort]*Packets
-	listeners map[netip.AddrPort]*listener
-	cuts      map[[2]*Host]bool
-	mended    chan struct{} // closed and replaced when a cut ends
-	conns     []*conn
-	closed    bool
+	mu          sync.Mutex
+	hosts       []*Host
+	packets     map[netip.AddrPort]*PacketConn
+	listeners   map[netip.AddrPort]*listener
+	partitioned map[[2]*Host]bool
+	healed      chan struct{} // closed and replaced when a partition ends
+	conns       []*conn
+	closed      bool
 }
 
-// New returns a network without hosts; each message takes delay beside its time on the
-// links.
+// New returns a network without hosts. Each message takes delay in addition to its
+// transmission time on the links.
 func New(delay time.Duration) *Network {
-	return &Network{delay: delay, packets: map[netip.AddrPort]*Packets{}, listeners: map[netip.AddrPort]*listener{},
-		cuts: map[[2]*Host]bool{}, mended: make(chan struct{})}
+	return &Network{delay: delay, packets: map[netip.AddrPort]*PacketConn{}, listeners: map[netip.AddrPort]*listener{},
+		partitioned: map[[2]*Host]bool{}, healed: make(chan struct{})}
 }
 
-// Close closes all connections and refuses further ones.
+// Close closes all connections and rejects new ones.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closed = true
 	for _, c := range n.conns {
-		_ = c.Close() // a pipe's end
+		_ = c.Close() // closing a net.Pipe does not fail
 	}
 }
 
-// join enters the ends of a connection; false when the network is closed.
-func (n *Network) join(ends ...*conn) bool {
+// addConns registers both ends of a connection. It returns false if the network is closed.
+func (n *Network) addConns(ends ...*conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conns = append(n.conns, ends...)
@@ -61,57 +62,59 @@
 
 // Host is a host of the network.
 type Host struct {
-	net       *Network
-	ip        netip.Addr
-	rate      float64   // bits a second; 0 for a link that takes no time
-	busyUntil time.Time // of the link towards the host
-	received  int
+	net           *Network
+	ip            netip.Addr
+	bitsPerSecond float64   // of the link; 0 means unlimited
+	busyUntil     time.Time // end of the current transmission to the host
+	received      int
 }
 
-// Host adds a host with a link of so many bits a second, 0 for one that takes no time.
+// Host adds a host whose link has the given bandwidth; 0 means unlimited.
 func (n *Network) Host(bitsPerSecond float64) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h := &Host{net: n, ip: netip.AddrFrom4([4]byte{10, 0, byte(len(n.hosts) / 250), byte(1 + len(n.hosts)%250)}), rate: bitsPerSecond}
+	h := &Host{net: n, ip: netip.AddrFrom4([4]byte{10, 0, byte(len(n.hosts) / 250), byte(1 + len(n.hosts)%250)}), bitsPerSecond: bitsPerSecond}
 	n.hosts = append(n.hosts, h)
 	return h
 }
 
-// Address returns the host's address with a port.
+// Address returns the host's IP address with the given port.
 func (h *Host) Address(port uint16) netip.AddrPort { return netip.AddrPortFrom(h.ip, port) }
 
-// Received returns how many bytes connections have brought to the host.
+// Received returns the number of bytes that the host has received over connections.
 func (h *Host) Received() int {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	return h.received
 }
 
-// Cut cuts the path between two hosts, or mends it. What is on its way in a connection is
-// held up; datagrams are lost.
-func (n *Network) Cut(a, b *Host, cut bool) {
+// SetPartitioned interrupts the path between two hosts or restores it. While it is
+// interrupted, data on connections is delayed and datagrams are lost.
+func (n *Network) SetPartitioned(a, b *Host, interrupted bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]*Host{a, b}], n.cuts[[2]*Host{b, a}] = cut, cut
-	if !cut {
-		close(n.mended)
-		n.mended = make(chan struct{})
+	n.partitioned[[2]*Host{a, b}], n.partitioned[[2]*Host{b, a}] = interrupted, interrupted
+	if !interrupted {
+		close(n.healed)
+		n.healed = make(chan struct{})
 	}
 }
 
-// path returns a channel to wait for while the path between two hosts is cut, nil if it is
-// not.
-func (n *Network) path(from, to *Host) <-chan struct{} {
+// partitionHealed returns a channel that is closed when a partition ends, or nil if the path
+// between the two hosts is not interrupted. Any partition's end closes the channel, so
+// callers must check again.
+func (n *Network) partitionHealed(from, to *Host) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cuts[[2]*Host{from, to}] {
-		return n.mended
+	if n.partitioned[[2]*Host{from, to}] {
+		return n.healed
 	}
 	return nil
 }
 
-// reserve takes the link towards a host for some bytes and returns when they are through.
-func (n *Network) reserve(from, to *Host, bytes int) time.Time {
+// reserveLink reserves the link to a host for a number of bytes and returns the time at which
+// their transmission ends. The slower of the two hosts' links determines the bandwidth.
+func (n *Network) reserveLink(from, to *Host, bytes int) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to.received += bytes
@@ -119,23 +122,23 @@
 	if to.busyUntil.Before(now) {
 		to.busyUntil = now
 	}
-	rate := to.rate
-	if from.rate > 0 && (rate == 0 || from.rate < rate) {
-		rate = from.rate
+	bandwidth := to.bitsPerSecond
+	if from.bitsPerSecond > 0 && (bandwidth == 0 || from.bitsPerSecond < bandwidth) {
+		bandwidth = from.bitsPerSecond
 	}
-	if rate > 0 {
-		to.busyUntil = to.busyUntil.Add(time.Duration(float64(8*bytes) / rate * float64(time.Second)))
+	if bandwidth > 0 {
+		to.busyUntil = to.busyUntil.Add(time.Duration(float64(8*bytes) / bandwidth * float64(time.Second)))
 	}
 	return to.busyUntil
 }
 
-// Packets sends and receives datagrams at an address of a host.
-type Packets struct {
-	host   *Host
-	at     netip.AddrPort
-	in     chan packet
-	closed chan struct{}
-	once   sync.Once
+// PacketConn sends and receives datagrams at an address of a host.
+type PacketConn struct {
+	host    *Host
+	address netip.AddrPort
+	queue   chan packet
+	closed  chan struct{}
+	once    sync.Once
 }
 
 type packet struct {
@@ -143,91 +146,91 @@
 	from netip.AddrPort
 }
 
-// Packets opens a port of the host for datagrams.
-func (h *Host) Packets(port uint16) *Packets {
-	p := &Packets{host: h, at: h.Address(port), in: make(chan packet, ring), closed: make(chan struct{})}
+// ListenPacket opens a port of the host for datagrams.
+func (h *Host) ListenPacket(port uint16) *PacketConn {
+	p := &PacketConn{host: h, address: h.Address(port), queue: make(chan packet, queueLength), closed: make(chan struct{})}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	h.net.packets[p.at] = p
+	h.net.packets[p.address] = p
 	return p
 }
 
 // ReadFromUDPAddrPort waits for a datagram.
-func (p *Packets) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
+func (p *PacketConn) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	select {
-	case m := <-p.in:
+	case m := <-p.queue:
 		return copy(b, m.data), m.from, nil
 	case <-p.closed:
 		return 0, netip.AddrPort{}, net.ErrClosed
 	}
 }
 
-// WriteToUDPAddrPort sends a datagram; one to nobody, or over a path that is cut, is lost.
-func (p *Packets) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
+// WriteToUDPAddrPort sends a datagram. It is lost without an error if nothing listens at the
+// destination, the path is interrupted, or the receive queue is full.
+func (p *PacketConn) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
 	n := p.host.net
 	n.mu.Lock()
 	receiver := n.packets[to]
-	lost := receiver == nil || n.cuts[[2]*Host{p.host, receiver.host}]
+	lost := receiver == nil || n.partitioned[[2]*Host{p.host, receiver.host}]
 	n.mu.Unlock()
 	if !lost {
-		m := packet{append([]byte(nil), b...), p.at}
+		m := packet{append([]byte(nil), b...), p.address}
 		time.AfterFunc(n.delay, func() {
 			select {
-			case receiver.in <- m:
-			default: // the receiver's buffer is full
+			case receiver.queue <- m:
+			default: // the receive queue is full
 			}
 		})
 	}
 	return len(b), nil
 }
 
-// LocalAddr returns the address.
-func (p *Packets) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(p.at) }
+func (p *PacketConn) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(p.address) }
 
-// Close ends receiving.
-func (p *Packets) Close() error {
+// Close makes pending and future reads return net.ErrClosed.
+func (p *PacketConn) Close() error {
 	p.once.Do(func() { close(p.closed) })
 	return nil
 }
 
 type listener struct {
-	host   *Host
-	at     netip.AddrPort
-	in     chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	host    *Host
+	address netip.AddrPort
+	backlog chan net.Conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
 // Listen opens a port of the host for connections.
 func (h *Host) Listen(port uint16) net.Listener {
-	l := &listener{host: h, at: h.Address(port), in: make(chan net.Conn, ring), closed: make(chan struct{})}
+	l := &listener{host: h, address: h.Address(port), backlog: make(chan net.Conn, queueLength), closed: make(chan struct{})}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	h.net.listeners[l.at] = l
+	h.net.listeners[l.address] = l
 	return l
 }
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.in:
+	case c := <-l.backlog:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.at) }
+func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.address) }
 
 func (l *listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-// errRefused is what a port without a listener answers.
-var errRefused = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
+// errConnRefused is the error for a dial to a port without a listener.
+var errConnRefused = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 
-// DialContext opens a connection to an IP:PORT. Over a path that is cut it waits until ctx
-// ends.
+// DialContext opens a connection to an IP:PORT. While the path is interrupted, it waits for
+// its restoration or the end of ctx.
 func (h *Host) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -237,36 +240,36 @@
 	l := h.net.listeners[to]
 	h.net.mu.Unlock()
 	if l == nil {
-		return nil, errRefused
+		return nil, errConnRefused
 	}
-	for cut := h.net.path(h, l.host); cut != nil; cut = h.net.path(h, l.host) {
+	for healed := h.net.partitionHealed(h, l.host); healed != nil; healed = h.net.partitionHealed(h, l.host) {
 		select {
-		case <-cut:
+		case <-healed:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 	select {
 	case <-l.closed:
-		return nil, errRefused
+		return nil, errConnRefused
 	default:
 	}
-	near, far := net.Pipe()
-	shared := &ending{closed: make(chan struct{})}
-	here, there := &conn{Conn: near, ending: shared, from: h, to: l.host}, &conn{Conn: far, ending: shared, from: l.host, to: h}
-	if !h.net.join(here, there) {
-		return nil, errRefused
+	localPipe, remotePipe := net.Pipe()
+	shared := &closeSignal{closed: make(chan struct{})}
+	local, remote := &conn{Conn: localPipe, closeSignal: shared, from: h, to: l.host}, &conn{Conn: remotePipe, closeSignal: shared, from: l.host, to: h}
+	if !h.net.addConns(local, remote) {
+		return nil, errConnRefused
 	}
 	select {
-	case l.in <- there:
-		return here, nil
+	case l.backlog <- remote:
+		return local, nil
 	case <-l.closed:
-		return nil, errRefused
+		return nil, errConnRefused
 	}
 }
 
-// ending tells both ends of a connection that it is closed.
-type ending struct {
+// closeSignal is shared by both ends of a connection and signals that it is closed.
+type closeSignal struct {
 	closed chan struct{}
 	once   sync.Once
 }
@@ -274,26 +277,27 @@
 // conn is one end of a connection.
 type conn struct {
 	net.Conn
-	*ending
+	*closeSignal
 	from, to *Host
 }
 
-// Write sends at the pace of the slower link.
+// Write sends b in segments, after the network's delay and at the bandwidth of the slower
+// link.
 func (c *conn) Write(b []byte) (sent int, err error) {
 	timer := time.NewTimer(c.from.net.delay)
 	defer timer.Stop()
 	for len(b) > 0 {
-		if err := await(c, timer.C); err != nil {
+		if err := waitFor(c, timer.C); err != nil {
 			return sent, err
 		}
-		for cut := c.from.net.path(c.from, c.to); cut != nil; cut = c.from.net.path(c.from, c.to) {
-			if err := await(c, cut); err != nil {
+		for healed := c.from.net.partitionHealed(c.from, c.to); healed != nil; healed = c.from.net.partitionHealed(c.from, c.to) {
+			if err := waitFor(c, healed); err != nil {
 				return sent, err
 			}
 		}
-		n := min(len(b), piece)
-		timer.Reset(time.Until(c.from.net.reserve(c.from, c.to, n)))
-		if err := await(c, timer.C); err != nil {
+		n := min(len(b), segmentBytes)
+		timer.Reset(time.Until(c.from.net.reserveLink(c.from, c.to, n)))
+		if err := waitFor(c, timer.C); err != nil {
 			return sent, err
 		}
 		if _, err := c.Conn.Write(b[:n]); err != nil {
@@ -305,8 +309,8 @@
 	return sent, nil
 }
 
-// await waits for a channel unless the connection is closed before.
-func await[T any](c *conn, ch <-chan T) error {
+// waitFor waits for ch. It returns os.ErrClosed if the connection is closed before that.
+func waitFor[T any](c *conn, ch <-chan T) error {
 	select {
 	case <-ch:
 		return nil
--- a/internal/standin/memnet/memnet_test.go
+++ b/internal/standin/memnet/memnet_test.go
@@ -12,8 +12,9 @@
 
 const delay = time.Millisecond
 
-// Two connections to a host share its link, and the slower of two links counts.
-func TestALinkHasARate(t *testing.T) {
+// Two connections to a host share the bandwidth of its link, and the slower of the two hosts'
+// links limits them.
+func TestConnectionsShareLinkBandwidth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		n := New(delay)
@@ -28,7 +29,7 @@
 			sender, err := listener.Accept()
 			g.Expect(err).NotTo(HaveOccurred())
 			go func() {
-				_, _ = sender.Write(make([]byte, 62_500)) // half a second alone
+				_, _ = sender.Write(make([]byte, 62_500)) // takes 0.5 s if it has the link to itself
 				_ = sender.Close()
 			}()
 			go func() {
@@ -40,8 +41,8 @@
 	})
 }
 
-// A cut holds connections up and loses datagrams.
-func TestACutPathHoldsUpAndLoses(t *testing.T) {
+// A partition delays connections and drops datagrams.
+func TestPartitionDelaysConnectionsAndDropsDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		n := New(delay)
@@ -50,11 +51,11 @@
 		listener := b.Listen(80)
 		conn, err := a.DialContext(context.Background(), "tcp", b.Address(80).String())
 		g.Expect(err).NotTo(HaveOccurred())
-		far, err := listener.Accept()
+		remote, err := listener.Accept()
 		g.Expect(err).NotTo(HaveOccurred())
-		from, to := a.Packets(81), b.Packets(81)
+		from, to := a.ListenPacket(81), b.ListenPacket(81)
 
-		n.Cut(a, b, true)
+		n.SetPartitioned(a, b, true)
 		_, err = from.WriteToUDPAddrPort([]byte("lost"), b.Address(81))
 		g.Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -62,13 +63,13 @@
 		_, err = a.DialContext(ctx, "tcp", b.Address(80).String())
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
 
-		time.AfterFunc(time.Second, func() { n.Cut(a, b, false) })
+		time.AfterFunc(time.Second, func() { n.SetPartitioned(a, b, false) })
 		start := time.Now()
-		go func() { _, _ = conn.Write([]byte("held up")) }()
+		go func() { _, _ = conn.Write([]byte("delayed")) }()
 		buf := make([]byte, 7)
-		_, err = io.ReadFull(far, buf)
+		_, err = io.ReadFull(remote, buf)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(string(buf)).To(Equal("held up"))
+		g.Expect(string(buf)).To(Equal("delayed"))
 		g.Expect(time.Since(start)).To(BeNumerically(">=", time.Second))
 
 		_, err = from.WriteToUDPAddrPort([]byte("next"), b.Address(81))
@@ -79,6 +80,6 @@
 		g.Expect(sender).To(Equal(a.Address(81)))
 
 		_, err = a.DialContext(context.Background(), "tcp", b.Address(82).String())
-		g.Expect(err).To(MatchError(errRefused))
+		g.Expect(err).To(MatchError(errConnRefused))
 	})
 }
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -185,7 +185,7 @@
 	p.gateway = gateway.New(gateway.Settings{Retries: retrybudget.Settings{Ratio: RetryRatio, Window: RetryWindow, Slack: RetrySlack}},
 		platform.Dialect{}, servers, discardLogger())
 	p.gateway.UseNetwork(n.Host.DialContext)
-	others := peers.New(n.Name, n.Host.Packets(peerPort), peers.Capacity{Cores: 0.3}, p.gateway, discardLogger())
+	others := peers.New(n.Name, n.Host.ListenPacket(peerPort), peers.Capacity{Cores: 0.3}, p.gateway, discardLogger())
 	p.gateway.UsePeers(others)
 	p.peers = others
 	share := configshare.New(n.Host.DialContext, 0, discardLogger())
@@ -293,11 +293,13 @@
 func (f *Fleet) NextID() int64 { return f.nextID.Add(1) }
 
 // PartitionNodes interrupts or restores the path between two gateways' hosts.
-func (f *Fleet) PartitionNodes(a, b *Node, interrupted bool) { f.net.Cut(a.Host, b.Host, interrupted) }
+func (f *Fleet) PartitionNodes(a, b *Node, interrupted bool) {
+	f.net.SetPartitioned(a.Host, b.Host, interrupted)
+}
 
 // PartitionStore interrupts or restores the path between a gateway's host and the store.
 func (f *Fleet) PartitionStore(n *Node, interrupted bool) {
-	f.net.Cut(n.Host, f.storeHost, interrupted)
+	f.net.SetPartitioned(n.Host, f.storeHost, interrupted)
 }
 
 // SetEventInterval sets the time between the events of streams.
