--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -189,12 +189,12 @@
 	p.gateway.UsePeers(others)
 	p.peers = others
 	share := configshare.New(n.Host.DialContext, 0, discardLogger())
-	follower := follow.New(follow.Parts{Connect: func(address string) follow.Store {
+	follower := follow.New(follow.Dependencies{Connect: func(address string) follow.Store {
 		return platform.NewStoreOver(n.Host.DialContext, address, discardLogger())
 	},
 		Topics: platform.Topics, Decoder: platform.Decoder{}, Gateway: p.gateway, Servers: servers, Peers: others, Share: share, Logger: discardLogger()},
 		follow.Settings{Address: f.storeHost.Address(storePort).String(), DrainWithin: DrainWithin, ApplyWithin: ApplyWithin})
-	keeper := quarantine.NewKeeper(p.gateway.Quarantine(), follower.Quarantine(), n.Name, discardLogger())
+	keeper := quarantine.NewPersister(p.gateway.Quarantine(), follower.Quarantine(), n.Name, discardLogger())
 	p.gateway.UseTrials(keeper)
 	shareListener := n.Host.Listen(peerPort)
 	for _, task := range []func(){func() { keeper.Run(p.ctx) }, func() { share.Serve(p.ctx, shareListener) }, func() { follower.Run(p.ctx) }, func() { others.Run(p.ctx) }} {
@@ -211,7 +211,7 @@
 }
 
 // AnnounceNodeStop makes a gateway announce that it is about to stop. It keeps serving until it is killed.
-func (f *Fleet) AnnounceNodeStop(n *Node) { n.current.Load().peers.Leave() }
+func (f *Fleet) AnnounceNodeStop(n *Node) { n.current.Load().peers.AnnounceLeave() }
 
 // StartServer starts a server under its ID at a new port and adds it to the server list.
 func (f *Fleet) StartServer(s *Server) {
