--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -55,9 +55,9 @@
 	Classes map[string]*resource.Class
 	Teams   map[string]*resource.Team
 	// Tune changes an agent's settings before it starts.
-	Tune func(*settings.Agent)
+	ConfigureAgent func(*settings.Agent)
 	// TuneRouter changes the router's settings before it starts.
-	TuneRouter func(*settings.Router)
+	ConfigureRouter func(*settings.Router)
 }
 
 // Deployment is a running deployment.
@@ -172,8 +172,8 @@
 	set.Name, set.FailureDomain = fmt.Sprintf("%s-%d", pool, i), domain(i)
 	set.Listen, set.Metrics, set.Server = anyPort, anyPort, server
 	set.Log.Address, set.Members.Address = d.logAddress, d.membersAddress
-	if opts.Tune != nil {
-		opts.Tune(&set)
+	if opts.ConfigureAgent != nil {
+		opts.ConfigureAgent(&set)
 	}
 	a, err := agent.New(set, logger)
 	if err != nil {
@@ -237,8 +237,8 @@
 	set.Peers.Listen = anyPort
 	set.Operators.Keys = []settings.OperatorKey{{Name: "dev", SHA256: resource.HashAPIKey(OperatorKey)}}
 	set.Log.Address, set.Members.Address = d.logAddress, d.membersAddress
-	if opts.TuneRouter != nil {
-		opts.TuneRouter(&set)
+	if opts.ConfigureRouter != nil {
+		opts.ConfigureRouter(&set)
 	}
 	r, err := assembly.NewRouter(set, logger)
 	if err != nil {
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -77,7 +77,7 @@
 			return len(d.asked())
 		}).Should(BeNumerically(">", 0))
 		Expect(d.asked()[0].Plain).To(BeTrue())
-		Expect(r.gateway.Limited()).To(Equal(map[permit.Group][]string{{Service: "s"}: {"i-0"}}))
+		Expect(r.gateway.RateLimitedServers()).To(Equal(map[permit.Group][]string{{Service: "s"}: {"i-0"}}))
 	})
 
 	It("goes by its own share where nobody decides", func() {
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -25,7 +25,7 @@
 	during  func() // while an ask waits
 }
 
-func (d *decider) Ask(_ context.Context, _ permit.Group, a permit.Ask) (permit.Decision, peers.Permit) {
+func (d *decider) RequestPermit(_ context.Context, _ permit.Group, a permit.Ask) (permit.Decision, peers.Permit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.asks = append(d.asks, a)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -57,7 +57,7 @@
 	off := func(part string) bool { return slices.Contains(policy.Without, part) }
 	return dev.Start(ctx, dev.Options{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Engines: dep.Engines, Slots: dep.Slots,
 		Step: time.Duration(dep.StepMS * float64(time.Millisecond)), Classes: classes, Teams: teams,
-		Tune: func(a *settings.Agent) {
+		ConfigureAgent: func(a *settings.Agent) {
 			if policy.Order != "" {
 				a.Admission.Order = policy.Order
 			}
@@ -68,7 +68,7 @@
 			a.Admission.Preemption, a.Admission.Floors = !off("preemption"), !off("floors")
 			a.Admission.Fairness, a.Admission.EarlyRefusal = !off("fairness"), !off("early_refusal")
 		},
-		TuneRouter: func(r *settings.Router) {
+		ConfigureRouter: func(r *settings.Router) {
 			if policy.Choice != "" {
 				r.Policy.Choice = policy.Choice
 			}
