--- a/e2e/added_test.go
+++ b/e2e/addedlatency_test.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// timing is what one streamed request took.
+// timing holds the time to the first token and between tokens of a streamed request.
 type timing struct {
 	first time.Duration
 	gaps  []time.Duration
 }
 
-// stream asks one question and notes when each token comes.
+// stream sends a streaming chat request and records when each token arrives.
 func stream(c *http.Client, url, model string, tokens int) (timing, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"min_tokens":%d,"max_tokens":%d,"messages":[{"role":"user","content":"x"}]}`, model, tokens, tokens)
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
@@ -52,21 +52,21 @@
 	return out, err
 }
 
-// BenchmarkAddedLatency calls an engine directly and through router and agent
-// in turn, in one run, and reports both and their differences.
+// BenchmarkAddedLatency calls an engine directly and through a router and an
+// agent in turn, and reports the latencies of both and their ratios.
 func BenchmarkAddedLatency(b *testing.B) {
-	c := newCluster(b.TempDir(), size{Routers: 1, Engines: 1, Step: "3ms", Links: productionLinks})
+	c := newCluster(b.TempDir(), clusterSize{Routers: 1, Engines: 1, Step: "3ms", Links: productionLinks})
 	defer c.close()
 	if err := c.start(); err != nil {
 		b.Fatal(err)
 	}
-	ways := []struct{ name, url, model string }{
+	paths := []struct{ name, url, model string }{
 		{"direct", "http://" + c.address("engine-0") + ":7100", "advisory@base"},
-		{"routed", "http://" + c.callers("router-0"), "advisory"},
+		{"routed", "http://" + c.callerAddress("router-0"), "advisory"},
 	}
-	first, gaps := make([][]time.Duration, len(ways)), make([][]time.Duration, len(ways))
+	first, gaps := make([][]time.Duration, len(paths)), make([][]time.Duration, len(paths))
 	for b.Loop() {
-		for i, w := range ways {
+		for i, w := range paths {
 			t, err := stream(c.http, w.url, w.model, 20)
 			if err != nil {
 				b.Fatal(err)
@@ -78,7 +78,7 @@
 	report := func(name string, of [][]time.Duration) {
 		for _, q := range []float64{0.5, 0.99} {
 			var ms [2]float64
-			for i, w := range ways {
+			for i, w := range paths {
 				sort.Slice(of[i], func(x, y int) bool { return of[i][x] < of[i][y] })
 				ms[i] = float64(of[i][int(q*float64(len(of[i])-1))].Microseconds()) / 1000
 				b.ReportMetric(ms[i], fmt.Sprintf("%s-%s-p%.0f-ms", w.name, name, 100*q))
--- a/e2e/callers_test.go
+++ b/e2e/callers_test.go
@@ -17,13 +17,13 @@
 	"github.com/merlinpost/merlinpost/internal/standin/engine"
 )
 
-// outcome is what one caller got.
+// outcome is the result of a request as its caller sees it.
 type outcome struct {
 	RequestID  string
-	Served     string // the version that answered
+	Served     string // model version that served the request
 	Status     int
 	Text       string
-	Whole      bool // the answer ended as it should
+	Complete   bool // the response ended regularly
 	Code       fault.Code
 	Outcome    fault.Outcome
 	RetryAfter string
@@ -31,7 +31,7 @@
 	First      time.Duration
 }
 
-// apiError is the error shape of the callers' API.
+// apiError is the error body of the callers' API.
 type apiError struct {
 	Error struct {
 		Code    fault.Code    `json:"code"`
@@ -40,15 +40,15 @@
 	} `json:"error"`
 }
 
-// ask sends one streaming chat request and reads its answer to the end.
-func (c *cluster) ask(ctx context.Context, router, class, prompt string, tokens int) outcome {
-	return c.askAs(ctx, teamKey, router, class, prompt, tokens)
+// chat sends a streaming chat request and reads the response to its end.
+func (c *cluster) chat(ctx context.Context, router, class, prompt string, tokens int) outcome {
+	return c.chatWithKey(ctx, teamKey, router, class, prompt, tokens)
 }
 
-// askAs is ask with another team's key.
-func (c *cluster) askAs(ctx context.Context, key, router, class, prompt string, tokens int) outcome {
+// chatWithKey is chat with the key of another team.
+func (c *cluster) chatWithKey(ctx context.Context, key, router, class, prompt string, tokens int) outcome {
 	body := fmt.Sprintf(`{"model":"advisory","stream":true,"min_tokens":%d,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, tokens, tokens, prompt)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.callers(router)+"/v1/chat/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.callerAddress(router)+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return outcome{Err: err}
 	}
@@ -62,15 +62,15 @@
 	defer resp.Body.Close()
 	o := outcome{RequestID: resp.Header.Get("Merlinpost-Request-Id"), Served: resp.Header.Get("Merlinpost-Served"), Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After")}
 	if resp.StatusCode != http.StatusOK {
-		data, _ := io.ReadAll(resp.Body) // the status is what counts
-		o.takeError(data)
+		data, _ := io.ReadAll(resp.Body) // the status is sufficient
+		o.parseError(data)
 		return o
 	}
 	o.readStream(resp.Body, begin)
 	return o
 }
 
-func (o *outcome) takeError(data []byte) {
+func (o *outcome) parseError(data []byte) {
 	var e apiError
 	if json.Unmarshal(data, &e) == nil {
 		o.Code, o.Outcome = e.Error.Code, e.Error.Outcome
@@ -86,7 +86,7 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			o.Whole = true
+			o.Complete = true
 			break
 		}
 		var ev struct {
@@ -113,103 +113,103 @@
 		}
 	}
 	o.Text = text.String()
-	if !o.Whole && o.Code == "" && o.Err == nil {
-		o.Err = errors.New("the stream ended without its end")
+	if !o.Complete && o.Code == "" && o.Err == nil {
+		o.Err = errors.New("the stream ended without [DONE]")
 		if err := lines.Err(); err != nil {
 			o.Err = err
 		}
 	}
 }
 
-// check compares an answer with what the prompt must give.
+// check checks that the text of the response is the expected answer or a prefix of it.
 func (o *outcome) check(prompt string, tokens int) error {
 	want := engine.Answer(prompt, tokens, tokens)
 	switch {
-	case o.Whole && o.Text != want:
-		return fmt.Errorf("request %s: a wrong answer: %q instead of %q", o.RequestID, clip(o.Text), clip(want))
+	case o.Complete && o.Text != want:
+		return fmt.Errorf("request %s: wrong answer: got %q, want %q", o.RequestID, clip(o.Text), clip(want))
 	case !strings.HasPrefix(want, o.Text):
-		return fmt.Errorf("request %s: a part of another answer: %q", o.RequestID, clip(o.Text))
+		return fmt.Errorf("request %s: not a prefix of the expected answer: %q", o.RequestID, clip(o.Text))
 	}
 	return nil
 }
 
 func clip(s string) string { return s[:min(len(s), 80)] }
 
-// call makes one plain service call.
+// call calls a service.
 func (c *cluster) call(ctx context.Context, router, service, key, body string) outcome {
 	header := map[string]string{"Authorization": "Bearer " + teamKey, "Merlinpost-Class": "alert"}
 	if key != "" {
 		header["Idempotency-Key"] = key
 	}
-	status, h, data, err := c.request(ctx, http.MethodPost, "http://"+c.callers(router)+"/v1/services/"+service, header, []byte(body))
+	status, h, data, err := c.request(ctx, http.MethodPost, "http://"+c.callerAddress(router)+"/v1/services/"+service, header, []byte(body))
 	o := outcome{Status: status, Err: err, Text: string(data)}
 	if err != nil {
 		return o
 	}
 	o.RequestID, o.RetryAfter = h.Get("Merlinpost-Request-Id"), h.Get("Retry-After")
 	if status == http.StatusOK {
-		o.Whole = true
+		o.Complete = true
 	} else {
-		o.takeError(data)
+		o.parseError(data)
 	}
 	return o
 }
 
-// crowd is a number of callers at work.
-type crowd struct {
+// callerGroup is a group of concurrent callers.
+type callerGroup struct {
 	c        *cluster
-	cancel   context.CancelFunc // makes the callers go away
-	key      string             // of the callers' team
+	cancel   context.CancelFunc // cancels all requests of the group
+	key      string             // API key of the callers' team
 	wg       sync.WaitGroup
 	mu       sync.Mutex
 	outcomes []outcome
 	errs     []error
 }
 
-// ask starts n callers with prompts of their own, over all routers in turn.
-func (w *crowd) ask(ctx context.Context, label, class string, n, tokens int, routers []string) {
+// start starts n callers, each with its own prompt, at the given routers in turn.
+func (g *callerGroup) start(ctx context.Context, label, class string, n, tokens int, routers []string) {
 	for i := range n {
-		w.wg.Go(func() {
+		g.wg.Go(func() {
 			prompt := fmt.Sprintf("%s caller %d of class %s asks about its own canal", label, i, class)
-			key := w.key
+			key := g.key
 			if key == "" {
 				key = teamKey
 			}
-			o := w.c.askAs(ctx, key, routers[i%len(routers)], class, prompt, tokens)
-			w.add(o, o.check(prompt, tokens))
+			o := g.c.chatWithKey(ctx, key, routers[i%len(routers)], class, prompt, tokens)
+			g.add(o, o.check(prompt, tokens))
 		})
 	}
 }
 
-func (w *crowd) add(o outcome, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.outcomes = append(w.outcomes, o)
+func (g *callerGroup) add(o outcome, err error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.outcomes = append(g.outcomes, o)
 	if err != nil {
-		w.errs = append(w.errs, err)
+		g.errs = append(g.errs, err)
 	}
 }
 
-// whole counts the whole answers.
-func (w *crowd) whole() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// completeCount returns the number of complete responses.
+func (g *callerGroup) completeCount() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	n := 0
-	for _, o := range w.outcomes {
-		if o.Whole {
+	for _, o := range g.outcomes {
+		if o.Complete {
 			n++
 		}
 	}
 	return n
 }
 
-// failures describes what did not get a whole answer.
-func (w *crowd) failures() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// failures summarizes the requests without a complete response.
+func (g *callerGroup) failures() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	count := map[string]int{}
-	for _, o := range w.outcomes {
-		if !o.Whole {
+	for _, o := range g.outcomes {
+		if !o.Complete {
 			count[fmt.Sprintf("status %d code %s outcome %s err %v", o.Status, o.Code, o.Outcome, o.Err)]++
 		}
 	}
--- a/e2e/client_test.go
+++ b/e2e/client_test.go
@@ -12,15 +12,15 @@
 	"github.com/merlinpost/merlinpost/internal/standin/engine"
 )
 
-// An unmodified published client library is a caller.
+// Guards compatibility with an unmodified published OpenAI client library.
 func TestPublishedClientLibrary(t *testing.T) {
 	g := NewWithT(t)
-	c := newCluster(t.TempDir(), size{Routers: 1, Engines: 1})
+	c := newCluster(t.TempDir(), clusterSize{Routers: 1, Engines: 1})
 	t.Cleanup(c.close)
 	g.Expect(c.start()).To(Succeed())
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	client := openai.NewClient(option.WithBaseURL("http://"+c.callers("router-0")+"/v1/"), option.WithAPIKey(teamKey),
+	client := openai.NewClient(option.WithBaseURL("http://"+c.callerAddress("router-0")+"/v1/"), option.WithAPIKey(teamKey),
 		option.WithMaxRetries(0))
 	params := openai.ChatCompletionNewParams{Model: "advisory", MaxTokens: openai.Int(12),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("when is my turn?")}}
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -1,6 +1,6 @@
-// Package e2e holds the scripted scenarios: deployments of real processes on
-// loopback addresses of their own, which are killed, frozen, cut and stopped
-// while callers check every answer.
+// Package e2e contains end-to-end tests. They deploy the built programs as
+// separate processes on loopback addresses, inject failures such as crashes,
+// suspended processes and broken connections, and check every response.
 package e2e
 
 import (
@@ -23,47 +23,47 @@
 const (
 	operatorKey = "operator"
 	teamKey     = "team"
-	// smallTeamKey is the key of a team with limits.
+	// smallTeamKey is the key of a team with rate and concurrency limits.
 	smallTeamKey = "small team"
-	pollEvery    = 20 * time.Millisecond
-	// waitLimit bounds every wait for a state that must come.
-	waitLimit = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
+	// waitTimeout is the timeout of every wait for an expected state.
+	waitTimeout = 30 * time.Second
 )
 
-// binaries is where TestMain built the programs.
-var binaries string
+// binDir is the directory in which TestMain builds the programs.
+var binDir string
 
-// nextNet gives each cluster loopback addresses of its own.
-var nextNet atomic.Uint32
+// nextSubnet numbers the loopback subnets; each deployment uses its own.
+var nextSubnet atomic.Uint32
 
-// size is how many processes a cluster has.
-type size struct {
+// clusterSize configures a cluster.
+type clusterSize struct {
 	Routers, Engines, Services int
 	Domains                    int
-	Step                       string // of the engines
+	Step                       string // time per token of the engines
 	Slots                      int
 	KeyWindowMS                int
 	Fencing                    bool
-	Links                      string // settings of links and logging, else those of the tests
-	Cuts                       bool   // links to agents and calls of engines pass through cutters
+	Links                      string // link and logging settings; default linkSettings
+	Proxied                    bool   // links to agents and calls to backend servers pass through fault proxies
 }
 
-// cluster is a deployment of separate processes.
+// cluster is a deployment of routers, agents and stand-in backend servers as separate processes.
 type cluster struct {
-	size
-	dir   string
-	net   uint32
-	mu    sync.Mutex
-	procs map[string]*proc
-	hosts uint32
-	addr  map[string]string // by process
-	http  *http.Client
-	// cutters stand before agents ("engine-0") and backend servers
-	// ("server:engine-0").
-	cutters map[string]*cutter
+	clusterSize
+	dir       string
+	subnet    uint32
+	mu        sync.Mutex
+	procs     map[string]*proc
+	hostCount uint32
+	addr      map[string]string // IP address by process name
+	http      *http.Client
+	// proxies are the fault proxies in front of agents ("engine-0") and
+	// backend servers ("server:engine-0").
+	proxies map[string]*faultProxy
 }
 
-func newCluster(dir string, s size) *cluster {
+func newCluster(dir string, s clusterSize) *cluster {
 	if s.Domains == 0 {
 		s.Domains = 2
 	}
@@ -79,29 +79,29 @@
 	if s.Links == "" {
 		s.Links = linkSettings
 	}
-	return &cluster{size: s, dir: dir, net: uint32(os.Getpid()%200)<<8 + nextNet.Add(1), procs: map[string]*proc{}, addr: map[string]string{}, cutters: map[string]*cutter{},
+	return &cluster{clusterSize: s, dir: dir, subnet: uint32(os.Getpid()%200)<<8 + nextSubnet.Add(1), procs: map[string]*proc{}, addr: map[string]string{}, proxies: map[string]*faultProxy{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
 }
 
-// address gives a process an IP address of its own, so that its ports are free
-// and stay its own over restarts.
+// address returns the IP address of a process. Each process has its own
+// address, so that its ports are free and stay reserved across restarts.
 func (c *cluster) address(name string) string {
 	if a := c.addr[name]; a != "" {
 		return a
 	}
-	c.hosts++
-	c.addr[name] = fmt.Sprintf("127.%d.%d.%d", 1+(c.net>>8)%250, c.net&0xff, c.hosts)
+	c.hostCount++
+	c.addr[name] = fmt.Sprintf("127.%d.%d.%d", 1+(c.subnet>>8)%250, c.subnet&0xff, c.hostCount)
 	return c.addr[name]
 }
 
-func (c *cluster) callers(router string) string   { return c.address(router) + ":8080" }
-func (c *cluster) operators(router string) string { return c.address(router) + ":8081" }
-func (c *cluster) logAddress() string             { return c.address("log") + ":7000" }
-func (c *cluster) membersAddress() string         { return c.address("members") + ":7001" }
+func (c *cluster) callerAddress(router string) string   { return c.address(router) + ":8080" }
+func (c *cluster) operatorAddress(router string) string { return c.address(router) + ":8081" }
+func (c *cluster) logAddress() string                   { return c.address("log") + ":7000" }
+func (c *cluster) membersAddress() string               { return c.address("members") + ":7001" }
 
 func (c *cluster) domain(i int) string { return string(rune('a' + i%c.Domains)) }
 
-// start starts every process and waits until the routers reach all agents.
+// start starts all processes and waits until the routers reach all agents.
 func (c *cluster) start() error {
 	if err := c.startPlatform(); err != nil {
 		return err
@@ -128,27 +128,27 @@
 }
 
 func (c *cluster) startPlatform() error {
-	err := c.run("log", "merlinpost", "standin", "log", "--listen", c.logAddress(), "--file", filepath.Join(c.dir, "log.jsonl"))
+	err := c.startProcess("log", "merlinpost", "standin", "log", "--listen", c.logAddress(), "--file", filepath.Join(c.dir, "log.jsonl"))
 	if err != nil {
 		return err
 	}
-	return c.run("members", "merlinpost", "standin", "members", "--listen", c.membersAddress(), "--lag", "500ms")
+	return c.startProcess("members", "merlinpost", "standin", "members", "--listen", c.membersAddress(), "--lag", "500ms")
 }
 
-// throughCutter returns the address to use for a target: the target's own, or
-// that of a cutter before it.
-func (c *cluster) throughCutter(name, target, port string) (string, error) {
-	if !c.Cuts {
+// viaProxy returns the address at which to reach a target: the address of its
+// fault proxy in a proxied cluster, otherwise the target itself.
+func (c *cluster) viaProxy(name, target, port string) (string, error) {
+	if !c.Proxied {
 		return target, nil
 	}
-	if c.cutters[name] == nil {
-		cutter, err := newCutter(c.address("cutter:"+name)+":"+port, target)
+	if c.proxies[name] == nil {
+		proxy, err := newFaultProxy(c.address("proxy:"+name)+":"+port, target)
 		if err != nil {
 			return "", err
 		}
-		c.cutters[name] = cutter
+		c.proxies[name] = proxy
 	}
-	return c.cutters[name].ln.Addr().String(), nil
+	return c.proxies[name].ln.Addr().String(), nil
 }
 
 func (c *cluster) startEngine(i int) error {
@@ -158,26 +158,26 @@
 	if c.Fencing {
 		args = append(args, "--fencing")
 	}
-	if err := c.run(name, "merlinpost", args...); err != nil {
+	if err := c.startProcess(name, "merlinpost", args...); err != nil {
 		return err
 	}
 	return c.startAgent("agent-"+name, name, "engine", i)
 }
 
-// secondAgent starts one more agent for a backend server that has one.
-func (c *cluster) secondAgent(server string, i int) error {
+// startSecondAgent starts another agent for a backend server that already has one.
+func (c *cluster) startSecondAgent(server string, i int) error {
 	return c.startAgent("second-agent-"+server, server, "engine", i)
 }
 
 func (c *cluster) startService(i int) error {
 	name := fmt.Sprint("service-", i)
-	if err := c.run(name, "merlinpost", "standin", "service", "--listen", c.address(name)+":7100", "--name", name); err != nil {
+	if err := c.startProcess(name, "merlinpost", "standin", "service", "--listen", c.address(name)+":7100", "--name", name); err != nil {
 		return err
 	}
 	return c.startAgent("agent-"+name, name, "service", i)
 }
 
-// linkSettings makes failures show sooner than the defaults do.
+// linkSettings detects failures sooner than the default settings do.
 const linkSettings = `
 [link]
 heartbeat_ms = 200
@@ -189,7 +189,7 @@
 `
 
 func (c *cluster) startAgent(name, server, kind string, i int) error {
-	serverAddress, err := c.throughCutter("server:"+server, c.address(server)+":7100", "7100")
+	serverAddress, err := c.viaProxy("server:"+server, c.address(server)+":7100", "7100")
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	return c.run(name, "merlinpost-agent", "--config", path)
+	return c.startProcess(name, "merlinpost-agent", "--config", path)
 }
 
 func (c *cluster) startRouter(i int, extra string) error {
@@ -241,25 +241,25 @@
 [members]
 address = %q
 poll_ms = 300
-%s%s`, name, c.domain(i), c.callers(name), c.operators(name), resource.HashKey(operatorKey), c.address(name), c.logAddress(), c.membersAddress(), c.Links, extra)
+%s%s`, name, c.domain(i), c.callerAddress(name), c.operatorAddress(name), resource.HashKey(operatorKey), c.address(name), c.logAddress(), c.membersAddress(), c.Links, extra)
 	path := filepath.Join(c.dir, name+".toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	return c.run(name, "merlinpost", "router", "--config", path)
+	return c.startProcess(name, "merlinpost", "router", "--config", path)
 }
 
-// close ends every process by its id.
+// close kills all processes of the cluster and closes its fault proxies.
 func (c *cluster) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, cutter := range c.cutters {
-		cutter.close()
+	for _, proxy := range c.proxies {
+		proxy.close()
 	}
 	for _, p := range c.procs {
 		if p.cmd != nil && p.cmd.Process != nil {
-			_ = p.cmd.Process.Signal(syscall.SIGCONT) // may have ended already
-			_ = p.cmd.Process.Kill()                  // may have ended already
+			_ = p.cmd.Process.Signal(syscall.SIGCONT) // may have exited already
+			_ = p.cmd.Process.Kill()                  // may have exited already
 		}
 	}
 	for _, p := range c.procs {
@@ -269,7 +269,7 @@
 	}
 }
 
-// request makes an HTTP request and returns status, header and body.
+// request sends an HTTP request and returns the status, header and body of the response.
 func (c *cluster) request(ctx context.Context, method, url string, header map[string]string, body []byte) (int, http.Header, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -300,8 +300,8 @@
 	return json.Unmarshal(data, out)
 }
 
-// faults sets the faults of a stand-in.
-func (c *cluster) faults(name, body string) error {
+// setFaults configures the faults that a stand-in simulates.
+func (c *cluster) setFaults(name, body string) error {
 	port := map[string]string{"log": "7000"}[name]
 	if port == "" {
 		port = "7100"
@@ -310,22 +310,22 @@
 	defer cancel()
 	status, _, data, err := c.request(ctx, http.MethodPut, "http://"+c.address(name)+":"+port+"/standin/faults", nil, []byte(body))
 	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("faults of %s: status %d: %s", name, status, data)
+		err = fmt.Errorf("set faults of %s: status %d: %s", name, status, data)
 	}
 	return err
 }
 
-// eventually waits until f returns nil.
+// eventually polls f until it returns nil or waitTimeout has passed.
 func eventually(what string, f func() error) error {
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := f()
 		if err == nil {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s: not within %s: %w", what, waitLimit, err)
+			return fmt.Errorf("%s: timed out after %s: %w", what, waitTimeout, err)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -16,21 +16,21 @@
 	"github.com/merlinpost/merlinpost/internal/standin/engine"
 )
 
-// abandon NAME: the callers go away in the middle
-func cmdAbandon(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "abandon NAME")
-	w := state(ts).crowds[args[0]]
-	w.cancel()
-	w.wg.Wait()
-	for _, err := range w.errs {
+// cmdCancel implements "cancel GROUP": it cancels the requests of all callers of a group.
+func cmdCancel(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 1, "cancel GROUP")
+	group := scenarioOf(ts).groups[args[0]]
+	group.cancel()
+	group.wg.Wait()
+	for _, err := range group.errs {
 		ts.Fatalf("%v", err)
 	}
 }
 
-// idle: no router and no agent has a request in progress
+// cmdIdle implements "idle": it waits until no router and no engine has a request in progress.
 func cmdIdle(ts *testscript.TestScript, _ bool, _ []string) {
-	c := state(ts).c
-	ts.Check(eventually("nothing is in progress", func() error {
+	c := scenarioOf(ts).c
+	ts.Check(eventually("no requests in progress", func() error {
 		for i := range c.Routers {
 			s, err := c.status(fmt.Sprint("router-", i))
 			if err != nil {
@@ -38,7 +38,7 @@
 			}
 			for _, p := range s.Processes {
 				if p.Role == "router" && p.Running > 0 {
-					return fmt.Errorf("%s has %d", p.Name, p.Running)
+					return fmt.Errorf("%s has %d requests in progress", p.Name, p.Running)
 				}
 			}
 		}
@@ -48,41 +48,42 @@
 				return err
 			}
 			if r.Running+r.Waiting > 0 {
-				return fmt.Errorf("engine-%d runs %d", i, r.Running)
+				return fmt.Errorf("engine-%d has requests in progress, %d of them running", i, r.Running)
 			}
 		}
 		return nil
 	}))
 }
 
-// metric PROCESS NAME min=N: a counter has reached N
+// cmdMetric implements "metric PROCESS NAME min=N": it waits until a metric has reached N.
 func cmdMetric(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "metric PROCESS NAME min=N")
-	c, o := state(ts).c, options(ts, args[2:])
+	requireArgs(ts, args, 3, "metric PROCESS NAME min=N")
+	c, o := scenarioOf(ts).c, options(ts, args[2:])
 	ts.Check(eventually(args[1], func() error {
 		g := gomega.NewGomega(func(message string, _ ...int) { ts.Fatalf("%s", message) })
-		if v := c.metric(g, args[0], args[1]); v < float64(number(ts, o, "min", 1)) {
-			return fmt.Errorf("it is %g", v)
+		if v := c.metric(g, args[0], args[1]); v < float64(intOption(ts, o, "min", 1)) {
+			return fmt.Errorf("the value is %g", v)
 		}
 		return nil
 	}))
 }
 
-// slowclients ROUTER n=20: connections that send half of their headers, half of
-// their body, or never read their answer; each is ended by the router
+// cmdSlowClients implements "slowclients ROUTER n=20": it opens connections that send
+// only a part of their headers or of their body, and waits until the router closes
+// one of each kind.
 func cmdSlowClients(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "slowclients ROUTER [n=]")
-	c, o := state(ts).c, options(ts, args[1:])
+	requireArgs(ts, args, 1, "slowclients ROUTER [n=]")
+	c, o := scenarioOf(ts).c, options(ts, args[1:])
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + teamKey + "\r\n"
 	texts := []string{head, head + "Content-Length: 100\r\n\r\n{\"model\":"}
-	for i := range number(ts, o, "n", 1) {
-		conn, err := net.Dial("tcp", c.callers(args[0]))
+	for i := range intOption(ts, o, "n", 1) {
+		conn, err := net.Dial("tcp", c.callerAddress(args[0]))
 		ts.Check(err)
 		ts.Defer(func() { _ = conn.Close() }) // the router has closed it already
 		_, err = conn.Write([]byte(texts[i%len(texts)]))
 		ts.Check(err)
-		ts.Check(conn.SetReadDeadline(time.Now().Add(waitLimit)))
-		if i < len(texts) { // one of each kind is waited for
+		ts.Check(conn.SetReadDeadline(time.Now().Add(waitTimeout)))
+		if i < len(texts) { // one of each kind
 			answer, err := io.ReadAll(conn)
 			ts.Check(err)
 			ts.Logf("slow client %d got %q", i, clip(string(answer)))
@@ -90,27 +91,28 @@
 	}
 }
 
-// served NAME VERSION min=N max=N: as many of the callers were answered by the
-// version
+// cmdServed implements "served GROUP VERSION [min=N] [max=N]": it checks how many
+// callers of a group were served by a model version.
 func cmdServed(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "served NAME VERSION [min= max=]")
-	s, o := state(ts), options(ts, args[2:])
+	requireArgs(ts, args, 2, "served GROUP VERSION [min= max=]")
+	s, o := scenarioOf(ts), options(ts, args[2:])
 	n := 0
-	for _, out := range s.crowds[args[0]].outcomes {
+	for _, out := range s.groups[args[0]].outcomes {
 		if out.Served == args[1] {
 			n++
 		}
 	}
-	if n < number(ts, o, "min", 0) || n > number(ts, o, "max", len(s.crowds[args[0]].outcomes)) {
-		ts.Fatalf("%d of %d were served by %s", n, len(s.crowds[args[0]].outcomes), args[1])
+	if n < intOption(ts, o, "min", 0) || n > intOption(ts, o, "max", len(s.groups[args[0]].outcomes)) {
+		ts.Fatalf("%d of %d were served by %s", n, len(s.groups[args[0]].outcomes), args[1])
 	}
-	ts.Logf("%d of %d were served by %s", n, len(s.crowds[args[0]].outcomes), args[1])
+	ts.Logf("%d of %d were served by %s", n, len(s.groups[args[0]].outcomes), args[1])
 }
 
-// loaded TARGET [not]: every engine has the target loaded, and the routers know
+// cmdLoaded implements "loaded TARGET [not]": it waits until the agents of all engines
+// serve the target, or with "not" until none does.
 func cmdLoaded(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "loaded TARGET [not]")
-	c := state(ts).c
+	requireArgs(ts, args, 1, "loaded TARGET [not]")
+	c := scenarioOf(ts).c
 	want := len(args) == 1
 	ts.Check(eventually(strings.Join(args, " "), func() error {
 		for i := range c.Engines {
@@ -130,11 +132,12 @@
 	}))
 }
 
-// secondagent engine-0: one more agent for the backend server; prints where
+// cmdSecondAgent implements "secondagent engine-0": it starts another agent for a backend
+// server and sets SECOND, FIRST and AGENT0, AGENT1, ... to the addresses of the agents.
 func cmdSecondAgent(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "secondagent SERVER")
-	c := state(ts).c
-	ts.Check(c.secondAgent(args[0], 0))
+	requireArgs(ts, args, 1, "secondagent SERVER")
+	c := scenarioOf(ts).c
+	ts.Check(c.startSecondAgent(args[0], 0))
 	ts.Setenv("SECOND", c.address("second-agent-"+args[0])+":7300")
 	ts.Setenv("FIRST", c.address("agent-"+args[0])+":7300")
 	for i := range c.Engines {
@@ -142,36 +145,36 @@
 	}
 }
 
-// fences engine-0: the orders that the engine took came with fencing numbers
-// that never went down
+// cmdFences implements "fences engine-0": it checks that the fencing tokens of the
+// orders accepted by an engine never decrease.
 func cmdFences(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "fences SERVER")
-	c := state(ts).c
+	requireArgs(ts, args, 1, "fences SERVER")
+	c := scenarioOf(ts).c
 	var orders []engine.Order
 	ts.Check(c.getJSON("http://"+c.address(args[0])+":7100/standin/orders", &orders))
 	last := uint64(0)
 	for _, o := range orders {
 		if o.Fence < last {
-			ts.Fatalf("an order with fence %d came after one with %d: %+v", o.Fence, last, orders)
+			ts.Fatalf("an order with fencing token %d came after one with %d: %+v", o.Fence, last, orders)
 		}
 		last = o.Fence
 	}
 	if len(orders) == 0 {
-		ts.Fatalf("there were no orders")
+		ts.Fatalf("the engine accepted no orders")
 	}
-	ts.Logf("%d orders, the last with fence %d", len(orders), last)
+	ts.Logf("%d orders, the last with fencing token %d", len(orders), last)
 }
 
-// peers N: every router counts N live routers; sets HOME to the home of the team
-// "small" and OTHER to another router
+// cmdPeers implements "peers N": it waits until every router counts N live routers,
+// and sets HOMEROUTER to the home router of the team "small" and OTHER to another router.
 func cmdPeers(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "peers N")
-	c := state(ts).c
-	ts.Check(eventually("peers", func() error {
+	requireArgs(ts, args, 1, "peers N")
+	c := scenarioOf(ts).c
+	ts.Check(eventually("live routers", func() error {
 		g := gomega.NewGomega(func(message string, _ ...int) { ts.Fatalf("%s", message) })
 		for i := range c.Routers {
 			if n := c.metric(g, fmt.Sprint("router-", i), "merlinpost_router_peers"); fmt.Sprint(n) != args[0] {
-				return fmt.Errorf("router-%d counts %g", i, n)
+				return fmt.Errorf("router-%d counts %g live routers", i, n)
 			}
 		}
 		return nil
@@ -185,11 +188,12 @@
 	ts.Setenv("OTHER", ranked[len(ranked)-1])
 }
 
-// reported FILE CLASS [answered=all|N] [refused=0]: what a load run's report
-// says of a class; nothing was wrong or short, every refusal for load told when
-// to come back
+// cmdReported implements "reported FILE CLASS [answered=N] [refused=0]": it checks the
+// report of a load run for a class. At least N requests were answered (by default
+// all) and at least the given number refused; no answer was wrong or short, and every
+// refusal for load had a Retry-After header.
 func cmdReported(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "reported FILE CLASS [answered= refused=]")
+	requireArgs(ts, args, 2, "reported FILE CLASS [answered= refused=]")
 	o := options(ts, args[2:])
 	var reports []load.Report
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[0])), &reports))
@@ -199,13 +203,13 @@
 		}
 		ts.Logf("%s: sent %d, answered %d, failures %v", c.Class, c.Sent, c.Answered, c.Failures)
 		if c.Wrong+c.Short+c.NoRetryAfter > 0 {
-			ts.Fatalf("%d wrong, %d short, %d refused without a time to come back", c.Wrong, c.Short, c.NoRetryAfter)
+			ts.Fatalf("%d wrong, %d short, %d refused without Retry-After", c.Wrong, c.Short, c.NoRetryAfter)
 		}
-		if want := number(ts, o, "answered", c.Sent); c.Answered < want {
+		if want := intOption(ts, o, "answered", c.Sent); c.Answered < want {
 			ts.Fatalf("%d of %d answered: %v", c.Answered, c.Sent, c.Failures)
 		}
-		if want := number(ts, o, "refused", 0); c.Sent-c.Answered < want {
-			ts.Fatalf("only %d were refused: no overload", c.Sent-c.Answered)
+		if want := intOption(ts, o, "refused", 0); c.Sent-c.Answered < want {
+			ts.Fatalf("%d refused, want at least %d", c.Sent-c.Answered, want)
 		}
 		return
 	}
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -28,70 +28,70 @@
 	appService = "app"
 )
 
-// fleet is a deployment of gateways on the platform's stand-ins: gateways are
-// processes, the store and the workers are in this one.
+// fleet is a deployment of gateways on the stand-ins of the platform. The
+// gateways are separate processes; the store and the workers run in the test process.
 type fleet struct {
 	fleetSize
-	dir   string
-	net   uint32
-	store *platformstore.Store
-	http  *http.Client // a connection for each request
-	kept  *http.Client // keeps connections
-
-	mu       sync.Mutex
-	version  int
-	gateways []*gatewayProc
-	workers  []*worker.Worker
-	cutters  map[string]*cutter // before workers, by ID, and before the store, by host
-	started  int                // workers so far
-	beats    int
-	fewSlots map[string]int // of workers that have fewer, by ID
+	dir       string
+	subnet    uint32
+	store     *platformstore.Store
+	http      *http.Client // uses a new connection for each request
+	keepAlive *http.Client // reuses connections
+
+	mu             sync.Mutex
+	version        int
+	gateways       []*gatewayProc
+	workers        []*worker.Worker
+	proxies        map[string]*faultProxy // in front of workers, by ID, and of the store, by gateway host
+	workersStarted int                    // number of workers started
+	sequence       int
+	slotOverrides  map[string]int // slots by worker ID, default workerSlots
 }
 
-// fleetSize says how large a fleet is.
+// fleetSize configures a fleet.
 type fleetSize struct {
 	gateways, llms, apps int
-	// proxied fleets reach workers and the store through cutters.
+	// proxied connects gateways to workers and to the store through fault proxies.
 	proxied bool
 }
 
 // gatewayProc is one gateway process.
 type gatewayProc struct {
-	host    string
-	ip      string
-	cmd     *exec.Cmd
-	log     *lockedBuffer // of the newest start
-	earlier lockedBuffer  // of the starts before
-	exited  chan struct{}
-	code    int
-	start   atomic.Int64 // process ID of the newest start
+	host       string
+	ip         string
+	cmd        *exec.Cmd
+	log        *syncBuffer // output of the current process
+	earlierLog syncBuffer  // output of previous processes
+	exited     chan struct{}
+	code       int
+	processID  atomic.Int64 // of the current process
 }
 
-func (g *gatewayProc) pid() int { return int(g.start.Load()) }
+func (g *gatewayProc) pid() int { return int(g.processID.Load()) }
 
-// lockedBuffer keeps what a process writes.
-type lockedBuffer struct {
+// syncBuffer is a buffer for the output of a process that is safe for concurrent use.
+type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.Write(p)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.String()
 }
 
 func newFleet(dir string, size fleetSize) (*fleet, error) {
-	f := &fleet{fleetSize: size, dir: dir, net: nextNet.Add(1), store: platformstore.Start(), cutters: map[string]*cutter{}, fewSlots: map[string]int{},
-		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
-		kept: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 100}}}
-	f.configure(nil)
+	f := &fleet{fleetSize: size, dir: dir, subnet: nextSubnet.Add(1), store: platformstore.Start(), proxies: map[string]*faultProxy{}, slotOverrides: map[string]int{},
+		http:      &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
+		keepAlive: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 100}}}
+	f.publishConfig(nil)
 	for range size.llms {
 		if _, err := f.addWorker(llmService); err != nil {
 			return nil, err
@@ -103,7 +103,7 @@
 		}
 	}
 	for i := range size.gateways {
-		g := &gatewayProc{host: fmt.Sprint("edge-", i), ip: fmt.Sprintf("127.%d.%d.%d", 101+os.Getpid()%100, f.net&0xff, i+1)}
+		g := &gatewayProc{host: fmt.Sprint("edge-", i), ip: fmt.Sprintf("127.%d.%d.%d", 101+os.Getpid()%100, f.subnet&0xff, i+1)}
 		f.gateways = append(f.gateways, g)
 		if err := f.start(g); err != nil {
 			return nil, err
@@ -112,8 +112,8 @@
 	return f, f.waitReady()
 }
 
-// startFleet starts four gateways, so many servers of one service and one of the other, until the
-// test ends.
+// startFleet starts four gateways, the given number of servers of a service and one server of the
+// other service, and stops them when the test ends.
 func startFleet(t *testing.T, service string, servers int) *fleet {
 	t.Helper()
 	size := fleetSize{gateways: 4, llms: 1, apps: 1}
@@ -139,50 +139,51 @@
 	for _, w := range f.workers {
 		w.Close()
 	}
-	f.kept.CloseIdleConnections()
+	f.keepAlive.CloseIdleConnections()
 	f.store.CloseClientConnections()
-	for _, c := range f.cutters {
+	for _, c := range f.proxies {
 		c.close()
 	}
 	f.store.Close()
 }
 
-// through returns the address at which a target is reached: its own, or in a proxied
-// fleet that of the cutter with this name.
-func (f *fleet) through(name, target string) (string, error) {
+// viaProxy returns the address at which to reach a target: in a proxied fleet that of the
+// fault proxy with this name, otherwise the target itself.
+func (f *fleet) viaProxy(name, target string) (string, error) {
 	if !f.proxied {
 		return target, nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cutters[name] == nil {
-		c, err := newCutter("127.0.0.1:0", target)
+	if f.proxies[name] == nil {
+		c, err := newFaultProxy("127.0.0.1:0", target)
 		if err != nil {
 			return "", err
 		}
-		f.cutters[name] = c
+		f.proxies[name] = c
 	}
-	return f.cutters[name].address(), nil
+	return f.proxies[name].address(), nil
 }
 
-// forgetCutter has the next use of a name get a cutter of its own; the old one stays
-// until the fleet closes.
-func (f *fleet) forgetCutter(name string) {
+// replaceProxy makes the next viaProxy call with this name create a new proxy. The old proxy
+// keeps running until the fleet is closed.
+func (f *fleet) replaceProxy(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c := f.cutters[name]; c != nil {
-		f.cutters[fmt.Sprintf("%s before %d", name, len(f.cutters))] = c
-		delete(f.cutters, name)
+	if c := f.proxies[name]; c != nil {
+		f.proxies[fmt.Sprintf("%s replaced %d", name, len(f.proxies))] = c
+		delete(f.proxies, name)
 	}
 }
 
-func (f *fleet) cutter(name string) *cutter {
+func (f *fleet) proxy(name string) *faultProxy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cutters[name]
+	return f.proxies[name]
 }
 
-// versionStep is the step between versions: they need not follow each other.
+// versionStep is the difference between successive configuration versions, which need
+// not be consecutive.
 const versionStep = 3
 
 func (f *fleet) newestVersion() int {
@@ -191,18 +192,19 @@
 	return f.version
 }
 
-// versionKey is a key that only this version of the configuration knows.
+// versionKey returns an API key that only this version of the configuration contains.
 func versionKey(version int) string { return fmt.Sprint("key-of-", version) }
 
-// configure writes the next version of the configuration; change may alter it.
-func (f *fleet) configure(change func(config map[string]any)) int {
+// publishConfig writes the next version of the configuration to the store, modified by
+// change if it is not nil, and returns the version.
+func (f *fleet) publishConfig(change func(config map[string]any)) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version += versionStep
-	route := func(name, kind, service string, more map[string]any) map[string]any {
+	route := func(name, kind, service string, extra map[string]any) map[string]any {
 		r := map[string]any{"name": name, "host": fleetHost, "path_prefix": "/" + name + "/", "kind": kind, "service": service,
 			"timeout_ms": 6000, "target_latency_ms": 300, "max_attempts": 2, "priority": 0}
-		for k, v := range more {
+		for k, v := range extra {
 			r[k] = v
 		}
 		return r
@@ -226,18 +228,18 @@
 	return f.version
 }
 
-// addWorker starts a worker and registers it.
+// addWorker starts a worker and registers it as ready.
 func (f *fleet) addWorker(service string) (*worker.Worker, error) {
 	f.mu.Lock()
-	f.started++
-	id := fmt.Sprintf("i-%s-%d", service, f.started)
+	f.workersStarted++
+	id := fmt.Sprintf("i-%s-%d", service, f.workersStarted)
 	f.mu.Unlock()
 	w, err := worker.Start(id)
 	if err != nil {
 		return nil, err
 	}
 	if service == llmService {
-		w.Behave(wholeStream)
+		w.Behave(completeStream)
 	}
 	f.mu.Lock()
 	f.workers = append(f.workers, w)
@@ -245,33 +247,33 @@
 	return w, f.register(w, service, "ready")
 }
 
-// streamEvents is the length of a stream, with a pause that makes it last.
+// streamEvents is the number of events of a stream.
 const streamEvents = 8
 
-var wholeStream = worker.Behaviour{Events: streamEvents, BreakAfter: -1, Pace: 5 * time.Millisecond}
+var completeStream = worker.Behaviour{Events: streamEvents, BreakAfter: -1, Pace: 5 * time.Millisecond}
 
 func (f *fleet) register(w *worker.Worker, service, state string) error {
-	address, err := f.through(w.ID, w.Address())
+	address, err := f.viaProxy(w.ID, w.Address())
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.beats++
-	n := f.beats
+	f.sequence++
+	n := f.sequence
 	f.mu.Unlock()
 	f.store.PutJSON(platformstore.TopicServers, w.ID, map[string]any{"service": service, "address": address, "zone": "z", "slots": f.slots(w),
 		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": n, "born": w.Born})
 	return nil
 }
 
-// workerSlots is what a worker says that it runs at once.
+// workerSlots is the number of concurrent requests that a worker advertises.
 const workerSlots = 64
 
-// slots returns what a worker is to say of its slots.
+// slots returns the number of slots that a worker advertises.
 func (f *fleet) slots(w *worker.Worker) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := f.fewSlots[w.ID]; n > 0 {
+	if n := f.slotOverrides[w.ID]; n > 0 {
 		return n
 	}
 	return workerSlots
@@ -281,12 +283,12 @@
 
 func (f *fleet) settingsFile(g *gatewayProc) string { return filepath.Join(f.dir, g.host+".conf") }
 
-// budgetSlack is bounds.budget_slack: the repeats that all gateways together may send in a window beyond the ratio.
+// budgetSlack is bounds.budget_slack: the repeats that all gateways together may send in a window in addition to the ratio.
 const budgetSlack = 12
 
-// writeSettings writes a gateway's settings file.
+// writeSettings writes the settings file of a gateway.
 func (f *fleet) writeSettings(g *gatewayProc, graceSeconds int) error {
-	store, err := f.through(g.host, f.store.Address())
+	store, err := f.viaProxy(g.host, f.store.Address())
 	if err != nil {
 		return err
 	}
@@ -309,41 +311,41 @@
 	return os.WriteFile(f.settingsFile(g), []byte(text), 0o600)
 }
 
-// start starts a gateway process.
+// start starts a gateway process, also again after it has exited.
 func (f *fleet) start(g *gatewayProc) error {
 	if err := f.writeSettings(g, 5); err != nil {
 		return err
 	}
 	if g.log != nil {
-		_, _ = g.earlier.Write([]byte(g.log.String())) // a buffer does not fail
+		_, _ = g.earlierLog.Write([]byte(g.log.String())) // a buffer does not return errors
 	}
-	g.log, g.exited = &lockedBuffer{}, make(chan struct{})
-	g.cmd = exec.Command(filepath.Join(binaries, "merlinpost"), "gateway", "--log-one-in", "1")
+	g.log, g.exited = &syncBuffer{}, make(chan struct{})
+	g.cmd = exec.Command(filepath.Join(binDir, "merlinpost"), "gateway", "--log-one-in", "1")
 	g.cmd.Env = append(os.Environ(), "MERLINPOST_NODE_FILE="+f.settingsFile(g))
 	g.cmd.Stdout, g.cmd.Stderr = g.log, g.log
 	if err := g.cmd.Start(); err != nil {
 		return err
 	}
-	g.start.Store(int64(g.cmd.Process.Pid))
+	g.processID.Store(int64(g.cmd.Process.Pid))
 	go func(cmd *exec.Cmd, exited chan struct{}) {
-		_ = cmd.Wait() // the code tells
+		_ = cmd.Wait() // the exit code is read from ProcessState
 		g.code = cmd.ProcessState.ExitCode()
 		close(exited)
 	}(g.cmd, g.exited)
 	return nil
 }
 
-// kill ends a gateway process that this fleet has started.
+// kill kills the process of a gateway, if it was started, and waits until it has exited.
 func (f *fleet) kill(g *gatewayProc) {
 	if g.cmd == nil {
 		return
 	}
-	_ = g.cmd.Process.Signal(syscall.SIGCONT) // it may be stopped
-	_ = g.cmd.Process.Kill()                  // it may have ended
+	_ = g.cmd.Process.Signal(syscall.SIGCONT) // may be suspended
+	_ = g.cmd.Process.Kill()                  // may have exited
 	<-g.exited
 }
 
-// ready reports whether the gateway's readiness check answers 200.
+// ready reports whether the readiness endpoint of a gateway returns 200.
 func (f *fleet) ready(g *gatewayProc) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -360,40 +362,40 @@
 }
 
 func (f *fleet) waitReady() error {
-	end := time.Now().Add(waitLimit)
+	end := time.Now().Add(waitTimeout)
 	for _, g := range f.gateways {
 		for !f.ready(g) {
 			if time.Now().After(end) {
-				return fmt.Errorf("%s is not ready; its log:\n%s", g.host, g.log)
+				return fmt.Errorf("%s is not ready; log:\n%s", g.host, g.log)
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// fleetAnswer is what a caller of the fleet got.
-type fleetAnswer struct {
+// fleetResponse is the response to a caller of the fleet.
+type fleetResponse struct {
 	status     int
 	body       string
 	retryAfter string
 	err        error
 }
 
-// ask sends a request to a gateway and reads the answer whole.
-func (f *fleet) ask(ctx context.Context, g *gatewayProc, route, id string) fleetAnswer {
-	return f.askWith(ctx, f.http, g, fleetKey, route, id)
+// send sends a request to a gateway and reads the complete response.
+func (f *fleet) send(ctx context.Context, g *gatewayProc, route, id string) fleetResponse {
+	return f.sendWithKey(ctx, f.http, g, fleetKey, route, id)
 }
 
-func (f *fleet) askWith(ctx context.Context, client *http.Client, g *gatewayProc, key, route, id string) fleetAnswer {
-	return f.askFor(ctx, client, g, key, route, id, "body of "+id)
+func (f *fleet) sendWithKey(ctx context.Context, client *http.Client, g *gatewayProc, key, route, id string) fleetResponse {
+	return f.sendBody(ctx, client, g, key, route, id, "body of "+id)
 }
 
-// askFor sends a request with a body of its own.
-func (f *fleet) askFor(ctx context.Context, client *http.Client, g *gatewayProc, key, route, id, body string) fleetAnswer {
+// sendBody sends a request with the given body.
+func (f *fleet) sendBody(ctx context.Context, client *http.Client, g *gatewayProc, key, route, id, body string) fleetResponse {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.ip+":8080/"+route+"/x", strings.NewReader(body))
 	if err != nil {
-		return fleetAnswer{err: err}
+		return fleetResponse{err: err}
 	}
 	req.Host = fleetHost
 	req.Header.Set("X-Attempt-Id", id)
@@ -406,22 +408,22 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return fleetAnswer{err: err}
+		return fleetResponse{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }() // the body has been read
 	text, err := io.ReadAll(resp.Body)
-	return fleetAnswer{status: resp.StatusCode, body: string(text), retryAfter: resp.Header.Get("Retry-After"), err: err}
+	return fleetResponse{status: resp.StatusCode, body: string(text), retryAfter: resp.Header.Get("Retry-After"), err: err}
 }
 
-// want is the right body for a request.
-func want(route, id string) string {
+// wantBody returns the expected response body for a request.
+func wantBody(route, id string) string {
 	if route == "report" || route == "advice" {
 		return worker.Stream(id, streamEvents)
 	}
 	return worker.Answer(id)
 }
 
-// logLine is a line of a gateway's log.
+// logLine is a line of the log of a gateway.
 type logLine struct {
 	Msg   string
 	ID    string
@@ -429,8 +431,8 @@
 	Sends []struct{ Server, Result, Cause string }
 }
 
-// lines returns the lines of a gateway's log about a request.
-func (g *gatewayProc) lines(id string) []logLine {
+// logLines returns the log lines of a gateway for a request.
+func (g *gatewayProc) logLines(id string) []logLine {
 	var out []logLine
 	for _, text := range strings.Split(g.log.String(), "\n") {
 		var l logLine
--- a/e2e/gateways_test.go
+++ b/e2e/gateways_test.go
@@ -18,7 +18,7 @@
 
 func TestGateways(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(waitLimit)
+	SetDefaultEventuallyTimeout(waitTimeout)
 	RunSpecs(t, "gateways as processes")
 }
 
@@ -34,13 +34,13 @@
 	}
 	served := func(f *fleet, g *gatewayProc, route, id string) {
 		GinkgoHelper()
-		a := f.ask(ctx, g, route, id)
+		a := f.send(ctx, g, route, id)
 		Expect(a.err).NotTo(HaveOccurred())
 		Expect(a.status).To(Equal(200), a.body)
-		Expect(a.body).To(Equal(want(route, id)))
+		Expect(a.body).To(Equal(wantBody(route, id)))
 	}
 
-	It("serve every kind of request", func() {
+	It("serve all kinds of request", func() {
 		f := up(2, 2, 2)
 		for i, route := range []string{"post", "list", "advice", "report"} {
 			for j, g := range f.gateways {
@@ -49,53 +49,53 @@
 		}
 	})
 
-	It("finish what they have read when they are stopped, and are not ready at once", func() {
+	It("finish accepted requests on SIGTERM and stop reporting ready at once", func() {
 		f := up(2, 1, 1)
 		g := f.gateways[0]
 		f.workers[0].Behave(worker.Behaviour{Events: streamEvents, BreakAfter: -1, Pace: 100 * time.Millisecond})
-		answer := make(chan fleetAnswer, 1)
-		go func() { answer <- f.ask(ctx, g, "advice", "long") }()
+		answer := make(chan fleetResponse, 1)
+		go func() { answer <- f.send(ctx, g, "advice", "long") }()
 		Eventually(f.workers[0].Runs).Should(HaveLen(1))
 		Expect(g.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
 		Eventually(func() bool { return f.ready(g) }).Should(BeFalse())
-		served(f, g, "post", "while-stopping") // the balancer has not noticed yet
-		var a fleetAnswer
+		served(f, g, "post", "while-stopping") // the load balancer may still send requests
+		var a fleetResponse
 		Eventually(answer).Should(Receive(&a))
 		Expect(a.err).NotTo(HaveOccurred())
-		Expect(a.body).To(Equal(want("advice", "long")))
+		Expect(a.body).To(Equal(wantBody("advice", "long")))
 		Eventually(g.exited).Should(BeClosed())
 		Expect(g.code).To(Equal(0))
 		served(f, f.gateways[1], "post", "elsewhere")
 	})
 
-	It("end within their grace time with an answer to what goes on", func() {
+	It("exit within their grace time and answer all requests in progress", func() {
 		f := up(1, 1, 1)
 		g := f.gateways[0]
 		Expect(f.writeSettings(g, 2)).To(Succeed())
 		Eventually(g.log.String).Should(ContainSubstring("settings reloaded"))
-		// The engine has two slots, so that a third request waits.
+		// The engine has two slots, so that the third request is queued.
 		engine := f.workers[0]
-		f.fewSlots[engine.ID] = 2
+		f.slotOverrides[engine.ID] = 2
 		Expect(f.register(engine, llmService, "draining")).To(Succeed())
-		Eventually(func() int { return f.ask(ctx, g, "advice", "drained").status }).Should(Equal(503))
+		Eventually(func() int { return f.send(ctx, g, "advice", "drained").status }).Should(Equal(503))
 		Expect(f.register(engine, llmService, "ready")).To(Succeed())
-		Eventually(func() int { return f.ask(ctx, g, "advice", "back").status }).Should(Equal(200))
+		Eventually(func() int { return f.send(ctx, g, "advice", "back").status }).Should(Equal(200))
 		engine.Behave(worker.Behaviour{Hang: true})
 		before := len(engine.Runs())
-		endless, queued := make(chan fleetAnswer, 1), make(chan fleetAnswer, 1)
-		go func() { endless <- f.ask(ctx, g, "advice", "endless") }()
-		go func() { queued <- f.ask(ctx, g, "report", "read-1") }()
+		hanging, queued := make(chan fleetResponse, 1), make(chan fleetResponse, 1)
+		go func() { hanging <- f.send(ctx, g, "advice", "hanging") }()
+		go func() { queued <- f.send(ctx, g, "report", "read-1") }()
 		Eventually(engine.Runs).Should(HaveLen(before + 2))
-		go func() { queued <- f.ask(ctx, g, "report", "waits-1") }() // for leave
+		go func() { queued <- f.send(ctx, g, "report", "waits-1") }() // for a slot
 		begin := time.Now()
 		Expect(g.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
 		Eventually(g.exited).Should(BeClosed())
 		Expect(time.Since(begin)).To(BeNumerically("<", 2*time.Second))
-		// Each has a final answer: nobody can tell whether the first two ran, the
-		// third has not.
+		// Each request gets a response: 502 for the two that may have run, 503
+		// for the queued one.
 		statuses := []int{}
-		for _, ch := range []chan fleetAnswer{endless, queued, queued} {
-			var a fleetAnswer
+		for _, ch := range []chan fleetResponse{hanging, queued, queued} {
+			var a fleetResponse
 			Eventually(ch).Should(Receive(&a))
 			Expect(a.err).NotTo(HaveOccurred())
 			statuses = append(statuses, a.status)
@@ -103,7 +103,7 @@
 		Expect(statuses).To(ConsistOf(502, 502, 503))
 	})
 
-	It("read their settings again, and keep the last good ones", func() {
+	It("reload their settings and keep the last valid ones", func() {
 		f := up(1, 1, 1)
 		g := f.gateways[0]
 		Expect(f.writeSettings(g, 4)).To(Succeed())
@@ -115,7 +115,7 @@
 		served(f, g, "post", "after")
 	})
 
-	It("come back after all were killed, also while the store is away", func() {
+	It("recover after all were killed, also if the store is unavailable meanwhile", func() {
 		f := up(3, 1, 1)
 		for _, g := range f.gateways {
 			f.kill(g)
@@ -125,7 +125,7 @@
 			Expect(f.start(g)).To(Succeed())
 		}
 		g := f.gateways[0]
-		Eventually(func() int { return f.ask(ctx, g, "post", "early").status }).Should(Equal(503))
+		Eventually(func() int { return f.send(ctx, g, "post", "early").status }).Should(Equal(503))
 		Expect(f.ready(g)).To(BeFalse())
 		f.store.SetMode(platformstore.Up)
 		Expect(f.waitReady()).To(Succeed())
@@ -135,7 +135,7 @@
 		Expect(f.workers[1].Runs()).To(HaveLen(3))
 	})
 
-	It("serve every kind of request as soon as they are ready when all were killed together", func() {
+	It("serve all kinds of request as soon as they are ready after all were killed at once", func() {
 		f := up(12, 3, 2)
 		for _, g := range f.gateways {
 			f.kill(g)
@@ -151,7 +151,7 @@
 		}
 	})
 
-	It("are replaced by others at new addresses", func() {
+	It("can be replaced by gateways at new addresses", func() {
 		f := up(2, 1, 1)
 		old := f.gateways[0]
 		f.kill(old)
@@ -160,52 +160,52 @@
 		f.gateways = []*gatewayProc{next, f.gateways[1]}
 		Expect(f.waitReady()).To(Succeed())
 		for i, g := range f.gateways {
-			served(f, g, "report", fmt.Sprint("replaced-", i)) // needs leave, which the lost one may have given
+			served(f, g, "report", fmt.Sprint("replaced-", i)) // needs a permit, which the killed gateway may have granted
 			served(f, g, "post", fmt.Sprint("replaced-post-", i))
 		}
-		version := f.configure(nil)
+		version := f.publishConfig(nil)
 		for _, g := range f.gateways {
 			Eventually(g.log.String).Should(ContainSubstring(fmt.Sprintf(`"config":%d`, version)))
 		}
 	})
 
-	It("put a configuration in force everywhere, and none before it again", func() {
+	It("apply each configuration everywhere and never return to an older one", func() {
 		f := up(3, 1, 1)
 		for range 5 {
-			version := f.configure(nil)
+			version := f.publishConfig(nil)
 			for _, g := range f.gateways {
 				Eventually(g.log.String).Should(ContainSubstring(fmt.Sprintf(`"config":%d`, version)))
 			}
 		}
-		f.configure(func(c map[string]any) { c["tenants"] = []any{} })
+		f.publishConfig(func(c map[string]any) { c["tenants"] = []any{} })
 		for _, g := range f.gateways {
-			Eventually(func() int { return f.ask(ctx, g, "post", "revoked").status }).Should(Equal(401))
+			Eventually(func() int { return f.send(ctx, g, "post", "revoked").status }).Should(Equal(401))
 		}
 		f.store.Forget(platformstore.TopicOperator)
 		for _, g := range f.gateways {
-			Consistently(func() int { return f.ask(ctx, g, "post", "still").status }, 500*time.Millisecond).Should(Equal(401))
+			Consistently(func() int { return f.send(ctx, g, "post", "still").status }, 500*time.Millisecond).Should(Equal(401))
 		}
 	})
 
-	It("hand the configuration to one that does not reach the store", func() {
+	It("pass the configuration to a gateway that cannot reach the store", func() {
 		f := up(3, 1, 1)
 		lost := f.gateways[0]
-		Eventually(lost.log.String).Should(ContainSubstring(`"live":3`)) // they know each other
+		Eventually(lost.log.String).Should(ContainSubstring(`"live":3`)) // all gateways know each other
 		text, err := os.ReadFile(f.settingsFile(lost))
 		Expect(err).NotTo(HaveOccurred())
-		elsewhere := strings.Replace(string(text), f.store.Address(), "127.0.0.1:1", 1)
-		Expect(os.WriteFile(f.settingsFile(lost), []byte(elsewhere), 0o600)).To(Succeed())
+		unreachable := strings.Replace(string(text), f.store.Address(), "127.0.0.1:1", 1)
+		Expect(os.WriteFile(f.settingsFile(lost), []byte(unreachable), 0o600)).To(Succeed())
 		Eventually(lost.log.String).Should(ContainSubstring("lost the store"))
 		for range 3 {
-			version := f.configure(nil)
+			version := f.publishConfig(nil)
 			Eventually(lost.log.String).Should(MatchRegexp(`"configuration in force","config":%d,"fetched_from"`, version))
 			Eventually(func() int {
-				return f.askWith(ctx, f.http, lost, versionKey(version), "post", fmt.Sprint("new-key-", version)).status
+				return f.sendWithKey(ctx, f.http, lost, versionKey(version), "post", fmt.Sprint("new-key-", version)).status
 			}).Should(Equal(200))
 		}
 	})
 
-	It("send nothing to a worker that drains", func() {
+	It("send no requests to a draining worker", func() {
 		f := up(2, 0, 2)
 		leaving := f.workers[0]
 		Expect(f.register(leaving, appService, "draining")).To(Succeed())
@@ -220,12 +220,12 @@
 		}
 	})
 
-	It("say in their logs why a request failed", func() {
+	It("log why a request failed", func() {
 		f := up(1, 0, 1)
 		f.workers[0].Behave(worker.Behaviour{Drop: true})
-		Expect(f.ask(ctx, f.gateways[0], "post", "lost").status).To(Equal(502))
-		Eventually(func() []logLine { return f.gateways[0].lines("lost") }).Should(HaveLen(1))
-		line := f.gateways[0].lines("lost")[0]
+		Expect(f.send(ctx, f.gateways[0], "post", "lost").status).To(Equal(502))
+		Eventually(func() []logLine { return f.gateways[0].logLines("lost") }).Should(HaveLen(1))
+		line := f.gateways[0].logLines("lost")[0]
 		Expect(line.Code).To(Equal("link_lost"))
 		Expect(line.Sends[0].Server).To(Equal(f.workers[0].ID))
 		Expect(line.Sends[0].Result).To(Equal("may_have_run"))
--- a/e2e/gatewaysoak_checks_test.go
+++ b/e2e/gatewaysoak_checks_test.go
@@ -11,126 +11,128 @@
 	"github.com/merlinpost/merlinpost/internal/standin/worker"
 )
 
-// check compares an answer with the promises.
-func (s *gatewaySoak) check(route, id string, a fleetAnswer) {
+// check checks a response against the guarantees of the gateway.
+func (s *gatewaySoak) check(route, id string, a fleetResponse) {
 	switch {
-	case *gatewaySoakBreak == "foreign" && strings.HasSuffix(id, "-7"):
+	case *gatewaySoakDefect == "foreign" && strings.HasSuffix(id, "-7"):
 		a.body += "x"
-	case *gatewaySoakBreak == "shed" && strings.HasPrefix(id, "advice-") && strings.HasSuffix(id, "-7"):
+	case *gatewaySoakDefect == "shed" && strings.HasPrefix(id, "advice-") && strings.HasSuffix(id, "-7"):
 		a.status = http.StatusTooManyRequests
 	}
 	switch {
 	case a.err != nil:
-		return // broken off, and seen to be
-	case a.status == 200 && a.body != want(route, id):
-		s.violate("%s got a success that is not its answer: %q", id, a.body)
+		return // a failure that the caller notices is allowed
+	case a.status == 200 && a.body != wantBody(route, id):
+		s.addViolation("%s got status 200 with the response to another request: %q", id, a.body)
 	case a.status == 429 && strings.Contains(a.body, `"queue_full"`):
-		// A server itself turned it away, which checkRuns looks up, and the ratio of repeats left no other send.
+		// A server refused the request, which checkRuns verifies, and the retry budget allowed no further send.
 		s.mu.Lock()
-		s.turnedAway[id], s.notRun[id] = true, true
+		s.refusedByServer[id], s.notRun[id] = true, true
 		s.mu.Unlock()
 	case a.status == 429 && route != "report" && !strings.Contains(a.body, `"server_rate_limit"`):
-		s.violate("%s was shed for load; only requests that may wait are", id)
+		s.addViolation("%s was shed for load; only the report route may be", id)
 	case a.status == 429 || a.status == 503:
 		s.mu.Lock()
 		s.notRun[id] = true
 		s.mu.Unlock()
 	case a.status == 401 || a.status == 404 || a.status == 400:
-		s.violate("%s was refused with %d, which no configuration asks for", id, a.status)
+		s.addViolation("%s was refused with status %d, which no configuration calls for", id, a.status)
 	}
 	s.mu.Lock()
-	s.answers++
+	s.responses++
 	s.mu.Unlock()
 }
 
-// watchConfig asks a gateway again and again with the keys of the newest version and
-// of the one before: a process that has served the newer one never again serves the
-// older one, nor refuses the newer while there is no newer still.
+// watchConfig polls a gateway with the keys of the newest and the previous version of the
+// configuration. A process that has served a version must not serve an older one again, and
+// must not refuse this version while it is the newest.
 func (s *gatewaySoak) watchConfig(ctx context.Context, i int) {
 	g := s.gateways[i]
-	seen, process, broken := 0, -1, false
+	served, process, injected := 0, -1, false
 	for n := 0; ctx.Err() == nil; n++ {
-		wait(ctx, 10*time.Millisecond)
+		sleep(ctx, 10*time.Millisecond)
 		newest := s.newestVersion()
 		version := newest - n%2*versionStep
 		before := g.pid()
 		if before != process {
-			seen, process = 0, before
+			served, process = 0, before
 		}
-		give, cancel := context.WithTimeout(ctx, time.Second)
-		a := s.askWith(give, s.http, g, versionKey(version), "list", fmt.Sprintf("list-config-%d-%d", i, n))
+		requestCtx, cancel := context.WithTimeout(ctx, time.Second)
+		a := s.sendWithKey(requestCtx, s.http, g, versionKey(version), "list", fmt.Sprintf("list-config-%d-%d", i, n))
 		cancel()
 		if g.pid() != process {
-			continue // another start answered, or none
+			continue // the gateway was restarted in the meantime
 		}
-		if *gatewaySoakBreak == "rollback" && !broken && a.status == 401 && seen > version {
-			a.status, broken = 200, true
+		if *gatewaySoakDefect == "rollback" && !injected && a.status == 401 && served > version {
+			a.status, injected = 200, true
 		}
 		switch {
-		case a.status == 200 && version < seen:
-			s.violate("%s served version %d after %d", g.host, version, seen)
+		case a.status == 200 && version < served:
+			s.addViolation("%s served configuration version %d after version %d", g.host, version, served)
 		case a.status == 200:
-			seen = version
-		case a.status == 401 && version <= seen && version == s.newestVersion():
-			s.violate("%s refused version %d after it had served it", g.host, version)
+			served = version
+		case a.status == 401 && version <= served && version == s.newestVersion():
+			s.addViolation("%s refused configuration version %d after serving it", g.host, version)
 		}
 	}
 }
 
-// drainWithin is bounds.drain_ms of the fleet's settings, drainMargin the way of the
-// store's word and of a request on a busy machine.
+// drainTimeout is bounds.drain_ms in the settings of the fleet. drainMargin allows for the
+// propagation through the store and for requests in flight on a busy machine.
 const (
-	drainWithin = 600 * time.Millisecond
-	drainMargin = 400 * time.Millisecond
-	// settled is how long connections that went silent may take to be found out.
-	settled = 3500 * time.Millisecond
+	drainTimeout = 600 * time.Millisecond
+	drainMargin  = 400 * time.Millisecond
+	// deadConnectionTimeout is the time within which gateways detect dead connections.
+	deadConnectionTimeout = 3500 * time.Millisecond
 )
 
-// drain has a worker leave while nothing else happens and checks that it gets nothing
-// later than it should; then another takes its place.
-func (s *gatewaySoak) drain(ctx context.Context, i int) {
-	s.calm.Lock()
-	defer s.calm.Unlock()
-	s.calmDown()
+// checkDrain drains a worker while no other fault is injected and checks that it gets no
+// requests after the drain timeout. Then it replaces the worker. Drains are announced in turn
+// through the registry and only in the responses of the worker.
+func (s *gatewaySoak) checkDrain(ctx context.Context, i int) {
+	s.faultLock.Lock()
+	defer s.faultLock.Unlock()
+	s.clearFaults()
 	if err := s.waitReady(); err != nil {
-		s.violate("%v", err)
+		s.addViolation("%v", err)
 		return
 	}
-	wait(ctx, settled)
+	sleep(ctx, deadConnectionTimeout)
 	w := s.fleet.workers[i]
 	if ctx.Err() != nil {
 		return
 	}
-	byList := (int(s.seed)+s.drains)%2 == 0
-	if byList {
+	viaRegistry := (int(s.seed)+s.drains)%2 == 0
+	if viaRegistry {
 		if err := s.register(w, serviceOf(w), "draining"); err != nil {
-			s.violate("%v", err)
+			s.addViolation("%v", err)
 			return
 		}
 	} else {
-		w.Say("Server-Leaving: 1") // while the list calls it ready
+		w.Say("Server-Leaving: 1") // its registry entry still says ready
 	}
-	left := time.Now()
-	wait(ctx, drainWithin+2*drainMargin)
+	drained := time.Now()
+	sleep(ctx, drainTimeout+2*drainMargin)
 	arrivals := w.Arrivals()
-	if !byList {
-		left = firstAfter(arrivals, left)
+	if !viaRegistry {
+		drained = firstArrivalAfter(arrivals, drained)
 	}
 	for _, a := range arrivals {
-		late := a.At.Sub(left) - drainWithin - drainMargin
-		if *gatewaySoakBreak == "drain" {
-			late += drainWithin + drainMargin + settled
+		late := a.At.Sub(drained) - drainTimeout - drainMargin
+		if *gatewaySoakDefect == "drain" {
+			late += drainTimeout + drainMargin + deadConnectionTimeout
 		}
 		if late > 0 {
-			s.violate("%s reached %s %s after it was to get nothing more", a.ID, w.ID, late)
+			s.addViolation("%s reached %s %s after its drain timeout", a.ID, w.ID, late)
 		}
 	}
 	s.drains++
-	s.replace(i)
+	s.replaceWorker(i)
 }
 
-// firstAfter returns when the first request came after a time: its answer is the first that tells.
-func firstAfter(arrivals []worker.Arrival, at time.Time) time.Time {
+// firstArrivalAfter returns the time of the first arrival after a time, or that time itself if there is
+// none. The response to this request is the first that carries a notice set at that time.
+func firstArrivalAfter(arrivals []worker.Arrival, at time.Time) time.Time {
 	for _, a := range arrivals {
 		if a.At.After(at) {
 			return a.At
@@ -139,7 +141,7 @@
 	return at
 }
 
-// checkRuns compares what the workers ran with what callers were told.
+// checkRuns compares the requests that the workers ran with the responses that the callers got.
 func (s *gatewaySoak) checkRuns() {
 	arrived := map[string]bool{}
 	for _, w := range s.workers {
@@ -147,9 +149,9 @@
 			arrived[a.ID] = true
 		}
 	}
-	for id := range s.turnedAway {
+	for id := range s.refusedByServer {
 		if !arrived[id] {
-			s.violate("%s was told that a server had turned it away, and reached none", id)
+			s.addViolation("%s was answered as refused by a server but reached none", id)
 		}
 	}
 	ran := map[string]int{}
@@ -157,37 +159,37 @@
 		for _, r := range w.Runs() {
 			ran[r.ID]++
 			if want := "body of " + r.ID; r.Body != want || r.Header.Get("X-Tenant") != "team" {
-				s.violate("%s ran with body %q for team %q", r.ID, r.Body, r.Header.Get("X-Tenant"))
+				s.addViolation("%s ran with body %q for team %q", r.ID, r.Body, r.Header.Get("X-Tenant"))
 			}
 		}
 	}
-	if *gatewaySoakBreak == "double" {
+	if *gatewaySoakDefect == "double" {
 		for id := range ran {
 			ran[id]++
 			break
 		}
 	}
 	for id, n := range ran {
-		once := strings.HasPrefix(id, "post-") || strings.HasPrefix(id, "advice-")
-		if n > 1 && (once || *gatewaySoakBreak == "double") {
-			s.violate("%s ran %d times", id, n)
+		runsOnce := strings.HasPrefix(id, "post-") || strings.HasPrefix(id, "advice-")
+		if n > 1 && (runsOnce || *gatewaySoakDefect == "double") {
+			s.addViolation("%s ran %d times", id, n)
 		}
-		if *gatewaySoakBreak == "untrue" {
+		if *gatewaySoakDefect == "untrue" {
 			s.notRun[id] = true
 		}
-		if once && s.notRun[id] {
-			s.violate("%s was told not run and ran", id)
+		if runsOnce && s.notRun[id] {
+			s.addViolation("%s was answered as not run but ran", id)
 		}
 	}
 }
 
-// The retry budget in the fleet's settings, together with budgetSlack.
+// Together with budgetSlack, the retry budget in the settings of the fleet.
 const (
 	retryRatio  = 0.2
 	retryWindow = 10 * time.Second
 )
 
-// checkBudget checks that the repeated sends to each service stay within the retry budget in any window.
+// checkBudget checks that the repeated sends to each service stay within the retry budget in every window.
 func (s *gatewaySoak) checkBudget() {
 	rule := retryrule.Rule{Ratio: retryRatio, Window: retryWindow, Slack: budgetSlack}
 	for _, service := range []string{llmService, appService} {
@@ -198,19 +200,19 @@
 				continue
 			}
 			for _, a := range w.Arrivals() {
-				if first[a.ID] || *gatewaySoakBreak == "budget" {
+				if first[a.ID] || *gatewaySoakDefect == "budget" {
 					repeats = append(repeats, a.At)
 				}
 				first[a.ID] = true
 			}
 		}
-		for _, a := range s.asked {
+		for _, a := range s.requests {
 			if routeService(a) == service {
 				requests = append(requests, a.At)
 			}
 		}
 		if w := retryrule.Worst(rule, requests, repeats); w.Excess() > 0 {
-			s.violate("%d repeats at %s within %s, %.0f are allowed", w.Repeats, service, retryWindow, w.Allowed)
+			s.addViolation("%d repeats to %s within %s, %.0f are allowed", w.Repeats, service, retryWindow, w.Allowed)
 		}
 	}
 }
--- a/e2e/gatewaysoak_faults_test.go
+++ b/e2e/gatewaysoak_faults_test.go
@@ -12,118 +12,118 @@
 	"github.com/merlinpost/merlinpost/internal/standin/worker"
 )
 
-// disturbProcesses does one thing after another to gateway processes; what it does
-// depends on the seed only.
-func (s *gatewaySoak) disturbProcesses(ctx context.Context, rnd *rand.Rand) {
+// injectProcessFaults kills, suspends, stops and reloads gateway processes until ctx ends.
+// The sequence depends only on the seed.
+func (s *gatewaySoak) injectProcessFaults(ctx context.Context, rnd *rand.Rand) {
 	for ctx.Err() == nil {
 		g := s.gateways[rnd.IntN(len(s.gateways))]
 		pause := time.Duration(50+rnd.IntN(400)) * time.Millisecond
-		s.calm.RLock()
+		s.faultLock.RLock()
 		switch rnd.IntN(4) {
 		case 0:
 			s.kill(g)
 			s.restart(g)
 		case 1:
-			_ = g.cmd.Process.Signal(syscall.SIGSTOP) // may have ended
-			wait(ctx, pause)
+			_ = g.cmd.Process.Signal(syscall.SIGSTOP) // may have exited
+			sleep(ctx, pause)
 			_ = g.cmd.Process.Signal(syscall.SIGCONT)
 		case 2:
 			_ = g.cmd.Process.Signal(syscall.SIGTERM)
 			select {
 			case <-g.exited:
-			case <-time.After(waitLimit):
-				s.violate("%s did not stop", g.host)
+			case <-time.After(waitTimeout):
+				s.addViolation("%s did not exit after SIGTERM", g.host)
 				s.kill(g)
 			}
 			s.restart(g)
 		case 3:
-			// Before its main function runs, SIGHUP ends any program.
+			// SIGHUP terminates a program that has not installed its handler yet.
 			if strings.Contains(g.log.String(), "gateway started") {
 				_ = g.cmd.Process.Signal(syscall.SIGHUP)
 			}
 		}
-		s.calm.RUnlock()
-		wait(ctx, pause/4)
+		s.faultLock.RUnlock()
+		sleep(ctx, pause/4)
 	}
 }
 
-// disturbSurroundings does one thing after another to the store, the workers and the
-// connections, beside what happens to processes.
-func (s *gatewaySoak) disturbSurroundings(ctx context.Context, rnd *rand.Rand) {
+// injectEnvironmentFaults injects faults into the store, the workers and the connections
+// until ctx ends, concurrently with injectProcessFaults.
+func (s *gatewaySoak) injectEnvironmentFaults(ctx context.Context, rnd *rand.Rand) {
 	for ctx.Err() == nil {
 		g := s.gateways[rnd.IntN(len(s.gateways))]
 		i := rnd.IntN(len(s.fleet.workers))
 		w := s.fleet.workers[i]
 		pause := time.Duration(50+rnd.IntN(400)) * time.Millisecond
-		names := []string{w.ID, g.host} // connections to a worker, to the store
-		cut := s.cutter(names[rnd.IntN(len(names))])
+		names := []string{w.ID, g.host} // connections to a worker or to the store
+		proxy := s.proxy(names[rnd.IntN(len(names))])
 		switch rnd.IntN(15) {
 		case 0:
 			s.store.SetMode([]platformstore.Mode{platformstore.Busy, platformstore.Silent}[rnd.IntN(2)])
-			wait(ctx, pause)
+			sleep(ctx, pause)
 			s.store.SetMode(platformstore.Up)
 		case 1:
 			s.store.Forget(platformstore.TopicServers)
 			s.store.Forget(platformstore.TopicOperator)
 		case 2:
-			s.configure(nil)
+			s.publishConfig(nil)
 		case 3:
-			s.configure(grown(s.newestVersion() % 7 * 200)) // what is drawn afterwards stays as it was
+			s.publishConfig(unusedRoutes(s.newestVersion() % 7 * 200)) // without a random draw, so that the sequences of existing seeds stay the same
 		case 4:
-			w.Next(misbehaviours(w)...)
+			w.Next(faultyBehaviours(w)...)
 		case 5:
 			w.CloseConnections()
 		case 6:
-			s.replace(i)
+			s.replaceWorker(i)
 		case 7:
-			cut.reset()
+			proxy.resetAll()
 		case 8:
-			cut.sever()
+			proxy.closeAll()
 		case 9:
-			cut.silence(true, true)
+			proxy.blackhole(true, true)
 		case 10:
-			cut.silence(rnd.IntN(2) == 0, true) // one way, or both
+			proxy.blackhole(rnd.IntN(2) == 0, true) // towards the gateway, or both directions
 		case 11:
-			cut.delay.Store(int64(pause / 10))
-			wait(ctx, pause)
-			cut.delay.Store(0)
+			proxy.delay.Store(int64(pause / 10))
+			sleep(ctx, pause)
+			proxy.delay.Store(0)
 		case 12:
-			if rnd.IntN(3) == 0 { // it takes a while without failures
-				s.drain(ctx, i)
+			if rnd.IntN(3) == 0 { // rarely, because it pauses the other faults
+				s.checkDrain(ctx, i)
 			}
 		case 13:
-			s.startAgain(ctx, i, rnd.IntN(2) == 0, time.Duration(rnd.IntN(3))*pause)
+			s.restartWorker(ctx, i, rnd.IntN(2) == 0, time.Duration(rnd.IntN(3))*pause)
 		case 14:
-			s.spoilEntry(ctx, w, pause)
+			s.corruptEntry(ctx, w, pause)
 		}
-		wait(ctx, pause/4)
+		sleep(ctx, pause/4)
 	}
 }
 
-// speak has workers say things of themselves for a while: a rate, nothing that can be read, and with a
-// refusal that they want nothing.
-func (s *gatewaySoak) speak(ctx context.Context, rnd *rand.Rand) {
-	said := [][]string{{"Server-Limit: 2"}, {"Server-Limit: 40"}, {"Server-Limit: 0"}, {"Server-Limit: many"}, {"Server-Limit: 1", "Server-Limit: 9"}}
+// sendNotices makes workers send rate limits in their responses, valid and malformed, and refusals with
+// a Retry-After header, each for a while.
+func (s *gatewaySoak) sendNotices(ctx context.Context, rnd *rand.Rand) {
+	notices := [][]string{{"Server-Limit: 2"}, {"Server-Limit: 40"}, {"Server-Limit: 0"}, {"Server-Limit: many"}, {"Server-Limit: 1", "Server-Limit: 9"}}
 	for ctx.Err() == nil {
-		s.calm.RLock()
+		s.faultLock.RLock()
 		s.fleet.mu.Lock()
 		w := s.fleet.workers[rnd.IntN(len(s.fleet.workers))]
 		s.fleet.mu.Unlock()
 		pause := time.Duration(100+rnd.IntN(900)) * time.Millisecond
-		if i := rnd.IntN(len(said) + 1); i < len(said) {
-			w.Say(said[i]...)
+		if i := rnd.IntN(len(notices) + 1); i < len(notices) {
+			w.Say(notices[i]...)
 		} else {
 			w.Next(worker.Behaviour{Refuse: true, RetryAfter: "0.4"}, worker.Behaviour{Refuse: true, RetryAfter: "soon"})
 		}
-		wait(ctx, pause)
+		sleep(ctx, pause)
 		w.Say()
-		s.calm.RUnlock()
-		wait(ctx, pause/2)
+		s.faultLock.RUnlock()
+		sleep(ctx, pause/2)
 	}
 }
 
-// grown adds routes to a configuration that callers do not use.
-func grown(routes int) func(config map[string]any) {
+// unusedRoutes returns a change that adds routes without traffic to a configuration.
+func unusedRoutes(routes int) func(config map[string]any) {
 	return func(config map[string]any) {
 		list := config["routes"].([]any)
 		for i := range routes {
@@ -134,20 +134,20 @@
 	}
 }
 
-// calmDown ends what lasts.
-func (s *gatewaySoak) calmDown() {
+// clearFaults ends all lasting faults.
+func (s *gatewaySoak) clearFaults() {
 	s.store.SetMode(platformstore.Up)
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	for _, c := range s.cutters {
+	for _, c := range s.proxies {
 		c.delay.Store(0)
-		c.sever() // silent connections would have to be found out first
+		c.closeAll() // otherwise gateways would first have to detect dead connections
 	}
 }
 
-// misbehaviours are what a worker does with its next requests. Engines go on giving
-// streams, so that what callers are to get stays the same.
-func misbehaviours(w *worker.Worker) []worker.Behaviour {
+// faultyBehaviours returns faulty behaviours for the next requests of a worker. Engines keep
+// sending streams, so that the expected responses stay the same.
+func faultyBehaviours(w *worker.Worker) []worker.Behaviour {
 	events := 0
 	if serviceOf(w) == llmService {
 		events = streamEvents
@@ -164,12 +164,12 @@
 	return appService
 }
 
-// replace ends a worker without a word and starts another of its service.
-func (s *gatewaySoak) replace(i int) {
+// replaceWorker closes a worker without draining it and starts another one of the same service.
+func (s *gatewaySoak) replaceWorker(i int) {
 	old := s.fleet.workers[i]
 	next, err := s.addWorker(serviceOf(old))
 	if err != nil {
-		s.violate("no worker: %v", err)
+		s.addViolation("start a replacement worker: %v", err)
 		return
 	}
 	s.mu.Lock()
@@ -187,28 +187,28 @@
 	s.restarts++
 	s.mu.Unlock()
 	if err := s.start(g); err != nil {
-		s.violate("%s does not start: %v", g.host, err)
+		s.addViolation("%s failed to start: %v", g.host, err)
 	}
 }
 
-// startAgain ends a worker without a word and starts it again under its ID after a
-// while, where it was or at another address.
-func (s *gatewaySoak) startAgain(ctx context.Context, i int, elsewhere bool, after time.Duration) {
+// restartWorker closes a worker without draining it and, after a delay, restarts it with
+// the same ID at its previous or at a new address.
+func (s *gatewaySoak) restartWorker(ctx context.Context, i int, newAddress bool, delay time.Duration) {
 	old := s.fleet.workers[i]
 	old.Close()
-	wait(ctx, after)
+	sleep(ctx, delay)
 	address := old.Address()
-	if elsewhere {
+	if newAddress {
 		address = "127.0.0.1:0"
-		s.forgetCutter(old.ID)
+		s.replaceProxy(old.ID)
 	}
 	next, err := worker.StartAt(old.ID, address)
 	if err != nil {
-		s.violate("the worker %s does not start again: %v", old.ID, err)
+		s.addViolation("restart worker %s: %v", old.ID, err)
 		return
 	}
 	if serviceOf(next) == llmService {
-		next.Behave(wholeStream)
+		next.Behave(completeStream)
 	}
 	next.Born = max(next.Born, old.Born+1)
 	s.fleet.mu.Lock()
@@ -218,16 +218,17 @@
 	s.workers = append(s.workers, next)
 	s.mu.Unlock()
 	if err := s.register(next, serviceOf(next), "ready"); err != nil {
-		s.violate("the worker %s is not listed again: %v", old.ID, err)
+		s.addViolation("register worker %s again: %v", old.ID, err)
 	}
 }
 
-// spoilEntry has another writer overwrite a worker's entry for a while.
-func (s *gatewaySoak) spoilEntry(ctx context.Context, w *worker.Worker, pause time.Duration) {
+// corruptEntry overwrites the registry entry of a worker with malformed data for a while,
+// and adds a malformed entry of another writer.
+func (s *gatewaySoak) corruptEntry(ctx context.Context, w *worker.Worker, pause time.Duration) {
 	s.store.Put(platformstore.TopicServers, w.ID, []byte(`{"service":"`+serviceOf(w)+`","address":7,"state":"ready"`))
 	s.store.Put(platformstore.TopicServers, "someone-else", []byte{0, 255})
-	wait(ctx, pause)
+	sleep(ctx, pause)
 	if err := s.register(w, serviceOf(w), "ready"); err != nil {
-		s.violate("the worker %s is not listed again: %v", w.ID, err)
+		s.addViolation("register worker %s again: %v", w.ID, err)
 	}
 }
--- a/e2e/notices_test.go
+++ b/e2e/notices_test.go
@@ -17,95 +17,96 @@
 )
 
 const (
-	// askEvery is the pause between two requests, at gateways drawn at random.
-	askEvery = 20 * time.Millisecond
-	// limitWindow is the span in which arrivals are counted.
+	// sendInterval is the interval between requests, each to a random gateway.
+	sendInterval = 20 * time.Millisecond
+	// limitWindow is the window in which arrivals are counted.
 	limitWindow = 4 * time.Second
-	// Aims: in any limitWindow at most mostOfLimit times what the limit allows and limitSpare more;
-	// where all servers are limited, at least leastOfLimit of what they allow is used; where others
-	// have room, callers notice nothing.
-	mostOfLimit, limitSpare = 1.5, 5
-	leastOfLimit            = 0.7
-	leastUnnoticed          = 0.99
-	// longestRefusal is half of the time that callers wait.
-	longestRefusal = 2500 * time.Millisecond
-	// leaveWithin is the time after which nothing reaches a server that has said that it leaves.
-	leaveWithin = 2 * time.Second
-	// rest is what servers ask for with a refusal, in seconds. From restKnown after the refusal to its end
-	// a gateway may send mostInRest requests.
-	rest, restKnown, mostInRest = 4, 500 * time.Millisecond, 2
-	// knownWithin is the time within which a limit that is taken back is known.
-	knownWithin = 3 * time.Second
+	// A server may get at most maxLimitRatio times its limit plus limitSlack requests in any limitWindow.
+	// If all servers are limited, at least minLimitUse of their limits must be used. If other servers
+	// have capacity, at least minServedUnlimited of the requests must be served.
+	maxLimitRatio, limitSlack = 1.5, 5
+	minLimitUse               = 0.7
+	minServedUnlimited        = 0.99
+	// maxRefusalDelay is half the deadline of callers.
+	maxRefusalDelay = 2500 * time.Millisecond
+	// leaveTimeout is the time after its leaving notice from which a server must get no requests.
+	leaveTimeout = 2 * time.Second
+	// retryAfterSeconds is the Retry-After that servers send with a refusal. From retryAfterGrace after the
+	// refusal until this time has passed, a gateway may send the server maxSendsInRetryAfter requests.
+	retryAfterSeconds, retryAfterGrace, maxSendsInRetryAfter = 4, 500 * time.Millisecond, 2
+	// limitResetTimeout is the time within which a withdrawn limit must be lifted.
+	limitResetTimeout = 3 * time.Second
 )
 
-// speakers is a fleet of which servers of one service say something of themselves.
-type speakers struct {
+// noticeTest is a fleet in which the servers of one service send notices about themselves, such as a
+// rate limit, in the headers of their responses.
+type noticeTest struct {
 	*fleet
-	t       *testing.T
-	route   string
-	rnd     *rand.Rand
-	servers []*worker.Worker // of the route's service
-	kills   bool             // gateways are killed in this run
-	asked   sync.WaitGroup
+	t                 *testing.T
+	route             string
+	rnd               *rand.Rand
+	servers           []*worker.Worker // of the route's service
+	gatewaysDisrupted bool             // gateways are killed, stopped or suspended in this run
+	pending           sync.WaitGroup
 
-	mu      sync.Mutex
-	answers []callerAnswer
+	mu        sync.Mutex
+	responses []timedResponse
 }
 
-// callerAnswer is what a caller got, and when it had asked.
-type callerAnswer struct {
-	fleetAnswer
+// timedResponse is a response with the time of its request.
+type timedResponse struct {
+	fleetResponse
 	id   string
 	at   time.Time
 	took time.Duration
 }
 
-func startSpeakers(t *testing.T, route string, servers int, seed uint64) *speakers {
+func startNoticeTest(t *testing.T, route string, servers int, seed uint64) *noticeTest {
 	t.Helper()
 	f := startFleet(t, servedRoutes[route], servers)
-	s := &speakers{fleet: f, t: t, route: route, rnd: rand.New(rand.NewPCG(seed, 1))}
+	s := &noticeTest{fleet: f, t: t, route: route, rnd: rand.New(rand.NewPCG(seed, 1))}
 	for _, w := range f.workers {
 		if serviceOf(w) == servedRoutes[route] {
-			say(w)
+			setNotices(w)
 			s.servers = append(s.servers, w)
 		}
 	}
-	t.Cleanup(s.asked.Wait)
+	t.Cleanup(s.pending.Wait)
 	return s
 }
 
-// say has a server say these lines of itself, and that it closes its connections, as it does after a
-// stream: one on which a request was just sent would else end without an answer, and where no other server
-// takes the request its caller is told so.
-func say(w *worker.Worker, lines ...string) { w.Say(append(lines, "Connection: close")...) }
+// setNotices sets the notice headers of a server. Responses also carry Connection: close, because the
+// server closes its connections, as it does after a stream. Otherwise a request just sent on such a
+// connection would get no response, and its caller an error if no other server takes the request.
+func setNotices(w *worker.Worker, lines ...string) { w.Say(append(lines, "Connection: close")...) }
 
-// askFor sends requests for a while, beside what else happens.
-func (s *speakers) askFor(d time.Duration) {
+// sendFor sends requests to random gateways for a duration.
+func (s *noticeTest) sendFor(d time.Duration) {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
-		s.askOne(s.gateways[s.rnd.IntN(len(s.gateways))])
-		time.Sleep(askEvery)
+		s.sendOne(s.gateways[s.rnd.IntN(len(s.gateways))])
+		time.Sleep(sendInterval)
 	}
 }
 
-func (s *speakers) askOne(g *gatewayProc) {
+func (s *noticeTest) sendOne(g *gatewayProc) {
 	id := fmt.Sprintf("%s/%s/%d", g.host, s.route, s.rnd.Uint64())
 	at := time.Now()
-	s.asked.Go(func() {
-		a := s.ask(context.Background(), g, s.route, id)
+	s.pending.Go(func() {
+		a := s.send(context.Background(), g, s.route, id)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.answers = append(s.answers, callerAnswer{a, id, at, time.Since(at)})
+		s.responses = append(s.responses, timedResponse{a, id, at, time.Since(at)})
 	})
 }
 
-// busiest returns the server that has got most requests.
-func (s *speakers) busiest() *worker.Worker {
+// busiestServer returns the server that has got the most requests.
+func (s *noticeTest) busiestServer() *worker.Worker {
 	return slices.MaxFunc(s.servers, func(a, b *worker.Worker) int { return a.Asked() - b.Asked() })
 }
 
-// worst returns the most arrivals at a server in any limitWindow that begins after a time.
-func worst(w *worker.Worker, from time.Time) int {
+// maxArrivals returns the largest number of arrivals at a server in any limitWindow that begins after a time.
+func maxArrivals(w *worker.Worker, from time.Time) int {
 	var at []time.Time
 	for _, a := range w.Arrivals() {
 		if a.At.After(from) {
@@ -123,48 +124,51 @@
 	return most
 }
 
-// allowed is how many requests a limit allows in limitWindow.
-func allowed(limit float64) int { return int(mostOfLimit*limit*limitWindow.Seconds()) + limitSpare }
+// allowedArrivals returns the number of requests that a limit per second allows in limitWindow.
+func allowedArrivals(limit float64) int {
+	return int(maxLimitRatio*limit*limitWindow.Seconds()) + limitSlack
+}
 
-// checkLimit checks that a server has got no more than its limit allows since it has been known.
-func (s *speakers) checkLimit(w *worker.Worker, limit float64, stated time.Time) {
+// checkLimit checks that a server got no more requests than its limit allows, from learnTimeout after it
+// was stated.
+func (s *noticeTest) checkLimit(w *worker.Worker, limit float64, stated time.Time) {
 	s.t.Helper()
-	most := worst(w, stated.Add(contact))
-	s.t.Logf("%s: %s stated %v a second and got %d in its worst 4 s, allowed %d", s.route, w.ID, limit, most, allowed(limit))
-	if most > allowed(limit) {
-		s.t.Errorf("%s: %s got %d requests in 4 s, allowed %d", s.route, w.ID, most, allowed(limit))
+	most := maxArrivals(w, stated.Add(learnTimeout))
+	s.t.Logf("%s: %s stated a limit of %v/s and got at most %d requests in 4 s, allowed %d", s.route, w.ID, limit, most, allowedArrivals(limit))
+	if most > allowedArrivals(limit) {
+		s.t.Errorf("%s: %s got %d requests in 4 s, allowed %d", s.route, w.ID, most, allowedArrivals(limit))
 	}
 }
 
-// checkServed checks that callers noticed nothing; those whose gateway was killed don't count in a run in
-// which gateways are.
-func (s *speakers) checkServed() {
+// checkServed checks that nearly all requests were served. Connection errors do not count in a run that
+// disrupts gateways.
+func (s *noticeTest) checkServed() {
 	s.t.Helper()
-	s.asked.Wait()
+	s.pending.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	served, asked := 0, 0
-	for _, a := range s.answers {
-		if a.err != nil && s.kills {
+	served, total := 0, 0
+	for _, a := range s.responses {
+		if a.err != nil && s.gatewaysDisrupted {
 			continue
 		}
-		asked++
-		if a.status == 200 && a.body == want(s.route, a.id) {
+		total++
+		if a.status == 200 && a.body == wantBody(s.route, a.id) {
 			served++
 		} else {
-			s.t.Logf("%s: %d after %s: %s %v", a.id, a.status, a.took, a.body, a.err)
+			s.t.Logf("%s: status %d after %s: body %s, error %v", a.id, a.status, a.took, a.body, a.err)
 		}
 	}
-	if share := float64(served) / float64(max(1, asked)); share < leastUnnoticed {
-		s.t.Errorf("%s: %d of %d requests served", s.route, served, asked)
+	if share := float64(served) / float64(max(1, total)); share < minServedUnlimited {
+		s.t.Errorf("%s: %d of %d requests served", s.route, served, total)
 	}
 }
 
-// checkRefusals checks that each request was served, or refused at once with when to come back, true
-// about not having run.
-func (s *speakers) checkRefusals() {
+// checkRefusals checks that each request was served, or refused promptly with a Retry-After header and
+// without having run.
+func (s *noticeTest) checkRefusals() {
 	s.t.Helper()
-	s.asked.Wait()
+	s.pending.Wait()
 	ran := map[string]bool{}
 	for _, w := range s.servers {
 		for _, r := range w.Runs() {
@@ -174,7 +178,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	refused := 0
-	for _, a := range s.answers {
+	for _, a := range s.responses {
 		if a.err != nil {
 			s.t.Errorf("%s: %v", a.id, a.err)
 			continue
@@ -183,165 +187,162 @@
 			continue
 		}
 		refused++
-		back, err := strconv.ParseFloat(a.retryAfter, 64)
+		retryAfter, err := strconv.ParseFloat(a.retryAfter, 64)
 		switch {
 		case a.status != 429 && a.status != 503:
-			s.t.Errorf("%s: %d %s", a.id, a.status, a.body)
-		case err != nil || back <= 0:
-			s.t.Errorf("%s was refused without when to come back: %q", a.id, a.retryAfter)
-		case a.took > longestRefusal:
-			s.t.Errorf("%s was refused after %s", a.id, a.took)
+			s.t.Errorf("%s: unexpected status %d: %s", a.id, a.status, a.body)
+		case err != nil || retryAfter <= 0:
+			s.t.Errorf("%s was refused without a valid Retry-After: %q", a.id, a.retryAfter)
+		case a.took > maxRefusalDelay:
+			s.t.Errorf("%s was refused only after %s", a.id, a.took)
 		case ran[a.id]:
-			s.t.Errorf("%s was refused and has run", a.id)
+			s.t.Errorf("%s was refused but ran", a.id)
 		}
 	}
-	s.t.Logf("%s: %d of %d refused", s.route, refused, len(s.answers))
+	s.t.Logf("%s: %d of %d refused", s.route, refused, len(s.responses))
 }
 
-// What the operators saw: a backend server that had stated in its answers that it takes one request a
-// second from all hosts together went on getting three to ten a second; callers noticed nothing. Order:
-// a server states its limit; each gateway passes the answer on; its next requests go by load and by the
-// prompts' shared parts as before. Cause: of what a server says of itself in its answers only its load
-// was read. Evidence: decision lines of such sends name the limit that the same gateway had just been
-// told, on each kind of route, and the rate does not change at the first word.
-func TestAStatedRateLimitIsKept(t *testing.T) {
-	play := func(name, route string, seed uint64, meanwhile func(s *speakers)) {
+// Guards against gateways ignoring the rate limit that a backend server states in its responses. Gateways
+// read only the load from the responses and kept choosing servers by load and by shared prompt prefixes: a
+// server with a limit of 1/s over all hosts got 3 to 10 requests per second on all kinds of route, right
+// after the same gateway had logged the limit in its decision lines. Callers did not notice.
+func TestServerRateLimitIsRespected(t *testing.T) {
+	run := func(name, route string, seed uint64, disrupt func(s *noticeTest)) {
 		t.Run(name+"/"+route, func(t *testing.T) {
 			t.Parallel()
-			s := startSpeakers(t, route, 6, seed)
-			s.askFor(time.Second)
-			w := s.busiest()
-			say(w, "Server-Limit: 1")
+			s := startNoticeTest(t, route, 6, seed)
+			s.sendFor(time.Second)
+			w := s.busiestServer()
+			setNotices(w, "Server-Limit: 1")
 			stated := time.Now()
-			s.askFor(contact)
-			meanwhile(s)
+			s.sendFor(learnTimeout)
+			disrupt(s)
 			s.checkLimit(w, 1, stated)
 			s.checkServed()
 		})
 	}
 	for route := range servedRoutes {
-		play("calm", route, 1, func(s *speakers) { s.askFor(limitWindow + 2*time.Second) })
+		run("undisturbed", route, 1, func(s *noticeTest) { s.sendFor(limitWindow + 2*time.Second) })
 	}
 	for _, route := range []string{"list", "advice"} {
-		play("restarts", route, 2, (*speakers).restartAll)
-		play("freezes", route, 8, (*speakers).freezeAll)
-		play("planned stops", route, 9, (*speakers).stopAll)
+		run("restarts", route, 2, (*noticeTest).restartEachGateway)
+		run("suspensions", route, 8, (*noticeTest).suspendEachGateway)
+		run("planned stops", route, 9, (*noticeTest).stopEachGateway)
 	}
 }
 
-// freezeAll holds one gateway after the other up while requests are sent.
-func (s *speakers) freezeAll() {
-	s.kills = true
+// suspendEachGateway suspends and resumes one gateway after another while requests are sent.
+func (s *noticeTest) suspendEachGateway() {
+	s.gatewaysDisrupted = true
 	for _, g := range s.gateways {
-		_ = g.cmd.Process.Signal(syscall.SIGSTOP) // ours, and running
-		s.askFor(time.Second)
+		_ = g.cmd.Process.Signal(syscall.SIGSTOP) // started by this test and running
+		s.sendFor(time.Second)
 		_ = g.cmd.Process.Signal(syscall.SIGCONT)
-		s.askFor(time.Second)
+		s.sendFor(time.Second)
 	}
 }
 
-// stopAll stops and starts one gateway after the other while requests are sent to those that are ready.
-func (s *speakers) stopAll() {
-	s.kills = true
+// stopEachGateway stops and restarts one gateway after another while requests are sent.
+func (s *noticeTest) stopEachGateway() {
+	s.gatewaysDisrupted = true
 	for _, g := range s.gateways {
 		_ = g.cmd.Process.Signal(syscall.SIGTERM)
-		s.askFor(500 * time.Millisecond)
+		s.sendFor(500 * time.Millisecond)
 		<-g.exited
 		if err := s.start(g); err != nil {
 			s.t.Fatal(err)
 		}
-		s.askFor(time.Second)
+		s.sendFor(time.Second)
 	}
 }
 
-// restartAll kills and starts one gateway after the other while requests are sent.
-func (s *speakers) restartAll() {
-	s.kills = true
+// restartEachGateway kills and restarts one gateway after another while requests are sent.
+func (s *noticeTest) restartEachGateway() {
+	s.gatewaysDisrupted = true
 	for _, g := range s.gateways {
 		s.kill(g)
 		if err := s.start(g); err != nil {
 			s.t.Fatal(err)
 		}
-		s.askFor(1500 * time.Millisecond)
+		s.sendFor(1500 * time.Millisecond)
 	}
 }
 
-// Where all servers are limited to half of what is asked, they get what they allow and hardly less, and
-// who is refused is told so at once, and when to come back.
-func TestWhereAllServersStateALimit(t *testing.T) {
+// Guards against exceeding or underusing the rate limits when all servers are limited to half the load, and
+// against refusals that come late or without a Retry-After header.
+func TestRateLimitsOnAllServers(t *testing.T) {
 	const limit = 4.0
 	for _, route := range []string{"list", "advice"} {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
-			s := startSpeakers(t, route, 6, 3)
+			s := startNoticeTest(t, route, 6, 3)
 			for _, w := range s.servers {
-				say(w, fmt.Sprint("Server-Limit: ", limit))
+				setNotices(w, fmt.Sprint("Server-Limit: ", limit))
 			}
 			stated := time.Now()
-			s.askFor(contact)
+			s.sendFor(learnTimeout)
 			before := 0
 			for _, w := range s.servers {
 				before += w.Asked()
 			}
 			const during = 6 * time.Second
-			s.askFor(during)
+			s.sendFor(during)
 			used := -before
 			for _, w := range s.servers {
 				used += w.Asked()
 				s.checkLimit(w, limit, stated)
 			}
-			all := limit * float64(len(s.servers)) * during.Seconds()
-			t.Logf("%s: %d of %.0f used", route, used, all)
-			if float64(used) < leastOfLimit*all {
-				t.Errorf("%s: %d of the %.0f requests that the limits allow were sent", route, used, all)
+			capacity := limit * float64(len(s.servers)) * during.Seconds()
+			t.Logf("%s: sent %d of the %.0f requests that the limits allow", route, used, capacity)
+			if float64(used) < minLimitUse*capacity {
+				t.Errorf("%s: only %d of the %.0f requests that the limits allow were sent", route, used, capacity)
 			}
 			s.checkRefusals()
 		})
 	}
 }
 
-// A limit that a server no longer states is known within seconds, and the server used as the others.
-func TestALimitThatIsTakenBackIsForgotten(t *testing.T) {
+// Guards against gateways keeping a rate limit after the server no longer states it.
+func TestWithdrawnRateLimitIsLifted(t *testing.T) {
 	for _, route := range []string{"list", "advice"} {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
-			s := startSpeakers(t, route, 2, 4)
+			s := startNoticeTest(t, route, 2, 4)
 			for _, w := range s.servers {
-				say(w, "Server-Limit: 1")
+				setNotices(w, "Server-Limit: 1")
 			}
-			s.askFor(contact + time.Second)
+			s.sendFor(learnTimeout + time.Second)
 			for _, w := range s.servers {
-				say(w)
+				setNotices(w)
 			}
-			s.askFor(knownWithin)
-			s.asked.Wait()
+			s.sendFor(limitResetTimeout)
+			s.pending.Wait()
 			s.mu.Lock()
-			s.answers = nil
+			s.responses = nil
 			s.mu.Unlock()
-			s.askFor(time.Second)
+			s.sendFor(time.Second)
 			s.checkServed()
 		})
 	}
 }
 
-// What the operators saw: with the store silent, a backend server that had said in its answers that it
-// leaves went on getting requests from hosts that had passed these answers on. Order: the store falls
-// silent; the server can't enter that it leaves, and says so in its answers; gateways pass these on and
-// choose it again. Cause: the list alone decided who leaves. Evidence: decision lines of such sends name
-// the server as chosen with a list that is seconds old, right after a line in which it said that it
-// leaves; the same where the store is sound and the list says ready, on each kind of route.
-func TestAServerThatSaysItLeavesGetsNoMore(t *testing.T) {
-	play := func(name, route string, servers int, meanwhile func(s *speakers), served bool) {
+// Guards against gateways sending requests to a backend server that has announced in its responses that it
+// is leaving. Only the registry decided who is leaving. With an unresponsive store the server could not
+// update its entry, and gateways chose it by a registry that was seconds old, right after forwarding a
+// response with the notice. The same happened on all kinds of route with a healthy store while the entry
+// still said ready.
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
+	run := func(name, route string, servers int, disrupt func(s *noticeTest), served bool) {
 		t.Run(name+"/"+route, func(t *testing.T) {
 			t.Parallel()
-			s := startSpeakers(t, route, servers, 5)
-			s.askFor(time.Second)
-			meanwhile(s)
-			w := s.busiest()
-			say(w, "Server-Leaving: 1")
-			said := time.Now()
-			s.askFor(leaveWithin + 3*time.Second)
-			s.checkLeft(w, said)
+			s := startNoticeTest(t, route, servers, 5)
+			s.sendFor(time.Second)
+			disrupt(s)
+			w := s.busiestServer()
+			setNotices(w, "Server-Leaving: 1")
+			announced := time.Now()
+			s.sendFor(leaveTimeout + 3*time.Second)
+			s.checkNoLateArrivals(w, announced)
 			if served {
 				s.checkServed()
 			} else {
@@ -350,102 +351,102 @@
 		})
 	}
 	for route := range servedRoutes {
-		play("listed as ready", route, 4, func(*speakers) {}, true)
+		run("registered as ready", route, 4, func(*noticeTest) {}, true)
 	}
 	for _, route := range []string{"post", "report"} {
-		play("store silent", route, 4, func(s *speakers) { s.store.SetMode(platformstore.Silent) }, true)
-		play("no other", route, 1, func(*speakers) {}, false)
+		run("store unresponsive", route, 4, func(s *noticeTest) { s.store.SetMode(platformstore.Silent) }, true)
+		run("only server", route, 1, func(*noticeTest) {}, false)
 	}
 }
 
-// checkLeft checks that nothing has reached a server later than leaveWithin after its first answer that said
-// that it leaves: until it is asked it has told nobody, and the first gateway that it tells tells the others.
-func (s *speakers) checkLeft(w *worker.Worker, said time.Time) {
+// checkNoLateArrivals checks that no request reached a server more than leaveTimeout after its first response
+// with the leaving notice. Nobody knows of the notice before that response; the gateway that gets it informs
+// the others.
+func (s *noticeTest) checkNoLateArrivals(w *worker.Worker, announced time.Time) {
 	s.t.Helper()
 	late := 0
 	arrivals := w.Arrivals()
-	told := firstAfter(arrivals, said)
+	firstNotice := firstArrivalAfter(arrivals, announced)
 	for _, a := range arrivals {
-		if a.At.After(told.Add(leaveWithin)) {
+		if a.At.After(firstNotice.Add(leaveTimeout)) {
 			late++
 		}
 	}
-	s.t.Logf("%s: %d requests reached %s later than %s after it had said that it leaves", s.route, late, w.ID, leaveWithin)
+	s.t.Logf("%s: %d requests reached %s more than %s after its leaving notice", s.route, late, w.ID, leaveTimeout)
 	if late > 0 {
-		s.t.Errorf("%s: %d requests reached %s later than %s after it had said that it leaves", s.route, late, w.ID, leaveWithin)
+		s.t.Errorf("%s: %d requests reached %s more than %s after its leaving notice", s.route, late, w.ID, leaveTimeout)
 	}
 }
 
-// Another start at the address of a server that has left serves at once.
-func TestTheNextStartOfAServerThatLeftServesAtOnce(t *testing.T) {
-	s := startSpeakers(t, "list", 1, 6)
-	old := s.servers[0]
-	say(old, "Server-Leaving: 1")
-	s.askFor(500 * time.Millisecond)
-	s.asked.Wait()
-	old.Close()
-	next, err := worker.StartAt(old.ID, old.Address())
+// Guards against a leaving notice applying to the next start of the server at the same address.
+func TestRestartedServerServesAfterLeaving(t *testing.T) {
+	s := startNoticeTest(t, "list", 1, 6)
+	previous := s.servers[0]
+	setNotices(previous, "Server-Leaving: 1")
+	s.sendFor(500 * time.Millisecond)
+	s.pending.Wait()
+	previous.Close()
+	next, err := worker.StartAt(previous.ID, previous.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Close)
-	next.Born = old.Born + 1
+	next.Born = previous.Born + 1
 	if err := s.register(next, appService, "ready"); err != nil {
 		t.Fatal(err)
 	}
-	s.askFor(time.Second) // until the list is read
-	s.asked.Wait()
+	s.sendFor(time.Second) // until the gateways have read the registry
+	s.pending.Wait()
 	s.mu.Lock()
-	s.answers = nil
+	s.responses = nil
 	s.mu.Unlock()
-	s.askFor(500 * time.Millisecond)
+	s.sendFor(500 * time.Millisecond)
 	s.checkServed()
 }
 
-// What servers that turn requests away with a time to come back saw: the same gateway sent them more
-// within that time, where all of them rest. Order: all servers of a service answer 503 and 4 s; each
-// gateway chooses them again with its next request. Cause: that time was not read; one server among
-// others was left alone by the pauses after failures, which end after 2 s at most. Evidence: decision
-// lines show the time that was asked for, and the next send to the same server some ms later.
-func TestAServerThatWantsNothingForAWhileIsLeftAlone(t *testing.T) {
+// Guards against gateways ignoring the Retry-After header of servers. When all servers of a service answered
+// 503 with Retry-After: 4, each gateway sent to them again within milliseconds, as decision lines show, because
+// the header was not read. A single refusing server was spared only by the pauses after failures, which last
+// at most 2 s.
+func TestServerRetryAfterIsRespected(t *testing.T) {
 	for route := range servedRoutes {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
-			s := startSpeakers(t, route, 4, 7)
-			s.askFor(time.Second)
+			s := startNoticeTest(t, route, 4, 7)
+			s.sendFor(time.Second)
 			for _, w := range s.servers {
-				w.Behave(worker.Behaviour{Refuse: true, RetryAfter: fmt.Sprint(rest)})
+				w.Behave(worker.Behaviour{Refuse: true, RetryAfter: fmt.Sprint(retryAfterSeconds)})
 			}
 			refusing := time.Now()
-			s.askFor(time.Second)
+			s.sendFor(time.Second)
 			for _, w := range s.servers {
-				if b := wholeStream; servedRoutes[route] == llmService {
+				if b := completeStream; servedRoutes[route] == llmService {
 					w.Behave(b)
 				} else {
 					w.Behave(worker.Behaviour{BreakAfter: -1})
 				}
 			}
-			s.askFor(rest*time.Second + time.Second)
-			s.checkRests(refusing, refusing.Add(time.Second))
+			s.sendFor(retryAfterSeconds*time.Second + time.Second)
+			s.checkRetryAfter(refusing, refusing.Add(time.Second))
 			s.checkRefusals()
 			s.mu.Lock()
-			s.answers = nil
+			s.responses = nil
 			s.mu.Unlock()
-			s.askFor(time.Second)
+			s.sendFor(time.Second)
 			s.checkServed()
 		})
 	}
 }
 
-// sender returns the gateway at which a request came.
-func sender(id string) string {
+// gatewayOf returns the host of the gateway to which a request was sent.
+func gatewayOf(id string) string {
 	host, _, _ := strings.Cut(id, "/")
 	return host
 }
 
-// checkRests checks that no gateway sent a server more than mostInRest requests in a rest that it asked
-// for between two times.
-func (s *speakers) checkRests(from, to time.Time) {
+// checkRetryAfter checks that no gateway sent a server more than maxSendsInRetryAfter requests in the
+// Retry-After period of a refusal between two times.
+func (s *noticeTest) checkRetryAfter(from, to time.Time) {
 	s.t.Helper()
 	worst := 0
 	for _, w := range s.servers {
@@ -457,15 +458,15 @@
 			n := 0
 			for _, a := range arrivals {
 				since := a.At.Sub(first.At)
-				if sender(a.ID) == sender(first.ID) && since > restKnown && since < rest*time.Second {
+				if gatewayOf(a.ID) == gatewayOf(first.ID) && since > retryAfterGrace && since < retryAfterSeconds*time.Second {
 					n++
 				}
 			}
 			worst = max(worst, n)
 		}
 	}
-	s.t.Logf("%s: at most %d requests of one gateway in a rest, allowed %d", s.route, worst, mostInRest)
-	if worst > mostInRest {
-		s.t.Errorf("%s: %d requests of one gateway in a rest, allowed %d", s.route, worst, mostInRest)
+	s.t.Logf("%s: at most %d requests from one gateway to a server in a Retry-After period, allowed %d", s.route, worst, maxSendsInRetryAfter)
+	if worst > maxSendsInRetryAfter {
+		s.t.Errorf("%s: %d requests from one gateway to a server in a Retry-After period, allowed %d", s.route, worst, maxSendsInRetryAfter)
 	}
 }
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// proc is one process.
+// proc is a process of a cluster.
 type proc struct {
 	name   string
 	args   []string
@@ -18,8 +18,8 @@
 	code   int
 }
 
-// run starts a process; its output goes to files in the cluster's folder.
-func (c *cluster) run(name, program string, args ...string) error {
+// startProcess starts a process. Its output is appended to NAME.log in the directory of the cluster.
+func (c *cluster) startProcess(name, program string, args ...string) error {
 	p := &proc{name: name, args: append([]string{program}, args...)}
 	c.mu.Lock()
 	c.procs[name] = p
@@ -33,14 +33,14 @@
 		return err
 	}
 	defer logFile.Close()
-	p.cmd = exec.Command(filepath.Join(binaries, p.args[0]), p.args[1:]...)
+	p.cmd = exec.Command(filepath.Join(binDir, p.args[0]), p.args[1:]...)
 	p.cmd.Stdout, p.cmd.Stderr = logFile, logFile
 	p.exited = make(chan struct{})
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
 	go func(cmd *exec.Cmd, exited chan struct{}) {
-		_ = cmd.Wait() // the exit code is read below
+		_ = cmd.Wait() // the exit code is read from ProcessState
 		p.code = cmd.ProcessState.ExitCode()
 		close(exited)
 	}(p.cmd, p.exited)
@@ -53,7 +53,7 @@
 	if p := c.procs[name]; p != nil {
 		return p, nil
 	}
-	return nil, fmt.Errorf("no process %q", name)
+	return nil, fmt.Errorf("unknown process %q", name)
 }
 
 func (c *cluster) signal(name string, s syscall.Signal) error {
@@ -64,7 +64,7 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// waitExit waits for a process to end and returns its exit code.
+// waitExit waits until a process exits and returns its exit code.
 func (c *cluster) waitExit(name string) (int, error) {
 	p, err := c.proc(name)
 	if err != nil {
@@ -73,8 +73,8 @@
 	select {
 	case <-p.exited:
 		return p.code, nil
-	case <-time.After(waitLimit):
-		return 0, fmt.Errorf("%s did not end within %s", name, waitLimit)
+	case <-time.After(waitTimeout):
+		return 0, fmt.Errorf("%s did not exit within %s", name, waitTimeout)
 	}
 }
 
--- a/e2e/retrybudget_test.go
+++ b/e2e/retrybudget_test.go
@@ -19,7 +19,7 @@
 //	go test ./e2e -run RetryBudget -retry-budget-seed 10
 var retryBudgetSeed = flag.Uint64("retry-budget-seed", 0, "offset added to the seeds of the retry budget tests")
 
-// retryLoad is the load on one service of a fleet whose servers fail.
+// retryLoad describes the load on one service of a fleet whose servers fail.
 type retryLoad struct {
 	route   string
 	failing worker.Behaviour
@@ -52,9 +52,9 @@
 	begin := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), l.length)
 	defer cancel()
-	var duties sync.WaitGroup
-	duties.Go(func() {
-		wait(ctx, l.failAt)
+	var tasks sync.WaitGroup
+	tasks.Go(func() {
+		sleep(ctx, l.failAt)
 		for _, w := range f.workers {
 			if serviceOf(w) == service {
 				w.BehavePartly(l.failPerTen, 10, l.failing)
@@ -62,9 +62,9 @@
 		}
 	})
 	if l.killEvery > 0 {
-		duties.Go(func() {
+		tasks.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				wait(ctx, l.killEvery)
+				sleep(ctx, l.killEvery)
 				g := f.gateways[i%len(f.gateways)]
 				f.kill(g)
 				if err := f.start(g); err != nil {
@@ -83,19 +83,19 @@
 		id := fmt.Sprintf("%s-retry-%d", l.route, n)
 		g := f.gateways[rnd.IntN(len(f.gateways))]
 		r.requests = append(r.requests, time.Now())
-		duties.Go(func() {
-			askCtx, done := context.WithTimeout(context.Background(), 6*time.Second)
-			defer done()
-			f.askWith(askCtx, f.http, g, fleetKey, l.route, id)
+		tasks.Go(func() {
+			requestCtx, cancelRequest := context.WithTimeout(context.Background(), 6*time.Second)
+			defer cancelRequest()
+			f.sendWithKey(requestCtx, f.http, g, fleetKey, l.route, id)
 		})
 		next = next.Add(time.Second / time.Duration(rate))
-		wait(ctx, time.Until(next))
+		sleep(ctx, time.Until(next))
 	}
-	duties.Wait()
+	tasks.Wait()
 	r.count(f, service)
 	granted := 0
 	for _, g := range f.gateways {
-		granted += strings.Count(g.earlier.String()+g.log.String(), `"repeat":{"granted":true`)
+		granted += strings.Count(g.earlierLog.String()+g.log.String(), `"repeat":{"granted":true`)
 	}
 	t.Logf("seed %d: %d requests, %d repeats, %d granted in the gateways' logs; worst window from %s: %d repeats for %d requests, %.0f allowed", seed, len(r.requests), len(r.repeats), granted,
 		r.worst.Begin.Sub(begin).Round(10*time.Millisecond), r.worst.Repeats, r.worst.Requests, r.worst.Allowed)
@@ -119,26 +119,27 @@
 	r.worst = retryrule.Worst(retryrule.Rule{Ratio: retryRatio, Window: retryWindow, Slack: budgetSlack}, r.requests, r.repeats)
 }
 
-// Guards against requests of a burst paying for repeats after the burst.
+// Guards against a burst of requests earning repeats that are spent after the burst,
+// which exceeds the ratio of the retry budget within a window.
 func TestRetryBudgetHoldsWhenABurstEndsWhileServersFail(t *testing.T) {
 	for _, route := range []string{"list", "post", "report"} {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
-			p := runRetryLoad(t, retryLoad{route: route, failing: worker.Behaviour{Refuse: true}, failPerTen: 5, perSecond: 50,
+			result := runRetryLoad(t, retryLoad{route: route, failing: worker.Behaviour{Refuse: true}, failPerTen: 5, perSecond: 50,
 				burstFactor: 5, burstAt: 2 * time.Second, burstEnd: 11 * time.Second, failAt: 9 * time.Second, length: 22 * time.Second}, 1)
-			if p.worst.Excess() > 0 {
-				t.Errorf("%d repeats where %.0f are allowed", p.worst.Repeats, p.worst.Allowed)
+			if result.worst.Excess() > 0 {
+				t.Errorf("%d repeats in the worst window, %.0f are allowed", result.worst.Repeats, result.worst.Allowed)
 			}
 		})
 	}
 }
 
-// Guards against gateways that get a fresh allowance of repeats with each start.
+// Guards against each restart of a gateway granting it a new allowance of repeats.
 func TestRetryBudgetHoldsWhileGatewaysAreKilledInTurn(t *testing.T) {
 	t.Parallel()
-	p := runRetryLoad(t, retryLoad{route: "list", failing: worker.Behaviour{Drop: true}, failPerTen: 5, perSecond: 50,
+	result := runRetryLoad(t, retryLoad{route: "list", failing: worker.Behaviour{Drop: true}, failPerTen: 5, perSecond: 50,
 		failAt: 3 * time.Second, length: 20 * time.Second, killEvery: 1200 * time.Millisecond}, 1)
-	if p.worst.Excess() > 0 {
-		t.Errorf("%d repeats where %.0f are allowed", p.worst.Repeats, p.worst.Allowed)
+	if result.worst.Excess() > 0 {
+		t.Errorf("%d repeats in the worst window, %.0f are allowed", result.worst.Repeats, result.worst.Allowed)
 	}
 }
--- a/e2e/scenario_test.go
+++ b/e2e/scenario_test.go
@@ -21,7 +21,7 @@
 	os.Exit(buildAndRun(m))
 }
 
-// buildAndRun builds the programs as they ship and runs the tests.
+// buildAndRun builds the programs without test instrumentation and runs the tests.
 func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "merlinpost-e2e")
 	if err != nil {
@@ -29,7 +29,7 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	binaries = dir
+	binDir = dir
 	build := exec.Command("go", "build", "-o", dir, "./cmd/...")
 	build.Dir = ".."
 	if out, err := build.CombinedOutput(); err != nil {
@@ -39,40 +39,40 @@
 	return m.Run()
 }
 
-// TestScenarios runs the scripts in testdata/scripts. Their commands are in
-// this file; each scenario has a deployment of its own.
+// TestScenarios runs the scripts in testdata/scripts, each with its own
+// deployment. The cmd functions of this package implement their commands.
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   filepath.Join("testdata", "scripts"),
-		Setup: setupScript,
+		Setup: setupScenario,
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			"cluster": cmdCluster, "ask": cmdAsk, "collect": cmdWait, "sigkill": cmdKill, "freeze": cmdSignal(syscall.SIGSTOP),
+			"cluster": cmdCluster, "chat": cmdChat, "collect": cmdCollect, "sigkill": cmdKill, "freeze": cmdSignal(syscall.SIGSTOP),
 			"thaw": cmdSignal(syscall.SIGCONT), "sigterm": cmdSignal(syscall.SIGTERM), "restart": cmdRestart, "exited": cmdExited,
-			"ready": cmdReady, "faults": cmdFaults, "set": cmdSet, "inforce": cmdInForce, "call": cmdCall, "runs": cmdRuns,
-			"operator": cmdOperator, "untouched": cmdUntouched, "running": cmdRunning, "noted": cmdNoted, "member": cmdMember,
-			"newrouter": cmdNewRouter, "got": cmdGot, "pause": cmdPause,
-			"repeat": cmdRepeat, "reached": cmdReached, "cut": cmdCut,
-			"reported": cmdReported, "peers": cmdPeers, "abandon": cmdAbandon, "idle": cmdIdle, "metric": cmdMetric, "slowclients": cmdSlowClients, "served": cmdServed,
+			"ready": cmdReady, "faults": cmdFaults, "set": cmdSet, "waitrevision": cmdWaitRevision, "call": cmdCall, "runs": cmdRuns,
+			"operator": cmdOperator, "notrun": cmdNotRun, "running": cmdRunning, "logged": cmdLogged, "member": cmdMember,
+			"newrouter": cmdNewRouter, "response": cmdResponse, "pause": cmdPause,
+			"repeat": cmdRepeat, "logreachable": cmdLogReachable, "linkfault": cmdLinkFault,
+			"reported": cmdReported, "peers": cmdPeers, "cancel": cmdCancel, "idle": cmdIdle, "metric": cmdMetric, "slowclients": cmdSlowClients, "served": cmdServed,
 			"secondagent": cmdSecondAgent, "fences": cmdFences, "loaded": cmdLoaded,
-			"calls": cmdCalls, "callsdone": cmdCallsDone, "once": cmdOnce, "snapshot": cmdSnapshot,
+			"startcalls": cmdStartCalls, "waitcalls": cmdWaitCalls, "ranonce": cmdRanOnce, "snapshot": cmdSnapshot,
 		},
 	})
 }
 
-type scriptKey struct{}
+type scenarioKey struct{}
 
-// script is the state of one scenario.
-type script struct {
+// scenario is the state of a running script.
+type scenario struct {
 	c      *cluster
-	crowds map[string]*crowd
+	groups map[string]*callerGroup
 	last   outcome
 	dir    string
 }
 
-func setupScript(env *testscript.Env) error {
-	s := &script{crowds: map[string]*crowd{}, dir: env.WorkDir}
-	env.Values[scriptKey{}] = s
-	env.Setenv("PATH", binaries+string(os.PathListSeparator)+env.Getenv("PATH"))
+func setupScenario(env *testscript.Env) error {
+	s := &scenario{groups: map[string]*callerGroup{}, dir: env.WorkDir}
+	env.Values[scenarioKey{}] = s
+	env.Setenv("PATH", binDir+string(os.PathListSeparator)+env.Getenv("PATH"))
 	env.Defer(func() {
 		if s.c != nil {
 			s.c.close()
@@ -81,54 +81,56 @@
 	return nil
 }
 
-func state(ts *testscript.TestScript) *script { return ts.Value(scriptKey{}).(*script) }
+func scenarioOf(ts *testscript.TestScript) *scenario { return ts.Value(scenarioKey{}).(*scenario) }
 
-// options reads name=value arguments.
+// options parses name=value arguments.
 func options(ts *testscript.TestScript, args []string) map[string]string {
 	out := map[string]string{}
 	for _, a := range args {
 		k, v, ok := strings.Cut(a, "=")
 		if !ok {
-			ts.Fatalf("%q is not name=value", a)
+			ts.Fatalf("argument %q is not of the form name=value", a)
 		}
 		out[k] = v
 	}
 	return out
 }
 
-func number(ts *testscript.TestScript, o map[string]string, name string, otherwise int) int {
+func intOption(ts *testscript.TestScript, o map[string]string, name string, fallback int) int {
 	if o[name] == "" {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.Atoi(o[name])
 	ts.Check(err)
 	return n
 }
 
-func need(ts *testscript.TestScript, args []string, n int, usage string) {
+func requireArgs(ts *testscript.TestScript, args []string, n int, usage string) {
 	if len(args) < n {
 		ts.Fatalf("usage: %s", usage)
 	}
 }
 
-// cluster routers=2 engines=3 services=2 slots=8 step=3ms fencing=true
+// cmdCluster implements "cluster routers=2 engines=3 services=2 slots=8 step=3ms fencing=true proxied=true":
+// it starts a deployment.
 func cmdCluster(ts *testscript.TestScript, _ bool, args []string) {
 	o := options(ts, args)
-	s := state(ts)
-	s.c = newCluster(s.dir, size{Routers: number(ts, o, "routers", 1), Engines: number(ts, o, "engines", 2),
-		Services: number(ts, o, "services", 0), Slots: number(ts, o, "slots", 16), Step: o["step"], Domains: number(ts, o, "domains", 2),
-		KeyWindowMS: number(ts, o, "window", 0), Fencing: o["fencing"] == "true", Cuts: o["cuts"] == "true"})
+	s := scenarioOf(ts)
+	s.c = newCluster(s.dir, clusterSize{Routers: intOption(ts, o, "routers", 1), Engines: intOption(ts, o, "engines", 2),
+		Services: intOption(ts, o, "services", 0), Slots: intOption(ts, o, "slots", 16), Step: o["step"], Domains: intOption(ts, o, "domains", 2),
+		KeyWindowMS: intOption(ts, o, "window", 0), Fencing: o["fencing"] == "true", Proxied: o["proxied"] == "true"})
 	ts.Check(s.c.start())
-	ts.Setenv("ROUTER", s.c.callers("router-0"))
+	ts.Setenv("ROUTER", s.c.callerAddress("router-0"))
 }
 
-// ask NAME class=helpline n=200 tokens=30 router=router-0: callers in the background
-func cmdAsk(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "ask NAME [class= n= tokens= router=]")
-	s, o := state(ts), options(ts, args[1:])
+// cmdChat implements "chat GROUP [class=helpline] [n=200] [tokens=30] [router=router-0] [team=small]":
+// it starts a group of callers in the background that send one chat request each.
+func cmdChat(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 1, "chat GROUP [class= n= tokens= router= team=]")
+	s, o := scenarioOf(ts), options(ts, args[1:])
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &crowd{c: s.c, cancel: cancel}
-	s.crowds[args[0]] = w
+	group := &callerGroup{c: s.c, cancel: cancel}
+	s.groups[args[0]] = group
 	class := o["class"]
 	if class == "" {
 		class = "helpline"
@@ -140,50 +142,51 @@
 	if o["router"] != "" {
 		routers = []string{o["router"]}
 	}
-	w.key = teamKey
+	group.key = teamKey
 	if o["team"] == "small" {
-		w.key = smallTeamKey
+		group.key = smallTeamKey
 	}
-	w.ask(ctx, args[0], class, number(ts, o, "n", 1), number(ts, o, "tokens", 20), routers)
+	group.start(ctx, args[0], class, intOption(ts, o, "n", 1), intOption(ts, o, "tokens", 20), routers)
 }
 
-// collect NAME [whole=N|all]: the callers have ended; every answer
-// was their own, and as many were whole.
-func cmdWait(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "collect NAME [whole=N]")
-	s, o := state(ts), options(ts, args[1:])
-	w := s.crowds[args[0]]
-	w.wg.Wait()
-	for _, err := range w.errs {
+// cmdCollect implements "collect GROUP [complete=N|all] [max=N]": it waits for the
+// callers of a group and checks that no response contains wrong text, and that at
+// least N are complete (by default all), and at most max.
+func cmdCollect(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 1, "collect GROUP [complete= max=]")
+	s, o := scenarioOf(ts), options(ts, args[1:])
+	group := s.groups[args[0]]
+	group.wg.Wait()
+	for _, err := range group.errs {
 		ts.Logf("%v", err)
 	}
-	if len(w.errs) > 0 {
-		ts.Fatalf("%d callers got a wrong answer", len(w.errs))
+	if len(group.errs) > 0 {
+		ts.Fatalf("%d callers got wrong text", len(group.errs))
 	}
-	want := len(w.outcomes)
-	if o["whole"] != "" && o["whole"] != "all" {
-		want = number(ts, o, "whole", 0)
+	want := len(group.outcomes)
+	if o["complete"] != "" && o["complete"] != "all" {
+		want = intOption(ts, o, "complete", 0)
 	}
-	if most := number(ts, o, "most", len(w.outcomes)); w.whole() > most {
-		ts.Fatalf("%d answers were whole, at most %d wanted", w.whole(), most)
+	if limit := intOption(ts, o, "max", len(group.outcomes)); group.completeCount() > limit {
+		ts.Fatalf("%d responses are complete, want at most %d", group.completeCount(), limit)
 	}
-	if got := w.whole(); got < want {
-		ts.Fatalf("%d of %d answers were whole, %d wanted; the others: %s", got, len(w.outcomes), want, w.failures())
+	if got := group.completeCount(); got < want {
+		ts.Fatalf("%d of %d responses are complete, want %d; the others: %s", got, len(group.outcomes), want, group.failures())
 	}
-	ts.Logf("%s: %d of %d whole %s", args[0], w.whole(), len(w.outcomes), w.failures())
+	ts.Logf("%s: %d of %d complete %s", args[0], group.completeCount(), len(group.outcomes), group.failures())
 }
 
-// running NAME: a caller of the crowd has begun to be served (its request runs
-// at an engine).
+// cmdRunning implements "running n=N": it waits until the engines have started at
+// least N requests since they started.
 func cmdRunning(ts *testscript.TestScript, _ bool, args []string) {
-	s, o := state(ts), options(ts, args)
-	ts.Check(eventually("requests run at the engines", func() error {
+	s, o := scenarioOf(ts), options(ts, args)
+	ts.Check(eventually("requests started at the engines", func() error {
 		x, err := s.c.executions()
 		if err != nil {
 			return err
 		}
-		if len(x) < number(ts, o, "n", 1) {
-			return fmt.Errorf("%d run", len(x))
+		if len(x) < intOption(ts, o, "n", 1) {
+			return fmt.Errorf("%d started", len(x))
 		}
 		return nil
 	}))
@@ -191,54 +194,54 @@
 
 func cmdKill(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
-		ts.Check(state(ts).c.kill(name))
+		ts.Check(scenarioOf(ts).c.kill(name))
 	}
 }
 
 func cmdSignal(sig syscall.Signal) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, name := range args {
-			ts.Check(state(ts).c.signal(name, sig))
+			ts.Check(scenarioOf(ts).c.signal(name, sig))
 		}
 	}
 }
 
 func cmdRestart(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
-		ts.Check(state(ts).c.restart(name))
+		ts.Check(scenarioOf(ts).c.restart(name))
 	}
 }
 
-// exited NAME...: the processes ended with code 0
+// cmdExited implements "exited NAME...": it waits until the processes exit and checks for code 0.
 func cmdExited(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
-		code, err := state(ts).c.waitExit(name)
+		code, err := scenarioOf(ts).c.waitExit(name)
 		ts.Check(err)
 		if code != 0 {
-			ts.Fatalf("%s ended with code %d", name, code)
+			ts.Fatalf("%s exited with code %d", name, code)
 		}
 	}
 }
 
-func cmdReady(ts *testscript.TestScript, _ bool, _ []string) { ts.Check(state(ts).c.waitReady()) }
+func cmdReady(ts *testscript.TestScript, _ bool, _ []string) { ts.Check(scenarioOf(ts).c.waitReady()) }
 
-// faults NAME '{"down":true}'
+// cmdFaults implements "faults NAME JSON": it sets the faults that a stand-in simulates, such as {"down":true}.
 func cmdFaults(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "faults NAME JSON")
-	ts.Check(state(ts).c.faults(args[0], args[1]))
+	requireArgs(ts, args, 2, "faults NAME JSON")
+	ts.Check(scenarioOf(ts).c.setFaults(args[0], args[1]))
 }
 
-// member NAME STATE: the membership list gets an entry for an agent's backend
-// server or a router
+// cmdMember implements "member NAME STATE": it adds a backend server or a router
+// to the membership list.
 func cmdMember(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "member NAME STATE")
-	c := state(ts).c
+	requireArgs(ts, args, 2, "member NAME STATE")
+	c := scenarioOf(ts).c
 	role, address := "agent", c.address("agent-"+args[0])+":7300"
 	if strings.HasPrefix(args[0], "router-") {
 		role, address = "router", c.address(args[0])+":7400"
 	}
 	body := fmt.Sprintf(`{"name":%q,"role":%q,"address":%q,"state":%q}`, args[0], role, address, args[1])
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	status, _, data, err := c.request(ctx, "PUT", "http://"+c.membersAddress()+"/standin/members", nil, []byte(body))
 	ts.Check(err)
@@ -247,40 +250,41 @@
 	}
 }
 
-// newrouter N: one more router
+// cmdNewRouter implements "newrouter N": it starts another router.
 func cmdNewRouter(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "newrouter N")
+	requireArgs(ts, args, 1, "newrouter N")
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	c := state(ts).c
+	c := scenarioOf(ts).c
 	ts.Check(c.startRouter(n, ""))
 	c.Routers = max(c.Routers, n+1)
 }
 
-// got TEXT: the last call's answer contains the text
-func cmdGot(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 1, "got TEXT")
-	if strings.Contains(state(ts).last.Text, args[0]) == neg {
-		ts.Fatalf("the answer was %s", state(ts).last.Text)
+// cmdResponse implements "response TEXT": the response of the last call contains the text.
+func cmdResponse(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 1, "response TEXT")
+	if strings.Contains(scenarioOf(ts).last.Text, args[0]) == neg {
+		ts.Fatalf("unexpected response of the last call: %s", scenarioOf(ts).last.Text)
 	}
 }
 
-// pause DURATION: time passes while a process is frozen or cut off; it is part
-// of the failure that is acted out, not a wait for a result
+// cmdPause implements "pause DURATION". It sets the duration of an injected
+// failure and is not meant for waiting for a result.
 func cmdPause(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "pause DURATION")
+	requireArgs(ts, args, 1, "pause DURATION")
 	d, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	<-time.After(d)
 }
 
-// repeat SERVICE NAME...: calls key-NAME with body "crate NAME" again; whatever
-// the answer, it says nothing wrong: the first answer, or that it may have run
+// cmdRepeat implements "repeat SERVICE NAME...": it calls key-NAME with body
+// "crate NAME" again. The response must be the first one, or the error
+// cannot_vouch, which says that the call may have run.
 func cmdRepeat(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "repeat SERVICE NAME...")
-	s := state(ts)
+	requireArgs(ts, args, 2, "repeat SERVICE NAME...")
+	s := scenarioOf(ts)
 	for _, name := range args[1:] {
-		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		o := s.c.call(ctx, "router-0", args[0], "key-"+name, "crate "+name)
 		cancel()
 		switch {
--- a/e2e/slopes_test.go
+++ b/e2e/slopes_test.go
@@ -19,9 +19,9 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-var slopes = flag.Bool("slopes", false, "measure the slopes of docs/CAPACITY.md (takes minutes)")
+var slopes = flag.Bool("slopes", false, "measure the slopes of docs/CAPACITY.md, which takes minutes")
 
-// usage is what a process has used so far.
+// usage is the cumulative resource usage of a process.
 type usage struct {
 	cpu      time.Duration
 	rss      int64 // bytes
@@ -30,11 +30,11 @@
 	at       time.Time
 }
 
-// clockTick is the unit of times in /proc on Linux.
+// clockTick is the unit of CPU times in /proc on Linux.
 const clockTick = 10 * time.Millisecond
 
-// use reads a process's usage from /proc and its metrics page.
-func (c *cluster) use(g Gomega, name string) usage {
+// readUsage reads the usage of a process from /proc and from its metrics endpoint.
+func (c *cluster) readUsage(g Gomega, name string) usage {
 	p, err := c.proc(name)
 	g.Expect(err).NotTo(HaveOccurred())
 	dir := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
@@ -61,11 +61,11 @@
 	return u
 }
 
-// metric reads one metric of a router or agent.
+// metric reads one metric of a router or agent; it is 0 if the metric is not exported.
 func (c *cluster) metric(g Gomega, name, metric string) float64 {
 	url := "http://" + c.address(name) + ":7301/metrics"
 	if strings.HasPrefix(name, "router-") {
-		url = "http://" + c.operators(name) + "/metrics"
+		url = "http://" + c.operatorAddress(name) + "/metrics"
 	}
 	_, _, data, err := c.request(context.Background(), "GET", url, nil, nil)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -79,60 +79,60 @@
 	return 0
 }
 
-// since prints what a process used between two readings.
-func since(label string, a, b usage) string {
+// usageBetween formats the resource usage between two readings.
+func usageBetween(label string, a, b usage) string {
 	s := b.at.Sub(a.at).Seconds()
 	return fmt.Sprintf("%s: cpu %.3f%% of a core, rss %.1f MB, links in %.0f B/s out %.0f B/s",
 		label, 100*(b.cpu-a.cpu).Seconds()/s, float64(b.rss)/1e6, (b.bytesIn-a.bytesIn)/s, (b.bytesOut-a.bytesOut)/s)
 }
 
-const idleFor = 20 * time.Second
+const idleDuration = 20 * time.Second
 
-// productionLinks are the link settings of the defaults.
+// productionLinks are the default link settings.
 const productionLinks = "\n[link]\nheartbeat_ms = 1000\nsilent_ms = 2500\nlost_ms = 5000\n[logging]\nlevel = \"warn\"\n"
 
-// TestIdleSlopes measures what links cost when nothing happens: a router with
-// more and more agents, and an agent with more and more routers.
+// TestIdleSlopes measures the cost of idle links, for a router with a growing
+// number of agents and for an agent with a growing number of routers.
 func TestIdleSlopes(t *testing.T) {
 	if !*slopes {
-		t.Skip("a measurement, not a check: run with -slopes")
+		t.Skip("measurement; run with -slopes")
 	}
-	for _, s := range []size{{Routers: 1, Services: 4}, {Routers: 1, Services: 16}, {Routers: 16, Services: 4}, {Routers: 32, Services: 4}} {
+	for _, s := range []clusterSize{{Routers: 1, Services: 4}, {Routers: 1, Services: 16}, {Routers: 16, Services: 4}, {Routers: 32, Services: 4}} {
 		t.Run(fmt.Sprintf("routers=%d agents=%d", s.Routers, s.Services), func(t *testing.T) {
 			g := NewWithT(t)
 			s.Links = productionLinks
 			c := newCluster(t.TempDir(), s)
 			defer c.close()
 			g.Expect(c.start()).To(Succeed())
-			r, a := c.use(g, "router-0"), c.use(g, "agent-service-0")
-			<-time.After(idleFor)
-			t.Log(since("router", r, c.use(g, "router-0")))
-			t.Log(since("agent", a, c.use(g, "agent-service-0")))
+			r, a := c.readUsage(g, "router-0"), c.readUsage(g, "agent-service-0")
+			<-time.After(idleDuration)
+			t.Log(usageBetween("router", r, c.readUsage(g, "router-0")))
+			t.Log(usageBetween("agent", a, c.readUsage(g, "agent-service-0")))
 		})
 	}
 }
 
-// TestWorkSlopes measures processor time for each request and each token.
+// TestWorkSlopes measures the CPU time per request and per token.
 func TestWorkSlopes(t *testing.T) {
 	if !*slopes {
-		t.Skip("a measurement, not a check: run with -slopes")
+		t.Skip("measurement; run with -slopes")
 	}
 	for _, tokens := range []int{1, 100, 318} {
 		t.Run(fmt.Sprint("tokens=", tokens), func(t *testing.T) {
 			g := NewWithT(t)
-			c := newCluster(t.TempDir(), size{Routers: 1, Engines: 1, Slots: 64, Step: "10ms", Links: productionLinks})
+			c := newCluster(t.TempDir(), clusterSize{Routers: 1, Engines: 1, Slots: 64, Step: "10ms", Links: productionLinks})
 			defer c.close()
 			g.Expect(c.start()).To(Succeed())
-			r, a := c.use(g, "router-0"), c.use(g, "agent-engine-0")
+			r, a := c.readUsage(g, "router-0"), c.readUsage(g, "agent-engine-0")
 			n := 0
 			for round := range max(3, 600/tokens) {
-				w := &crowd{c: c}
-				w.ask(context.Background(), fmt.Sprint("round", round), "helpline", 64, tokens, []string{"router-0"})
-				w.wg.Wait()
-				g.Expect(w.whole()).To(Equal(64), w.failures())
+				group := &callerGroup{c: c}
+				group.start(context.Background(), fmt.Sprint("round", round), "helpline", 64, tokens, []string{"router-0"})
+				group.wg.Wait()
+				g.Expect(group.completeCount()).To(Equal(64), group.failures())
 				n += 64
 			}
-			rd, ad := c.use(g, "router-0"), c.use(g, "agent-engine-0")
+			rd, ad := c.readUsage(g, "router-0"), c.readUsage(g, "agent-engine-0")
 			per := func(x, y usage) float64 { return float64((y.cpu - x.cpu).Microseconds()) / float64(n) }
 			t.Logf("%d requests of %d tokens: router %.0f us, agent %.0f us each; rss router %.1f MB, agent %.1f MB", n, tokens, per(r, rd), per(a, ad),
 				float64(rd.rss)/1e6, float64(ad.rss)/1e6)
@@ -141,44 +141,44 @@
 	}
 }
 
-// TestHeldSlope measures the memory of requests in progress.
+// TestHeldSlope measures the memory used by requests in progress.
 func TestHeldSlope(t *testing.T) {
 	if !*slopes {
-		t.Skip("a measurement, not a check: run with -slopes")
+		t.Skip("measurement; run with -slopes")
 	}
 	g := NewWithT(t)
-	c := newCluster(t.TempDir(), size{Routers: 1, Engines: 1, Slots: 8, Step: "50ms", Links: productionLinks})
+	c := newCluster(t.TempDir(), clusterSize{Routers: 1, Engines: 1, Slots: 8, Step: "50ms", Links: productionLinks})
 	defer c.close()
 	g.Expect(c.start()).To(Succeed())
 	for _, n := range []int{0, 200, 800} {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &crowd{c: c}
-		w.ask(ctx, "held", "report", n, 300, []string{"router-0"})
+		group := &callerGroup{c: c}
+		group.start(ctx, "held", "report", n, 300, []string{"router-0"})
 		<-time.After(3 * time.Second)
-		r, a := c.use(g, "router-0"), c.use(g, "agent-engine-0")
-		t.Logf("%d requests held: rss router %.1f MB, agent %.1f MB", n, float64(r.rss)/1e6, float64(a.rss)/1e6)
+		r, a := c.readUsage(g, "router-0"), c.readUsage(g, "agent-engine-0")
+		t.Logf("%d requests in progress: rss router %.1f MB, agent %.1f MB", n, float64(r.rss)/1e6, float64(a.rss)/1e6)
 		cancel()
-		w.wg.Wait()
+		group.wg.Wait()
 	}
 }
 
-// TestConfigSlope measures the configuration of the target size and the time
-// for a change to be in force everywhere.
+// TestConfigSlope measures the memory used by the configuration at its target
+// size, and the time until a change is in force in all processes.
 func TestConfigSlope(t *testing.T) {
 	if !*slopes {
-		t.Skip("a measurement, not a check: run with -slopes")
+		t.Skip("measurement; run with -slopes")
 	}
 	g := NewWithT(t)
-	c := newCluster(t.TempDir(), size{Routers: 3, Services: 16, Links: productionLinks})
+	c := newCluster(t.TempDir(), clusterSize{Routers: 3, Services: 16, Links: productionLinks})
 	defer c.close()
 	g.Expect(c.start()).To(Succeed())
 	memory := func(label string) {
-		r, a := c.use(g, "router-0"), c.use(g, "agent-service-0")
+		r, a := c.readUsage(g, "router-0"), c.readUsage(g, "agent-service-0")
 		t.Logf("%s: rss router %.1f MB, agent %.1f MB", label, float64(r.rss)/1e6, float64(a.rss)/1e6)
 	}
-	c.spread(t, g, "few teams")
+	c.measureConfigChanges(t, g, "few teams")
 	memory("few teams")
-	client := operator.New(c.operators("router-0"), operatorKey)
+	client := operator.New(c.operatorAddress("router-0"), operatorKey)
 	for i := 0; i < 2500; i += 500 {
 		var set command.ChangeSet
 		for j := range 500 {
@@ -189,16 +189,16 @@
 		_, err := client.Change(context.Background(), set, "")
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	c.spread(t, g, "2500 teams")
+	c.measureConfigChanges(t, g, "2500 teams")
 	memory("2500 teams")
 }
 
-// spread makes changes and prints how long each took from accepted to in force
-// in every process.
-func (c *cluster) spread(t *testing.T, g Gomega, label string) {
+// measureConfigChanges makes 100 changes and logs percentiles of the time from
+// the acceptance of a change until it is in force in all processes.
+func (c *cluster) measureConfigChanges(t *testing.T, g Gomega, label string) {
 	var took []time.Duration
-	names := c.everyone()
-	begin := c.use(g, "agent-service-0")
+	names := c.routersAndAgents()
+	begin := c.readUsage(g, "agent-service-0")
 	for i := range 100 {
 		status, revision, err := c.setClass(fmt.Sprint("router-", i%c.Routers), "extra", fmt.Sprintf(classSpec, 1000+i), "")
 		g.Expect(err).NotTo(HaveOccurred())
@@ -207,9 +207,9 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		took = append(took, d)
 	}
-	end := c.use(g, "agent-service-0")
+	end := c.readUsage(g, "agent-service-0")
 	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	t.Logf("%s: %d changes in %d processes: in force after p50 %s p99 %s max %s; agent cpu %.2f ms a change", label, len(took), len(names),
+	t.Logf("%s: %d changes in %d processes: in force after p50 %s p99 %s max %s; agent cpu %.2f ms per change", label, len(took), len(names),
 		took[50].Round(time.Millisecond), took[98].Round(time.Millisecond), took[99].Round(time.Millisecond),
 		float64((end.cpu-begin.cpu).Microseconds())/1000/float64(len(took)))
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -15,12 +15,12 @@
 )
 
 var (
-	soakFor  = flag.Duration("soak", 0, "run the soak for this long")
-	soakSeed = flag.Uint64("soak-seed", 1, "seed of the soak's failures and requests")
+	soakFor  = flag.Duration("soak", 0, "duration of the soak test; 0 skips it")
+	soakSeed = flag.Uint64("soak-seed", 1, "seed of the failures and requests of the soak test")
 )
 
-// soak is a random mix of failures over a Board-sized deployment while callers
-// check every answer.
+// soak injects random failures into a deployment of the size of the Board's
+// while callers check every response.
 type soak struct {
 	c   *cluster
 	rnd *rand.Rand
@@ -29,36 +29,36 @@
 	mu         sync.Mutex
 	counts     map[string]int
 	violations []string
-	notRun     []string       // ids told not run
-	executed   map[string]int // starts at engines that were killed since
+	notRun     []string       // IDs of requests answered with not_run
+	executed   map[string]int // starts by request ID, including those at engines killed since
 	calls      int
 }
 
-// TestSoak runs for -soak; without it, it is skipped.
+// TestSoak runs the soak test for the duration given by -soak.
 func TestSoak(t *testing.T) {
 	if *soakFor == 0 {
 		t.Skip("run with -soak 10m")
 	}
 	s := &soak{t: t, rnd: rand.New(rand.NewPCG(*soakSeed, 0)), counts: map[string]int{}, executed: map[string]int{},
-		c: newCluster(t.TempDir(), size{Routers: 3, Engines: 12, Services: 4, Domains: 4, Slots: 8, Step: "5ms", KeyWindowMS: 3_600_000, Cuts: true})}
+		c: newCluster(t.TempDir(), clusterSize{Routers: 3, Engines: 12, Services: 4, Domains: 4, Slots: 8, Step: "5ms", KeyWindowMS: 3_600_000, Proxied: true})}
 	defer s.c.close()
 	if err := s.c.start(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), *soakFor)
 	defer cancel()
-	var work sync.WaitGroup
+	var tasks sync.WaitGroup
 	for i := range 40 {
-		work.Go(func() { s.askAlways(ctx, i) })
+		tasks.Go(func() { s.sendChatRequests(ctx, i) })
 	}
 	for i := range 8 {
-		work.Go(func() { s.callAlways(ctx, i) })
+		tasks.Go(func() { s.sendKeyedCalls(ctx, i) })
 	}
-	work.Go(func() { s.changeAlways(ctx) })
+	tasks.Go(func() { s.changeConfig(ctx) })
 	for ctx.Err() == nil {
-		s.disturb(ctx)
+		s.injectFault(ctx)
 	}
-	work.Wait()
+	tasks.Wait()
 	s.check()
 	t.Logf("seed %d, %s: %v", *soakSeed, *soakFor, s.counts)
 	for _, v := range s.violations {
@@ -73,17 +73,17 @@
 	s.counts[what]++
 }
 
-func (s *soak) violate(format string, args ...any) {
+func (s *soak) addViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// answerLimit is above the longest time that a request may take here.
-const answerLimit = 90 * time.Second
+// answerTimeout exceeds the longest time that any request of the soak may take.
+const answerTimeout = 90 * time.Second
 
-// askAlways asks one question after another.
-func (s *soak) askAlways(ctx context.Context, caller int) {
+// sendChatRequests sends chat requests one after another until ctx ends.
+func (s *soak) sendChatRequests(ctx context.Context, caller int) {
 	rnd := rand.New(rand.NewPCG(*soakSeed, uint64(1000+caller)))
 	for i := 0; ctx.Err() == nil; i++ {
 		class := []string{"helpline", "helpline", "alert", "report"}[rnd.IntN(4)]
@@ -92,62 +92,62 @@
 			tokens *= 5
 		}
 		prompt := fmt.Sprintf("caller %d question %d of class %s", caller, i, class)
-		one, cancel := context.WithTimeout(context.Background(), answerLimit)
-		if rnd.IntN(20) == 0 { // goes away in the middle
+		callCtx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+		if rnd.IntN(20) == 0 { // the caller cancels early
 			time.AfterFunc(time.Duration(rnd.IntN(200))*time.Millisecond, cancel)
 		}
-		o := s.c.ask(one, fmt.Sprint("router-", rnd.IntN(s.c.Routers)), class, prompt, tokens)
-		gone := one.Err() == context.Canceled
-		late := one.Err() == context.DeadlineExceeded
+		o := s.c.chat(callCtx, fmt.Sprint("router-", rnd.IntN(s.c.Routers)), class, prompt, tokens)
+		cancelled := callCtx.Err() == context.Canceled
+		timedOut := callCtx.Err() == context.DeadlineExceeded
 		cancel()
 		if err := o.check(prompt, tokens); err != nil {
-			s.violate("%v", err)
+			s.addViolation("%v", err)
 		}
-		if late {
-			s.violate("request %s got no final answer within %s", o.RequestID, answerLimit)
+		if timedOut {
+			s.addViolation("request %s got no complete response or error within %s", o.RequestID, answerTimeout)
 		}
-		s.take("ask", o, gone)
-		if !o.Whole {
-			<-time.After(100 * time.Millisecond) // a caller that was refused comes back later
+		s.record("chat", o, cancelled)
+		if !o.Complete {
+			<-time.After(100 * time.Millisecond) // back off after an error
 		}
 	}
 }
 
-func (s *soak) take(kind string, o outcome, gone bool) {
+func (s *soak) record(kind string, o outcome, cancelled bool) {
 	switch {
-	case gone:
-		s.count(kind + " went away")
-	case o.Whole:
-		s.count(kind + " whole")
+	case cancelled:
+		s.count(kind + " cancelled by the caller")
+	case o.Complete:
+		s.count(kind + " complete")
 	case o.Err != nil && o.Status != 0:
-		s.count(kind + " cut off by the end of its router")
+		s.count(kind + " truncated because its router exited")
 	case o.Err != nil:
-		s.count(kind + " not connected or connection lost")
+		s.count(kind + " connection refused or lost")
 	default:
 		s.count(fmt.Sprintf("%s %s %s", kind, o.Code, o.Outcome))
 	}
-	if o.Outcome == fault.NotRun && o.RequestID != "" && kind == "ask" {
+	if o.Outcome == fault.NotRun && o.RequestID != "" && kind == "chat" {
 		s.mu.Lock()
 		s.notRun = append(s.notRun, o.RequestID)
 		s.mu.Unlock()
 	}
 }
 
-// callAlways makes one keyed call after another and repeats each until it is
-// answered, or three times.
-func (s *soak) callAlways(ctx context.Context, caller int) {
+// sendKeyedCalls makes keyed calls one after another until ctx ends. It tries
+// each up to three times until the call succeeds.
+func (s *soak) sendKeyedCalls(ctx context.Context, caller int) {
 	rnd := rand.New(rand.NewPCG(*soakSeed, uint64(2000+caller)))
 	for i := 0; ctx.Err() == nil; i++ {
 		key := fmt.Sprintf("caller-%d-call-%d", caller, i)
 		for range 3 {
-			one, cancel := context.WithTimeout(context.Background(), answerLimit)
-			o := s.c.call(one, fmt.Sprint("router-", rnd.IntN(s.c.Routers)), "receipts", key, "body of "+key)
+			callCtx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+			o := s.c.call(callCtx, fmt.Sprint("router-", rnd.IntN(s.c.Routers)), "receipts", key, "body of "+key)
 			cancel()
-			s.take("call", o, false)
-			if o.Whole && !strings.Contains(o.Text, `"run":1`) {
-				s.violate("call %s: %s", key, o.Text)
+			s.record("call", o, false)
+			if o.Complete && !strings.Contains(o.Text, `"run":1`) {
+				s.addViolation("call %s: %s", key, o.Text)
 			}
-			if o.Whole {
+			if o.Complete {
 				break
 			}
 			<-time.After(time.Duration(100+rnd.IntN(400)) * time.Millisecond)
@@ -158,10 +158,9 @@
 	}
 }
 
-// changeAlways changes a class now and then, as operators do, and checks that a
-// router that is ready never shows an older revision than before, whether it
-// is the same process or a restarted one.
-func (s *soak) changeAlways(ctx context.Context) {
+// changeConfig updates a class periodically and checks that a ready router
+// never reports an older revision than before, also across restarts.
+func (s *soak) changeConfig(ctx context.Context) {
 	seen := map[string]uint64{}
 	for i := 0; ctx.Err() == nil; i++ {
 		status, _, err := s.c.setClass(fmt.Sprint("router-", i%s.c.Routers), "extra", fmt.Sprintf(classSpec, 1000+i%1000), "")
@@ -173,10 +172,10 @@
 			name := fmt.Sprint("router-", r)
 			status, err := s.c.status(name)
 			if err != nil || !status.Ready {
-				continue // a process that starts serves nobody before it is ready
+				continue // a starting router serves no requests until it is ready
 			}
 			if status.Revision < seen[name] {
-				s.violate("%s is ready with revision %d after %d, log reached: %v", name, status.Revision, seen[name], status.LogUp)
+				s.addViolation("%s is ready with revision %d after it reported revision %d; log reachable: %v", name, status.Revision, seen[name], status.LogUp)
 			}
 			seen[name] = status.Revision
 		}
@@ -184,16 +183,16 @@
 	}
 }
 
-// disturb acts out one random failure and lets it heal.
-func (s *soak) disturb(ctx context.Context) {
+// injectFault injects one random failure and reverts it.
+func (s *soak) injectFault(ctx context.Context) {
 	engine := fmt.Sprint("engine-", s.rnd.IntN(s.c.Engines))
 	service := fmt.Sprint("service-", s.rnd.IntN(s.c.Services))
 	router := fmt.Sprint("router-", s.rnd.IntN(s.c.Routers))
 	freeze := time.Duration(200+s.rnd.IntN(3500)) * time.Millisecond
-	rest := time.Duration(200+s.rnd.IntN(1500)) * time.Millisecond
+	pause := time.Duration(200+s.rnd.IntN(1500)) * time.Millisecond
 	kinds := []string{"kill agent", "kill service agent", "kill engine", "kill router", "freeze agent", "freeze service agent", "freeze engine",
 		"freeze router", "freeze log", "log down", "log loses answers", "log slow", "slow engine", "stop agent", "stop router",
-		"silent link", "severed links", "silent service link", "silent engine calls", "domain"}
+		"blackholed link", "closed links", "blackholed service link", "blackholed engine calls", "kill domain"}
 	kind := kinds[s.rnd.IntN(len(kinds))]
 	s.count("failure: " + kind)
 	var err error
@@ -203,7 +202,7 @@
 	case "kill service agent":
 		err = s.killAndRestart("agent-" + service)
 	case "kill engine":
-		s.keepExecutions()
+		s.saveExecutions()
 		err = s.killAndRestart(engine)
 	case "kill router":
 		err = s.killAndRestart(router)
@@ -229,22 +228,22 @@
 		err = s.stopAndRestart("agent-" + engine)
 	case "stop router":
 		err = s.stopAndRestart(router)
-	case "silent link":
-		s.c.cutters[engine].silence(s.rnd.IntN(2) == 0, true)
-	case "severed links":
-		s.c.cutters[engine].sever()
-	case "silent service link":
-		s.c.cutters[service].silence(true, s.rnd.IntN(2) == 0)
-	case "silent engine calls":
-		s.c.cutters["server:"+engine].silence(true, true)
-	case "domain":
+	case "blackholed link":
+		s.c.proxies[engine].blackhole(s.rnd.IntN(2) == 0, true)
+	case "closed links":
+		s.c.proxies[engine].closeAll()
+	case "blackholed service link":
+		s.c.proxies[service].blackhole(true, s.rnd.IntN(2) == 0)
+	case "blackholed engine calls":
+		s.c.proxies["server:"+engine].blackhole(true, true)
+	case "kill domain":
 		err = s.killDomain()
 	}
 	if err != nil {
-		s.violate("%s: %v", kind, err)
+		s.addViolation("%s: %v", kind, err)
 	}
 	select {
-	case <-time.After(rest):
+	case <-time.After(pause):
 	case <-ctx.Done():
 	}
 }
@@ -266,7 +265,7 @@
 		return err
 	}
 	if code != 0 {
-		return fmt.Errorf("%s ended with code %d", name, code)
+		return fmt.Errorf("%s exited with code %d", name, code)
 	}
 	return s.c.restart(name)
 }
@@ -280,14 +279,14 @@
 }
 
 func (s *soak) withFault(name, faults string, d time.Duration) error {
-	if err := s.c.faults(name, faults); err != nil {
+	if err := s.c.setFaults(name, faults); err != nil {
 		return err
 	}
 	<-time.After(d)
-	return s.c.faults(name, "{}")
+	return s.c.setFaults(name, "{}")
 }
 
-// killDomain kills the engines' agents of one failure domain at once.
+// killDomain kills the agents of all engines in one failure domain at once and restarts them.
 func (s *soak) killDomain() error {
 	domain := s.rnd.IntN(s.c.Domains)
 	var names []string
@@ -308,11 +307,12 @@
 	return nil
 }
 
-// keepExecutions remembers what the engines ran, before one loses its record.
-func (s *soak) keepExecutions() {
+// saveExecutions saves the execution records of the engines, because an engine
+// that is killed loses its records.
+func (s *soak) saveExecutions() {
 	x, err := s.c.executions()
 	if err != nil {
-		return // another engine is frozen; the check is then weaker for this one
+		return // another engine is frozen; executions at the engine to be killed may go unchecked
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -321,29 +321,29 @@
 	}
 }
 
-// check holds what callers were told against the records of the servers.
+// check compares the responses that callers got with the execution records of the servers.
 func (s *soak) check() {
 	if err := s.c.waitReady(); err != nil {
-		s.violate("after the end: %v", err)
+		s.addViolation("the deployment did not recover after the soak: %v", err)
 		return
 	}
-	s.keepExecutions()
+	s.saveExecutions()
 	for _, id := range s.notRun {
 		if s.executed[id] > 0 {
-			s.violate("request %s was told not run and ran", id)
+			s.addViolation("request %s was answered with not_run but was executed", id)
 		}
 	}
 	runs, err := s.c.runs()
 	if err != nil {
-		s.violate("runs: %v", err)
+		s.addViolation("read the runs of the services: %v", err)
 	}
-	once := 0
+	executed := 0
 	for body, n := range runs {
 		if n > 1 {
-			s.violate("%q ran %d times", body, n)
+			s.addViolation("%q ran %d times", body, n)
 		}
-		once++
+		executed++
 	}
-	s.counts["calls that ran"] = once
+	s.counts["calls executed"] = executed
 	s.counts["calls made"] = s.calls
 }
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -17,11 +17,11 @@
 	"context"
 )
 
-// seed declares the deployment through the first router's operators' API.
+// seed applies the configuration of the deployment through the operators' API of the first router.
 func (c *cluster) seed() error {
 	if err := eventually("router-0 is ready", func() error {
 		var s query.Status
-		if err := c.getJSON("http://"+c.operators("router-0")+"/v1/status", &s); err != nil {
+		if err := c.getJSON("http://"+c.operatorAddress("router-0")+"/v1/status", &s); err != nil {
 			return err
 		}
 		if !s.Ready {
@@ -39,8 +39,8 @@
 	if err != nil {
 		return err
 	}
-	client := operator.New(c.operators("router-0"), operatorKey)
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	client := operator.New(c.operatorAddress("router-0"), operatorKey)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	set, _, err := client.Plan(ctx, desired)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return err
 }
 
-// document is the deployment's configuration as an operator would write it.
+// document returns the configuration of the deployment in the operators' format.
 func (c *cluster) document() (string, error) {
 	var b strings.Builder
 	b.WriteString(`
@@ -94,7 +94,7 @@
 	fmt.Fprintf(b, "[[resource]]\nkind = \"pool\"\nname = %q\n", name)
 	for i := range n {
 		s := fmt.Sprintf("%s-%d", server, i)
-		address, err := c.throughCutter(s, c.address("agent-"+s)+":7300", "7300")
+		address, err := c.viaProxy(s, c.address("agent-"+s)+":7300", "7300")
 		if err != nil {
 			return err
 		}
@@ -103,17 +103,17 @@
 	return nil
 }
 
-// status asks a router what it knows.
+// status reads the status of a router.
 func (c *cluster) status(router string) (s query.Status, err error) {
-	return s, c.getJSON("http://"+c.operators(router)+"/v1/status", &s)
+	return s, c.getJSON("http://"+c.operatorAddress(router)+"/v1/status", &s)
 }
 
 func (c *cluster) agentStatus(name string) (s agent.Status, err error) {
 	return s, c.getJSON("http://"+c.address(name)+":7301/v1/status", &s)
 }
 
-// waitReady waits until every running router has a link to every agent whose
-// backend server serves.
+// waitReady waits until every running router has links to all agents and their
+// backend servers are serving, and until all agents hold their leases.
 func (c *cluster) waitReady() error {
 	return eventually("the deployment is ready", func() error {
 		for i := range c.Routers {
@@ -132,20 +132,20 @@
 				}
 			}
 			if serving != c.Engines+c.Services {
-				return fmt.Errorf("%s reaches %d agents that serve of %d: %+v", name, serving, c.Engines+c.Services, s.Processes)
+				return fmt.Errorf("%s reaches %d serving agents of %d: %+v", name, serving, c.Engines+c.Services, s.Processes)
 			}
 		}
 		return c.leasesHeld()
 	})
 }
 
-// leasesHeld reports whether every running agent has its lease on the log; it
-// takes no keyed calls before.
+// leasesHeld returns an error unless every running agent holds its lease in the
+// log. Agents accept no keyed calls before.
 func (c *cluster) leasesHeld() error {
 	if p, _ := c.proc("log"); p.stopped() {
 		return nil
 	}
-	for _, n := range c.everyone() {
+	for _, n := range c.routersAndAgents() {
 		if p, _ := c.proc(n); !strings.HasPrefix(n, "agent-") || p.stopped() {
 			continue
 		}
@@ -169,8 +169,8 @@
 	}
 }
 
-// waitRevision waits until every router and agent named has the revision, and
-// returns how long that took.
+// waitRevision waits until all named routers and agents have reached a revision
+// and returns the time that this took.
 func (c *cluster) waitRevision(names []string, revision uint64) (time.Duration, error) {
 	begin := time.Now()
 	err := eventually(fmt.Sprintf("revision %d everywhere", revision), func() error {
@@ -197,8 +197,8 @@
 	return s.Revision, err
 }
 
-// everyone lists the routers and agents.
-func (c *cluster) everyone() []string {
+// routersAndAgents returns the names of all routers and agents.
+func (c *cluster) routersAndAgents() []string {
 	var out []string
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,8 +210,8 @@
 	return out
 }
 
-// setClass changes a class through a router and returns the answer's status
-// and the revision.
+// setClass writes a class through a router and returns the status of the response
+// and the new revision.
 func (c *cluster) setClass(router, name, spec, ifMatch string) (int, uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -219,7 +219,7 @@
 	if ifMatch != "" {
 		header["If-Match"] = ifMatch
 	}
-	status, _, data, err := c.request(ctx, http.MethodPut, "http://"+c.operators(router)+"/v1/class/"+name, header, []byte(spec))
+	status, _, data, err := c.request(ctx, http.MethodPut, "http://"+c.operatorAddress(router)+"/v1/class/"+name, header, []byte(spec))
 	if err != nil {
 		return 0, 0, err
 	}
@@ -230,7 +230,7 @@
 	return status, a.Revision, err
 }
 
-// executions asks every engine what it ran, by request.
+// executions returns the number of starts by request ID over all engines.
 func (c *cluster) executions() (map[string]int, error) {
 	out := map[string]int{}
 	for i := range c.Engines {
@@ -245,7 +245,7 @@
 	return out, nil
 }
 
-// runs asks every plain service what it ran, by body.
+// runs returns the number of runs by body over all services.
 func (c *cluster) runs() (map[string]int, error) {
 	out := map[string]int{}
 	for i := range c.Services {
