--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -241,7 +241,7 @@
 [members]
 address = %q
 poll_ms = 300
-%s%s`, name, c.domain(i), c.callerAddress(name), c.operatorAddress(name), resource.HashKey(operatorKey), c.address(name), c.logAddress(), c.membersAddress(), c.Links, extra)
+%s%s`, name, c.domain(i), c.callerAddress(name), c.operatorAddress(name), resource.HashAPIKey(operatorKey), c.address(name), c.logAddress(), c.membersAddress(), c.Links, extra)
 	path := filepath.Join(c.dir, name+".toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
--- a/e2e/slopes_test.go
+++ b/e2e/slopes_test.go
@@ -183,7 +183,7 @@
 		var set command.ChangeSet
 		for j := range 500 {
 			name := fmt.Sprintf("team-%d", i+j)
-			spec := fmt.Sprintf(`{"keys_sha256":[%q],"default_class":"alert","rate":10,"burst":20}`, resource.HashKey(name))
+			spec := fmt.Sprintf(`{"keys_sha256":[%q],"default_class":"alert","rate":10,"burst":20}`, resource.HashAPIKey(name))
 			set.Changes = append(set.Changes, command.ChangeSetElement{Verb: resource.Put, Kind: resource.KindTeam, Name: name, Spec: []byte(spec)})
 		}
 		_, err := client.Change(context.Background(), set, "")
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -81,9 +81,9 @@
 		b.WriteString("[[resource]]\nkind = \"service\"\nname = \"status\"\nspec = { pool = \"workers\", path = \"/status\", may_repeat = true }\n")
 	}
 	fmt.Fprintf(&b, "[[resource]]\nkind = \"team\"\nname = \"small\"\nspec = { keys_sha256 = [%q], default_class = \"helpline\", rate = 20, burst = 20, concurrency = 6 }\n",
-		resource.HashKey(smallTeamKey))
+		resource.HashAPIKey(smallTeamKey))
 	fmt.Fprintf(&b, "[[resource]]\nkind = \"team\"\nname = \"board\"\nspec = { keys_sha256 = [%q], default_class = \"alert\", classes = [\"helpline\", \"report\"] }\n",
-		resource.HashKey(teamKey))
+		resource.HashAPIKey(teamKey))
 	return b.String(), nil
 }
 
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -36,7 +36,7 @@
 	}
 	app.OnErrorCode(iris.StatusNotFound, func(ctx iris.Context) {
 		if ctx.ResponseWriter().Written() <= 0 {
-			Fail(ctx, fault.New(fault.NotFound, "no such path"))
+			WriteError(ctx, fault.New(fault.NotFound, "no such path"))
 		}
 	})
 	if err := app.Build(); err != nil {
@@ -58,7 +58,7 @@
 				return
 			}
 		}
-		Fail(ctx, fault.New(fault.Unauthorized, "an operator's key is needed").InField("Authorization"))
+		WriteError(ctx, fault.New(fault.Unauthorized, "an operator's key is needed").WithField("Authorization"))
 		ctx.StopExecution()
 	}
 }
@@ -76,10 +76,10 @@
 }
 
 // Fail answers with a fault.
-func Fail(ctx iris.Context, err error) { FailOperation(ctx, err, "") }
+func WriteError(ctx iris.Context, err error) { WriteOperationError(ctx, err, "") }
 
 // FailOperation answers with the fault of an operation.
-func FailOperation(ctx iris.Context, err error, operation string) {
+func WriteOperationError(ctx iris.Context, err error, operation string) {
 	e := fault.From(err)
 	if s := e.RetrySeconds(); s > 0 {
 		ctx.Header("Retry-After", strconv.Itoa(s))
@@ -89,7 +89,7 @@
 }
 
 // RefOf returns the resource that a request's path names.
-func RefOf(ctx iris.Context) (resource.Ref, error) {
+func RefFromPath(ctx iris.Context) (resource.Ref, error) {
 	kind, err := resource.ParseKind(ctx.Params().Get("kind"))
 	return resource.Ref{Kind: kind, Name: ctx.Params().Get("name")}, err
 }
@@ -101,7 +101,7 @@
 func ParseETag(field, tag string) (uint64, error) {
 	revision, err := strconv.ParseUint(strings.Trim(strings.TrimPrefix(tag, "W/"), `"`), 10, 64)
 	if err != nil {
-		return 0, fault.New(fault.BadRequest, "%q is no revision", tag).InField(field)
+		return 0, fault.New(fault.BadRequest, "%q is no revision", tag).WithField(field)
 	}
 	return revision, nil
 }
--- a/internal/adminapi/command/command.go
+++ b/internal/adminapi/command/command.go
@@ -54,27 +54,27 @@
 }
 
 func (h *Handlers) put(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	spec, err := readBody(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	if _, err := resource.ParseSpec(ref.Kind, ref.Name, spec); err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	h.change(ctx, resource.Change{Verb: resource.Put, Kind: ref.Kind, Name: ref.Name, Spec: spec})
 }
 
 func (h *Handlers) delete(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	h.change(ctx, resource.Change{Verb: resource.Delete, Kind: ref.Kind, Name: ref.Name})
@@ -85,7 +85,7 @@
 func (h *Handlers) change(ctx iris.Context, c resource.Change) {
 	base, err := h.base(ctx, resource.Ref{Kind: c.Kind, Name: c.Name})
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	c.Base = base
@@ -111,19 +111,19 @@
 
 // withdraw puts back an earlier content as a new change.
 func (h *Handlers) withdraw(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	r, ok := h.config.View().History(ref)
 	if !ok {
-		adminapi.Fail(ctx, fault.New(fault.NotFound, "there is no %s %q", ref.Kind, ref.Name))
+		adminapi.WriteError(ctx, fault.New(fault.NotFound, "there is no %s %q", ref.Kind, ref.Name))
 		return
 	}
 	spec, err := earlier(r, ctx.URLParam("to"))
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	c := resource.Change{Verb: resource.Put, Kind: ref.Kind, Name: ref.Name, Spec: spec}
@@ -150,7 +150,7 @@
 			return v.Spec, nil
 		}
 	}
-	return nil, fault.New(fault.NotFound, "revision %d of this resource is not kept", revision).InField("to")
+	return nil, fault.New(fault.NotFound, "revision %d of this resource is not kept", revision).WithField("to")
 }
 
 // ChangeSet is the body of POST /v1/changes: changes applied whole or not at
@@ -172,12 +172,12 @@
 func (h *Handlers) changes(ctx iris.Context) {
 	data, err := readBody(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	var set ChangeSet
 	if err := json.Unmarshal(data, &set); err != nil {
-		adminapi.Fail(ctx, fault.New(fault.BadRequest, "%w", err).InField("body"))
+		adminapi.WriteError(ctx, fault.New(fault.BadRequest, "%w", err).WithField("body"))
 		return
 	}
 	changes := make([]resource.Change, len(set.Changes))
@@ -195,7 +195,7 @@
 // submit appends the changes as one record and answers once it is settled.
 func (h *Handlers) submit(ctx iris.Context, changes []resource.Change, dryRun bool) {
 	if !h.config.Ready() {
-		adminapi.Fail(ctx, fault.New(fault.NotReady, "this router has no configuration yet").With(fault.NotRun).After(time.Second))
+		adminapi.WriteError(ctx, fault.New(fault.NotReady, "this router has no configuration yet").WithOutcome(fault.NotRun).WithRetryAfter(time.Second))
 		return
 	}
 	operation := ctx.GetHeader(HeaderOperation)
@@ -205,7 +205,7 @@
 	rec := resource.Record{Operation: operation, Actor: adminapi.Actor(ctx), Time: h.now().UTC().Format(time.RFC3339), Changes: changes}
 	if dryRun {
 		if err := h.config.Check(rec); err != nil {
-			adminapi.FailOperation(ctx, err, operation)
+			adminapi.WriteOperationError(ctx, err, operation)
 			return
 		}
 		_ = ctx.JSON(Accepted{Operation: operation, Revision: h.config.View().Revision, DryRun: true}) // a client that went away is its own matter
@@ -224,7 +224,7 @@
 
 func answer(ctx iris.Context, res resource.Result, err error) {
 	if err != nil {
-		adminapi.FailOperation(ctx, err, res.Operation)
+		adminapi.WriteOperationError(ctx, err, res.Operation)
 		return
 	}
 	ctx.Header("ETag", adminapi.ETag(res.Revision))
@@ -234,7 +234,7 @@
 func readBody(ctx iris.Context) ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxBody))
 	if err != nil {
-		return nil, fault.New(fault.TooLarge, "read the body: %w", err).InField("body")
+		return nil, fault.New(fault.TooLarge, "read the body: %w", err).WithField("body")
 	}
 	return data, nil
 }
--- a/internal/adminapi/query/query.go
+++ b/internal/adminapi/query/query.go
@@ -61,7 +61,7 @@
 }
 
 func (h *Handlers) getStatus(ctx iris.Context) {
-	reply(ctx, Status{h.config.View().Revision, h.config.Ready(), h.config.LogUp(), h.config.SinceConfirmed().Seconds(), h.status()})
+	reply(ctx, Status{h.config.View().Revision, h.config.Ready(), h.config.LogUp(), h.config.SinceLastRead().Seconds(), h.status()})
 }
 
 // reply answers with v; a client that went away is its own matter.
@@ -70,7 +70,7 @@
 func (h *Handlers) operation(ctx iris.Context) {
 	res, ok := h.config.View().Operation(ctx.Params().Get("id"))
 	if !ok {
-		adminapi.Fail(ctx, fault.New(fault.NotFound, "the operation is not known here: not on the log, not read yet, or long ago").InField("id"))
+		adminapi.WriteError(ctx, fault.New(fault.NotFound, "the operation is not known here: not on the log, not read yet, or long ago").WithField("id"))
 		return
 	}
 	reply(ctx, res)
@@ -79,7 +79,7 @@
 func (h *Handlers) list(ctx iris.Context) {
 	kind, err := resource.ParseKind(ctx.Params().Get("kind"))
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	if ctx.URLParamExists("watch") {
@@ -94,14 +94,14 @@
 }
 
 func (h *Handlers) get(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	r, ok := h.config.View().Get(ref)
 	if !ok {
-		adminapi.Fail(ctx, notFound(ref))
+		adminapi.WriteError(ctx, notFound(ref))
 		return
 	}
 	tag := adminapi.ETag(r.Latest().Revision)
@@ -114,14 +114,14 @@
 }
 
 func (h *Handlers) history(ctx iris.Context) {
-	ref, err := adminapi.RefOf(ctx)
+	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
-		adminapi.Fail(ctx, err)
+		adminapi.WriteError(ctx, err)
 		return
 	}
 	r, ok := h.config.View().History(ref)
 	if !ok {
-		adminapi.Fail(ctx, notFound(ref))
+		adminapi.WriteError(ctx, notFound(ref))
 		return
 	}
 	reply(ctx, r.Versions)
@@ -157,7 +157,7 @@
 }
 
 func (h *Handlers) sendChanges(ctx iris.Context, kind resource.Kind, seen map[string]uint64) bool {
-	for _, r := range h.config.View().All(kind) {
+	for _, r := range h.config.View().ListWithDeleted(kind) {
 		revision := r.Latest().Revision
 		if seen[r.Name] == revision || (seen[r.Name] == 0 && r.Deleted()) {
 			continue
--- a/internal/admission/preempt.go
+++ b/internal/admission/preempt.go
@@ -48,11 +48,11 @@
 // misses reports whether the head would use up half of its first-token target
 // before a slot falls free by itself.
 func (q *Queue) misses(now time.Time, head *Job, ahead int) bool {
-	if head.FirstToken <= 0 {
+	if head.FirstTokenTarget <= 0 {
 		return false
 	}
 	natural := time.Duration(ahead) * q.serviceAll.duration() / time.Duration(q.cfg.Slots)
-	return now.Sub(head.arrived)+natural > head.FirstToken/2
+	return now.Sub(head.arrived)+natural > head.FirstTokenTarget/2
 }
 
 // victim chooses the running job that gives way to tier t: of the lowest tier,
@@ -93,7 +93,7 @@
 	q.leaveSlot(j)
 	j.state = Waiting
 	j.preemptions++
-	j.StartBy = time.Time{} // it has started: it does not expire any more
+	j.StartDeadline = time.Time{} // it has started: it does not expire any more
 	j.tag = preemptedTag
 	q.tiers[j.Tier].insert(j)
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -42,14 +42,14 @@
 // Job is one request in the queue or in a slot. The caller fills the exported
 // fields and does not change them afterwards.
 type Job struct {
-	ID          string
-	Tier        int
-	Flow        string        // the team
-	Cost        float64       // expected tokens, for fairness
-	Floor       float64       // share of tokens owed to the tier
-	FirstToken  time.Duration // target, 0: none
-	Preemptible bool
-	StartBy     time.Time
+	ID               string
+	Tier             int
+	Flow             string        // the team
+	Cost             float64       // expected tokens, for fairness
+	Floor            float64       // share of tokens owed to the tier
+	FirstTokenTarget time.Duration // target, 0: none
+	Preemptible      bool
+	StartDeadline    time.Time
 
 	arrived     time.Time
 	started     time.Time // of the present run
@@ -70,7 +70,7 @@
 const (
 	Waiting State = iota
 	Running
-	Gone
+	Removed
 )
 
 // State returns where the job is.
@@ -139,17 +139,17 @@
 
 // Offer takes a job into the queue or refuses it. A refusal is a typed error
 // with outcome not run and the time to come back.
-func (q *Queue) Offer(now time.Time, j *Job) *fault.Error {
+func (q *Queue) Enqueue(now time.Time, j *Job) *fault.Error {
 	t := q.tierOf(j)
 	victims := q.victims(t)
 	if q.tiers[t].order.Len() >= q.cfg.QueueLimit+victims {
 		return fault.New(fault.QueueFull, "%d requests of tier %d wait already", q.tiers[t].order.Len(), j.Tier).
-			With(fault.NotRun).After(q.RetryAfter(j.Tier))
+			WithOutcome(fault.NotRun).WithRetryAfter(q.RetryAfter(j.Tier))
 	}
 	wait := q.expectedWait(t)
-	if q.cfg.EarlyRefusal && victims == 0 && !j.StartBy.IsZero() && now.Add(wait).After(j.StartBy) {
+	if q.cfg.EarlyRefusal && victims == 0 && !j.StartDeadline.IsZero() && now.Add(wait).After(j.StartDeadline) {
 		return fault.New(fault.WaitTooLong, "the wait for a start is about %s", wait.Round(time.Millisecond)).
-			With(fault.NotRun).After(q.RetryAfter(j.Tier))
+			WithOutcome(fault.NotRun).WithRetryAfter(q.RetryAfter(j.Tier))
 	}
 	q.seq++
 	j.seq, j.arrived, j.state = q.seq, now, Waiting
@@ -274,13 +274,13 @@
 }
 
 // Progress counts tokens that a running job has made.
-func (q *Queue) Progress(now time.Time, j *Job, tokens int) {
+func (q *Queue) AddTokens(now time.Time, j *Job, tokens int) {
 	j.tokens += tokens
 	q.shares.add(now, j.Tier, float64(tokens))
 }
 
 // Done takes a job out of its slot or out of the queue for good.
-func (q *Queue) Done(now time.Time, j *Job) {
+func (q *Queue) Remove(now time.Time, j *Job) {
 	switch j.state {
 	case Waiting:
 		q.tiers[q.tierOf(j)].remove(j)
@@ -290,7 +290,7 @@
 		q.service[q.tierOf(j)].add(took)
 		q.serviceAll.add(took)
 	}
-	j.state = Gone
+	j.state = Removed
 }
 
 func (q *Queue) leaveSlot(j *Job) {
@@ -314,7 +314,7 @@
 			}
 			j := q.tiers[i].due.first()
 			q.tiers[i].remove(j)
-			j.state = Gone
+			j.state = Removed
 			out = append(out, j)
 		}
 	}
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -49,7 +49,7 @@
 
 func (b *bench) offer(j *Job, tokens int) *fault.Error {
 	below := b.lowerRuns(j.Tier)
-	err := b.q.Offer(b.now, j)
+	err := b.q.Enqueue(b.now, j)
 	if err != nil {
 		b.g.Expect(below).To(BeZero(), "tier %d refused (%v) while a lower tier runs", j.Tier, err)
 		b.g.Expect(err.Outcome).To(Equal(fault.NotRun))
@@ -77,9 +77,9 @@
 func (b *bench) tick() {
 	b.now = b.now.Add(tick)
 	for j := range b.q.running {
-		b.q.Progress(b.now, j, 1)
+		b.q.AddTokens(b.now, j, 1)
 		if b.left[j]--; b.left[j] <= 0 {
-			b.q.Done(b.now, j)
+			b.q.Remove(b.now, j)
 			b.finished[j] = true
 		}
 	}
@@ -93,13 +93,13 @@
 }
 
 func helpline(id int, now time.Time) *Job {
-	return &Job{ID: fmt.Sprint("h", id), Tier: 0, Flow: "board", Cost: 10, FirstToken: 200 * time.Millisecond,
-		StartBy: now.Add(2 * time.Second)}
+	return &Job{ID: fmt.Sprint("h", id), Tier: 0, Flow: "board", Cost: 10, FirstTokenTarget: 200 * time.Millisecond,
+		StartDeadline: now.Add(2 * time.Second)}
 }
 
 func report(id int) *Job {
 	return &Job{ID: fmt.Sprint("r", id), Tier: 3, Flow: "field", Cost: 200, Floor: 0.1, Preemptible: true,
-		StartBy: epoch.Add(time.Hour)}
+		StartDeadline: epoch.Add(time.Hour)}
 }
 
 // The promise itself, over random arrivals: nothing of a tier is refused or
@@ -117,8 +117,8 @@
 			tier := rapid.IntRange(0, Tiers-1).Draw(t, "tier")
 			j := &Job{ID: fmt.Sprint(i), Tier: tier, Flow: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "flow"),
 				Cost: 5, Preemptible: tier > 0, Floor: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "floor"),
-				FirstToken: rapid.SampledFrom([]time.Duration{0, 100 * time.Millisecond}).Draw(t, "target"),
-				StartBy:    b.now.Add(time.Duration(rapid.IntRange(100, 3000).Draw(t, "start by")) * time.Millisecond)}
+				FirstTokenTarget: rapid.SampledFrom([]time.Duration{0, 100 * time.Millisecond}).Draw(t, "target"),
+				StartDeadline:    b.now.Add(time.Duration(rapid.IntRange(100, 3000).Draw(t, "start by")) * time.Millisecond)}
 			if b.offer(j, rapid.IntRange(1, 40).Draw(t, "tokens")) == nil {
 				accepted = append(accepted, j)
 			}
@@ -202,7 +202,7 @@
 	b := newBench(g, full(1))
 	b.q.cfg.QueueLimit = 1000
 	mine := func(flow string, i int) *Job {
-		return &Job{ID: fmt.Sprint(flow, i), Tier: 1, Flow: flow, Cost: 10, StartBy: epoch.Add(time.Hour)}
+		return &Job{ID: fmt.Sprint(flow, i), Tier: 1, Flow: flow, Cost: 10, StartDeadline: epoch.Add(time.Hour)}
 	}
 	for i := range 100 {
 		g.Expect(b.offer(mine("large", i), 10)).To(BeNil())
@@ -243,13 +243,13 @@
 	cfg.FIFO = true
 	q := New(cfg)
 	for i := range 5 {
-		g.Expect(q.Offer(epoch, &Job{ID: fmt.Sprint(i), Tier: 4 - i, StartBy: epoch.Add(time.Hour)})).To(BeNil())
+		g.Expect(q.Enqueue(epoch, &Job{ID: fmt.Sprint(i), Tier: 4 - i, StartDeadline: epoch.Add(time.Hour)})).To(BeNil())
 	}
 	for i := range 5 {
 		j, ok := q.Next(epoch)
 		g.Expect(ok).To(BeTrue())
 		g.Expect(j.ID).To(Equal(fmt.Sprint(i)))
-		q.Done(epoch, j)
+		q.Remove(epoch, j)
 	}
 }
 
@@ -258,19 +258,19 @@
 	cfg.QueueLimit = 100000
 	q := New(cfg)
 	for i := range 10000 {
-		q.Offer(epoch, &Job{Tier: i % Tiers, Flow: fmt.Sprint("team", i%2500), Cost: 50, StartBy: epoch.Add(time.Hour)})
+		q.Enqueue(epoch, &Job{Tier: i % Tiers, Flow: fmt.Sprint("team", i%2500), Cost: 50, StartDeadline: epoch.Add(time.Hour)})
 	}
 	now := epoch
 	spare := &Job{}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		*spare = Job{Tier: i % Tiers, Flow: "team7", Cost: 50, StartBy: epoch.Add(24 * time.Hour)}
+		*spare = Job{Tier: i % Tiers, Flow: "team7", Cost: 50, StartDeadline: epoch.Add(24 * time.Hour)}
 		now = now.Add(time.Microsecond)
-		if err := q.Offer(now, spare); err != nil {
+		if err := q.Enqueue(now, spare); err != nil {
 			b.Fatal(err)
 		}
 		next, _ := q.Next(now)
-		q.Done(now, next)
+		q.Remove(now, next)
 		spare = next
 	}
 }
--- a/internal/admission/tier.go
+++ b/internal/admission/tier.go
@@ -45,7 +45,7 @@
 	}
 	heap.Push(&t.order, j)
 	j.duePos = -1
-	if !j.StartBy.IsZero() {
+	if !j.StartDeadline.IsZero() {
 		heap.Push(&t.due, j)
 	}
 }
@@ -73,7 +73,7 @@
 // earliest returns the first start bound of the waiting jobs.
 func (t *tier) earliest() (time.Time, bool) {
 	if j := t.due.first(); j != nil {
-		return j.StartBy, true
+		return j.StartDeadline, true
 	}
 	return time.Time{}, false
 }
@@ -95,7 +95,7 @@
 
 // newDue orders jobs by start bound.
 func newDue() jobHeap {
-	return jobHeap{less: func(a, b *Job) bool { return a.StartBy.Before(b.StartBy) }, pos: func(j *Job) *int { return &j.duePos }}
+	return jobHeap{less: func(a, b *Job) bool { return a.StartDeadline.Before(b.StartDeadline) }, pos: func(j *Job) *int { return &j.duePos }}
 }
 
 // Len implements heap.Interface.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -65,11 +65,11 @@
 	a.core = newCoreDuty(a)
 	var err error
 	if a.listener, err = net.Listen("tcp", set.Listen); err != nil {
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("listen")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("listen")
 	}
 	if a.metrics, err = net.Listen("tcp", set.Metrics); err != nil {
 		_ = a.listener.Close() // the listen error is the one to report
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("metrics")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("metrics")
 	}
 	return a, nil
 }
@@ -154,12 +154,12 @@
 }
 
 func (a *Agent) hello(role string) wire.Hello {
-	return wire.Hello{Role: role, Name: a.set.Name, Incarnation: a.incarnation, Domain: a.set.FailureDomain,
+	return wire.Hello{Role: role, Name: a.set.Name, Incarnation: a.incarnation, FailureDomain: a.set.FailureDomain,
 		Revision: a.config.View().Revision}
 }
 
-func (a *Agent) linkOptions(beat func() *wire.Beat) link.Options {
-	return link.Options{Heartbeat: settings.Millis(a.set.Link.HeartbeatMS), Silent: settings.Millis(a.set.Link.SilentMS), Beat: beat}
+func (a *Agent) linkOptions(beat func() *wire.Heartbeat) link.Options {
+	return link.Options{HeartbeatInterval: settings.Millis(a.set.Link.HeartbeatMS), PeerTimeout: settings.Millis(a.set.Link.SilentMS), NewHeartbeat: beat}
 }
 
 // pages serves metrics, health and the agent's own status.
@@ -191,6 +191,6 @@
 }
 
 func (a *Agent) status() Status {
-	return Status{a.set.Name, a.incarnation, a.config.View().Revision, a.lease.Fence(), a.config.LogUp(),
+	return Status{a.set.Name, a.incarnation, a.config.View().Revision, a.lease.FencingToken(), a.config.LogUp(),
 		a.stopping.Load(), a.serving.list()}
 }
--- a/internal/agent/calls_test.go
+++ b/internal/agent/calls_test.go
@@ -25,8 +25,8 @@
 }
 
 func serviceRun() execution.Run {
-	return execution.Run{Key: execution.Key{ID: "x", Attempt: 1}, Offer: &wire.Offer{Kind: wire.Service, Endpoint: "/do", Body: []byte("b"),
-		RunWithinMS: 5000, ContentType: "text/plain"}}
+	return execution.Run{Key: execution.AttemptKey{RequestID: "x", Attempt: 1}, Offer: &wire.Offer{Kind: wire.KindService, Endpoint: "/do", Body: []byte("b"),
+		RunTimeoutMS: 5000, ContentType: "text/plain"}}
 }
 
 // net/http repeats a request by itself when a kept connection turns out to be
@@ -65,7 +65,7 @@
 }
 
 func engineRun(body string) execution.Run {
-	return execution.Run{Key: execution.Key{ID: "x", Attempt: 1}, Done: 2, DoneText: "a b ", Offer: &wire.Offer{Endpoint: "/v1/completions",
+	return execution.Run{Key: execution.AttemptKey{RequestID: "x", Attempt: 1}, GeneratedTokens: 2, GeneratedText: "a b ", Offer: &wire.Offer{Endpoint: "/v1/completions",
 		Target: "m@v2", Tier: 3, Body: []byte(body)}}
 }
 
@@ -93,7 +93,7 @@
 			_ = http.NewResponseController(w).Flush() // the stream is open
 			<-r.Context().Done()
 		}, "a", fault.EngineFailed, fault.Unknown},
-		"not loaded": {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusNotFound) }, "", fault.NoServer, fault.NotRun},
+		"not loaded": {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusNotFound) }, "", fault.NoBackendServer, fault.NotRun},
 		"busy":       {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusServiceUnavailable) }, "", fault.QueueFull, fault.NotRun},
 		"bad":        {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadRequest) }, "", fault.BadRequest, fault.NotRun},
 		"failed":     {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusInternalServerError) }, "", fault.EngineFailed, fault.Unknown},
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -19,7 +19,7 @@
 const claimTimeout = 300 * time.Millisecond
 
 // claim asks the witness of a key and lets the core decide on its word.
-func (a *Agent) claim(ctx context.Context, k execution.Key, o *wire.Offer) {
+func (a *Agent) claim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
 	select {
 	case <-a.lease.Held():
 	default: // without a lease on the log nobody could tell a later process of this one
@@ -28,7 +28,7 @@
 	}
 	pool := poolOf(a.config.View(), o.Target)
 	names := serverNames(pool)
-	ranked := rendezvous.Rank(o.Key, names)
+	ranked := rendezvous.Rank(o.IdempotencyKey, names)
 	if len(ranked) == 0 || ranked[0] != a.set.Name { // a router with an older configuration
 		a.core.settleClaim(ctx, k, o, receipt.WitnessUnreachable, true)
 		return
@@ -38,8 +38,8 @@
 		a.core.settleClaim(ctx, k, o, receipt.NoWitness, moved)
 		return
 	}
-	word := a.witness.ask(ctx, pool.Server(ranked[1]), &wire.Claim{Key: o.Key, Holder: a.set.Name + "/" + a.incarnation,
-		Digest: o.Digest, WindowMS: o.KeyWindowMS})
+	word := a.witness.ask(ctx, pool.Server(ranked[1]), &wire.ClaimRequest{Key: o.IdempotencyKey, Holder: a.set.Name + "/" + a.incarnation,
+		Digest: o.BodyDigest, RetentionMS: o.KeyRetentionMS})
 	telemetry.Count("merlinpost_agent_claims_total", "word", word.String())
 	a.core.settleClaim(ctx, k, o, word, moved)
 }
@@ -70,9 +70,9 @@
 }
 
 // keepClaim puts a claim on the log, then lets the call start.
-func (a *Agent) keepClaim(ctx context.Context, k execution.Key, o *wire.Offer) {
+func (a *Agent) keepClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
 	decision := receipt.Run
-	data, err := json.Marshal(keptClaim{o.Key, o.Digest, o.KeyWindowMS})
+	data, err := json.Marshal(keptClaim{o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS})
 	if err == nil {
 		_, err = a.log.Append(ctx, configlog.ClaimStream(a.set.Name), data)
 	}
@@ -80,7 +80,7 @@
 		decision = receipt.Refuse
 	}
 	telemetry.Count("merlinpost_agent_claims_on_log_total")
-	a.core.post(ctx, func(now time.Time) { a.core.core.ClaimSettled(now, k, decision) })
+	a.core.post(ctx, func(now time.Time) { a.core.core.ClaimDecided(now, k, decision) })
 }
 
 // recoverClaims reads the claims that an earlier process left on the log.
@@ -110,13 +110,13 @@
 }
 
 func (a *Agent) rememberClaims(now time.Time, kept []keptClaim) {
-	book := a.core.core.Book()
+	book := a.core.core.Keys()
 	for _, c := range kept {
-		book.Remember(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
+		book.AddLoggedClaim(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
 	}
 	book.SetLogRead()
-	if a.lease.Newborn() {
-		book.SetNewborn(a.poolsNeverChanged())
+	if a.lease.FirstHolder() {
+		book.SetFirstProcess(a.poolsNeverChanged())
 	}
 }
 
@@ -124,7 +124,7 @@
 // as they were first declared.
 func (a *Agent) poolsNeverChanged() bool {
 	v := a.config.View()
-	for _, name := range v.PoolsOf(a.set.Name) {
+	for _, name := range v.PoolsWithServer(a.set.Name) {
 		if r, ok := v.Get(resource.Ref{Kind: resource.KindPool, Name: name}); ok && len(r.Versions) > 1 {
 			return false
 		}
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -47,7 +47,7 @@
 }
 
 type callID struct {
-	key    execution.Key
+	key    execution.AttemptKey
 	number int
 }
 
@@ -59,8 +59,8 @@
 		Admission: admission.Config{Slots: a.set.Server.Slots, QueueLimit: s.QueueLimit, MaxPreemptions: s.MaxPreemptions,
 			FloorWindow: settings.Millis(s.FloorWindowMS), FIFO: s.Order == "fifo",
 			Preemption: s.Preemption, Floors: s.Floors, Fairness: s.Fairness, EarlyRefusal: s.EarlyRefusal},
-		MaxHeld: maxHeld, OrphanAfter: orphanFactor * settings.Millis(a.set.Link.LostMS),
-		TombstoneFor: tombstoneFor, MaxTombstones: maxTombstones,
+		MaxAttempts: maxHeld, OrphanTimeout: orphanFactor * settings.Millis(a.set.Link.LostMS),
+		TombstoneRetention: tombstoneFor, MaxTombstones: maxTombstones,
 	}, time.Now(), d, a.serving.has)
 	d.load.Store(d.core.Load())
 	return d
@@ -84,14 +84,14 @@
 		select {
 		case e := <-d.inbox:
 			e(time.Now())
-			if !soon && d.core.Busy() {
+			if !soon && d.core.NeedsFrequentTick() {
 				soon = true
 				timer.Reset(tickEvery)
 			}
 		case <-timer.C:
 			now := time.Now()
 			d.tick(now, &swept)
-			if soon = d.core.Busy(); soon {
+			if soon = d.core.NeedsFrequentTick(); soon {
 				timer.Reset(tickEvery)
 			} else {
 				timer.Reset(idleTickEvery)
@@ -117,7 +117,7 @@
 
 // uses asks the core whether an attempt for the target is held.
 func (d *coreDuty) uses(ctx context.Context, target string) bool {
-	return d.ask(ctx, func() bool { return d.core.Uses(target) })
+	return d.ask(ctx, func() bool { return d.core.HasAttemptFor(target) })
 }
 
 // ask runs a question on the core's goroutine; false if ctx ends first.
@@ -144,13 +144,13 @@
 // pokeAll sends every router a heartbeat at once.
 func (d *coreDuty) pokeAll() {
 	for _, c := range d.conns {
-		c.Poke()
+		c.TriggerHeartbeat()
 	}
 }
 
 // beat makes a heartbeat without the list of targets.
-func (d *coreDuty) beat() *wire.Beat {
-	return &wire.Beat{Revision: d.agent.config.View().Revision, Load: d.load.Load()}
+func (d *coreDuty) beat() *wire.Heartbeat {
+	return &wire.Heartbeat{Revision: d.agent.config.View().Revision, Load: d.load.Load()}
 }
 
 // tell publishes the totals since the last time.
@@ -166,15 +166,15 @@
 	add("merlinpost_agent_tokens_total", c.Tokens, d.told.Tokens)
 	add("merlinpost_agent_tombstoned_offers_total", c.Tombstoned, d.told.Tombstoned)
 	d.told = c
-	for class, n := range d.core.TakeWasted() {
+	for class, n := range d.core.TakeWastedTokens() {
 		telemetry.Add("merlinpost_agent_wasted_tokens_total", int(n), "class", class)
 	}
-	for code, n := range d.core.TakeRefused() {
+	for code, n := range d.core.TakeRefusedOffers() {
 		telemetry.Add("merlinpost_agent_refused_total", int(n), "code", string(code))
 	}
-	telemetry.Gauge("merlinpost_agent_held", float64(d.core.Held()))
-	telemetry.Gauge("merlinpost_agent_tombstones", float64(d.core.Tombstones()))
-	telemetry.Gauge("merlinpost_agent_keys", float64(d.core.Book().Len()))
+	telemetry.Gauge("merlinpost_agent_held", float64(d.core.AttemptCount()))
+	telemetry.Gauge("merlinpost_agent_tombstones", float64(d.core.TombstoneCount()))
+	telemetry.Gauge("merlinpost_agent_keys", float64(d.core.Keys().Len()))
 }
 
 // Send implements execution.Effects.
@@ -186,7 +186,7 @@
 // Use implements execution.Effects.
 func (d *coreDuty) Use(id execution.LinkID, n int) {
 	if c := d.conns[id]; c != nil {
-		c.Use(int64(n))
+		c.AddRequests(int64(n))
 	}
 }
 
@@ -195,7 +195,7 @@
 	ctx, cancel := context.WithCancel(d.ctx)
 	id := callID{r.Key, r.Number}
 	d.calls[id] = cancel
-	if r.Offer.Kind == wire.Service {
+	if r.Offer.Kind == wire.KindService {
 		go d.callService(ctx, id, r)
 		return
 	}
@@ -203,18 +203,18 @@
 }
 
 // Stop implements execution.Effects.
-func (d *coreDuty) Stop(k execution.Key, number int) {
+func (d *coreDuty) Stop(k execution.AttemptKey, number int) {
 	if cancel := d.calls[callID{k, number}]; cancel != nil {
 		cancel()
 	}
 }
 
 // Claim implements execution.Effects.
-func (d *coreDuty) Claim(k execution.Key, o *wire.Offer) { go d.agent.claim(d.ctx, k, o) }
+func (d *coreDuty) Claim(k execution.AttemptKey, o *wire.Offer) { go d.agent.claim(d.ctx, k, o) }
 
 func (d *coreDuty) callEngine(ctx context.Context, id callID, r execution.Run) {
 	end, err := d.agent.engine.generate(ctx, r, func(data []byte) {
-		d.post(ctx, func(now time.Time) { d.core.Token(now, r.Key, r.Number, data, 1) })
+		d.post(ctx, func(now time.Time) { d.core.Output(now, r.Key, r.Number, data, 1) })
 	})
 	d.ended(id, r, nil, end, err)
 }
@@ -232,21 +232,21 @@
 			delete(d.calls, id)
 		}
 		if body != nil {
-			d.core.Token(now, r.Key, r.Number, body, 0)
+			d.core.Output(now, r.Key, r.Number, body, 0)
 		}
-		d.core.Ended(now, r.Key, r.Number, end, e)
+		d.core.RunEnded(now, r.Key, r.Number, end, e)
 	})
 }
 
 // settleClaim decides on a keyed call with the witness's word.
-func (d *coreDuty) settleClaim(ctx context.Context, k execution.Key, o *wire.Offer, word receipt.Word, moved bool) {
+func (d *coreDuty) settleClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer, word receipt.WitnessReply, moved bool) {
 	d.post(ctx, func(now time.Time) {
-		window := time.Duration(o.KeyWindowMS) * time.Millisecond
-		decision := d.core.Book().Decide(now, window, word, moved)
-		if decision == receipt.RunOnceKept {
+		window := time.Duration(o.KeyRetentionMS) * time.Millisecond
+		decision := d.core.Keys().Decide(now, window, word, moved)
+		if decision == receipt.RunAfterLogging {
 			go d.agent.keepClaim(ctx, k, o)
 			return
 		}
-		d.core.ClaimSettled(now, k, decision)
+		d.core.ClaimDecided(now, k, decision)
 	})
 }
--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -39,7 +39,7 @@
 	fields := map[string]any{}
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(r.Offer.Body, &raw); err != nil {
-		return nil, fault.New(fault.BadRequest, "the body is no JSON object: %w", err).With(fault.NotRun)
+		return nil, fault.New(fault.BadRequest, "the body is no JSON object: %w", err).WithOutcome(fault.NotRun)
 	}
 	for k, v := range raw {
 		fields[k] = v
@@ -48,13 +48,13 @@
 	fields["stream"] = true
 	fields["stream_options"] = map[string]bool{"include_usage": true}
 	fields["priority"] = r.Offer.Tier
-	fields["request_id"] = r.Key.ID
-	if r.Done > 0 {
-		fields["resume"] = map[string]any{"tokens": r.Done, "text": r.DoneText}
+	fields["request_id"] = r.Key.RequestID
+	if r.GeneratedTokens > 0 {
+		fields["resume"] = map[string]any{"tokens": r.GeneratedTokens, "text": r.GeneratedText}
 	}
 	data, err := json.Marshal(fields)
 	if err != nil {
-		return nil, fault.New(fault.Internal, "encode engine request: %w", err).With(fault.NotRun)
+		return nil, fault.New(fault.Internal, "encode engine request: %w", err).WithOutcome(fault.NotRun)
 	}
 	return data, nil
 }
@@ -85,7 +85,7 @@
 		if stalled.Load() {
 			cause = "the stream stalled"
 		}
-		return end, fault.New(fault.EngineFailed, "%s: %w", cause, err).With(fault.Unknown)
+		return end, fault.New(fault.EngineFailed, "%s: %w", cause, err).WithOutcome(fault.Unknown)
 	}
 	return end, nil
 }
@@ -94,7 +94,7 @@
 func (c *engineClient) open(ctx context.Context, endpoint string, body []byte) (*http.Response, *fault.Error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+endpoint, bytes.NewReader(body))
 	if err != nil {
-		return nil, fault.New(fault.Internal, "engine request: %w", err).With(fault.NotRun)
+		return nil, fault.New(fault.Internal, "engine request: %w", err).WithOutcome(fault.NotRun)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req, sent := httpsent.Trace(req)
@@ -104,7 +104,7 @@
 		if !sent.Load() {
 			outcome = fault.NotRun
 		}
-		return nil, fault.New(fault.EngineFailed, "call the engine: %w", err).With(outcome)
+		return nil, fault.New(fault.EngineFailed, "call the engine: %w", err).WithOutcome(outcome)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
@@ -120,13 +120,13 @@
 	code, outcome := fault.EngineFailed, fault.Unknown
 	switch {
 	case status == http.StatusNotFound:
-		code, outcome = fault.NoServer, fault.NotRun
+		code, outcome = fault.NoBackendServer, fault.NotRun
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		code, outcome = fault.QueueFull, fault.NotRun
 	case status >= 400 && status < 500:
 		code, outcome = fault.BadRequest, fault.NotRun
 	}
-	return fault.New(code, "the engine answered %d: %s", status, text).With(outcome)
+	return fault.New(code, "the engine answered %d: %s", status, text).WithOutcome(outcome)
 }
 
 // streamEvent is the part of a published stream event that matters here.
@@ -190,7 +190,7 @@
 			token([]byte(text))
 		}
 		if c.Finish != "" {
-			end.Finish = c.Finish
+			end.FinishReason = c.Finish
 		}
 	}
 }
--- a/internal/agent/history.go
+++ b/internal/agent/history.go
@@ -26,7 +26,7 @@
 	for ctx.Err() == nil {
 		changed := a.config.Changed()
 		if a.config.Ready() && a.witness.history.note(a.config.View(), a.set.Name) {
-			a.core.post(ctx, func(now time.Time) { a.core.core.Book().ServersChanged(now) })
+			a.core.post(ctx, func(now time.Time) { a.core.core.Keys().ServersChanged(now) })
 		}
 		select {
 		case <-changed:
@@ -41,7 +41,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	any := false
-	for _, pool := range v.PoolsOf(self) {
+	for _, pool := range v.PoolsWithServer(self) {
 		names := serverNames(v.Pools[pool])
 		slices.Sort(names)
 		old, known := h.current[pool]
@@ -64,6 +64,6 @@
 		return true
 	}
 	before := h.before[s.Pool]
-	return before != nil && time.Since(h.changed[s.Pool]) < settings.Millis(int(o.KeyWindowMS)) &&
-		rendezvous.First(o.Key, before) != a.set.Name
+	return before != nil && time.Since(h.changed[s.Pool]) < settings.Millis(int(o.KeyRetentionMS)) &&
+		rendezvous.First(o.IdempotencyKey, before) != a.set.Name
 }
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -88,7 +88,7 @@
 
 // beat makes a heartbeat with the list of targets. The list comes with each, so
 // that whatever was lost or overtaken is right again with the next.
-func (p *peerLink) beat() *wire.Beat {
+func (p *peerLink) beat() *wire.Heartbeat {
 	b := p.agent.core.beat()
 	load := *b.Load
 	load.Serving = p.agent.serving.list()
@@ -108,22 +108,22 @@
 		d.post(ctx, func(now time.Time) { d.core.Cancel(now, p.id, m) })
 	case *wire.Resume:
 		d.post(ctx, func(now time.Time) { d.core.Resume(now, p.id, m) })
-	case *wire.Claim:
-		d.post(ctx, func(now time.Time) { p.conn.Send(d.core.Book().Grant(now, m)) })
-	case *wire.Beat:
+	case *wire.ClaimRequest:
+		d.post(ctx, func(now time.Time) { p.conn.Send(d.core.Keys().HandleClaim(now, m)) })
+	case *wire.Heartbeat:
 		if m.Revision > a.config.View().Revision && !a.config.LogUp() {
-			p.conn.Send(&wire.ConfigPull{Above: a.config.View().Revision})
+			p.conn.Send(&wire.ConfigRequest{NewerThan: a.config.View().Revision})
 		}
-	case *wire.ConfigPull:
+	case *wire.ConfigRequest:
 		a.answerPull(p.conn, m)
-	case *wire.ConfigState:
+	case *wire.ConfigSnapshot:
 		a.installConfig(m)
 	}
 }
 
 // answerPull gives a peer the configuration if this process has a newer one.
-func (a *Agent) answerPull(conn *link.Conn, m *wire.ConfigPull) {
-	revision, data, err := a.config.Encode(m.Above)
+func (a *Agent) answerPull(conn *link.Conn, m *wire.ConfigRequest) {
+	revision, data, err := a.config.EncodeSnapshot(m.NewerThan)
 	if err != nil {
 		a.logger.Error("configuration not encoded", "error", err)
 		return
@@ -131,14 +131,14 @@
 	if !a.config.Ready() {
 		data = nil
 	}
-	conn.Send(&wire.ConfigState{Revision: revision, Data: data})
+	conn.Send(&wire.ConfigSnapshot{Revision: revision, Data: data})
 }
 
-func (a *Agent) installConfig(m *wire.ConfigState) {
+func (a *Agent) installConfig(m *wire.ConfigSnapshot) {
 	if len(m.Data) == 0 {
 		return
 	}
-	if err := a.config.Install(m.Data); err != nil {
+	if err := a.config.InstallSnapshot(m.Data); err != nil {
 		telemetry.Count("merlinpost_config_from_peer_broken_total")
 	}
 }
--- a/internal/agent/links_test.go
+++ b/internal/agent/links_test.go
@@ -31,12 +31,12 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	go a.serveLink(ctx, here)
 	router, err := link.Open(there, wire.Hello{Role: "router", Name: "r", Incarnation: "1"},
-		link.Options{Heartbeat: 20 * time.Second, Silent: time.Minute, Beat: func() *wire.Beat { return &wire.Beat{} }})
+		link.Options{HeartbeatInterval: 20 * time.Second, PeerTimeout: time.Minute, NewHeartbeat: func() *wire.Heartbeat { return &wire.Heartbeat{} }})
 	g.Expect(err).NotTo(HaveOccurred())
 	told := make(chan []string, 10)
 	go func() {
 		_ = router.Run(ctx, func(m wire.Message) { // ends with ctx
-			if b, ok := m.(*wire.Beat); ok && b.Load != nil {
+			if b, ok := m.(*wire.Heartbeat); ok && b.Load != nil {
 				told <- b.Load.Serving
 			}
 		})
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		out = append(out, target{name + "@" + resource.BaseVersion, false})
-		for _, r := range v.RolloutsOf(name) {
+		for _, r := range v.RolloutsForModel(name) {
 			out = append(out, target{name + "@" + r.Version, r.Adapter})
 		}
 	}
@@ -102,7 +102,7 @@
 		return 0
 	}
 	place := 0
-	for _, pool := range v.PoolsOf(a.set.Name) {
+	for _, pool := range v.PoolsWithServer(a.set.Name) {
 		place = max(place, slices.Index(rendezvous.Rank(name, serverNames(v.Pools[pool])), a.set.Name))
 	}
 	return time.Duration(place/a.set.Weights.AtOnce) * settings.Millis(a.set.Weights.TurnMS)
@@ -112,12 +112,12 @@
 // checks the fencing number where it can; where it can't, the log is asked
 // just before, and the state is looked at again at the next turn.
 func (a *Agent) order(ctx context.Context, o order) {
-	if a.lease.Fence() == 0 || (!a.set.Server.Fencing && !a.lease.Current(ctx)) {
+	if a.lease.FencingToken() == 0 || (!a.set.Server.Fencing && !a.lease.VerifyHeld(ctx)) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	o.Fence, o.By = a.lease.Fence(), a.incarnation
+	o.Fence, o.By = a.lease.FencingToken(), a.incarnation
 	err := a.engine.give(ctx, o)
 	telemetry.Count("merlinpost_agent_orders_total", "op", o.Op)
 	if err != nil {
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -38,15 +38,15 @@
 // call makes one call and returns the whole answer. An answer with an error
 // status of the service's own is an answer, not a failure.
 func (c *serviceClient) call(ctx context.Context, r execution.Run) ([]byte, wire.End, *fault.Error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Offer.RunWithinMS)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Offer.RunTimeoutMS)*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+r.Offer.Endpoint, bytes.NewReader(r.Offer.Body))
 	if err != nil {
-		return nil, wire.End{}, fault.New(fault.Internal, "service call: %w", err).With(fault.NotRun)
+		return nil, wire.End{}, fault.New(fault.Internal, "service call: %w", err).WithOutcome(fault.NotRun)
 	}
 	req.GetBody = nil // never sent a second time
 	req.Header.Set("Content-Type", r.Offer.ContentType)
-	req.Header.Set("Merlinpost-Request-Id", r.Key.ID)
+	req.Header.Set("Merlinpost-Request-Id", r.Key.RequestID)
 	req, sent := httpsent.Trace(req)
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -54,7 +54,7 @@
 		if !sent.Load() {
 			outcome = fault.NotRun
 		}
-		return nil, wire.End{}, fault.New(fault.EngineFailed, "call the service: %w", err).With(outcome)
+		return nil, wire.End{}, fault.New(fault.EngineFailed, "call the service: %w", err).WithOutcome(outcome)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceAnswer+1))
@@ -62,7 +62,7 @@
 		err = errors.New("the answer is too large")
 	}
 	if err != nil {
-		return nil, wire.End{}, fault.New(fault.EngineFailed, "read the service's answer: %w", err).With(fault.Unknown)
+		return nil, wire.End{}, fault.New(fault.EngineFailed, "read the service's answer: %w", err).WithOutcome(fault.Unknown)
 	}
 	return body, wire.End{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type")}, nil
 }
--- a/internal/agent/witness.go
+++ b/internal/agent/witness.go
@@ -25,7 +25,7 @@
 	conn    *link.Conn
 	mu      sync.Mutex
 	seq     uint64
-	waiting map[uint64]chan *wire.Claimed
+	waiting map[uint64]chan *wire.ClaimResponse
 }
 
 func newWitnessLinks(a *Agent) *witnessLinks {
@@ -34,7 +34,7 @@
 }
 
 // ask sends a claim and waits for the witness's word.
-func (w *witnessLinks) ask(ctx context.Context, s resource.Server, c *wire.Claim) receipt.Word {
+func (w *witnessLinks) ask(ctx context.Context, s resource.Server, c *wire.ClaimRequest) receipt.WitnessReply {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	l := w.get(ctx, s.Agent)
@@ -47,7 +47,7 @@
 		if !ok {
 			return receipt.WitnessUnreachable
 		}
-		switch m.State {
+		switch m.Result {
 		case wire.ClaimGranted:
 			return receipt.WitnessGranted
 		case wire.ClaimTaken:
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil
 	}
-	l := &witnessLink{conn: conn, waiting: map[uint64]chan *wire.Claimed{}}
+	l := &witnessLink{conn: conn, waiting: map[uint64]chan *wire.ClaimResponse{}}
 	w.links[address] = l
 	go l.run(w.agent.core.ctx)
 	return l
@@ -87,7 +87,7 @@
 
 func (l *witnessLink) run(ctx context.Context) {
 	_ = l.conn.Run(ctx, func(m wire.Message) { // its end shows in the claims that fail
-		if c, ok := m.(*wire.Claimed); ok {
+		if c, ok := m.(*wire.ClaimResponse); ok {
 			l.settle(c)
 		}
 	})
@@ -99,7 +99,7 @@
 	}
 }
 
-func (l *witnessLink) settle(c *wire.Claimed) {
+func (l *witnessLink) settle(c *wire.ClaimResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ch := l.waiting[c.Seq]; ch != nil {
@@ -108,12 +108,12 @@
 	}
 }
 
-func (l *witnessLink) send(c *wire.Claim) <-chan *wire.Claimed {
+func (l *witnessLink) send(c *wire.ClaimRequest) <-chan *wire.ClaimResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seq++
 	c.Seq = l.seq
-	ch := make(chan *wire.Claimed, 1)
+	ch := make(chan *wire.ClaimResponse, 1)
 	if !l.conn.Send(c) {
 		close(ch)
 		return ch
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -23,14 +23,14 @@
 func (b *Buffer) Append(data []byte) { b.chunks = append(b.chunks, data) }
 
 // Total returns the number of the chunk after the last.
-func (b *Buffer) Total() uint32 { return b.base + uint32(len(b.chunks)) }
+func (b *Buffer) EndSeq() uint32 { return b.base + uint32(len(b.chunks)) }
 
 // Held returns how many chunks are kept.
-func (b *Buffer) Held() int { return len(b.chunks) }
+func (b *Buffer) Unacknowledged() int { return len(b.chunks) }
 
 // Peek returns the next chunk to send, if the window allows one.
 func (b *Buffer) Peek() (seq uint32, data []byte, ok bool) {
-	if b.next >= b.Total() || b.next >= b.base+b.window {
+	if b.next >= b.EndSeq() || b.next >= b.base+b.window {
 		return 0, nil, false
 	}
 	return b.next, b.chunks[b.next-b.base], true
@@ -41,14 +41,14 @@
 	if len(b.chunks) == 0 {
 		return 0, nil, false
 	}
-	return b.Total() - 1, b.chunks[len(b.chunks)-1], true
+	return b.EndSeq() - 1, b.chunks[len(b.chunks)-1], true
 }
 
 // Sent moves past the chunk that Peek returned.
-func (b *Buffer) Sent() { b.next++ }
+func (b *Buffer) MarkSent() { b.next++ }
 
 // AllSent reports whether every chunk was sent.
-func (b *Buffer) AllSent() bool { return b.next == b.Total() }
+func (b *Buffer) AllSent() bool { return b.next == b.EndSeq() }
 
 // Ack forgets the chunks below next. Late and repeated acknowledgements, and
 // ones of chunks never sent, have no effect.
@@ -64,8 +64,8 @@
 
 // Rewind sends again from next on, which must not be acknowledged yet.
 func (b *Buffer) Rewind(next uint32) error {
-	if next < b.base || next > b.Total() {
-		return fault.New(fault.ShortAnswer, "resume at chunk %d, but %d to %d are held", next, b.base, b.Total())
+	if next < b.base || next > b.EndSeq() {
+		return fault.New(fault.IncompleteResponse, "resume at chunk %d, but %d to %d are held", next, b.base, b.EndSeq())
 	}
 	b.next = next
 	b.Ack(next)
@@ -73,23 +73,23 @@
 }
 
 // Place says where a chunk belongs in the order.
-type Place int
+type SeqStatus int
 
 // The places.
 const (
-	InOrder   Place = iota // the next one: pass it on
-	Duplicate              // passed on before: drop it
-	Gap                    // chunks before it are missing: resume
+	InOrder   SeqStatus = iota // the next one: pass it on
+	Duplicate                  // passed on before: drop it
+	Gap                        // chunks before it are missing: resume
 )
 
 // Assembler passes each chunk on once and in order.
 type Assembler struct{ next uint32 }
 
 // Next returns the number of the chunk that is expected next.
-func (a *Assembler) Next() uint32 { return a.next }
+func (a *Assembler) NextSeq() uint32 { return a.next }
 
 // Accept places chunk seq, and counts it as passed on if it is in order.
-func (a *Assembler) Accept(seq uint32) Place {
+func (a *Assembler) Accept(seq uint32) SeqStatus {
 	switch {
 	case seq < a.next:
 		return Duplicate
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -19,7 +19,7 @@
 		made := 0
 		var got, inFlight []uint32
 		var old []uint32 // what a replaced link may still bring
-		for steps := 0; asm.Next() < uint32(total); steps++ {
+		for steps := 0; asm.NextSeq() < uint32(total); steps++ {
 			g.Expect(steps).To(BeNumerically("<", 100000))
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
@@ -30,7 +30,7 @@
 			case 1:
 				if seq, data, ok := buf.Peek(); ok {
 					g.Expect(string(data)).To(Equal(fmt.Sprint(seq)))
-					buf.Sent()
+					buf.MarkSent()
 					inFlight = append(inFlight, seq)
 				}
 			case 2:
@@ -42,17 +42,17 @@
 				}
 			case 3: // the link breaks; the answer resumes on another
 				old, inFlight = append(old, inFlight...), nil
-				g.Expect(buf.Rewind(asm.Next())).To(Succeed())
+				g.Expect(buf.Rewind(asm.NextSeq())).To(Succeed())
 			case 4:
-				buf.Ack(rapid.Uint32Range(0, asm.Next()).Draw(t, "ack"))
+				buf.Ack(rapid.Uint32Range(0, asm.NextSeq()).Draw(t, "ack"))
 			case 5: // a chunk of an old link that would be out of order
-				if len(old) > 0 && old[0] < asm.Next() {
+				if len(old) > 0 && old[0] < asm.NextSeq() {
 					g.Expect(asm.Accept(old[0])).To(Equal(Duplicate))
 					old = old[1:]
 				}
 			}
 			if len(inFlight) == 0 { // let the window move on
-				buf.Ack(asm.Next())
+				buf.Ack(asm.NextSeq())
 			}
 			g.Expect(buf.next - buf.base).To(BeNumerically("<=", window))
 		}
@@ -68,7 +68,7 @@
 	buf := NewBuffer(5, 4)
 	buf.Append([]byte("a"))
 	buf.Append([]byte("b"))
-	buf.Sent()
+	buf.MarkSent()
 	buf.Ack(6)
 	g.Expect(buf.Rewind(5)).NotTo(Succeed())
 	g.Expect(buf.Rewind(8)).NotTo(Succeed())
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -23,7 +23,7 @@
 type Router struct {
 	*router.Router
 	listeners router.Listeners
-	pages     router.Pages
+	pages     router.Handlers
 }
 
 // NewRouter opens the sockets of a router and puts it together.
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	callers := callerapi.New(r, r.Config.View, set.Callers, logger).Handler()
-	return &Router{r, listeners, router.Pages{Callers: callers, Operators: operators}}, nil
+	return &Router{r, listeners, router.Handlers{Callers: callers, Operators: operators}}, nil
 }
 
 // openPages are the operators' pages that need no key.
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -25,10 +25,10 @@
 
 // The headers of the API beyond the published format.
 const (
-	HeaderClass     = "Merlinpost-Class"
-	HeaderRequestID = "Merlinpost-Request-Id"
-	HeaderServed    = "Merlinpost-Served"
-	HeaderKey       = "Idempotency-Key"
+	HeaderClass          = "Merlinpost-Class"
+	HeaderRequestID      = "Merlinpost-Request-Id"
+	HeaderServed         = "Merlinpost-Served"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const maxKeyLength = 256
@@ -64,7 +64,7 @@
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	mux.HandleFunc("GET /readyz", a.ready)
 	mux.HandleFunc("/", a.serve(func(*exchange) *fault.Error {
-		return fault.New(fault.NotFound, "no such path").With(fault.NotRun)
+		return fault.New(fault.NotFound, "no such path").WithOutcome(fault.NotRun)
 	}))
 	return mux
 }
@@ -111,14 +111,14 @@
 // identify finds the team by its key and the class by header or default.
 func (x *exchange) identify() *fault.Error {
 	if x.view.Revision == 0 && !x.api.backend.Ready() {
-		return fault.New(fault.NotReady, "this router has no configuration yet").With(fault.NotRun).After(time.Second)
+		return fault.New(fault.NotReady, "this router has no configuration yet").WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	key, ok := strings.CutPrefix(x.r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return fault.New(fault.Unauthorized, "a team key is needed").InField("Authorization").With(fault.NotRun)
+		return fault.New(fault.Unauthorized, "a team key is needed").WithField("Authorization").WithOutcome(fault.NotRun)
 	}
 	if x.teamName, ok = x.view.TeamByKey(key); !ok {
-		return fault.New(fault.Unauthorized, "the key is not known").InField("Authorization").With(fault.NotRun)
+		return fault.New(fault.Unauthorized, "the key is not known").WithField("Authorization").WithOutcome(fault.NotRun)
 	}
 	x.team = x.view.Teams[x.teamName]
 	x.className = x.r.Header.Get(HeaderClass)
@@ -127,10 +127,10 @@
 	}
 	x.class = x.view.Classes[x.className]
 	if x.class == nil {
-		return fault.New(fault.UnknownClass, "there is no class %q", x.className).InField(HeaderClass).With(fault.NotRun)
+		return fault.New(fault.UnknownClass, "there is no class %q", x.className).WithField(HeaderClass).WithOutcome(fault.NotRun)
 	}
 	if !x.team.AllowsClass(x.className) {
-		return fault.New(fault.Forbidden, "team %q may not use class %q", x.teamName, x.className).InField(HeaderClass).With(fault.NotRun)
+		return fault.New(fault.Forbidden, "team %q may not use class %q", x.teamName, x.className).WithField(HeaderClass).WithOutcome(fault.NotRun)
 	}
 	return nil
 }
@@ -142,9 +142,9 @@
 	data, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, x.api.set.MaxBodyBytes))
 	if err != nil {
 		if strings.Contains(err.Error(), "too large") {
-			return nil, fault.New(fault.TooLarge, "the body has more than %d bytes", x.api.set.MaxBodyBytes).InField("body").With(fault.NotRun)
+			return nil, fault.New(fault.TooLarge, "the body has more than %d bytes", x.api.set.MaxBodyBytes).WithField("body").WithOutcome(fault.NotRun)
 		}
-		return nil, fault.New(fault.BadRequest, "read the body: %w", err).InField("body").With(fault.NotRun)
+		return nil, fault.New(fault.BadRequest, "read the body: %w", err).WithField("body").WithOutcome(fault.NotRun)
 	}
 	_ = control.SetReadDeadline(time.Time{}) // only test recorders refuse
 	return data, nil
--- a/internal/callerapi/api_test.go
+++ b/internal/callerapi/api_test.go
@@ -32,7 +32,7 @@
 	b.got = req
 	for _, c := range b.chunks {
 		if deliver([]byte(c)) != nil {
-			return nil, fault.New(fault.Cancelled, "gone").With(fault.Partial)
+			return nil, fault.New(fault.Cancelled, "gone").WithOutcome(fault.Partial)
 		}
 	}
 	return b.end, b.err
@@ -47,7 +47,7 @@
 func (b *backend) Ready() bool { return true }
 
 func view(t *testing.T) *resource.View {
-	f := resource.NewFold()
+	f := resource.NewState()
 	put := func(kind resource.Kind, name, spec string) resource.Change {
 		return resource.Change{Verb: resource.Put, Kind: kind, Name: name, Spec: json.RawMessage(spec)}
 	}
@@ -57,7 +57,7 @@
 		put(resource.KindPool, "p", `{"servers":[{"name":"s","agent":"127.0.0.1:1","failure_domain":"a"}]}`),
 		put(resource.KindModel, "m", `{"pool":"p"}`),
 		put(resource.KindService, "receipts", `{"pool":"p","path":"/x","key_window_ms":1000}`),
-		put(resource.KindTeam, "t", `{"keys_sha256":["`+resource.HashKey("key")+`"],"default_class":"top"}`),
+		put(resource.KindTeam, "t", `{"keys_sha256":["`+resource.HashAPIKey("key")+`"],"default_class":"top"}`),
 	}}
 	data, err := json.Marshal(rec)
 	if err != nil {
@@ -106,13 +106,13 @@
 		"no model":          {chat, `{"messages":[]}`, nil, 400, fault.BadRequest, "model"},
 		"unknown model":     {chat, `{"model":"no","messages":[]}`, nil, 404, fault.UnknownModel, "model"},
 		"no messages":       {chat, `{"model":"m"}`, nil, 400, fault.BadRequest, "messages"},
-		"two choices":       {chat, `{"model":"m","messages":[],"n":2}`, nil, 400, fault.Unsupported, "n"},
-		"tools":             {chat, `{"model":"m","messages":[],"tools":[{}]}`, nil, 400, fault.Unsupported, "tools"},
+		"two choices":       {chat, `{"model":"m","messages":[],"n":2}`, nil, 400, fault.UnsupportedField, "n"},
+		"tools":             {chat, `{"model":"m","messages":[],"tools":[{}]}`, nil, 400, fault.UnsupportedField, "tools"},
 		"too many tokens":   {chat, `{"model":"m","messages":[],"max_tokens":51}`, nil, 400, fault.BadRequest, "max_tokens"},
 		"prompt list":       {"/v1/completions", `{"model":"m","prompt":["a","b"]}`, nil, 400, fault.BadRequest, "prompt"},
 		"unknown service":   {"/v1/services/no", "x", nil, 404, fault.UnknownService, "service"},
-		"no idempotency":    {"/v1/services/receipts", "x", nil, 400, fault.KeyRequired, HeaderKey},
-		"long idempotency":  {"/v1/services/receipts", "x", map[string]string{HeaderKey: strings.Repeat("k", 300)}, 400, fault.BadRequest, HeaderKey},
+		"no idempotency":    {"/v1/services/receipts", "x", nil, 400, fault.IdempotencyKeyRequired, HeaderIdempotencyKey},
+		"long idempotency":  {"/v1/services/receipts", "x", map[string]string{HeaderIdempotencyKey: strings.Repeat("k", 300)}, 400, fault.BadRequest, HeaderIdempotencyKey},
 		"no such path":      {"/v1/nothing", "x", nil, 404, fault.NotFound, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -132,19 +132,19 @@
 
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	g := NewWithT(t)
-	w := serve(t, &backend{err: fault.New(fault.QueueFull, "full").With(fault.NotRun).After(1500 * time.Millisecond)}, "/v1/chat/completions", goodChat, nil)
+	w := serve(t, &backend{err: fault.New(fault.QueueFull, "full").WithOutcome(fault.NotRun).WithRetryAfter(1500 * time.Millisecond)}, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Code).To(Equal(http.StatusTooManyRequests))
 	g.Expect(w.Header().Get("Retry-After")).To(Equal("2"))
 	g.Expect(w.Header().Get(HeaderRequestID)).NotTo(BeEmpty())
-	w = serve(t, &backend{err: fault.New(fault.Draining, "leaving").With(fault.NotRun)}, "/v1/chat/completions", goodChat, nil)
+	w = serve(t, &backend{err: fault.New(fault.Draining, "leaving").WithOutcome(fault.NotRun)}, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Header().Get("Retry-After")).To(Equal("1"), "where no better time is known")
-	w = serve(t, &backend{err: fault.New(fault.EngineFailed, "gone").With(fault.Unknown)}, "/v1/chat/completions", goodChat, nil)
+	w = serve(t, &backend{err: fault.New(fault.EngineFailed, "gone").WithOutcome(fault.Unknown)}, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Header().Get("Retry-After")).To(BeEmpty(), "it may have run")
 }
 
 func TestStreamThatFailsHasNoEndMark(t *testing.T) {
 	g := NewWithT(t)
-	b := &backend{chunks: []string{"a", "b"}, err: fault.New(fault.EngineFailed, "gone").With(fault.Partial)}
+	b := &backend{chunks: []string{"a", "b"}, err: fault.New(fault.EngineFailed, "gone").WithOutcome(fault.Partial)}
 	w := serve(t, b, "/v1/chat/completions", `{"model":"m","stream":true,"messages":[]}`, nil)
 	g.Expect(w.Body.String()).To(ContainSubstring(`"outcome":"partial"`))
 	g.Expect(w.Body.String()).NotTo(ContainSubstring("[DONE]"))
@@ -152,7 +152,7 @@
 
 func TestRequestCarriesClassAndLimit(t *testing.T) {
 	g := NewWithT(t)
-	b := &backend{chunks: []string{"hi"}, end: &wire.End{Finish: "stop", PromptTokens: 3, OutputTokens: 1}}
+	b := &backend{chunks: []string{"hi"}, end: &wire.End{FinishReason: "stop", PromptTokens: 3, OutputTokens: 1}}
 	w := serve(t, b, "/v1/chat/completions", goodChat, nil)
 	g.Expect(w.Code).To(Equal(http.StatusOK))
 	g.Expect(w.Body.String()).To(ContainSubstring(`"content":"hi"`))
@@ -160,8 +160,8 @@
 	g.Expect(b.got.ClassName).To(Equal("top"))
 	g.Expect(string(b.got.Body)).To(ContainSubstring(`"max_tokens":50`))
 	b = &backend{chunks: []string{"ok"}, end: &wire.End{Status: 201, ContentType: "text/plain"}}
-	w = serve(t, b, "/v1/services/receipts", "x", map[string]string{HeaderKey: "k"})
+	w = serve(t, b, "/v1/services/receipts", "x", map[string]string{HeaderIdempotencyKey: "k"})
 	g.Expect(w.Code).To(Equal(201))
-	g.Expect(b.got.Key).To(Equal("receipts\x00t\x00k"))
+	g.Expect(b.got.IdempotencyKey).To(Equal("receipts\x00t\x00k"))
 	g.Expect(b.got.MayRepeat).To(BeFalse())
 }
--- a/internal/callerapi/completion.go
+++ b/internal/callerapi/completion.go
@@ -60,7 +60,7 @@
 	}
 	model := x.view.Models[in.Model]
 	if model == nil {
-		return fault.New(fault.UnknownModel, "there is no model %q", in.Model).InField("model").With(fault.NotRun)
+		return fault.New(fault.UnknownModel, "there is no model %q", in.Model).WithField("model").WithOutcome(fault.NotRun)
 	}
 	x.startObserving()
 	release, e := x.api.backend.Admit(x.r.Context(), x.teamName, x.team)
@@ -68,13 +68,13 @@
 		return e
 	}
 	defer release()
-	version := rollout.Choose(x.view.RolloutsOf(in.Model), x.id)
+	version := rollout.Choose(x.view.RolloutsForModel(in.Model), x.id)
 	if version != resource.BaseVersion && !x.api.backend.Serves(model.Pool, in.Model+"@"+version) {
 		version = resource.BaseVersion // no agent has loaded it yet, or any more
 	}
 	f.id, f.model, f.created, f.usage = x.id, in.Model, x.start.Unix(), in.StreamOptions.IncludeUsage
 	x.w.Header().Set(HeaderServed, in.Model+"@"+version)
-	req := &router.Request{ID: x.id, Kind: wire.Generate, Endpoint: f.endpoint, Team: x.teamName, ClassName: x.className,
+	req := &router.Request{ID: x.id, Kind: wire.KindGenerate, Endpoint: f.endpoint, Team: x.teamName, ClassName: x.className,
 		Class: x.class, Pool: model.Pool, Target: in.Model + "@" + version, MayRepeat: true, Resumable: true,
 		MaxTokens: in.limit(x.class), Prefix: in.prefix(), ContentType: "application/json", Body: withLimit(data, &in, x.class)}
 	if in.Stream {
@@ -84,7 +84,7 @@
 }
 
 func badJSON(err error) *fault.Error {
-	e := fault.New(fault.BadRequest, "the body is no such JSON object: %w", err).InField("body").With(fault.NotRun)
+	e := fault.New(fault.BadRequest, "the body is no such JSON object: %w", err).WithField("body").WithOutcome(fault.NotRun)
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" {
 		e.Field = typed.Field
 	}
@@ -102,22 +102,22 @@
 		"tools": present(in.Tools), "functions": present(in.Functions), "logprobs": present(in.Logprobs), "echo": in.Echo}
 	for _, field := range []string{"n", "best_of", "tools", "functions", "logprobs", "echo"} {
 		if unsupported[field] {
-			return fault.New(fault.Unsupported, "this field is not supported").InField(field).With(fault.NotRun)
+			return fault.New(fault.UnsupportedField, "this field is not supported").WithField(field).WithOutcome(fault.NotRun)
 		}
 	}
 	if in.Model == "" {
-		return fault.New(fault.BadRequest, "a model is needed").InField("model").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "a model is needed").WithField("model").WithOutcome(fault.NotRun)
 	}
 	if chat && !bytes.HasPrefix(bytes.TrimSpace(in.Messages), []byte("[")) {
-		return fault.New(fault.BadRequest, "a list of messages is needed").InField("messages").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "a list of messages is needed").WithField("messages").WithOutcome(fault.NotRun)
 	}
 	if !chat && !bytes.HasPrefix(bytes.TrimSpace(in.Prompt), []byte(`"`)) {
-		return fault.New(fault.BadRequest, "one text is needed").InField("prompt").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "one text is needed").WithField("prompt").WithOutcome(fault.NotRun)
 	}
 	for field, limit := range map[string]*int{"max_tokens": in.MaxTokens, "max_completion_tokens": in.MaxCompletionTokens} {
 		if limit != nil && (*limit < 1 || *limit > class.MaxTokens) {
 			return fault.New(fault.BadRequest, "%d is not within 1 to %d, the limit of the class", *limit, class.MaxTokens).
-				InField(field).With(fault.NotRun)
+				WithField(field).WithOutcome(fault.NotRun)
 		}
 	}
 	return nil
@@ -229,10 +229,10 @@
 }
 
 func finishReason(end *wire.End) string {
-	if end.Finish == "" {
+	if end.FinishReason == "" {
 		return "stop"
 	}
-	return end.Finish
+	return end.FinishReason
 }
 
 func usageOf(end *wire.End) *usage {
--- a/internal/callerapi/service.go
+++ b/internal/callerapi/service.go
@@ -17,7 +17,7 @@
 	name := x.r.PathValue("service")
 	s := x.view.Services[name]
 	if s == nil {
-		return fault.New(fault.UnknownService, "there is no service %q", name).InField("service").With(fault.NotRun)
+		return fault.New(fault.UnknownService, "there is no service %q", name).WithField("service").WithOutcome(fault.NotRun)
 	}
 	key, e := x.idempotencyKey(name, s)
 	if e != nil {
@@ -38,9 +38,9 @@
 		contentType = "application/octet-stream"
 	}
 	var answer bytes.Buffer
-	end, e := a.backend.Do(x.r.Context(), &router.Request{ID: x.id, Kind: wire.Service, Endpoint: s.Path, Team: x.teamName,
-		ClassName: x.className, Class: x.class, Pool: s.Pool, Target: name, MayRepeat: s.MayRepeat, Key: key,
-		KeyWindow: settings.Millis(s.KeyWindowMS), Body: body, MaxTokens: 1, ContentType: contentType},
+	end, e := a.backend.Do(x.r.Context(), &router.Request{ID: x.id, Kind: wire.KindService, Endpoint: s.Path, Team: x.teamName,
+		ClassName: x.className, Class: x.class, Pool: s.Pool, Target: name, MayRepeat: s.MayRepeat, IdempotencyKey: key,
+		IdempotencyWindow: settings.Millis(s.KeyWindowMS), Body: body, MaxTokens: 1, ContentType: contentType},
 		func(data []byte) error {
 			x.observe.Token(time.Now())
 			answer.Write(data)
@@ -60,14 +60,14 @@
 	if s.MayRepeat {
 		return "", nil
 	}
-	key := x.r.Header.Get(HeaderKey)
+	key := x.r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
-		return "", fault.New(fault.KeyRequired, "calls of service %q may not be repeated: a key is needed", service).
-			InField(HeaderKey).With(fault.NotRun)
+		return "", fault.New(fault.IdempotencyKeyRequired, "calls of service %q may not be repeated: a key is needed", service).
+			WithField(HeaderIdempotencyKey).WithOutcome(fault.NotRun)
 	}
 	if len(key) > maxKeyLength {
 		return "", fault.New(fault.BadRequest, "the key has %d characters, at most %d", len(key), maxKeyLength).
-			InField(HeaderKey).With(fault.NotRun)
+			WithField(HeaderIdempotencyKey).WithOutcome(fault.NotRun)
 	}
 	return service + "\x00" + x.teamName + "\x00" + key, nil
 }
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -48,7 +48,7 @@
 	lines := decisionlog.NewWriter(os.Stdout)
 	defer lines.Close()
 	logger := decisionlog.NewLogger(lines)
-	own := platform.Own{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
+	own := platform.Options{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
 	servers := registry.New()
 	g := gateway.New(set.Gateway(own), platform.Dialect{}, servers, logger)
 	others, err := peers.Open(set.Host, set.Peers(), set.Capacity(), g, logger)
@@ -58,17 +58,17 @@
 	g.UsePeers(others)
 	asks, err := net.Listen("tcp", set.Peers())
 	if err != nil {
-		return fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
+		return fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
 	share := configshare.New((&net.Dialer{}).DialContext, set.LinkMbps, logger)
 	ctx, stop := stopSignals(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	follower := follow.New(follow.Parts{
+	follower := follow.New(follow.Dependencies{
 		Connect: func(address string) follow.Store { return platform.NewStore(address, logger) }, Topics: platform.Topics, Decoder: platform.Decoder{},
 		Gateway: g, Servers: servers, Peers: others, Share: share, Logger: logger,
 	}, set.Follow())
-	keeper := quarantine.NewKeeper(g.Quarantine(), follower.Quarantine(), set.Host, logger)
+	keeper := quarantine.NewPersister(g.Quarantine(), follower.Quarantine(), set.Host, logger)
 	g.UseTrials(keeper)
 	go keeper.Run(ctx)
 	go share.Serve(ctx, asks)
@@ -80,7 +80,7 @@
 	})
 	go func() {
 		<-stop
-		others.Leave()
+		others.AnnounceLeave()
 	}()
 	return g.Serve(ctx, stop)
 }
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -71,7 +71,7 @@
 	switch {
 	case e.Outcome == fault.Unknown:
 		e.Message += "; repeat with --operation " + c.Operation
-	case e.Code == fault.Conflict:
+	case e.Code == fault.RevisionConflict:
 		if _, lines, err := c.client().Plan(ctx, desired); err == nil {
 			if _, err := fmt.Fprintln(out, "another change was first; against it:\n"+strings.Join(lines, "\n")); err != nil {
 				return err
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -123,6 +123,6 @@
 }
 
 func (c *hashKeyCmd) run(_ context.Context, out io.Writer) error {
-	_, err := fmt.Fprintln(out, resource.HashKey(c.Key))
+	_, err := fmt.Fprintln(out, resource.HashAPIKey(c.Key))
 	return err
 }
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -26,18 +26,18 @@
 
 func (c *simulateCmd) run(_ context.Context, out io.Writer) error {
 	if c.Engines < 1 || c.Gateways < 1 || c.Factor <= 0 || c.Length <= 0 || c.Seeds < 1 {
-		return fault.New(fault.BadSettings, "engines, gateways, factor, length and seeds must be above 0").InField("simulate")
+		return fault.New(fault.BadSettings, "engines, gateways, factor, length and seeds must be above 0").WithField("simulate")
 	}
 	scenario, found := simulate.Find(c.Scenario)
 	if !found {
-		return fault.New(fault.BadSettings, "%q is no scenario", c.Scenario).InField("--scenario")
+		return fault.New(fault.BadSettings, "%q is no scenario", c.Scenario).WithField("--scenario")
 	}
 	variants := simulate.Variants
 	if len(c.Variants) > 0 {
 		variants = nil
 		for _, name := range c.Variants {
 			if !slices.Contains(simulate.Variants, simulate.Variant(name)) {
-				return fault.New(fault.BadSettings, "%q is no variant", name).InField("--variant")
+				return fault.New(fault.BadSettings, "%q is no variant", name).WithField("--variant")
 			}
 			variants = append(variants, simulate.Variant(name))
 		}
@@ -62,7 +62,7 @@
 		series = append(series, chart.Mean(v, seeds))
 	}
 	if err := table.Flush(); err != nil {
-		return fault.New(fault.BadSettings, "%w", err).InField("simulate")
+		return fault.New(fault.BadSettings, "%w", err).WithField("simulate")
 	}
 	if !c.Plot {
 		return nil
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -86,7 +86,7 @@
 		role, rest, _ := strings.Cut(m, ",")
 		name, address, ok := strings.Cut(rest, ",")
 		if !ok {
-			return fault.New(fault.BadRequest, "%q is not role,name,address", m).InField("--member")
+			return fault.New(fault.BadRequest, "%q is not role,name,address", m).WithField("--member")
 		}
 		list.Set(membership.Member{Name: name, Role: role, Address: address, State: membership.Live}, false)
 	}
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -37,7 +37,7 @@
 	confirm  atomic.Int64 // monotonic time of the last word from the log, ns since start
 	start    time.Time
 	mu       sync.Mutex // guards fold, changed, waiters and snapAt
-	fold     *resource.Fold
+	fold     *resource.State
 	changed  chan struct{} // closed and replaced at each new view
 	snapAt   uint64        // revision of the newest known snapshot
 	snapTime time.Time
@@ -47,7 +47,7 @@
 // NewFollower returns a Follower; takesSnapshots is true for routers.
 func NewFollower(log Log, set settings.Log, takesSnapshots bool, logger *slog.Logger, rnd *rand.Rand) *Follower {
 	f := &Follower{log: log, set: set, logger: logger, snapshot: takesSnapshots, start: time.Now(),
-		fold: resource.NewFold(), changed: make(chan struct{}), rand: rnd}
+		fold: resource.NewState(), changed: make(chan struct{}), rand: rnd}
 	f.view.Store(f.fold.View())
 	return f
 }
@@ -63,7 +63,7 @@
 func (f *Follower) LogUp() bool { return f.logUp.Load() }
 
 // SinceConfirmed returns how long ago the log last answered.
-func (f *Follower) SinceConfirmed() time.Duration {
+func (f *Follower) SinceLastRead() time.Duration {
 	return time.Since(f.start) - time.Duration(f.confirm.Load())
 }
 
@@ -170,7 +170,7 @@
 }
 
 // Install takes over a snapshot of a peer's state if it is newer.
-func (f *Follower) Install(data []byte) error {
+func (f *Follower) InstallSnapshot(data []byte) error {
 	fold, err := resource.Restore(data)
 	if err != nil {
 		return err
@@ -191,7 +191,7 @@
 
 // Encode returns a snapshot of the state if its revision is above the given
 // one; nil otherwise.
-func (f *Follower) Encode(above uint64) (uint64, []byte, error) {
+func (f *Follower) EncodeSnapshot(above uint64) (uint64, []byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.fold.Revision() <= above {
@@ -218,14 +218,14 @@
 		return resource.Result{}, e
 	}
 	if !f.LogUp() {
-		return resource.Result{}, fault.New(fault.LogDown, "the log is out of reach").With(fault.NotRun).After(retryMost)
+		return resource.Result{}, fault.New(fault.LogUnavailable, "the log is out of reach").WithOutcome(fault.NotRun).WithRetryAfter(retryMost)
 	}
 	data, err := json.Marshal(rec)
 	if err != nil {
 		return resource.Result{}, fault.New(fault.Internal, "encode record: %w", err)
 	}
 	_, appendErr := f.log.Append(ctx, StreamConfig, data)
-	if fault.Is(appendErr, fault.LogDown) {
+	if fault.Is(appendErr, fault.LogUnavailable) {
 		return resource.Result{}, appendErr
 	}
 	res, err := f.await(ctx, rec.Operation)
@@ -245,8 +245,8 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return resource.Result{}, fault.New(fault.LogUnsettled,
-				"the change was not seen on the log in time; look at operation %s", operation).With(fault.Unknown)
+			return resource.Result{}, fault.New(fault.LogWriteUnconfirmed,
+				"the change was not seen on the log in time; look at operation %s", operation).WithOutcome(fault.Unknown)
 		}
 	}
 }
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -35,21 +35,21 @@
 
 func (l *fakeLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
 	if l.down {
-		return 0, fault.New(fault.LogDown, "down").With(fault.NotRun)
+		return 0, fault.New(fault.LogUnavailable, "down").WithOutcome(fault.NotRun)
 	}
 	l.streams[stream] = append(l.streams[stream], data)
 	if l.after != nil {
 		l.after()
 	}
 	if l.lose {
-		return 0, fault.New(fault.LogUnsettled, "the answer was lost").With(fault.Unknown)
+		return 0, fault.New(fault.LogWriteUnconfirmed, "the answer was lost").WithOutcome(fault.Unknown)
 	}
 	return l.start(stream) + uint64(len(l.streams[stream])) - 1, nil
 }
 
 func (l *fakeLog) Read(_ context.Context, stream string, from uint64, _ time.Duration) (Batch, error) {
 	if l.down {
-		return Batch{}, fault.New(fault.LogDown, "down")
+		return Batch{}, fault.New(fault.LogUnavailable, "down")
 	}
 	first := l.start(stream)
 	b := Batch{First: first, Next: first + uint64(len(l.streams[stream]))}
@@ -107,10 +107,10 @@
 			case 8: // a peer's state comes late
 				peer := followers[rapid.IntRange(0, len(followers)-1).Draw(t, "peer")]
 				if late == nil || rapid.Bool().Draw(t, "newly encoded") {
-					_, late, _ = peer.Encode(0)
+					_, late, _ = peer.EncodeSnapshot(0)
 				}
 				before := f.View().Revision
-				if late != nil && f.Install(late) == nil {
+				if late != nil && f.InstallSnapshot(late) == nil {
 					g.Expect(f.View().Revision).To(BeNumerically(">=", before))
 				}
 			case 9: // the operator sends an unsettled change again
@@ -131,8 +131,8 @@
 				step(followers[k])
 				if !followers[k].Ready() {
 					peer := followers[(k+1)%len(followers)]
-					if revision, data, err := peer.Encode(0); err == nil && data != nil && peer.Ready() {
-						g.Expect(followers[k].Install(data)).To(Succeed())
+					if revision, data, err := peer.EncodeSnapshot(0); err == nil && data != nil && peer.Ready() {
+						g.Expect(followers[k].InstallSnapshot(data)).To(Succeed())
 						g.Expect(followers[k].View().Revision).To(Equal(revision))
 					}
 				}
@@ -162,7 +162,7 @@
 				case fault.From(err).Outcome == fault.NotRun:
 					refused[operation] = true
 				default:
-					g.Expect(fault.Is(err, fault.LogUnsettled)).To(BeTrue(), "%v", err)
+					g.Expect(fault.Is(err, fault.LogWriteUnconfirmed)).To(BeTrue(), "%v", err)
 					unsettled = &rec
 				}
 			}
@@ -255,7 +255,7 @@
 
 // applied counts how often an operation takes effect in the fold of the log.
 func applied(l *fakeLog, operation string) int {
-	f, n := resource.NewFold(), 0
+	f, n := resource.NewState(), 0
 	for i, data := range l.streams[StreamConfig] {
 		if res, fresh := f.Apply(uint64(i+1), data); fresh && res.Applied && res.Operation == operation {
 			n++
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -111,9 +111,9 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		if !sent.Load() {
-			return 0, fault.New(fault.LogDown, "log append: %w", err).With(fault.NotRun)
+			return 0, fault.New(fault.LogUnavailable, "log append: %w", err).WithOutcome(fault.NotRun)
 		}
-		return 0, fault.New(fault.LogUnsettled, "log append: %w", err).With(fault.Unknown)
+		return 0, fault.New(fault.LogWriteUnconfirmed, "log append: %w", err).WithOutcome(fault.Unknown)
 	}
 	defer resp.Body.Close()
 	var out struct {
@@ -122,13 +122,13 @@
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
-			return 0, fault.New(fault.LogUnsettled, "log append: %w", err).With(fault.Unknown)
+			return 0, fault.New(fault.LogWriteUnconfirmed, "log append: %w", err).WithOutcome(fault.Unknown)
 		}
 		return out.Offset, nil
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		return 0, fault.New(fault.LogDown, "log append: refused with status %d", resp.StatusCode).With(fault.NotRun)
+		return 0, fault.New(fault.LogUnavailable, "log append: refused with status %d", resp.StatusCode).WithOutcome(fault.NotRun)
 	}
-	return 0, fault.New(fault.LogUnsettled, "log append: status %d", resp.StatusCode).With(fault.Unknown)
+	return 0, fault.New(fault.LogWriteUnconfirmed, "log append: status %d", resp.StatusCode).WithOutcome(fault.Unknown)
 }
 
 // Read implements Log.
@@ -139,17 +139,17 @@
 	if err != nil {
 		return Batch{}, fault.New(fault.Internal, "log read: %w", err)
 	}
-	reply, err := httpcall.Do(c.http, req, httpcall.Limits{Wait: wait, Silence: c.timeout, Longest: longestRead, Bytes: maxLogResponse})
+	reply, err := httpcall.Do(c.http, req, httpcall.Limits{ReplyWait: wait, IdleTimeout: c.timeout, Timeout: longestRead, MaxBytes: maxLogResponse})
 	status, body := reply.Status, reply.Body
 	if err != nil {
-		return Batch{}, fault.New(fault.LogDown, "log read: %w", err)
+		return Batch{}, fault.New(fault.LogUnavailable, "log read: %w", err)
 	}
 	if status != http.StatusOK && status != http.StatusGone {
-		return Batch{}, fault.New(fault.LogDown, "log read: status %d", status)
+		return Batch{}, fault.New(fault.LogUnavailable, "log read: status %d", status)
 	}
 	var b Batch
 	if err := json.Unmarshal(body, &b); err != nil {
-		return Batch{}, fault.New(fault.LogDown, "log read: %w", fmt.Errorf("decode: %w", err))
+		return Batch{}, fault.New(fault.LogUnavailable, "log read: %w", fmt.Errorf("decode: %w", err))
 	}
 	if status == http.StatusGone {
 		return b, fault.New(fault.LogTruncated, "log read: offset %d is gone, the oldest kept is %d", from, b.First)
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -152,7 +152,7 @@
 }
 
 func (f *Follower) takeSnapshot(ctx context.Context) {
-	at, data, err := f.Encode(0)
+	at, data, err := f.EncodeSnapshot(0)
 	if err != nil {
 		f.logger.Error("snapshot not encoded", "error", err)
 		return
--- a/internal/configshare/configshare.go
+++ b/internal/configshare/configshare.go
@@ -134,12 +134,12 @@
 // answer answers one ask.
 func (s *Share) answer(ctx context.Context, conn net.Conn) {
 	defer bounded(ctx, conn)()
-	ask, err := read[*wire.TableAsk](conn)
+	ask, err := read[*wire.ConfigDeltaRequest](conn)
 	if err != nil {
 		telemetry.Count("merlinpost_config_handed_total", "result", "broken")
 		return
 	}
-	reply, done := s.reply(ask.Have)
+	reply, done := s.reply(ask.HaveVersion)
 	defer done()
 	if err := send(conn, reply); err != nil {
 		telemetry.Count("merlinpost_config_handed_total", "result", "broken")
@@ -150,26 +150,26 @@
 		result = "busy"
 	}
 	telemetry.Count("merlinpost_config_handed_total", "result", result)
-	telemetry.Add("merlinpost_config_handed_bytes_total", len(reply.Change))
+	telemetry.Add("merlinpost_config_handed_bytes_total", len(reply.Delta))
 }
 
 // reply returns what to answer to who has a version; done ends the sending.
-func (s *Share) reply(have int64) (reply *wire.TableReply, done func()) {
+func (s *Share) reply(have int64) (reply *wire.ConfigDeltaResponse, done func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.newest.Table == nil || s.newest.Table.Version <= have {
-		return &wire.TableReply{Busy: true}, func() {}
+		return &wire.ConfigDeltaResponse{Busy: true}, func() {}
 	}
 	change, err := s.change(have)
 	if err != nil {
 		s.logger.Error("a change of the configuration can't be encoded", "error", err)
-		return &wire.TableReply{Busy: true}, func() {}
+		return &wire.ConfigDeltaResponse{Busy: true}, func() {}
 	}
 	if s.linkMbps > 0 && time.Duration(float64(8*(s.sending+len(change)))/(s.linkMbps*1e6)*float64(time.Second)) > queue {
-		return &wire.TableReply{Busy: true}, func() {}
+		return &wire.ConfigDeltaResponse{Busy: true}, func() {}
 	}
 	s.sending += len(change)
-	return &wire.TableReply{Offset: s.newest.Next.Offset, Era: s.newest.Next.Era, Bytes: s.newest.Bytes, Change: change}, func() {
+	return &wire.ConfigDeltaResponse{Offset: s.newest.Next.Offset, Era: s.newest.Next.Era, SnapshotSize: s.newest.Bytes, Delta: change}, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.sending -= len(change)
@@ -216,21 +216,21 @@
 		return Version{}, 0, fault.New(fault.LinkLost, "%w", err)
 	}
 	defer bounded(ctx, conn)()
-	var ask wire.TableAsk
+	var ask wire.ConfigDeltaRequest
 	if have != nil {
-		ask.Have = have.Version
+		ask.HaveVersion = have.Version
 	}
 	if err := send(conn, &ask); err != nil {
 		return Version{}, 0, err
 	}
-	reply, err := read[*wire.TableReply](conn)
+	reply, err := read[*wire.ConfigDeltaResponse](conn)
 	switch {
 	case err != nil:
 		return Version{}, 0, err
 	case reply.Busy:
 		return Version{}, 0, fault.New(fault.LinkBusy, "it has no newer version or no room to send it")
 	}
-	change, err := unpack(reply.Change)
+	change, err := unpack(reply.Delta)
 	if err != nil {
 		return Version{}, 0, err
 	}
@@ -241,5 +241,5 @@
 	if err != nil {
 		return Version{}, 0, err
 	}
-	return Version{Table: table, Next: logposition.Position{Era: reply.Era, Offset: reply.Offset}, Bytes: reply.Bytes}, len(reply.Change), nil
+	return Version{Table: table, Next: logposition.Position{Era: reply.Era, Offset: reply.Offset}, Bytes: reply.SnapshotSize}, len(reply.Delta), nil
 }
--- a/internal/configshare/configshare_test.go
+++ b/internal/configshare/configshare_test.go
@@ -164,14 +164,14 @@
 		network := memnet.New(time.Millisecond)
 		odd, asker := network.Host(0), network.Host(0)
 		listener := odd.Listen(port)
-		replies := []wire.Message{&wire.Cancel{}, &wire.TableReply{Change: []byte("no change")}}
+		replies := []wire.Message{&wire.Cancel{}, &wire.ConfigDeltaResponse{Delta: []byte("no change")}}
 		go func() {
 			for _, reply := range replies {
 				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				_, _ = read[*wire.TableAsk](conn)
+				_, _ = read[*wire.ConfigDeltaRequest](conn)
 				_ = send(conn, reply)
 				_ = conn.Close()
 			}
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -37,11 +37,11 @@
 func Open[T any](address, metric string) (*Socket[T], error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
-		return nil, fault.New(fault.BadSettings, "%w", err).InField("peers.listen")
+		return nil, fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
 	return New[T](conn, metric), nil
 }
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -15,7 +15,7 @@
 
 type message struct{ Text string }
 
-func TestWhatIsBrokenCountsAsLost(t *testing.T) {
+func TestMalformedMessagesAreDropped(t *testing.T) {
 	g := NewWithT(t)
 	a, err := Open[message]("127.0.0.1:0", "test_a")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -39,7 +39,7 @@
 	a.Send(message{"late"}, other.Address()) // the socket is closed: lost, no more
 }
 
-func TestBadAddressesAreNamed(t *testing.T) {
+func TestInvalidAddressIsReported(t *testing.T) {
 	g := NewWithT(t)
 	for _, address := range []string{"", "nowhere", "300.1.1.1:1"} {
 		_, err := Open[message](address, "test")
@@ -49,7 +49,7 @@
 }
 
 // Processes of two versions understand each other while fields keep their names.
-func TestNewFieldsMayCome(t *testing.T) {
+func TestVersionsWithDifferentFieldsAreCompatible(t *testing.T) {
 	g := NewWithT(t)
 	type newer struct {
 		Text  string
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -106,7 +106,7 @@
 		opts.Classes = defaultClasses()
 	}
 	if opts.Teams == nil {
-		opts.Teams = map[string]*resource.Team{"dev": {KeysSHA256: []string{resource.HashKey(TeamKey)}, DefaultClass: "alert",
+		opts.Teams = map[string]*resource.Team{"dev": {KeysSHA256: []string{resource.HashAPIKey(TeamKey)}, DefaultClass: "alert",
 			Classes: []string{"helpline", "report"}}}
 	}
 	if err := d.startPlatform(ctx); err != nil {
@@ -218,7 +218,7 @@
 	put(resource.KindModel, "advisory", &resource.Model{Pool: "engines"})
 	put(resource.KindService, "receipts", &resource.Service{Pool: "workers", Path: "/receipts", KeyWindowMS: devKeyWindow})
 	put(resource.KindService, "status", &resource.Service{Pool: "workers", Path: "/status", MayRepeat: true})
-	if err := resource.NewFold().Check(rec); err != nil {
+	if err := resource.NewState().Check(rec); err != nil {
 		return err
 	}
 	data, err := json.Marshal(rec)
@@ -235,7 +235,7 @@
 	set.Callers.Listen, set.Operators.Listen = opts.Callers, opts.Operators
 	set.Callers.BalancerLagMS = 0 // there is no balancer
 	set.Peers.Listen = anyPort
-	set.Operators.Keys = []settings.OperatorKey{{Name: "dev", SHA256: resource.HashKey(OperatorKey)}}
+	set.Operators.Keys = []settings.OperatorKey{{Name: "dev", SHA256: resource.HashAPIKey(OperatorKey)}}
 	set.Log.Address, set.Members.Address = d.logAddress, d.membersAddress
 	if opts.TuneRouter != nil {
 		opts.TuneRouter(&set)
@@ -288,7 +288,7 @@
 	case <-ctx.Done():
 	}
 	close(d.stopRouter)
-	for d.Open() > 0 && ctx.Err() == nil {
+	for d.InProgress() > 0 && ctx.Err() == nil {
 		select {
 		case <-time.After(readyPoll):
 		case <-ctx.Done():
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -15,21 +15,21 @@
 	FailureDomain string
 	// Up says that the link works; Leaving that the agent or the membership
 	// list says it leaves.
-	Up, Leaving bool
-	Serves      bool // has the wanted version loaded
+	Connected, Draining bool
+	TargetLoaded        bool // has the wanted version loaded
 	// Queued, Running and Slots are as the agent last said; Sent counts own
 	// offers since then.
-	Queued, Running, Slots, Sent int
+	Queued, Running, Slots, SentSinceReport int
 	// ServiceMS is the measured mean time of a request in a slot.
 	ServiceMS float64
 	// FirstMS is the mean time to a first token that this router measured,
 	// and which shows a straggler whatever the agent says; 0: not known.
-	FirstMS float64
+	FirstTokenMS float64
 	// PrefixShare is the part of the prompt that the server probably has in
 	// its cache, 0 to 1.
-	PrefixShare float64
+	CachedPrefixShare float64
 	// Tried says that this request was offered there before.
-	Tried bool
+	Excluded bool
 }
 
 // Request is what the choice depends on.
@@ -39,7 +39,7 @@
 
 // Options switch parts of the score, so that each can be measured alone.
 type Options struct {
-	Prefix, Domain, Straggler, Corrected bool
+	PrefixAffinity, DomainAffinity, StragglerPenalty, CountUnreported bool
 }
 
 // Rand gives numbers from 0 up to n, exclusive.
@@ -61,11 +61,11 @@
 	case "least_loaded":
 		return leastLoaded{}, nil
 	}
-	return nil, fault.New(fault.BadSettings, "no policy %q", name).InField("policy.choice")
+	return nil, fault.New(fault.BadSettings, "no policy %q", name).WithField("policy.choice")
 }
 
 // usable is the filter that every picker applies.
-func usable(c *Candidate) bool { return c.Up && !c.Leaving && c.Serves && !c.Tried }
+func usable(c *Candidate) bool { return c.Connected && !c.Draining && c.TargetLoaded && !c.Excluded }
 
 // roundRobin is a baseline: each usable server in turn.
 type roundRobin struct{ next int }
@@ -123,12 +123,12 @@
 		b = nth(cs, k+1)
 	}
 	median := 0.0
-	if p.opts.Straggler {
+	if p.opts.StragglerPenalty {
 		median = meanFirst(cs)
 	}
 	best := a
 	for i := range cs {
-		holds := p.opts.Prefix && cs[i].PrefixShare > 0 && usable(&cs[i])
+		holds := p.opts.PrefixAffinity && cs[i].CachedPrefixShare > 0 && usable(&cs[i])
 		if (i == b || holds) && p.score(req, &cs[i], median) < p.score(req, &cs[best], median) {
 			best = i
 		}
@@ -153,8 +153,8 @@
 func meanFirst(cs []Candidate) float64 {
 	sum, n := 0.0, 0
 	for i := range cs {
-		if cs[i].FirstMS > 0 {
-			sum += cs[i].FirstMS
+		if cs[i].FirstTokenMS > 0 {
+			sum += cs[i].FirstTokenMS
 			n++
 		}
 	}
@@ -181,20 +181,20 @@
 // score estimates the time until the request would be done, lower is better.
 func (p *scored) score(req Request, c *Candidate, meanFirst float64) float64 {
 	load := float64(c.Queued + c.Running)
-	if p.opts.Corrected {
+	if p.opts.CountUnreported {
 		// What was sent since the report is on its way into the queue.
-		load += float64(c.Sent)
+		load += float64(c.SentSinceReport)
 	}
 	s := load / math.Max(1, float64(c.Slots))
-	if p.opts.Prefix {
-		s -= prefixGain * c.PrefixShare
+	if p.opts.PrefixAffinity {
+		s -= prefixGain * c.CachedPrefixShare
 	}
-	if p.opts.Domain && c.FailureDomain != req.FailureDomain {
+	if p.opts.DomainAffinity && c.FailureDomain != req.FailureDomain {
 		s += domainPenalty
 	}
 	s = (s + 1) * math.Max(minServiceMS, c.ServiceMS)
-	if meanFirst > 0 && c.FirstMS > stragglerLimit*meanFirst {
-		s *= c.FirstMS / meanFirst
+	if meanFirst > 0 && c.FirstTokenMS > stragglerLimit*meanFirst {
+		s *= c.FirstTokenMS / meanFirst
 	}
 	return s
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-var everything = Options{Prefix: true, Domain: true, Straggler: true, Corrected: true}
+var everything = Options{PrefixAffinity: true, DomainAffinity: true, StragglerPenalty: true, CountUnreported: true}
 
 func pool(n int) []Candidate {
 	cs := make([]Candidate, n)
 	for i := range cs {
-		cs[i] = Candidate{Name: fmt.Sprint("s", i), FailureDomain: fmt.Sprint(i % 4), Up: true, Serves: true, Slots: 8, ServiceMS: 100, FirstMS: 20}
+		cs[i] = Candidate{Name: fmt.Sprint("s", i), FailureDomain: fmt.Sprint(i % 4), Connected: true, TargetLoaded: true, Slots: 8, ServiceMS: 100, FirstTokenMS: 20}
 	}
 	return cs
 }
@@ -26,10 +26,10 @@
 			cs := pool(rapid.IntRange(0, 12).Draw(t, "servers"))
 			any := false
 			for i := range cs {
-				cs[i].Up = rapid.Bool().Draw(t, "up")
-				cs[i].Leaving = rapid.Bool().Draw(t, "leaving")
-				cs[i].Serves = rapid.Bool().Draw(t, "serves")
-				cs[i].Tried = rapid.Bool().Draw(t, "tried")
+				cs[i].Connected = rapid.Bool().Draw(t, "up")
+				cs[i].Draining = rapid.Bool().Draw(t, "leaving")
+				cs[i].TargetLoaded = rapid.Bool().Draw(t, "serves")
+				cs[i].Excluded = rapid.Bool().Draw(t, "tried")
 				any = any || usable(&cs[i])
 			}
 			p, err := New(name, everything)
@@ -61,10 +61,10 @@
 func TestScoreParts(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(picks(everything, func(c *Candidate) { c.Queued = 8 })).To(BeNumerically("<", 0.01))
-	g.Expect(picks(everything, func(c *Candidate) { c.Sent = 8 })).To(BeNumerically("<", 0.01))
-	g.Expect(picks(Options{}, func(c *Candidate) { c.Sent = 8 })).To(BeNumerically(">", 0.2))
-	g.Expect(picks(everything, func(c *Candidate) { c.FirstMS = 2000 })).To(BeNumerically("<", 0.01))
-	g.Expect(picks(everything, func(c *Candidate) { c.PrefixShare = 1; c.FailureDomain = "9" })).To(BeNumerically(">", 0.45))
+	g.Expect(picks(everything, func(c *Candidate) { c.SentSinceReport = 8 })).To(BeNumerically("<", 0.01))
+	g.Expect(picks(Options{}, func(c *Candidate) { c.SentSinceReport = 8 })).To(BeNumerically(">", 0.2))
+	g.Expect(picks(everything, func(c *Candidate) { c.FirstTokenMS = 2000 })).To(BeNumerically("<", 0.01))
+	g.Expect(picks(everything, func(c *Candidate) { c.CachedPrefixShare = 1; c.FailureDomain = "9" })).To(BeNumerically(">", 0.45))
 }
 
 func BenchmarkChoice(b *testing.B) {
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -36,7 +36,7 @@
 
 // Service is what was learnt of the engines of one service together. It is not safe for
 // concurrent use.
-type Service struct {
+type ServiceModel struct {
 	reading      fit
 	coefficients features // of reading
 	observed     float64  // prompts of late
@@ -47,25 +47,25 @@
 }
 
 // Figures are what was learnt of a service's engines, to be told to others.
-type Figures struct {
-	Read     time.Duration // for 1,000 prompt tokens
-	Pairs    time.Duration // more for each million pairs of a token and one before it
-	Latency  time.Duration // to the first event of an empty prompt
-	Token    time.Duration // for a generated token beside no reading
-	Pause    time.Duration // the longest of a stream whatever is read
-	Observed float64       // prompts on which they rest, of late
+type Estimates struct {
+	PrefillPer1000Tokens     time.Duration // for 1,000 prompt tokens
+	AttentionPerMillionPairs time.Duration // more for each million pairs of a token and one before it
+	FirstEventLatency        time.Duration // to the first event of an empty prompt
+	TokenTime                time.Duration // for a generated token beside no reading
+	MaxEventGap              time.Duration // the longest of a stream whatever is read
+	Observations             float64       // prompts on which they rest, of late
 }
 
 // startFigures are the figures of engines of which nothing was observed.
-var startFigures = Figures{Read: startRead * thousand, Latency: startLatency, Token: startToken, Pause: startPause}
+var startFigures = Estimates{PrefillPer1000Tokens: startRead * thousand, FirstEventLatency: startLatency, TokenTime: startToken, MaxEventGap: startPause}
 
 // NewService returns a model with the start values.
-func NewService() *Service { return NewServiceFrom(startFigures) }
+func NewServiceModel() *ServiceModel { return NewServiceModelFrom(startFigures) }
 
 // NewServiceFrom returns a model that begins with figures that another has learnt. They
 // count as a few observations.
-func NewServiceFrom(f Figures) *Service {
-	s := &Service{token: us(f.Token), pause: us(f.Pause), told: f.Observed, coefficients: features{us(f.Latency), us(f.Read), us(f.Pairs)}}
+func NewServiceModelFrom(f Estimates) *ServiceModel {
+	s := &ServiceModel{token: us(f.TokenTime), pause: us(f.MaxEventGap), told: f.Observations, coefficients: features{us(f.FirstEventLatency), us(f.PrefillPer1000Tokens), us(f.AttentionPerMillionPairs)}}
 	for _, tokens := range []int{0, tokensOfStart} {
 		x := of(tokens, 0)
 		s.reading.add(x, x.dot(s.coefficients), startWeight/2)
@@ -74,10 +74,10 @@
 }
 
 // Figures returns what was learnt.
-func (s *Service) Figures() Figures {
-	return Figures{Read: microseconds(s.coefficients[1]), Latency: microseconds(s.coefficients[0]),
-		Pairs: microseconds(s.coefficients[2]), Token: microseconds(s.token),
-		Pause: microseconds(s.pause), Observed: s.observed}
+func (s *ServiceModel) Estimates() Estimates {
+	return Estimates{PrefillPer1000Tokens: microseconds(s.coefficients[1]), FirstEventLatency: microseconds(s.coefficients[0]),
+		AttentionPerMillionPairs: microseconds(s.coefficients[2]), TokenTime: microseconds(s.token),
+		MaxEventGap: microseconds(s.pause), Observations: s.observed}
 }
 
 // leastObserved is the number of prompts after which the start values weigh a sixth at most.
@@ -85,28 +85,28 @@
 
 // Informed reports whether the figures rest on what was observed rather than on start values, which
 // may be ten times off.
-func (s *Service) Informed() bool { return max(s.observed, s.told) >= leastObserved }
+func (s *ServiceModel) Calibrated() bool { return max(s.observed, s.told) >= leastObserved }
 
 // ReadTime returns how long a mean engine that does nothing else takes to the first event
 // of a prompt with so many tokens to read after others that it keeps.
-func (s *Service) ReadTime(tokens, after int) time.Duration {
+func (s *ServiceModel) PrefillTime(tokens, after int) time.Duration {
 	return microseconds(of(tokens, after).dot(s.coefficients))
 }
 
 // TokenTime returns how long a generated token takes while nothing is read.
-func (s *Service) TokenTime() time.Duration { return microseconds(s.token) }
+func (s *ServiceModel) TokenTime() time.Duration { return microseconds(s.token) }
 
 // Pause returns how long a stream pauses between two events of so many tokens while its
 // engine reads for so long. Engines that read in chunks generate between these, so that
 // the pause stops growing at some length.
-func (s *Service) Pause(reading time.Duration, eventTokens int) time.Duration {
+func (s *ServiceModel) EventGap(reading time.Duration, eventTokens int) time.Duration {
 	pause := time.Duration(unsure*float64(reading)) + time.Duration(eventTokens)*s.TokenTime()
 	return min(pause, microseconds(s.pause))
 }
 
 // Made returns how many tokens a stream generates in a time in which its engine read for
 // a part of it.
-func (s *Service) Made(generating, reading time.Duration, eventTokens int) float64 {
+func (s *ServiceModel) TokensGenerated(generating, reading time.Duration, eventTokens int) float64 {
 	made := max(float64(generating.Microseconds()), 0) / s.token
 	return made + float64(eventTokens)*max(float64(reading.Microseconds()), 0)/s.pause
 }
@@ -117,8 +117,8 @@
 
 // Engine is what was learnt of one engine, as a factor to its service. It is not safe
 // for concurrent use.
-type Engine struct {
-	service *Service
+type EngineModel struct {
+	service *ServiceModel
 	slow    float64 // times as long as a mean engine, by its own observations
 	weight  float64 // of these
 	at      time.Time
@@ -137,28 +137,28 @@
 )
 
 // NewEngine returns the model of an engine of which nothing was observed.
-func (s *Service) NewEngine() *Engine { return &Engine{service: s, slow: 1} }
+func (s *ServiceModel) NewEngineModel() *EngineModel { return &EngineModel{service: s, slow: 1} }
 
 // ReadTime is Service.ReadTime for this engine.
-func (e *Engine) ReadTime(tokens, after int, now time.Time) time.Duration {
-	return time.Duration(float64(e.service.ReadTime(tokens, after)) * e.Slowness(now))
+func (e *EngineModel) PrefillTime(tokens, after int, now time.Time) time.Duration {
+	return time.Duration(float64(e.service.PrefillTime(tokens, after)) * e.SlowdownFactor(now))
 }
 
 // Slowness returns how many times as long as a mean engine this one takes.
-func (e *Engine) Slowness(now time.Time) float64 {
+func (e *EngineModel) SlowdownFactor(now time.Time) float64 {
 	w := e.weightAt(now)
 	return (engineWeight + w*e.slow) / (engineWeight + w)
 }
 
-func (e *Engine) weightAt(now time.Time) float64 {
+func (e *EngineModel) weightAt(now time.Time) float64 {
 	idle := now.Sub(e.at).Seconds() / engineForget.Seconds()
 	return e.weight / (1 + max(idle, 0)*max(idle, 0))
 }
 
 // Observe takes in that the engine gave the first event of a prompt with so many tokens
 // to read, after others that it kept, in a time in which it read nothing else.
-func (e *Engine) Observe(tokens, after int, took time.Duration, now time.Time) {
-	expected := e.service.ReadTime(tokens, after)
+func (e *EngineModel) ObservePrefill(tokens, after int, took time.Duration, now time.Time) {
+	expected := e.service.PrefillTime(tokens, after)
 	if took <= 0 || expected <= 0 {
 		return
 	}
@@ -169,7 +169,7 @@
 	e.service.observe(of(tokens, after), factor*us(expected))
 }
 
-func (s *Service) observe(x features, took float64) {
+func (s *ServiceModel) observe(x features, took float64) {
 	s.observed = s.observed*(1-1.0/memory) + 1
 	s.reading.decay(1 - 1.0/memory)
 	// What is off is off by a part, so that long prompts count less: by the square of the
@@ -182,7 +182,7 @@
 
 // Generated takes in that a stream of so many tokens took a time from its first to its
 // last event, without the time in which its engine read prompts.
-func (s *Service) Generated(tokens int, took time.Duration) {
+func (s *ServiceModel) ObserveGeneration(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -207,7 +207,7 @@
 
 // Paused takes in the longest pause of a stream beside the longest reading of a prompt at
 // its engine.
-func (s *Service) Paused(longest, reading time.Duration) {
+func (s *ServiceModel) ObserveGap(longest, reading time.Duration) {
 	if longest <= 0 || reading < leastReading {
 		return
 	}
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -44,10 +44,10 @@
 func TestFiguresAreLearnt(t *testing.T) {
 	for _, k := range kinds {
 		g := NewWithT(t)
-		s := NewService()
-		engines := make([]*Engine, 6)
+		s := NewServiceModel()
+		engines := make([]*EngineModel, 6)
 		for i := range engines {
-			engines[i] = s.NewEngine()
+			engines[i] = s.NewEngineModel()
 		}
 		draw := rand.New(rand.NewPCG(1, 1))
 		noisy := func(d time.Duration) time.Duration {
@@ -57,18 +57,18 @@
 		errorAt := map[int]float64{}
 		for i := range 400 {
 			tokens := int(math.Exp(7.5 + draw.NormFloat64()))
-			engines[i%6].Observe(tokens, 0, noisy(k.read(tokens)), now)
-			s.Generated(200, 200*k.step)
-			s.Paused(noisy(k.pause()), 10*k.pause())
+			engines[i%6].ObservePrefill(tokens, 0, noisy(k.read(tokens)), now)
+			s.ObserveGeneration(200, 200*k.step)
+			s.ObserveGap(noisy(k.pause()), 10*k.pause())
 			now = now.Add(20 * time.Millisecond)
-			errorAt[i+1] = math.Abs(float64(s.ReadTime(4000, 0))/float64(k.read(4000)) - 1)
+			errorAt[i+1] = math.Abs(float64(s.PrefillTime(4000, 0))/float64(k.read(4000)) - 1)
 		}
 		t.Logf("%-9s error of the reading time of 4,000 tokens after 25, 100, 200, 400: %.2f %.2f %.2f %.2f",
 			k.name, errorAt[25], errorAt[100], errorAt[200], errorAt[400])
 		g.Expect(errorAt[200]).To(BeNumerically("<", 0.1), k.name)
 		g.Expect(errorAt[400]).To(BeNumerically("<", 0.1), k.name)
 		g.Expect(float64(s.TokenTime())).To(BeNumerically("~", float64(k.step), 0.2*float64(k.step)), k.name)
-		g.Expect(float64(s.Pause(time.Hour, k.eventTokens))).To(BeNumerically("~", float64(k.pause()), 0.6*float64(k.pause())), k.name)
+		g.Expect(float64(s.EventGap(time.Hour, k.eventTokens))).To(BeNumerically("~", float64(k.pause()), 0.6*float64(k.pause())), k.name)
 	}
 }
 
@@ -77,37 +77,37 @@
 func TestASlowEngineDoesNotSpoilTheOthers(t *testing.T) {
 	g := NewWithT(t)
 	k := kinds[0]
-	s := NewService()
-	slow, fine := s.NewEngine(), s.NewEngine()
+	s := NewServiceModel()
+	slow, fine := s.NewEngineModel(), s.NewEngineModel()
 	now := time.Unix(100, 0)
 	for i := range 400 {
 		now = now.Add(20 * time.Millisecond)
-		fine.Observe(4000, 0, k.read(4000), now)
+		fine.ObservePrefill(4000, 0, k.read(4000), now)
 		if i%8 == 0 { // it gets less
-			slow.Observe(4000, 0, 5*time.Second, now)
+			slow.ObservePrefill(4000, 0, 5*time.Second, now)
 		}
 	}
-	g.Expect(fine.ReadTime(4000, 0, now)).To(BeNumerically("~", k.read(4000), k.read(4000)/4))
-	g.Expect(slow.Slowness(now)).To(BeNumerically(">", 2))
-	g.Expect(slow.Slowness(now.Add(5 * engineForget))).To(BeNumerically("<", 1.5))
+	g.Expect(fine.PrefillTime(4000, 0, now)).To(BeNumerically("~", k.read(4000), k.read(4000)/4))
+	g.Expect(slow.SlowdownFactor(now)).To(BeNumerically(">", 2))
+	g.Expect(slow.SlowdownFactor(now.Add(5 * engineForget))).To(BeNumerically("<", 1.5))
 	for range 30 {
-		slow.Observe(4000, 0, k.read(4000), now)
+		slow.ObservePrefill(4000, 0, k.read(4000), now)
 	}
-	g.Expect(slow.Slowness(now)).To(BeNumerically("<", 1.3))
+	g.Expect(slow.SlowdownFactor(now)).To(BeNumerically("<", 1.3))
 }
 
 func TestAModelBeginsWithWhatOthersHaveLearnt(t *testing.T) {
 	g := NewWithT(t)
 	k := kinds[3]
-	s := NewService()
-	e := s.NewEngine()
-	g.Expect(s.Figures().Observed).To(BeZero())
+	s := NewServiceModel()
+	e := s.NewEngineModel()
+	g.Expect(s.Estimates().Observations).To(BeZero())
 	for i := range 300 {
-		e.Observe(500+10*i, 0, k.read(500+10*i), time.Unix(100, 0))
-		s.Generated(100, 100*k.step)
+		e.ObservePrefill(500+10*i, 0, k.read(500+10*i), time.Unix(100, 0))
+		s.ObserveGeneration(100, 100*k.step)
 	}
-	next := NewServiceFrom(s.Figures())
-	g.Expect(float64(next.ReadTime(3000, 0))).To(BeNumerically("~", float64(s.ReadTime(3000, 0)), 0.02*float64(s.ReadTime(3000, 0))))
+	next := NewServiceModelFrom(s.Estimates())
+	g.Expect(float64(next.PrefillTime(3000, 0))).To(BeNumerically("~", float64(s.PrefillTime(3000, 0)), 0.02*float64(s.PrefillTime(3000, 0))))
 	g.Expect(next.TokenTime()).To(BeNumerically("~", s.TokenTime(), time.Millisecond))
 }
 
@@ -115,8 +115,8 @@
 // longer prompts.
 func TestFiguresStayUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewService()
-		e := s.NewEngine()
+		s := NewServiceModel()
+		e := s.NewEngineModel()
 		now := time.Unix(100, 0)
 		for range rapid.IntRange(0, 60).Draw(t, "observations") {
 			now = now.Add(time.Duration(rapid.Int64Range(-1e9, 1e10).Draw(t, "pause")))
@@ -124,17 +124,17 @@
 			n := rapid.IntRange(-10, 1e6).Draw(t, "tokens")
 			switch rapid.IntRange(0, 2).Draw(t, "kind") {
 			case 0:
-				e.Observe(n, rapid.IntRange(-10, 1e6).Draw(t, "after"), d, now)
+				e.ObservePrefill(n, rapid.IntRange(-10, 1e6).Draw(t, "after"), d, now)
 			case 1:
-				s.Generated(n, d)
+				s.ObserveGeneration(n, d)
 			default:
-				s.Paused(d, time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "reading")))
+				s.ObserveGap(d, time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "reading")))
 			}
 		}
-		short, long := e.ReadTime(10, 0, now), e.ReadTime(10000, 0, now)
-		if short < 0 || long <= short || long > time.Hour || s.TokenTime() <= 0 || s.Pause(time.Second, 4) <= 0 ||
-			math.IsNaN(s.Made(time.Second, time.Second, 4)) || s.Made(time.Second, time.Second, 4) < 0 {
-			t.Fatal(fmt.Sprint(short, long, s.Figures()))
+		short, long := e.PrefillTime(10, 0, now), e.PrefillTime(10000, 0, now)
+		if short < 0 || long <= short || long > time.Hour || s.TokenTime() <= 0 || s.EventGap(time.Second, 4) <= 0 ||
+			math.IsNaN(s.TokensGenerated(time.Second, time.Second, 4)) || s.TokensGenerated(time.Second, time.Second, 4) < 0 {
+			t.Fatal(fmt.Sprint(short, long, s.Estimates()))
 		}
 	})
 }
@@ -143,8 +143,8 @@
 // than in proportion.
 func TestAttentionIsLearnt(t *testing.T) {
 	g := NewWithT(t)
-	s := NewService()
-	e := s.NewEngine()
+	s := NewServiceModel()
+	e := s.NewEngineModel()
 	draw := rand.New(rand.NewPCG(1, 1))
 	real := func(tokens, after int) time.Duration {
 		pairs := float64(tokens) * (float64(after) + float64(tokens)/2) / 1e6
@@ -153,19 +153,19 @@
 	for range 600 {
 		tokens := int(math.Exp(7.5 + draw.NormFloat64()))
 		after := 6300 * draw.IntN(2)
-		e.Observe(tokens, after, time.Duration(float64(real(tokens, after))*math.Exp(0.2*draw.NormFloat64())), time.Unix(100, 0))
+		e.ObservePrefill(tokens, after, time.Duration(float64(real(tokens, after))*math.Exp(0.2*draw.NormFloat64())), time.Unix(100, 0))
 	}
 	for _, tokens := range []int{1000, 5000, 20000} {
-		g.Expect(float64(s.ReadTime(tokens, 6300))).To(BeNumerically("~", float64(real(tokens, 6300)), 0.15*float64(real(tokens, 6300))), "%d", tokens)
+		g.Expect(float64(s.PrefillTime(tokens, 6300))).To(BeNumerically("~", float64(real(tokens, 6300)), 0.15*float64(real(tokens, 6300))), "%d", tokens)
 	}
 }
 
 func TestReadingTimesOfOneLengthStillTell(t *testing.T) {
 	g := NewWithT(t)
-	s := NewService()
-	e := s.NewEngine()
+	s := NewServiceModel()
+	e := s.NewEngineModel()
 	for range 2000 {
-		e.Observe(1000, 0, 250*time.Millisecond, time.Unix(100, 0))
+		e.ObservePrefill(1000, 0, 250*time.Millisecond, time.Unix(100, 0))
 	}
-	g.Expect(s.ReadTime(1000, 0)).To(BeNumerically("~", 250*time.Millisecond, 30*time.Millisecond))
+	g.Expect(s.PrefillTime(1000, 0)).To(BeNumerically("~", 250*time.Millisecond, 30*time.Millisecond))
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -42,7 +42,7 @@
 	Sending    Stage = "send"
 	Waiting    Stage = "wait"   // for the head of the answer
 	Reading    Stage = "read"   // the body of the answer
-	Foreign    Stage = "answer" // what came is no answer to this request
+	Mismatched Stage = "answer" // what came is no answer to this request
 )
 
 // Error is a failed exchange.
@@ -159,10 +159,10 @@
 		}
 		skipped++
 		if skipped > maxForeign || resp.Close || resp.ContentLength < 0 {
-			return nil, &Error{Stage: Foreign, MayHaveRun: true, Err: errForeign}
+			return nil, &Error{Stage: Mismatched, MayHaveRun: true, Err: errForeign}
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, &Error{Stage: Foreign, MayHaveRun: true, Err: err}
+			return nil, &Error{Stage: Mismatched, MayHaveRun: true, Err: err}
 		}
 	}
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -137,8 +137,8 @@
 	It("keeps no connection to a process that is known to have ended", func() {
 		_, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
-		pool.Forget(server.Address())
-		pool.Forget("10.0.0.1:80")
+		pool.CloseIdle(server.Address())
+		pool.CloseIdle("10.0.0.1:80")
 		_, _, err = do("b", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(server.Opened()).To(Equal(2))
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -72,11 +72,11 @@
 			return err
 		},
 	}
-	return NewPoolOver(dialer.DialContext, now, opened)
+	return NewPoolWithDialer(dialer.DialContext, now, opened)
 }
 
 // NewPoolOver is NewPool over another network.
-func NewPoolOver(dial Dial, now func() time.Time, opened func()) *Pool {
+func NewPoolWithDialer(dial Dial, now func() time.Time, opened func()) *Pool {
 	bounded := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 		defer cancel()
@@ -142,7 +142,7 @@
 
 // Forget closes the idle connections to an address: the process behind them has ended,
 // and a request sent on one of them might have run for all that anybody could tell.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -24,9 +24,9 @@
 )
 
 // Key names an attempt of a request.
-type Key struct {
-	ID      string
-	Attempt uint32
+type AttemptKey struct {
+	RequestID string
+	Attempt   uint32
 }
 
 // LinkID names a link of this process; 0 is no link.
@@ -36,12 +36,12 @@
 // preempted runs again under the next Number; what an earlier run still
 // brings is dropped.
 type Run struct {
-	Key    Key
+	Key    AttemptKey
 	Number int
 	Offer  *wire.Offer
 	// Done and DoneText are the tokens made before, which are not made again.
-	Done     uint32
-	DoneText string
+	GeneratedTokens uint32
+	GeneratedText   string
 }
 
 // Effects is what a Core does to the world. None of the calls may block.
@@ -51,25 +51,25 @@
 	// Start begins a run; its progress comes back through Token and Ended.
 	Start(r Run)
 	// Stop ends a run at the backend server.
-	Stop(k Key, number int)
+	Stop(k AttemptKey, number int)
 	// Use counts an attempt onto a link or, with -1, off it, so that a link
 	// without attempts can be kept at a lower cost.
 	Use(link LinkID, n int)
 	// Claim asks the witness of a key, or the log if it can't be reached;
 	// the answer comes back through ClaimSettled.
-	Claim(k Key, o *wire.Offer)
+	Claim(k AttemptKey, o *wire.Offer)
 }
 
 // Config is the size of a Core.
 type Config struct {
 	Admission admission.Config
 	// MaxHeld bounds the attempts held, finished answers included.
-	MaxHeld int
+	MaxAttempts int
 	// OrphanAfter is how long an attempt goes on without a link.
-	OrphanAfter time.Duration
+	OrphanTimeout time.Duration
 	// TombstoneFor is how long a refused attempt is remembered. It is above
 	// the longest time that an offer may be under way on an old link.
-	TombstoneFor time.Duration
+	TombstoneRetention time.Duration
 	// MaxTombstones bounds the refused attempts remembered.
 	MaxTombstones int
 }
@@ -86,7 +86,7 @@
 
 // attempt is one offered attempt.
 type attempt struct {
-	key      Key
+	key      AttemptKey
 	offer    *wire.Offer
 	link     LinkID
 	phase    phase
@@ -114,8 +114,8 @@
 	cfg      Config
 	fx       Effects
 	queue    *admission.Queue
-	book     *receipt.Book
-	held     map[Key]*attempt
+	book     *receipt.Store
+	held     map[AttemptKey]*attempt
 	byJob    map[*admission.Job]*attempt
 	waiting  map[string][]*attempt // repeats that wait, by idempotency key
 	tombs    *tombstones
@@ -134,44 +134,44 @@
 // New returns a Core that started at now; serving says whether the backend
 // server has a target loaded.
 func New(cfg Config, now time.Time, fx Effects, serving func(string) bool) *Core {
-	return &Core{cfg: cfg, fx: fx, queue: admission.New(cfg.Admission), book: receipt.NewBook(now),
+	return &Core{cfg: cfg, fx: fx, queue: admission.New(cfg.Admission), book: receipt.NewStore(now),
 		links: map[LinkID]string{}, byPeer: map[string]LinkID{},
-		held: map[Key]*attempt{}, byJob: map[*admission.Job]*attempt{}, waiting: map[string][]*attempt{},
-		tombs: newTombstones(cfg.TombstoneFor, cfg.MaxTombstones), blocked: map[*attempt]struct{}{}, serving: serving,
+		held: map[AttemptKey]*attempt{}, byJob: map[*admission.Job]*attempt{}, waiting: map[string][]*attempt{},
+		tombs: newTombstones(cfg.TombstoneRetention, cfg.MaxTombstones), blocked: map[*attempt]struct{}{}, serving: serving,
 		wasted: map[string]uint64{}, refused: map[fault.Code]uint64{}}
 }
 
 // Book returns the memory of idempotency keys.
-func (c *Core) Book() *receipt.Book { return c.book }
+func (c *Core) Keys() *receipt.Store { return c.book }
 
 // Counters returns the totals so far.
 func (c *Core) Counters() Counters { return c.counters }
 
 // TakeWasted returns the tokens wasted since the last call, by class.
-func (c *Core) TakeWasted() map[string]uint64 {
+func (c *Core) TakeWastedTokens() map[string]uint64 {
 	out := c.wasted
 	c.wasted = map[string]uint64{}
 	return out
 }
 
 // TakeRefused returns the offers refused since the last call, by code.
-func (c *Core) TakeRefused() map[fault.Code]uint64 {
+func (c *Core) TakeRefusedOffers() map[fault.Code]uint64 {
 	out := c.refused
 	c.refused = map[fault.Code]uint64{}
 	return out
 }
 
 // Held returns the number of attempts held.
-func (c *Core) Held() int { return len(c.held) }
+func (c *Core) AttemptCount() int { return len(c.held) }
 
 // Tombstones returns the number of refused attempts remembered.
-func (c *Core) Tombstones() int { return c.tombs.len() }
+func (c *Core) TombstoneCount() int { return c.tombs.len() }
 
 // Idle reports whether nothing is held that a router still waits for.
 func (c *Core) Idle() bool { return len(c.held) == 0 }
 
 // Uses reports whether an attempt for the target is held.
-func (c *Core) Uses(target string) bool {
+func (c *Core) HasAttemptFor(target string) bool {
 	for _, a := range c.held {
 		if a.offer.Target == target {
 			return true
@@ -227,7 +227,7 @@
 	if !c.open(link) {
 		return
 	}
-	key := Key{o.ID, o.Attempt}
+	key := AttemptKey{o.ID, o.Attempt}
 	if a := c.held[key]; a != nil { // the offer came twice: the first one counts
 		c.counters.Duplicates++
 		c.attach(a, link)
@@ -245,29 +245,29 @@
 	c.schedule(now)
 }
 
-func (c *Core) verdict(link LinkID, key Key, e *fault.Error) {
-	c.fx.Send(link, &wire.Verdict{ID: key.ID, Attempt: key.Attempt, Fault: wire.FaultOf(e), Load: c.Load()})
+func (c *Core) verdict(link LinkID, key AttemptKey, e *fault.Error) {
+	c.fx.Send(link, &wire.OfferResponse{ID: key.RequestID, Attempt: key.Attempt, Fault: wire.EncodeFault(e), Load: c.Load()})
 }
 
 // admit checks an offer and puts it where it waits.
-func (c *Core) admit(now time.Time, link LinkID, key Key, o *wire.Offer) *fault.Error {
+func (c *Core) admit(now time.Time, link LinkID, key AttemptKey, o *wire.Offer) *fault.Error {
 	if c.tombs.has(now, key) {
 		c.counters.Tombstoned++
-		return fault.New(fault.NotHeld, "the attempt was withdrawn before it arrived").With(fault.NotRun)
+		return fault.New(fault.RequestNotHeld, "the attempt was withdrawn before it arrived").WithOutcome(fault.NotRun)
 	}
 	if c.draining {
-		return fault.New(fault.Draining, "the backend server is leaving").With(fault.NotRun)
+		return fault.New(fault.Draining, "the backend server is leaving").WithOutcome(fault.NotRun)
 	}
 	if !c.serving(o.Target) {
-		return fault.New(fault.NoServer, "%q is not loaded here", o.Target).With(fault.NotRun)
+		return fault.New(fault.NoBackendServer, "%q is not loaded here", o.Target).WithOutcome(fault.NotRun)
 	}
-	if len(c.held) >= c.cfg.MaxHeld {
+	if len(c.held) >= c.cfg.MaxAttempts {
 		return fault.New(fault.RecordsFull, "%d requests are held already", len(c.held)).
-			With(fault.NotRun).After(c.queue.RetryAfter(int(o.Tier)))
+			WithOutcome(fault.NotRun).WithRetryAfter(c.queue.RetryAfter(int(o.Tier)))
 	}
-	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.Done, o.Window), made: o.Done,
-		text: []byte(o.DoneText), runBy: now.Add(millis(o.RunWithinMS))}
-	if o.Key == "" {
+	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.ChunksDelivered, o.SendWindow), made: o.ChunksDelivered,
+		text: []byte(o.DeliveredText), runBy: now.Add(millis(o.RunTimeoutMS))}
+	if o.IdempotencyKey == "" {
 		if e := c.enqueue(now, a); e != nil {
 			return e
 		}
@@ -294,9 +294,9 @@
 func (c *Core) enqueue(now time.Time, a *attempt) *fault.Error {
 	o := a.offer
 	job := &admission.Job{ID: o.ID, Tier: min(int(o.Tier), admission.Tiers-1), Flow: o.Team, Cost: float64(o.MaxTokens),
-		Floor: o.Floor, FirstToken: millis(o.FirstTokenMS), Preemptible: o.Preemptible && o.MayRepeat,
-		StartBy: now.Add(millis(o.StartWithinMS))}
-	if e := c.queue.Offer(now, job); e != nil {
+		Floor: o.Floor, FirstTokenTarget: millis(o.FirstTokenTargetMS), Preemptible: o.Preemptible && o.Retryable,
+		StartDeadline: now.Add(millis(o.StartTimeoutMS))}
+	if e := c.queue.Enqueue(now, job); e != nil {
 		return e
 	}
 	a.job, a.phase = job, queued
@@ -329,7 +329,7 @@
 		a.entry.Phase = receipt.Running
 	}
 	c.counters.Started++
-	c.fx.Start(Run{Key: a.key, Number: a.run, Offer: a.offer, Done: a.made, DoneText: string(a.text)})
+	c.fx.Start(Run{Key: a.key, Number: a.run, Offer: a.offer, GeneratedTokens: a.made, GeneratedText: string(a.text)})
 }
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/execution/core_test.go
+++ b/internal/execution/core_test.go
@@ -19,15 +19,15 @@
 type recorder struct {
 	sent    []wire.Message
 	started []Run
-	stopped []Key
-	claims  []Key
+	stopped []AttemptKey
+	claims  []AttemptKey
 }
 
 func (r *recorder) Send(_ LinkID, m wire.Message) bool { r.sent = append(r.sent, m); return true }
 func (r *recorder) Start(run Run)                      { r.started = append(r.started, run) }
-func (r *recorder) Stop(k Key, _ int)                  { r.stopped = append(r.stopped, k) }
+func (r *recorder) Stop(k AttemptKey, _ int)           { r.stopped = append(r.stopped, k) }
 func (r *recorder) Use(LinkID, int)                    {}
-func (r *recorder) Claim(k Key, _ *wire.Offer)         { r.claims = append(r.claims, k) }
+func (r *recorder) Claim(k AttemptKey, _ *wire.Offer)  { r.claims = append(r.claims, k) }
 
 // last returns the newest message of a type.
 func last[T wire.Message](g Gomega, r *recorder) T {
@@ -43,19 +43,19 @@
 func newCore(slots, tombstones int) (*Core, *recorder) {
 	r := &recorder{}
 	c := New(Config{Admission: admission.Config{Slots: slots, QueueLimit: 100, FloorWindow: time.Second, Preemption: true, MaxPreemptions: 8},
-		MaxHeld: 3, OrphanAfter: 10 * time.Second, TombstoneFor: time.Minute, MaxTombstones: tombstones}, epoch, r, func(string) bool { return true })
+		MaxAttempts: 3, OrphanTimeout: 10 * time.Second, TombstoneRetention: time.Minute, MaxTombstones: tombstones}, epoch, r, func(string) bool { return true })
 	c.LinkUp(epoch, 1, "router")
 	return c, r
 }
 
 func offer(id string, tier uint8) *wire.Offer {
-	return &wire.Offer{ID: id, Attempt: 1, Class: fmt.Sprint("class", tier), Tier: tier, StartWithinMS: 5000, RunWithinMS: 10000, MayRepeat: true,
-		Preemptible: tier > 0, MaxTokens: 10, Window: 8}
+	return &wire.Offer{ID: id, Attempt: 1, Class: fmt.Sprint("class", tier), Tier: tier, StartTimeoutMS: 5000, RunTimeoutMS: 10000, Retryable: true,
+		Preemptible: tier > 0, MaxTokens: 10, SendWindow: 8}
 }
 
 func keyed(id string, digest uint64) *wire.Offer {
 	o := offer(id, 0)
-	o.MayRepeat, o.Kind, o.Key, o.Digest, o.KeyWindowMS = false, wire.Service, "key", digest, 60000
+	o.Retryable, o.Kind, o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS = false, wire.KindService, "key", digest, 60000
 	return o
 }
 
@@ -65,13 +65,13 @@
 	c.Offer(epoch, 1, keyed("first", 7))
 	c.Offer(epoch, 1, keyed("again", 7))
 	c.Offer(epoch, 1, keyed("other body", 8))
-	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.KeyConflict)))
+	g.Expect(last[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.IdempotencyKeyConflict)))
 	g.Expect(r.claims).To(HaveLen(1))
 	g.Expect(r.started).To(BeEmpty(), "nothing starts before the claim is settled")
-	c.ClaimSettled(epoch, r.claims[0], receipt.Run)
+	c.ClaimDecided(epoch, r.claims[0], receipt.Run)
 	g.Expect(r.started).To(HaveLen(1))
-	c.Token(epoch, r.started[0].Key, 1, []byte("done"), 0)
-	c.Ended(epoch, r.started[0].Key, 1, wire.End{Status: 200}, nil)
+	c.Output(epoch, r.started[0].Key, 1, []byte("done"), 0)
+	c.RunEnded(epoch, r.started[0].Key, 1, wire.End{Status: 200}, nil)
 	answers := map[string]string{}
 	for _, m := range r.sent {
 		if chunk, ok := m.(*wire.Chunk); ok {
@@ -88,10 +88,10 @@
 	c.Offer(epoch, 1, keyed("again", 7))
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "first", Attempt: 1})
 	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeFalse())
-	g.Expect(r.claims).To(Equal([]Key{{"first", 1}, {"again", 1}}))
-	c.ClaimSettled(epoch, Key{"first", 1}, receipt.Run) // the late word on the first
+	g.Expect(r.claims).To(Equal([]AttemptKey{{"first", 1}, {"again", 1}}))
+	c.ClaimDecided(epoch, AttemptKey{"first", 1}, receipt.Run) // the late word on the first
 	g.Expect(r.started).To(BeEmpty())
-	c.ClaimSettled(epoch, Key{"again", 1}, receipt.Run)
+	c.ClaimDecided(epoch, AttemptKey{"again", 1}, receipt.Run)
 	g.Expect(r.started).To(HaveLen(1))
 }
 
@@ -99,12 +99,12 @@
 	g := NewWithT(t)
 	c, r := newCore(4, 100)
 	c.Offer(epoch, 1, keyed("first", 7))
-	c.ClaimSettled(epoch, r.claims[0], receipt.Run)
+	c.ClaimDecided(epoch, r.claims[0], receipt.Run)
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "first", Attempt: 1})
 	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeTrue())
 	g.Expect(r.stopped).To(BeEmpty())
-	c.Token(epoch, r.started[0].Key, 1, []byte("done"), 0)
-	c.Ended(epoch, r.started[0].Key, 1, wire.End{Status: 200}, nil)
+	c.Output(epoch, r.started[0].Key, 1, []byte("done"), 0)
+	c.RunEnded(epoch, r.started[0].Key, 1, wire.End{Status: 200}, nil)
 	c.Offer(epoch, 1, keyed("again", 7))
 	g.Expect(string(last[*wire.Chunk](g, r).Data)).To(Equal("done"))
 	g.Expect(r.started).To(HaveLen(1))
@@ -116,7 +116,7 @@
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "late", Attempt: 1})
 	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeFalse())
 	c.Offer(epoch, 1, offer("late", 0))
-	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.NotHeld)))
+	g.Expect(last[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.RequestNotHeld)))
 	g.Expect(r.started).To(BeEmpty())
 }
 
@@ -138,32 +138,32 @@
 	c, r := newCore(1, 100)
 	for i := range 3 {
 		c.Offer(epoch, 1, offer(fmt.Sprint(i), 0))
-		g.Expect(last[*wire.Verdict](g, r).Fault).To(BeNil())
+		g.Expect(last[*wire.OfferResponse](g, r).Fault).To(BeNil())
 	}
 	c.Offer(epoch, 1, offer("one more", 0))
-	f := last[*wire.Verdict](g, r).Fault
+	f := last[*wire.OfferResponse](g, r).Fault
 	g.Expect(f.Code).To(Equal(string(fault.RecordsFull)))
 	g.Expect(f.Outcome).To(Equal(string(fault.NotRun)))
 	g.Expect(f.RetryAfterMS).To(BeNumerically(">", 0))
-	g.Expect(c.TakeRefused()).To(Equal(map[fault.Code]uint64{fault.RecordsFull: 1}))
+	g.Expect(c.TakeRefusedOffers()).To(Equal(map[fault.Code]uint64{fault.RecordsFull: 1}))
 }
 
 func TestOrphansEndAndAreCountedAsWaste(t *testing.T) {
 	g := NewWithT(t)
 	c, r := newCore(1, 100)
 	c.Offer(epoch, 1, offer("x", 2))
-	c.Token(epoch, Key{"x", 1}, 1, []byte("a"), 1)
-	c.Token(epoch, Key{"x", 1}, 1, []byte("b"), 1)
+	c.Output(epoch, AttemptKey{"x", 1}, 1, []byte("a"), 1)
+	c.Output(epoch, AttemptKey{"x", 1}, 1, []byte("b"), 1)
 	c.Ack(epoch, 1, &wire.Ack{ID: "x", Attempt: 1, Next: 1})
 	c.LinkDown(epoch, 1)
 	c.Sweep(epoch.Add(9 * time.Second))
-	g.Expect(c.Held()).To(Equal(1))
+	g.Expect(c.AttemptCount()).To(Equal(1))
 	c.Sweep(epoch.Add(10 * time.Second))
-	g.Expect(c.Held()).To(BeZero())
-	g.Expect(r.stopped).To(Equal([]Key{{"x", 1}}))
-	c.Token(epoch, Key{"x", 1}, 1, []byte("c"), 1) // the stopped run's last word
-	g.Expect(c.TakeWasted()).To(Equal(map[string]uint64{"class2": 1, "gone": 1}))
-	g.Expect(c.TakeWasted()).To(BeEmpty())
+	g.Expect(c.AttemptCount()).To(BeZero())
+	g.Expect(r.stopped).To(Equal([]AttemptKey{{"x", 1}}))
+	c.Output(epoch, AttemptKey{"x", 1}, 1, []byte("c"), 1) // the stopped run's last word
+	g.Expect(c.TakeWastedTokens()).To(Equal(map[string]uint64{"class2": 1, "gone": 1}))
+	g.Expect(c.TakeWastedTokens()).To(BeEmpty())
 }
 
 // A preempted request goes on after the tokens that it has, and late tokens of
@@ -172,21 +172,21 @@
 	g := NewWithT(t)
 	c, r := newCore(1, 100)
 	low, high := offer("low", 3), offer("high", 0)
-	high.FirstTokenMS = 1
+	high.FirstTokenTargetMS = 1
 	c.Offer(epoch, 1, low)
-	c.Token(epoch, Key{"low", 1}, 1, []byte("a "), 1)
+	c.Output(epoch, AttemptKey{"low", 1}, 1, []byte("a "), 1)
 	now := epoch.Add(100 * time.Millisecond)
 	c.Offer(now, 1, high)
 	c.Tick(now.Add(10 * time.Millisecond))
-	g.Expect(r.stopped).To(Equal([]Key{{"low", 1}}))
-	c.Token(now, Key{"low", 1}, 1, []byte("late"), 1)
-	c.Ended(now, Key{"high", 1}, 1, wire.End{}, nil)
+	g.Expect(r.stopped).To(Equal([]AttemptKey{{"low", 1}}))
+	c.Output(now, AttemptKey{"low", 1}, 1, []byte("late"), 1)
+	c.RunEnded(now, AttemptKey{"high", 1}, 1, wire.End{}, nil)
 	g.Expect(r.started).To(HaveLen(3))
 	again := r.started[2]
-	g.Expect(again.Key.ID).To(Equal("low"))
-	g.Expect(again.Done).To(Equal(uint32(1)))
-	g.Expect(again.DoneText).To(Equal("a "))
-	c.Token(now, Key{"low", 1}, 2, []byte("b"), 1)
+	g.Expect(again.Key.RequestID).To(Equal("low"))
+	g.Expect(again.GeneratedTokens).To(Equal(uint32(1)))
+	g.Expect(again.GeneratedText).To(Equal("a "))
+	c.Output(now, AttemptKey{"low", 1}, 2, []byte("b"), 1)
 	g.Expect(last[*wire.Chunk](g, r).Seq).To(Equal(uint32(1)))
 }
 
@@ -196,10 +196,10 @@
 	c.Offer(epoch, 1, offer("x", 0))
 	c.Drain()
 	c.Offer(epoch, 1, offer("y", 0))
-	g.Expect(last[*wire.Verdict](g, r).Fault.Code).To(Equal(string(fault.Draining)))
+	g.Expect(last[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.Draining)))
 	g.Expect(c.Idle()).To(BeFalse())
-	c.Token(epoch, Key{"x", 1}, 1, []byte("a"), 1)
-	c.Ended(epoch, Key{"x", 1}, 1, wire.End{}, nil)
+	c.Output(epoch, AttemptKey{"x", 1}, 1, []byte("a"), 1)
+	c.RunEnded(epoch, AttemptKey{"x", 1}, 1, wire.End{}, nil)
 	g.Expect(c.Idle()).To(BeFalse(), "the router has not acknowledged the end")
 	c.Ack(epoch, 1, &wire.Ack{ID: "x", Attempt: 1, Next: 1, Final: true})
 	g.Expect(c.Idle()).To(BeTrue())
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -10,7 +10,7 @@
 )
 
 // current returns the attempt if the run is its present one.
-func (c *Core) current(k Key, number int) *attempt {
+func (c *Core) current(k AttemptKey, number int) *attempt {
 	a := c.held[k]
 	if a == nil || a.phase != running || a.run != number {
 		return nil
@@ -19,7 +19,7 @@
 }
 
 // Token takes in a piece of an answer, made of tokens tokens.
-func (c *Core) Token(now time.Time, k Key, number int, data []byte, tokens int) {
+func (c *Core) Output(now time.Time, k AttemptKey, number int, data []byte, tokens int) {
 	a := c.current(k, number)
 	if a == nil {
 		c.waste(k, tokens)
@@ -28,15 +28,15 @@
 	c.counters.Tokens += uint64(tokens)
 	a.buf.Append(data)
 	a.made++
-	if a.offer.MayRepeat {
+	if a.offer.Retryable {
 		a.text = append(a.text, data...)
 	}
-	c.queue.Progress(now, a.job, tokens)
+	c.queue.AddTokens(now, a.job, tokens)
 	c.pump(a)
 }
 
 // waste counts tokens of a run that was stopped.
-func (c *Core) waste(k Key, tokens int) {
+func (c *Core) waste(k AttemptKey, tokens int) {
 	class := "gone"
 	if a := c.held[k]; a != nil {
 		class = a.offer.Class
@@ -46,12 +46,12 @@
 
 // Ended takes in the end of a run. A fault with outcome not run means that the
 // backend server did not start the work.
-func (c *Core) Ended(now time.Time, k Key, number int, end wire.End, e *fault.Error) {
+func (c *Core) RunEnded(now time.Time, k AttemptKey, number int, end wire.End, e *fault.Error) {
 	a := c.current(k, number)
 	if a == nil {
 		return
 	}
-	end.Fault = wire.FaultOf(e)
+	end.Fault = wire.EncodeFault(e)
 	if a.entry != nil {
 		c.settleEntry(now, a, end, e)
 	}
@@ -63,15 +63,15 @@
 func (c *Core) settleEntry(now time.Time, a *attempt, end wire.End, e *fault.Error) {
 	switch {
 	case e == nil:
-		a.entry.Finish(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
-		c.settleWaiting(a.offer.Key, func(w *attempt) { c.replay(now, w, a.entry) })
+		a.entry.Complete(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
+		c.settleWaiting(a.offer.IdempotencyKey, func(w *attempt) { c.replay(now, w, a.entry) })
 		return
 	case e.Outcome == fault.NotRun:
-		c.book.Forget(a.offer.Key)
+		c.book.Delete(a.offer.IdempotencyKey)
 	default:
-		a.entry.Phase = receipt.Lost
+		a.entry.Phase = receipt.OutcomeUnknown
 	}
-	c.settleWaiting(a.offer.Key, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)}) })
+	c.settleWaiting(a.offer.IdempotencyKey, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)}) })
 }
 
 // lastChunk returns the body of a plain service's answer, which is one chunk.
@@ -86,7 +86,7 @@
 func (c *Core) finish(now time.Time, a *attempt, end *wire.End) {
 	c.leaveQueue(now, a)
 	a.phase = ended
-	end.ID, end.Attempt, end.Total = a.key.ID, a.key.Attempt, a.made
+	end.ID, end.Attempt, end.Total = a.key.RequestID, a.key.Attempt, a.made
 	a.end = end
 	c.pump(a)
 	if a.link == 0 {
@@ -99,7 +99,7 @@
 	if a.job == nil {
 		return
 	}
-	c.queue.Done(now, a.job)
+	c.queue.Remove(now, a.job)
 	delete(c.byJob, a.job)
 	a.job = nil
 }
@@ -114,11 +114,11 @@
 		if !ok {
 			break
 		}
-		if !c.fx.Send(a.link, &wire.Chunk{ID: a.key.ID, Attempt: a.key.Attempt, Seq: seq, Data: data}) {
+		if !c.fx.Send(a.link, &wire.Chunk{ID: a.key.RequestID, Attempt: a.key.Attempt, Seq: seq, Data: data}) {
 			c.blocked[a] = struct{}{}
 			return
 		}
-		a.buf.Sent()
+		a.buf.MarkSent()
 	}
 	if a.end != nil && !a.endSent && a.buf.AllSent() {
 		a.end.Load = c.Load()
@@ -133,13 +133,13 @@
 
 // Ack takes in an acknowledgement.
 func (c *Core) Ack(now time.Time, link LinkID, m *wire.Ack) {
-	a := c.held[Key{m.ID, m.Attempt}]
+	a := c.held[AttemptKey{m.ID, m.Attempt}]
 	if a == nil || a.link != link {
 		return
 	}
 	a.buf.Ack(m.Next)
 	if m.Final && a.phase == ended {
-		a.buf.Ack(a.buf.Total())
+		a.buf.Ack(a.buf.EndSeq())
 		c.forget(now, a)
 		return
 	}
@@ -149,7 +149,7 @@
 // forget drops an attempt; its tombstone refuses late messages. What of its
 // answer was not acknowledged was made for nothing.
 func (c *Core) forget(now time.Time, a *attempt) {
-	if n := a.buf.Held(); n > 0 && a.offer.Kind == wire.Generate {
+	if n := a.buf.Unacknowledged(); n > 0 && a.offer.Kind == wire.KindGenerate {
 		c.wasted[a.offer.Class] += uint64(n)
 	}
 	c.leaveQueue(now, a)
@@ -163,7 +163,7 @@
 // that waits for the first call of its key can't say that it was not.
 func (a *attempt) mayHaveRun() bool {
 	switch {
-	case a.run > 0 || a.phase == joined || a.made > a.offer.Done:
+	case a.run > 0 || a.phase == joined || a.made > a.offer.ChunksDelivered:
 		return true
 	case a.phase == ended:
 		return a.end.Fault == nil || fault.Outcome(a.end.Fault.Outcome) != fault.NotRun
@@ -176,20 +176,20 @@
 	if !c.open(link) {
 		return
 	}
-	key := Key{m.ID, m.Attempt}
+	key := AttemptKey{m.ID, m.Attempt}
 	a := c.held[key]
 	if a == nil {
 		outcome := fault.NotRun
 		if c.tombs.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombs.add(now, key, false) {
 			outcome = fault.Unknown
 		}
-		c.verdict(link, key, fault.New(fault.NotHeld, "this agent does not hold the attempt").With(outcome))
+		c.verdict(link, key, fault.New(fault.RequestNotHeld, "this agent does not hold the attempt").WithOutcome(outcome))
 		return
 	}
 	c.attach(a, link)
 	a.endSent = false
 	if err := a.buf.Rewind(m.Next); err != nil {
-		c.verdict(link, key, fault.From(err).With(fault.Unknown))
+		c.verdict(link, key, fault.From(err).WithOutcome(fault.Unknown))
 		return
 	}
 	c.verdict(link, key, nil)
@@ -203,7 +203,7 @@
 	if !c.open(link) {
 		return
 	}
-	key := Key{m.ID, m.Attempt}
+	key := AttemptKey{m.ID, m.Attempt}
 	a := c.held[key]
 	ran := false
 	if a == nil {
@@ -235,8 +235,8 @@
 // passOn gives the place of a cancelled first call of a key to the first
 // repeat that waits, or forgets the key: the call was not started.
 func (c *Core) passOn(now time.Time, a *attempt) {
-	key := a.offer.Key
-	c.book.Forget(key)
+	key := a.offer.IdempotencyKey
+	c.book.Delete(key)
 	list := c.waiting[key]
 	delete(c.waiting, key)
 	for i, w := range list {
@@ -244,7 +244,7 @@
 			continue
 		}
 		if e := c.admitKeyed(now, w); e != nil {
-			c.finish(now, w, &wire.End{Fault: wire.FaultOf(e)})
+			c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)})
 			continue
 		}
 		c.waiting[key] = append(c.waiting[key], list[i+1:]...)
@@ -253,7 +253,7 @@
 }
 
 // Busy reports whether something may become due within milliseconds.
-func (c *Core) Busy() bool {
+func (c *Core) NeedsFrequentTick() bool {
 	if len(c.blocked) > 0 {
 		return true
 	}
@@ -272,14 +272,14 @@
 	for _, job := range c.queue.Expire(now) {
 		a := c.byJob[job]
 		c.counters.Expired++
-		e := fault.New(fault.Expired, "no slot within the time to start").
-			With(fault.NotRun).After(c.queue.RetryAfter(job.Tier))
+		e := fault.New(fault.StartDeadlinePassed, "no slot within the time to start").
+			WithOutcome(fault.NotRun).WithRetryAfter(c.queue.RetryAfter(job.Tier))
 		if a.entry != nil {
-			c.book.Forget(a.offer.Key)
+			c.book.Delete(a.offer.IdempotencyKey)
 			c.finishKeyed(now, a, e)
 			continue
 		}
-		c.finish(now, a, &wire.End{Fault: wire.FaultOf(e)})
+		c.finish(now, a, &wire.End{Fault: wire.EncodeFault(e)})
 	}
 	for a := range c.blocked {
 		c.pump(a)
@@ -292,7 +292,7 @@
 func (c *Core) Sweep(now time.Time) {
 	for _, a := range c.held {
 		switch {
-		case !a.orphaned.IsZero() && now.Sub(a.orphaned) >= c.cfg.OrphanAfter:
+		case !a.orphaned.IsZero() && now.Sub(a.orphaned) >= c.cfg.OrphanTimeout:
 			if a.phase == running && a.entry != nil {
 				continue
 			}
@@ -317,5 +317,5 @@
 	if a.phase == running {
 		c.fx.Stop(a.key, a.run)
 	}
-	c.finish(now, a, &wire.End{Fault: wire.FaultOf(fault.New(fault.Deadline, "the request took too long").With(outcome))})
+	c.finish(now, a, &wire.End{Fault: wire.EncodeFault(fault.New(fault.DeadlinePassed, "the request took too long").WithOutcome(outcome))})
 }
--- a/internal/execution/tombstone.go
+++ b/internal/execution/tombstone.go
@@ -15,19 +15,19 @@
 type tombstones struct {
 	keep       time.Duration
 	limit      int
-	byKey      map[Key]tombstone
-	order      []Key // by time of insertion
+	byKey      map[AttemptKey]tombstone
+	order      []AttemptKey // by time of insertion
 	lossyUntil time.Time
 }
 
 func newTombstones(keep time.Duration, limit int) *tombstones {
-	return &tombstones{keep: keep, limit: limit, byKey: map[Key]tombstone{}}
+	return &tombstones{keep: keep, limit: limit, byKey: map[AttemptKey]tombstone{}}
 }
 
 func (t *tombstones) len() int { return len(t.byKey) }
 
 // add remembers k and reports whether there was room.
-func (t *tombstones) add(now time.Time, k Key, ran bool) bool {
+func (t *tombstones) add(now time.Time, k AttemptKey, ran bool) bool {
 	if old, known := t.byKey[k]; known {
 		old.ran = old.ran || ran
 		t.byKey[k] = old
@@ -43,14 +43,14 @@
 	return true
 }
 
-func (t *tombstones) has(now time.Time, k Key) bool {
+func (t *tombstones) has(now time.Time, k AttemptKey) bool {
 	s, ok := t.byKey[k]
 	return ok && now.Before(s.until)
 }
 
 // mayHaveRun answers a question about an attempt that is not held and was
 // offered age ago.
-func (t *tombstones) mayHaveRun(now time.Time, k Key, age time.Duration) bool {
+func (t *tombstones) mayHaveRun(now time.Time, k AttemptKey, age time.Duration) bool {
 	if s, ok := t.byKey[k]; ok {
 		return s.ran
 	}
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -16,53 +16,53 @@
 // The codes, grouped by who can mend the failure.
 const (
 	// The caller's or operator's input.
-	BadRequest     Code = "bad_request"
-	TooLarge       Code = "too_large"
-	HeadTooLarge   Code = "head_too_large"
-	Unauthorized   Code = "unauthorized"
-	Forbidden      Code = "forbidden"
-	NotFound       Code = "not_found"
-	UnknownClass   Code = "unknown_class"
-	UnknownModel   Code = "unknown_model"
-	UnknownService Code = "unknown_service"
-	Unsupported    Code = "unsupported_field"
-	KeyRequired    Code = "idempotency_key_required"
-	KeyConflict    Code = "idempotency_key_conflict"
-	Conflict       Code = "revision_conflict"
-	InvalidConfig  Code = "invalid_config"
-	InUse          Code = "in_use"
+	BadRequest             Code = "bad_request"
+	TooLarge               Code = "too_large"
+	HeadersTooLarge        Code = "head_too_large"
+	Unauthorized           Code = "unauthorized"
+	Forbidden              Code = "forbidden"
+	NotFound               Code = "not_found"
+	UnknownClass           Code = "unknown_class"
+	UnknownModel           Code = "unknown_model"
+	UnknownService         Code = "unknown_service"
+	UnsupportedField       Code = "unsupported_field"
+	IdempotencyKeyRequired Code = "idempotency_key_required"
+	IdempotencyKeyConflict Code = "idempotency_key_conflict"
+	RevisionConflict       Code = "revision_conflict"
+	InvalidConfig          Code = "invalid_config"
+	InUse                  Code = "in_use"
 
 	// Limits and load: come back later.
-	TeamRate        Code = "team_rate_limit"
-	TeamConcurrency Code = "team_concurrency_limit"
-	QueueFull       Code = "queue_full"
-	WaitTooLong     Code = "wait_too_long"
-	RetryBudget     Code = "retry_budget_spent"
-	RecordsFull     Code = "records_full"
-	LinkBusy        Code = "link_busy"
+	TeamRateLimit        Code = "team_rate_limit"
+	TeamConcurrencyLimit Code = "team_concurrency_limit"
+	QueueFull            Code = "queue_full"
+	WaitTooLong          Code = "wait_too_long"
+	RetryBudgetSpent     Code = "retry_budget_spent"
+	RecordsFull          Code = "records_full"
+	LinkBusy             Code = "link_busy"
 	// ServerRate: the backend servers take no more requests a second.
-	ServerRate Code = "server_rate_limit"
+	ServerRateLimit Code = "server_rate_limit"
 	// ServersRest: all backend servers want nothing for a while.
-	ServersRest Code = "servers_rest"
+	ServersInBackoff Code = "servers_rest"
 	// Quarantined: servers have ended each time they ran the request.
 	Quarantined Code = "quarantined"
 
 	// The system or what it depends on.
-	NoServer     Code = "no_backend_server"
-	NoLink       Code = "backend_servers_unreachable"
-	Draining     Code = "draining"
-	NotReady     Code = "not_ready"
-	LinkLost     Code = "link_lost"
-	NotHeld      Code = "request_not_held"
-	Expired      Code = "start_bound_passed"
-	Deadline     Code = "deadline_passed"
-	Cancelled    Code = "cancelled"
-	EngineFailed Code = "engine_failed"
-	ShortAnswer  Code = "short_answer"
-	CannotVouch  Code = "cannot_vouch"
-	LogDown      Code = "log_unavailable"
-	LogUnsettled Code = "log_unsettled"
-	LogTruncated Code = "log_truncated"
+	NoBackendServer           Code = "no_backend_server"
+	BackendServersUnreachable Code = "backend_servers_unreachable"
+	Draining                  Code = "draining"
+	NotReady                  Code = "not_ready"
+	LinkLost                  Code = "link_lost"
+	RequestNotHeld            Code = "request_not_held"
+	StartDeadlinePassed       Code = "start_bound_passed"
+	DeadlinePassed            Code = "deadline_passed"
+	Cancelled                 Code = "cancelled"
+	EngineFailed              Code = "engine_failed"
+	IncompleteResponse        Code = "short_answer"
+	IdempotentResultUnknown   Code = "cannot_vouch"
+	LogUnavailable            Code = "log_unavailable"
+	LogWriteUnconfirmed       Code = "log_unsettled"
+	LogTruncated              Code = "log_truncated"
 	// LogRestored: the log has come back from an older copy.
 	LogRestored Code = "log_restored"
 	BadFrame    Code = "bad_frame"
@@ -102,13 +102,13 @@
 }
 
 // InField sets the input field at fault and returns e.
-func (e *Error) InField(field string) *Error { e.Field = field; return e }
+func (e *Error) WithField(field string) *Error { e.Field = field; return e }
 
 // With sets the outcome and returns e.
-func (e *Error) With(o Outcome) *Error { e.Outcome = o; return e }
+func (e *Error) WithOutcome(o Outcome) *Error { e.Outcome = o; return e }
 
 // After sets when to come back and returns e.
-func (e *Error) After(d time.Duration) *Error { e.RetryAfter = d; return e }
+func (e *Error) WithRetryAfter(d time.Duration) *Error { e.RetryAfter = d; return e }
 
 // Error implements error.
 func (e *Error) Error() string {
@@ -141,24 +141,24 @@
 }
 
 var statusByCode = map[Code]int{
-	BadRequest: http.StatusBadRequest, Unsupported: http.StatusBadRequest,
-	KeyRequired: http.StatusBadRequest, InvalidConfig: http.StatusUnprocessableEntity,
-	TooLarge: http.StatusRequestEntityTooLarge, HeadTooLarge: http.StatusRequestHeaderFieldsTooLarge, Unauthorized: http.StatusUnauthorized,
+	BadRequest: http.StatusBadRequest, UnsupportedField: http.StatusBadRequest,
+	IdempotencyKeyRequired: http.StatusBadRequest, InvalidConfig: http.StatusUnprocessableEntity,
+	TooLarge: http.StatusRequestEntityTooLarge, HeadersTooLarge: http.StatusRequestHeaderFieldsTooLarge, Unauthorized: http.StatusUnauthorized,
 	Forbidden: http.StatusForbidden, NotFound: http.StatusNotFound,
 	UnknownClass: http.StatusBadRequest, UnknownModel: http.StatusNotFound,
-	UnknownService: http.StatusNotFound, KeyConflict: http.StatusConflict,
-	Conflict: http.StatusPreconditionFailed, InUse: http.StatusConflict,
-	TeamRate: http.StatusTooManyRequests, ServerRate: http.StatusTooManyRequests, TeamConcurrency: http.StatusTooManyRequests,
+	UnknownService: http.StatusNotFound, IdempotencyKeyConflict: http.StatusConflict,
+	RevisionConflict: http.StatusPreconditionFailed, InUse: http.StatusConflict,
+	TeamRateLimit: http.StatusTooManyRequests, ServerRateLimit: http.StatusTooManyRequests, TeamConcurrencyLimit: http.StatusTooManyRequests,
 	QueueFull: http.StatusTooManyRequests, WaitTooLong: http.StatusTooManyRequests,
-	RetryBudget: http.StatusServiceUnavailable, RecordsFull: http.StatusServiceUnavailable,
-	Quarantined: http.StatusServiceUnavailable, ServersRest: http.StatusServiceUnavailable,
-	LinkBusy: http.StatusServiceUnavailable, NoServer: http.StatusServiceUnavailable, NoLink: http.StatusServiceUnavailable,
+	RetryBudgetSpent: http.StatusServiceUnavailable, RecordsFull: http.StatusServiceUnavailable,
+	Quarantined: http.StatusServiceUnavailable, ServersInBackoff: http.StatusServiceUnavailable,
+	LinkBusy: http.StatusServiceUnavailable, NoBackendServer: http.StatusServiceUnavailable, BackendServersUnreachable: http.StatusServiceUnavailable,
 	Draining: http.StatusServiceUnavailable, NotReady: http.StatusServiceUnavailable,
-	LinkLost: http.StatusBadGateway, NotHeld: http.StatusBadGateway,
-	Expired: http.StatusServiceUnavailable, Deadline: http.StatusGatewayTimeout,
-	Cancelled: 499, EngineFailed: http.StatusBadGateway, ShortAnswer: http.StatusBadGateway,
-	CannotVouch: http.StatusServiceUnavailable, LogDown: http.StatusServiceUnavailable,
-	LogUnsettled: http.StatusGatewayTimeout,
+	LinkLost: http.StatusBadGateway, RequestNotHeld: http.StatusBadGateway,
+	StartDeadlinePassed: http.StatusServiceUnavailable, DeadlinePassed: http.StatusGatewayTimeout,
+	Cancelled: 499, EngineFailed: http.StatusBadGateway, IncompleteResponse: http.StatusBadGateway,
+	IdempotentResultUnknown: http.StatusServiceUnavailable, LogUnavailable: http.StatusServiceUnavailable,
+	LogWriteUnconfirmed: http.StatusGatewayTimeout,
 }
 
 // HTTPStatus returns the status code that callers and operators see.
--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -18,10 +18,10 @@
 	set := f.settings.Load()
 	bound := bound(set.ApplyWithin, 0.7)
 	if _, some := f.Peers.Small(); some {
-		bound.Spread += handOnTime
+		bound.ReadSpread += handOnTime
 	}
 	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: newestReadKB, bound: bound, pause: leastPause, waits: true,
-		slowestRead: freshness.Reading(f.configBytes, set.RecordBytes, float64(f.Peers.SlowestLink())),
+		slowestRead: freshness.TransferTime(f.configBytes, set.RecordBytes, float64(f.Peers.SlowestLink())),
 		confirm:     func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, whole: f.newConfig, added: f.newConfig,
 		handedOn: true,
 		fromPeer: f.configFromPeer,
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -48,7 +48,7 @@
 // Follower keeps a gateway's configuration and list of backend servers up to
 // date with the store.
 type Follower struct {
-	Parts
+	Dependencies
 	store    atomic.Pointer[connection]
 	settings atomic.Pointer[Settings]
 	// lostStore is set while the list can't be read.
@@ -66,8 +66,8 @@
 }
 
 // New returns a follower; Run is its duty.
-func New(parts Parts, s Settings) *Follower {
-	f := &Follower{Parts: parts, behind: lag{logger: parts.Logger}, entries: map[string]uint64{}}
+func New(parts Dependencies, s Settings) *Follower {
+	f := &Follower{Dependencies: parts, behind: lag{logger: parts.Logger}, entries: map[string]uint64{}}
 	f.Peers.Versioned(f.Topics.Configuration)
 	f.SetSettings(s)
 	return f
@@ -111,7 +111,7 @@
 		confirmed, changed := f.Peers.Confirmed(t.name)
 		age := t.pause
 		if !first {
-			age = t.bound.Patience(t.slowestRead) + f.later(t)
+			age = t.bound.MaxAge(t.slowestRead) + f.later(t)
 		}
 		t.confirm(confirmed, f.graceFrom(t.name, r))
 		t.watch(r.failed)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -39,8 +39,8 @@
 }
 
 // parts are those of a follower of the stand-in, with a share that reaches nobody.
-func parts(gw *gateway.Gateway, servers *registry.Registry, others follow.Peers) follow.Parts {
-	return follow.Parts{
+func parts(gw *gateway.Gateway, servers *registry.Registry, others follow.Peers) follow.Dependencies {
+	return follow.Dependencies{
 		Connect: func(address string) follow.Store { return platform.NewStore(address, slog.New(slog.DiscardHandler)) }, Topics: platform.Topics, Decoder: platform.Decoder{},
 		Gateway: gw, Servers: servers, Peers: others, Share: configshare.New((&net.Dialer{}).DialContext, 0, quiet()), Logger: quiet(),
 	}
@@ -225,11 +225,11 @@
 		unreachable := set
 		unreachable.Address = "127.0.0.1:1"
 		f.SetSettings(unreachable)
-		Eventually(f.LostStore, within).Should(BeTrue())
+		Eventually(f.StoreUnavailable, within).Should(BeTrue())
 		store.Put(platformstore.TopicServers, "i-2", nil)
 		Eventually(func() bool { return cutOff.StoreUpSince(platform.Topics.Servers).IsZero() }, within).Should(BeFalse())
 		f.SetSettings(set)
-		Eventually(ids, follow.ReturnGrace-500*time.Millisecond).Should(ConsistOf("i-1"))
+		Eventually(ids, follow.RecoveryGrace-500*time.Millisecond).Should(ConsistOf("i-1"))
 	})
 
 	It("gives up a call that gets no answer", func() {
@@ -255,7 +255,7 @@
 			for range rapid.IntRange(0, 4).Draw(t, "records") {
 				records = append(records, follow.Record{Key: platform.Topics.ConfigurationKey, Value: configVersion(rapid.IntRange(1, 20).Draw(t, "version"))})
 			}
-			f.NewConfig(records)
+			f.ApplyConfig(records)
 			version := gw.ConfigVersion()
 			if version < last {
 				t.Fatalf("version %d after %d", version, last)
--- a/internal/follow/list.go
+++ b/internal/follow/list.go
@@ -22,7 +22,7 @@
 		if s := f.decode(r); s != nil {
 			list = append(list, *s)
 		} else {
-			unreadable = append(unreadable, registry.Change{ID: r.Key, Unusable: true})
+			unreadable = append(unreadable, registry.Change{ID: r.Key, Invalid: true})
 		}
 	}
 	now := time.Now()
@@ -41,7 +41,7 @@
 			continue
 		}
 		s := f.decode(r)
-		changes = append(changes, registry.Change{ID: r.Key, Server: s, Unusable: s == nil})
+		changes = append(changes, registry.Change{ID: r.Key, Server: s, Invalid: s == nil})
 	}
 	f.logDropped(f.Servers.Apply(changes, time.Now(), grace(returned)))
 	return f.listState()
@@ -49,7 +49,7 @@
 
 // confirmList takes in that the list was found unchanged.
 func (f *Follower) confirmList(at, returned time.Time) {
-	f.logDropped(f.Servers.Confirmed(at, time.Now(), grace(returned)))
+	f.logDropped(f.Servers.Confirm(at, time.Now(), grace(returned)))
 }
 
 // listState is the digest of the list.
@@ -73,7 +73,7 @@
 		}
 		return nil
 	}
-	f.entries[r.Key] = xxhash.Sum64String(fmt.Sprintf("%s %s %s %s %d %t %d", s.ID, s.Service, s.Address, s.FailureDomain, s.Slots, s.Draining, s.Started))
+	f.entries[r.Key] = xxhash.Sum64String(fmt.Sprintf("%s %s %s %s %d %t %d", s.ID, s.Service, s.Address, s.FailureDomain, s.Slots, s.Draining, s.StartUnixMs))
 	return s
 }
 
--- a/internal/follow/list_test.go
+++ b/internal/follow/list_test.go
@@ -37,7 +37,7 @@
 	var out []string
 	for _, b := range servers.Ready("s1") {
 		s := b.Server()
-		out = append(out, s.Start()+" "+s.Address)
+		out = append(out, s.InstanceID()+" "+s.Address)
 	}
 	return out
 }
@@ -90,10 +90,10 @@
 			return out
 		}
 		whole, wholeList := unconnected()
-		wholeState := whole.WholeList(newest(written), time.Time{})
+		wholeState := whole.ReplaceServers(newest(written), time.Time{})
 		changes, changedList := unconnected()
-		changes.WholeList(newest(written[:split]), time.Time{})
-		changedState := changes.NewEntries(written[split:], time.Time{})
+		changes.ReplaceServers(newest(written[:split]), time.Time{})
+		changedState := changes.ApplyServerChanges(written[split:], time.Time{})
 		g := NewWithT(t)
 		g.Expect(listed(changedList)).To(Equal(listed(wholeList)))
 		g.Expect(changedState).To(Equal(wholeState))
@@ -105,11 +105,11 @@
 func TestAnUnusableEntryIsNotHeldBack(t *testing.T) {
 	g := NewWithT(t)
 	f, servers := unconnected()
-	f.WholeList([]follow.Record{{Key: "i-1", Value: []byte(goodEntry)}, {Key: "i-2", Value: []byte(goodEntry)}, {Key: "i-3", Value: []byte(goodEntry)}}, time.Time{})
+	f.ReplaceServers([]follow.Record{{Key: "i-1", Value: []byte(goodEntry)}, {Key: "i-2", Value: []byte(goodEntry)}, {Key: "i-3", Value: []byte(goodEntry)}}, time.Time{})
 	g.Expect(listed(servers)).To(HaveLen(3))
 	returned := time.Now()
-	f.NewEntries([]follow.Record{{Key: "i-1", Value: []byte(`{}`)}}, returned)
+	f.ApplyServerChanges([]follow.Record{{Key: "i-1", Value: []byte(`{}`)}}, returned)
 	g.Expect(listed(servers)).To(HaveLen(2))
-	f.WholeList([]follow.Record{{Key: "i-2", Value: []byte(`x`)}}, returned)
+	f.ReplaceServers([]follow.Record{{Key: "i-2", Value: []byte(`x`)}}, returned)
 	g.Expect(listed(servers)).To(HaveLen(1)) // i-3 may be back
 }
--- a/internal/follow/parts.go
+++ b/internal/follow/parts.go
@@ -101,7 +101,7 @@
 }
 
 // Parts are what a follower works on.
-type Parts struct {
+type Dependencies struct {
 	// Connect returns the store at an address.
 	Connect func(address string) Store
 	Topics  Topics
--- a/internal/follow/reading.go
+++ b/internal/follow/reading.go
@@ -36,7 +36,7 @@
 	take, wait := t.added, time.Duration(0)
 	if t.waits && first && !r.down && !r.news {
 		// What came with records is confirmed by a read that does not wait.
-		wait = t.bound.Wait(t.bound.Patience(t.slowestRead))
+		wait = t.bound.PollWait(t.bound.MaxAge(t.slowestRead))
 	}
 	sent := time.Now()
 	if r.loaded {
@@ -77,7 +77,7 @@
 	if r.since.IsZero() {
 		r.since = r.lastGood
 	}
-	b := batch{records: records, sent: sent, took: r.lastGood.Sub(sent), at: freshness.ReadAt(sent, r.lastGood, wait, len(records) == 0), first: first}
+	b := batch{records: records, sent: sent, took: r.lastGood.Sub(sent), at: freshness.ConfirmedAt(sent, r.lastGood, wait, len(records) == 0), first: first}
 	state := take(b, f.graceFrom(t.name, r))
 	r.advance(t, records, next, end)
 	if !r.behind {
--- a/internal/follow/topic.go
+++ b/internal/follow/topic.go
@@ -14,7 +14,7 @@
 // they read only when the state has changed or was not confirmed for a while.
 type topic struct {
 	name  string
-	bound freshness.Bound
+	bound freshness.Timing
 	// pause is the time between two reads of the first one; waits says that they wait at the
 	// store for a record.
 	pause time.Duration
@@ -61,8 +61,8 @@
 // bound returns the bound of a topic whose changes must be in force within some time. share
 // lies so far below 1 that a first one that was cut off from the store just before a change
 // is found in time.
-func bound(within time.Duration, share float64) freshness.Bound {
-	return freshness.Bound{Within: within, Share: share, Spread: laterMost, Told: peers.NewsBeat, Pause: leastPause}
+func bound(within time.Duration, share float64) freshness.Timing {
+	return freshness.Timing{ApplyWithin: within, MaxAgeRatio: share, ReadSpread: laterMost, AnnounceDelay: peers.ReportInterval, ReadInterval: leastPause}
 }
 
 // serversTopic derives the timing from the bound: a draining server must get no more work
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -12,7 +12,7 @@
 // when the read was sent. Were the arrival taken, all gateways would rest on a state that is
 // older than they believe by the time that a large value takes on a link (3.2 s for 1 MB at
 // 2.5 Mbit/s, and a change 0.2 s late for it).
-func ReadAt(sent, returned time.Time, wait time.Duration, empty bool) time.Time {
+func ConfirmedAt(sent, returned time.Time, wait time.Duration, empty bool) time.Time {
 	waited := sent.Add(wait)
 	if empty && !returned.Before(waited) {
 		return waited
@@ -30,7 +30,7 @@
 // Reading returns how long the next value of a topic may take on a link of so many Mbit/s, 0
 // for one that is not known. last is the size of the newest one in bytes, usual what is
 // expected while none is known.
-func Reading(last, usual int, linkMbps float64) time.Duration {
+func TransferTime(last, usual int, linkMbps float64) time.Duration {
 	if linkMbps <= 0 {
 		return 0
 	}
@@ -39,18 +39,18 @@
 }
 
 // Bound is what the timing of a topic derives from.
-type Bound struct {
+type Timing struct {
 	// Within is the time in which a change must be in force.
-	Within time.Duration
+	ApplyWithin time.Duration
 	// Share is the part of Within for which others rely on a confirmation where reading takes
 	// no time to speak of.
-	Share float64
+	MaxAgeRatio float64
 	// Spread is by how much the gateways that then read do so apart.
-	Spread time.Duration
+	ReadSpread time.Duration
 	// Told is how long a confirmation takes to reach the others, at most.
-	Told time.Duration
+	AnnounceDelay time.Duration
 	// Pause is the time between two reads of a gateway.
-	Pause time.Duration
+	ReadInterval time.Duration
 }
 
 // leastShare is the part of Within below which no confirmation is held too old, so that values
@@ -60,14 +60,14 @@
 // Patience returns how old a confirmation may be when a gateway reads by itself. All gateways
 // use the same, so that they read in their order: what is left of the bound after it is enough
 // for the slowest of them to read the value.
-func (b Bound) Patience(slowest time.Duration) time.Duration {
-	usual := time.Duration(b.Share * float64(b.Within))
-	left := b.Within - b.Spread - b.Pause - slowest
-	return max(min(usual, left), time.Duration(leastShare*float64(b.Within)))
+func (b Timing) MaxAge(slowest time.Duration) time.Duration {
+	usual := time.Duration(b.MaxAgeRatio * float64(b.ApplyWithin))
+	left := b.ApplyWithin - b.ReadSpread - b.ReadInterval - slowest
+	return max(min(usual, left), time.Duration(leastShare*float64(b.ApplyWithin)))
 }
 
 // Wait returns how long a read of the gateway that reads for all may wait at the store, so that
 // the others hear of it before they lose patience.
-func (b Bound) Wait(patience time.Duration) time.Duration {
-	return max(min(b.Within/2, patience-b.Pause-b.Told), b.Pause)
+func (b Timing) PollWait(patience time.Duration) time.Duration {
+	return max(min(b.ApplyWithin/2, patience-b.ReadInterval-b.AnnounceDelay), b.ReadInterval)
 }
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -58,7 +58,7 @@
 	if e.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(e.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	if e.Code == fault.BadRequest || e.Code == fault.TooLarge || e.Code == fault.HeadTooLarge {
+	if e.Code == fault.BadRequest || e.Code == fault.TooLarge || e.Code == fault.HeadersTooLarge {
 		h.Set("Connection", "close") // what follows on the connection can't be trusted
 	}
 	w.WriteHeader(status)
@@ -94,7 +94,7 @@
 func (g *Gateway) finished(q *request, rel *relay) {
 	telemetry.Count("merlinpost_gateway_answers_total", "class", q.route.Name, "status", strconv.Itoa(rel.status))
 	if rel.events > 0 {
-		g.answerTime(q.route.Name).Add(g.now().Sub(q.start)-rel.first, q.call.Prompt.Output)
+		g.answerTime(q.route.Name).Observe(g.now().Sub(q.start)-rel.first, q.call.Prompt.OutputTokens)
 	}
 	plain := rel.status < http.StatusBadRequest && len(q.sends) == 1 && !decisionlog.Sampled(q.call.ID, g.settings.Load().LogOneIn)
 	if plain && !(q.spoke() && g.failureLines.Allow("notice", g.now())) {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -76,7 +76,7 @@
 		}
 		last = err
 		if result == notRun && ran > 0 {
-			last = fault.New(fault.LinkLost, "an earlier server may have run the request: %w", err).With(fault.Unknown)
+			last = fault.New(fault.LinkLost, "an earlier server may have run the request: %w", err).WithOutcome(fault.Unknown)
 		}
 		if !mayGoOn(q, rel, result) {
 			return last
@@ -98,16 +98,16 @@
 		return unsent, err
 	}
 	if err := g.mayStill(q, t, ran); err != nil {
-		leave.End(permit.Stream{})
+		leave.End(permit.StreamStats{})
 		return unsent, err
 	}
 	if !g.renewRepeat(q) {
-		leave.End(permit.Stream{})
+		leave.End(permit.StreamStats{})
 		return unsent, nil
 	}
-	start := choice.Candidate.Server.Start()
+	start := choice.Candidate.Server.InstanceID()
 	tried[start] = true
-	g.ledger.Place(q.id(), t.key, start, g.now())
+	g.ledger.SetServer(q.id(), t.key, start, g.now())
 	return g.sendTo(ctx, q, choice, leave, rel)
 }
 
@@ -133,7 +133,7 @@
 	if last == nil {
 		return nil // nothing was sent
 	}
-	if fault.Is(last, fault.NoLink) && try < maxUnreached {
+	if fault.Is(last, fault.BackendServersUnreachable) && try < maxUnreached {
 		return nil // nothing reached a server: no repeat
 	}
 	if ran >= q.route.MaxAttempts || try >= maxSends {
@@ -196,7 +196,7 @@
 		d.Granted, d.Waited = d.Borrowed, g.now().Sub(claimedAt)
 		return d
 	}
-	timer := time.NewTimer(retrybudget.GrantEvery)
+	timer := time.NewTimer(retrybudget.GrantInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -209,7 +209,7 @@
 		case <-timer.C:
 			budget.Grant(g.now())
 			spread := time.Duration((0.5 + g.draw()) * float64(budget.PollInterval()))
-			timer.Reset(max(retrybudget.GrantEvery, min(spread, claim.Expires.Sub(g.now()))))
+			timer.Reset(max(retrybudget.GrantInterval, min(spread, claim.Expires.Sub(g.now()))))
 		}
 		if pending.Undecided() && g.borrowRepeat(ctx, q) {
 			d := pending.Withdraw()
@@ -249,10 +249,10 @@
 	c := retrybudget.Claim{Rank: urgency(q.route.Priority, q.priority), Due: q.start.Add(q.route.TargetLatency)}
 	if rel.started {
 		c.Due = now.Add(q.route.TargetGap)
-		c.Expires = now.Add(min(g.ask(q, rel).Limit, patience(q.route)))
+		c.Expires = now.Add(min(g.ask(q, rel).FirstTokenTimeout, patience(q.route)))
 		return c
 	}
-	c.Expires = now.Add(min(max(c.Due.Sub(now), 2*retrybudget.GrantEvery), q.deadline.Sub(now)))
+	c.Expires = now.Add(min(max(c.Due.Sub(now), 2*retrybudget.GrantInterval), q.deadline.Sub(now)))
 	return c
 }
 
@@ -263,7 +263,7 @@
 	switch {
 	case last == nil, fault.Is(err, fault.Quarantined):
 		return err
-	case (fault.Is(err, fault.ServersRest) || fault.Is(err, fault.ServerRate)) && fault.From(last).Outcome == fault.NotRun:
+	case (fault.Is(err, fault.ServersInBackoff) || fault.Is(err, fault.ServerRateLimit)) && fault.From(last).Outcome == fault.NotRun:
 		return err
 	}
 	return last
@@ -281,65 +281,65 @@
 func outOfTime(ctx context.Context, ran bool) *fault.Error {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errEnding) && ran:
-		return fault.New(fault.LinkLost, "%w", errEnding).With(fault.Unknown)
+		return fault.New(fault.LinkLost, "%w", errEnding).WithOutcome(fault.Unknown)
 	case errors.Is(cause, errEnding):
-		return fault.New(fault.NotReady, "%w", errEnding).With(fault.NotRun).After(noServerRetryAfter)
+		return fault.New(fault.NotReady, "%w", errEnding).WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 	case errors.Is(cause, context.Canceled):
 		return fault.New(fault.Cancelled, "the caller has left")
 	case ran:
-		return fault.New(fault.Deadline, "%w", errDeadline).With(fault.Unknown)
+		return fault.New(fault.DeadlinePassed, "%w", errDeadline).WithOutcome(fault.Unknown)
 	}
-	return fault.New(fault.Expired, "the deadline has passed before the request was sent").With(fault.NotRun).After(noServerRetryAfter)
+	return fault.New(fault.StartDeadlinePassed, "the deadline has passed before the request was sent").WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 }
 
 // sendTo sends the request to the chosen server and relays what it answers.
-func (g *Gateway) sendTo(ctx context.Context, q *request, choice placement.Choice, leave peers.Leave, rel *relay) (outcome, error) {
+func (g *Gateway) sendTo(ctx context.Context, q *request, choice placement.Choice, leave peers.Permit, rel *relay) (outcome, error) {
 	b := choice.Candidate.Backend
 	server := choice.Candidate.Server
 	sentAt := g.now()
 	_, shared := q.call.Prompt.Shared()
 	unread := q.call.Prompt.Tokens - shared
-	b.Begin(unread)
-	read := sync.OnceFunc(func() { b.FirstToken(unread) })
-	var seen permit.Stream
-	defer func() { read(); b.End(); leave.End(seen) }()
+	b.BeginRequest(unread)
+	read := sync.OnceFunc(func() { b.RecordFirstToken(unread) })
+	var seen permit.StreamStats
+	defer func() { read(); b.EndRequest(); leave.End(seen) }()
 	firstToken := sync.OnceFunc(func() {
 		read()
-		seen.First = g.now().Sub(sentAt)
-		leave.FirstToken(seen.First)
+		seen.TimeToFirstEvent = g.now().Sub(sentAt)
+		leave.FirstToken(seen.TimeToFirstEvent)
 	})
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	resp, err := g.pool.Do(ctx, server.Address, g.outgoing(q, server, choice.FetchFrom, rel))
 	var result outcome
-	var said *notice.Said
+	var said *notice.Statement
 	if err != nil {
 		result, err = g.failedExchange(ctx, b, err)
 	} else {
 		defer resp.Close()
-		answer := g.dialect.Answer(resp.Status, q.call.ID, resp.Header)
-		said = g.heard(server, answer.Said, sentAt) // with the head: a stream may last for long
+		answer := g.dialect.ParseResponse(resp.Status, q.call.ID, resp.Header)
+		said = g.heard(server, answer.Notices, sentAt) // with the head: a stream may last for long
 		if answer.Load != nil {
 			answer.Load.At = g.now()
-			b.Report(*answer.Load)
+			b.RecordLoad(*answer.Load)
 		}
 		result, err = g.take(ctx, q, rel, resp, answer, &watch{now: g.now, first: firstToken, seen: &seen})
 		g.judge(ctx, b, resp.Status, result)
 	}
-	seen.Failed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
-	s := send{Server: server.ID, Reason: choice.Reason, Fetch: choice.FetchFrom, Result: outcomeNames[result],
-		Running: choice.Candidate.View.Running, Unread: choice.Candidate.View.Unread,
-		Expect: choice.Read, First: seen.First, Longest: seen.Longest, At: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Said: said}
+	seen.EngineFailed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
+	s := send{Server: server.ID, Reason: choice.Reason, FetchFrom: choice.FetchFrom, Result: outcomeNames[result],
+		Running: choice.Candidate.View.InFlight, UnreadTokens: choice.Candidate.View.UnreadTokens,
+		ExpectedFirstEvent: choice.ExpectedPrefill, FirstEvent: seen.TimeToFirstEvent, LongestGap: seen.LongestGap, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: said}
 	if err != nil {
 		s.Cause = err.Error()
 	}
-	g.ledger.Ran(g.now().Sub(sentAt), g.now())
+	g.ledger.RecordRun(g.now().Sub(sentAt), g.now())
 	switch {
 	case broke(ctx, result, err):
-		s.Ended = g.brokeAt(q, server, quarantine.End{Server: server.Start(), Begun: sentAt, At: g.now()})
-	case result == delivered && resp.Status < http.StatusInternalServerError && g.ledger.Watching():
-		g.ledger.Completed(q.id(), g.now())
+		s.ServerEnded = g.brokeAt(q, server, quarantine.Crash{Server: server.InstanceID(), SentAt: sentAt, At: g.now()})
+	case result == delivered && resp.Status < http.StatusInternalServerError && g.ledger.HasEntries():
+		g.ledger.RecordAnswer(q.id(), g.now())
 	}
 	q.sends = append(q.sends, s)
 	return result, err
@@ -348,35 +348,35 @@
 // failedExchange types an exchange that gave no answer.
 func (g *Gateway) failedExchange(ctx context.Context, b *registry.Backend, err error) (outcome, error) {
 	if ctx.Err() == nil {
-		b.Failed(g.now(), true)
+		b.RecordFailure(g.now(), true)
 	}
 	var e *exchange.Error
 	if errors.As(err, &e) && !e.MayHaveRun {
 		if ctx.Err() != nil {
 			return notRun, outOfTime(ctx, false)
 		}
-		return notRun, fault.New(fault.NoLink, "the backend server could not be reached: %w", err).
-			With(fault.NotRun).After(noServerRetryAfter)
+		return notRun, fault.New(fault.BackendServersUnreachable, "the backend server could not be reached: %w", err).
+			WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 	}
 	if ctx.Err() != nil {
 		return mayHaveRun, outOfTime(ctx, true)
 	}
-	return mayHaveRun, fault.New(fault.LinkLost, "the backend server gave no answer: %w", err).With(fault.Unknown)
+	return mayHaveRun, fault.New(fault.LinkLost, "the backend server gave no answer: %w", err).WithOutcome(fault.Unknown)
 }
 
 // judge keeps count of what a server's answers are worth.
 func (g *Gateway) judge(ctx context.Context, b *registry.Backend, status int, result outcome) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		b.Gone(g.now())
+		b.RecordReplaced(g.now())
 		server := b.Server()
-		g.startEnded(server.Start())
+		g.startEnded(server.InstanceID())
 	case result == delivered && status < http.StatusInternalServerError:
-		b.Answered(g.now())
+		b.RecordSuccess(g.now())
 	case ctx.Err() != nil:
 		// The caller left or its time is over: no word about the server.
 	default:
-		b.Failed(g.now(), false)
+		b.RecordFailure(g.now(), false)
 	}
 }
 
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -45,7 +45,7 @@
 		_, err = io.Copy(io.Discard, r.Body) // to its end
 	}
 	if err != nil {
-		return fault.New(fault.BadRequest, "the body is not whole: %w", err).InField("body").With(fault.NotRun)
+		return fault.New(fault.BadRequest, "the body is not whole: %w", err).WithField("body").WithOutcome(fault.NotRun)
 	}
 	return nil
 }
@@ -55,7 +55,7 @@
 	if g.bodies.Add(n) > maxBodies {
 		g.bodies.Add(-n)
 		return fault.New(fault.LinkBusy, "the bodies of requests in progress take %d bytes", int64(maxBodies)).
-			With(fault.NotRun).After(noServerRetryAfter)
+			WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 	}
 	q.reserved = n
 	return nil
@@ -64,5 +64,5 @@
 func (g *Gateway) release(q *request) { g.bodies.Add(-q.reserved) }
 
 func tooLarge(bound int64) error {
-	return fault.New(fault.TooLarge, "the body has more than %d bytes", bound).InField("body").With(fault.NotRun)
+	return fault.New(fault.TooLarge, "the body has more than %d bytes", bound).WithField("body").WithOutcome(fault.NotRun)
 }
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -167,7 +167,7 @@
 		}
 	}
 	if size > limit {
-		return fault.New(fault.HeadTooLarge, "the head has more than %d bytes", limit).InField("header").With(fault.NotRun)
+		return fault.New(fault.HeadersTooLarge, "the head has more than %d bytes", limit).WithField("header").WithOutcome(fault.NotRun)
 	}
 	return nil
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -11,19 +11,19 @@
 
 // noServer is the answer where no backend server may get work.
 func (g *Gateway) noServer(q *request) error {
-	return fault.New(fault.NoServer, "no backend server of service %q is ready", q.service).
-		With(fault.NotRun).After(noServerRetryAfter)
+	return fault.New(fault.NoBackendServer, "no backend server of service %q is ready", q.service).
+		WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 }
 
 // choose picks the backend server for the next send and gets leave to send it.
-func (g *Gateway) choose(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Leave, error) {
+func (g *Gateway) choose(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Permit, error) {
 	if g.needsPermit(q) {
 		return g.acquire(ctx, q, tried, t, rel)
 	}
 	candidates := g.candidates(q.service, tried)
 	g.noteStanding(q)
 	c, err := g.place(q, candidates)
-	return c, peers.Leave{}, err
+	return c, peers.Permit{}, err
 }
 
 // place chooses a server by what this gateway knows alone, and takes leave of this gateway's share
@@ -37,7 +37,7 @@
 			return c, g.limited(exhausted, wait)
 		case c.Candidate == nil:
 			return c, g.noneOf(q, listed)
-		case g.notices.Limits().Take(c.Candidate.Server.Start(), g.now()):
+		case g.notices.Limits().Allow(c.Candidate.Server.InstanceID(), g.now()):
 			return c, nil
 		}
 		// Another request has taken the server's last place meanwhile.
@@ -52,9 +52,9 @@
 	}
 	wait = longestReturn
 	for _, c := range listed {
-		b := g.notices.Limits().Budget(c.Server.Start(), g.now())
+		b := g.notices.Limits().Budget(c.Server.InstanceID(), g.now())
 		switch {
-		case c.Rests > 0:
+		case c.RetryAfter > 0:
 		case b.Wait > 0:
 			exhausted++
 			wait = min(wait, b.Wait)
@@ -68,9 +68,9 @@
 // pick chooses among candidates; without one where there are none.
 func (g *Gateway) pick(q *request, candidates []placement.Candidate) placement.Choice {
 	if q.route.PrefixAffinity {
-		return placement.Engine(g.placementRequest(q), candidates)
+		return placement.ChooseEngine(g.placementRequest(q), candidates)
 	}
-	return placement.Plain(g.placementRequest(q), candidates)
+	return placement.ChoosePlain(g.placementRequest(q), candidates)
 }
 
 // candidates are the servers of a service that may get work now. The list is not all that counts: it
@@ -81,9 +81,9 @@
 	out := make([]placement.Candidate, 0, len(backends))
 	for _, b := range backends {
 		s := b.Server()
-		if !g.notices.Draining(s.Start()) {
-			out = append(out, placement.Candidate{Backend: b, Server: s, View: b.View(now), Tried: tried[s.Start()],
-				Rests: g.notices.RestsFor(s.Start(), now)})
+		if !g.notices.Draining(s.InstanceID()) {
+			out = append(out, placement.Candidate{Backend: b, Server: s, View: b.View(now), Tried: tried[s.InstanceID()],
+				RetryAfter: g.notices.BackoffRemaining(s.InstanceID(), now)})
 		}
 	}
 	return out
@@ -91,7 +91,9 @@
 
 // groups returns the number of groups of a service's servers: those that are listed, as all gateways
 // have one list.
-func (g *Gateway) groups(service string) int { return placement.Groups(len(g.servers.Ready(service))) }
+func (g *Gateway) groups(service string) int {
+	return placement.GroupCount(len(g.servers.Ready(service)))
+}
 
 func (g *Gateway) placementRequest(q *request) placement.Request {
 	return placement.Request{Prompt: q.call.Prompt, Key: q.call.ID,
--- a/internal/gateway/claims_test.go
+++ b/internal/gateway/claims_test.go
@@ -26,8 +26,8 @@
 				start := time.Now()
 				q := &request{service: "s", route: &routing.Route{}, start: start, deadline: start.Add(5 * time.Second)}
 				d := g.claimRepeat(context.Background(), q, &relay{})
-				if d.Granted || time.Since(start) > 4*retrybudget.GrantEvery {
-					t.Errorf("claim %d: got %+v after %s, want a denial within %s", i, d, time.Since(start), 4*retrybudget.GrantEvery)
+				if d.Granted || time.Since(start) > 4*retrybudget.GrantInterval {
+					t.Errorf("claim %d: got %+v after %s, want a denial within %s", i, d, time.Since(start), 4*retrybudget.GrantInterval)
 				}
 			})
 		}
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -13,18 +13,18 @@
 // decides nothing.
 type Dialect interface {
 	// Call reads what a caller says of its request. Errors name the field.
-	Call(h http.Header) (Call, error)
+	ParseRequest(h http.Header) (RequestInfo, error)
 	// Forward removes the headers that only the system may set, and the key, and
 	// sets those of f.
 	Forward(h http.Header, f Forwarding)
 	// Answer reads what a backend server says in the head of its answer to the request with this ID.
-	Answer(status int, id string, h http.Header) Answer
+	ParseResponse(status int, id string, h http.Header) ResponseInfo
 	// EchoHeader is the header in which backend servers repeat the request's ID.
 	EchoHeader() string
 }
 
 // Call is what a caller says of its request.
-type Call struct {
+type RequestInfo struct {
 	ID          string
 	Key         string
 	Deadline    time.Duration // 0: none was given
@@ -48,7 +48,7 @@
 }
 
 // Answer is what a backend server says of its answer.
-type Answer struct {
+type ResponseInfo struct {
 	// NotRun promises that the server did not run the request.
 	NotRun bool
 	// Sealed answers carry the server's proof.
@@ -56,5 +56,5 @@
 	// Load is nil when the server did not tell it.
 	Load *registry.Load
 	// Said is what the server says of itself; nil where the answer is not its word.
-	Said *notice.Said
+	Notices *notice.Statement
 }
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -28,7 +28,7 @@
 // brokenRun is a run of a request whose connection broke.
 type brokenRun struct {
 	id  quarantine.ID
-	end quarantine.End
+	end quarantine.Crash
 }
 
 const (
@@ -41,8 +41,8 @@
 
 // brokeAt takes in that the connection broke on which a server ran the request, and reports
 // whether the server is known to have ended.
-func (g *Gateway) brokeAt(q *request, server registry.Server, end quarantine.End) bool {
-	if g.notices.Draining(server.Start()) {
+func (g *Gateway) brokeAt(q *request, server registry.Server, end quarantine.Crash) bool {
+	if g.notices.Draining(server.InstanceID()) {
 		return false // it ends as it said
 	}
 	check := g.checkEnd(server)
@@ -56,11 +56,11 @@
 }
 
 func (g *Gateway) endedWith(r brokenRun) {
-	g.ledger.SetServers(g.servers.Reachable(g.now()))
-	if g.ledger.Ended(r.id, r.end, g.now()) {
+	g.ledger.SetServerCount(g.servers.Reachable(g.now()))
+	if g.ledger.RecordCrash(r.id, r.end, g.now()) {
 		go func() {
 			g.survey()
-			g.ledger.Surveyed(r.id, g.now())
+			g.ledger.Rebroadcast(r.id, g.now())
 		}()
 	}
 }
@@ -86,10 +86,10 @@
 		return
 	}
 	var asked sync.WaitGroup
-	for _, server := range g.servers.Sample(surveyMost, g.draw, func(s registry.Server) bool { return !g.ledger.Known(s.Start()) }) {
+	for _, server := range g.servers.Sample(surveyMost, g.draw, func(s registry.Server) bool { return !g.ledger.KnownCrashed(s.InstanceID()) }) {
 		asked.Go(func() {
 			if g.pool.Refused(context.Background(), server.Address) {
-				g.ledger.ServerEnded(server.Start(), g.now())
+				g.ledger.RecordServerCrash(server.InstanceID(), g.now())
 			}
 		})
 	}
@@ -118,14 +118,14 @@
 		return // it drained, whether the list said so or not
 	}
 	now := g.now()
-	g.ledger.ServerEnded(start, now)
+	g.ledger.RecordServerCrash(start, now)
 	g.ends.mu.Lock()
 	runs := g.ends.unclear[start]
 	delete(g.ends.unclear, start)
 	g.ends.mu.Unlock()
 	for _, r := range runs {
 		if now.Sub(r.end.At) <= unclearFor {
-			g.ledger.Ended(r.id, r.end, now)
+			g.ledger.RecordCrash(r.id, r.end, now)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 func (g *Gateway) checkEnd(server registry.Server) *endCheck {
 	g.ends.mu.Lock()
 	defer g.ends.mu.Unlock()
-	now, start := g.now(), server.Start()
+	now, start := g.now(), server.InstanceID()
 	if c := g.ends.byStart[start]; c != nil && now.Sub(c.begun) < checkAgain {
 		return c
 	}
@@ -166,7 +166,7 @@
 	c.ended = g.pool.Refused(context.Background(), server.Address)
 	if c.ended {
 		telemetry.Count("merlinpost_backend_servers_ended_total", "service", server.Service)
-		g.logger.Warn("backend server ended", slog.String("server", server.Start()), slog.String("service", server.Service),
+		g.logger.Warn("backend server ended", slog.String("server", server.InstanceID()), slog.String("service", server.Service),
 			slog.String("address", server.Address), slog.Duration("checked_in", g.now().Sub(c.begun)))
 	}
 }
@@ -175,5 +175,5 @@
 // having ended it.
 func broke(ctx context.Context, result outcome, err error) bool {
 	return (result == mayHaveRun || result == brokenOff) && ctx.Err() == nil &&
-		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.ShortAnswer))
+		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.IncompleteResponse))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,12 +29,12 @@
 
 // Settings are what a gateway is told at its start.
 type Settings struct {
-	Host          string // the name of this host
-	FailureDomain string
-	Callers       string // IP:PORT for callers
-	Readiness     string // IP:PORT for the balancer's readiness checks
-	ReadinessPath string
-	Metrics       string // IP:PORT of the metrics page
+	Host             string // the name of this host
+	FailureDomain    string
+	CallerAddress    string // IP:PORT for callers
+	ReadinessAddress string // IP:PORT for the balancer's readiness checks
+	ReadinessPath    string
+	MetricsAddress   string // IP:PORT of the metrics page
 	// DrainGrace is the time from SIGTERM to the end of the process.
 	DrainGrace time.Duration
 	Retries    retrybudget.Settings
@@ -65,8 +65,8 @@
 
 	failureLines decisionlog.Limiter
 	ends         endChecks
-	ledger       *quarantine.Ledger
-	notices      *notice.Board
+	ledger       *quarantine.Tracker
+	notices      *notice.Registry
 	trials       Trials // nil: this gateway is alone
 
 	mu      sync.Mutex
@@ -77,7 +77,7 @@
 	borrowPausedUntil map[string]time.Time
 	// stalledUntil is the time until which requests do not add to the budgets.
 	stalledUntil time.Time
-	answers      map[string]*placement.AnswerTime // by route
+	answers      map[string]*placement.ResponseTimeEstimator // by route
 }
 
 // New returns a gateway that knows no configuration and no servers yet.
@@ -88,12 +88,12 @@
 			telemetry.Count("merlinpost_backend_connections_opened_total")
 		}),
 		budgets: map[string]*retrybudget.Budget{}, slackShare: 1, borrowPausedUntil: map[string]time.Time{},
-		answers: map[string]*placement.AnswerTime{},
+		answers: map[string]*placement.ResponseTimeEstimator{},
 		ends:    endChecks{byStart: map[string]*endCheck{}, unclear: map[string][]brokenRun{}},
 		ledger:  quarantine.New(),
 	}
-	g.notices = notice.NewBoard(ratelimit.New(g.draw), g.noticed)
-	servers.OnRestart(g.pool.Forget)
+	g.notices = notice.NewRegistry(ratelimit.New(g.draw), g.noticed)
+	servers.OnRestart(g.pool.CloseIdle)
 	servers.OnEnd(g.startEnded)
 	g.settings.Store(&set)
 	g.ending, g.endNow = context.WithCancel(context.Background())
@@ -103,16 +103,16 @@
 // UseNetwork has the gateway reach backend servers over another network than the host's own. It
 // is called before the gateway is in use.
 func (g *Gateway) UseNetwork(dial exchange.Dial) {
-	g.pool = exchange.NewPoolOver(dial, time.Now, func() {})
-	g.servers.OnRestart(g.pool.Forget)
+	g.pool = exchange.NewPoolWithDialer(dial, time.Now, func() {})
+	g.servers.OnRestart(g.pool.CloseIdle)
 }
 
 // SetSettings puts new settings in force. The addresses are those of the start:
 // a process that listens elsewhere is another process.
 func (g *Gateway) SetSettings(set Settings) {
 	old := g.settings.Swap(&set)
-	if old.Callers != set.Callers || old.Readiness != set.Readiness || old.Metrics != set.Metrics {
-		g.logger.Warn("new addresses are used from the next start on", "callers", set.Callers)
+	if old.CallerAddress != set.CallerAddress || old.ReadinessAddress != set.ReadinessAddress || old.MetricsAddress != set.MetricsAddress {
+		g.logger.Warn("new addresses are used from the next start on", "callers", set.CallerAddress)
 	}
 	if old.Retries != set.Retries {
 		g.eachBudget(func(b *retrybudget.Budget) { b.SetSettings(set.Retries, g.now()) })
@@ -212,8 +212,8 @@
 	})
 }
 
-func (g *Gateway) answerTime(route string) *placement.AnswerTime {
-	return of(g, g.answers, route, func() *placement.AnswerTime { return &placement.AnswerTime{} })
+func (g *Gateway) answerTime(route string) *placement.ResponseTimeEstimator {
+	return of(g, g.answers, route, func() *placement.ResponseTimeEstimator { return &placement.ResponseTimeEstimator{} })
 }
 
 // of returns what is kept under a name, made when it is first asked for.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -309,7 +309,7 @@
 // broken is a dialect that fails.
 type broken struct{ platform.Dialect }
 
-func (broken) Call(http.Header) (gateway.Call, error) { panic("out of order") }
+func (broken) ParseRequest(http.Header) (gateway.RequestInfo, error) { panic("out of order") }
 
 var _ = Describe("a handler that fails", func() {
 	It("ends the connection and leaves a line", func() {
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -14,22 +14,22 @@
 
 // heard takes in what an answer says of its server, and returns it for the decision line; nil for
 // nothing. The request was sent at a time.
-func (g *Gateway) heard(server registry.Server, said *notice.Said, sent time.Time) *notice.Said {
+func (g *Gateway) heard(server registry.Server, said *notice.Statement, sent time.Time) *notice.Statement {
 	if said == nil {
 		return nil
 	}
 	now := g.now()
-	g.notices.Heard(server.Start(), *said, sent, now)
+	g.notices.RecordAnswer(server.InstanceID(), *said, sent, now)
 	for _, kind := range said.Kinds() {
 		telemetry.Count("merlinpost_server_notices_total", "service", server.Service, "kind", string(kind))
 	}
 	for _, kind := range said.Unreadable {
 		telemetry.Count("merlinpost_server_notices_unreadable_total", "service", server.Service, "kind", string(kind))
 		if g.failureLines.Allow("notice unreadable", now) {
-			g.logger.Warn("notice of a backend server can't be read", "server", server.Start(), "kind", string(kind))
+			g.logger.Warn("notice of a backend server can't be read", "server", server.InstanceID(), "kind", string(kind))
 		}
 	}
-	if said.Silent() {
+	if said.Empty() {
 		return nil
 	}
 	return said
@@ -61,7 +61,7 @@
 // spoke reports whether a server has said something of itself to the request.
 func (q *request) spoke() bool {
 	for _, s := range q.sends {
-		if s.Said != nil {
+		if s.Notices != nil {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 	q.standing = q.standing[:0]
 	for _, b := range g.servers.Ready(q.service) {
 		server := b.Server()
-		for _, s := range g.notices.Standing(server.Start(), now) {
+		for _, s := range g.notices.Active(server.InstanceID(), now) {
 			if len(q.standing) < maxStanding {
 				q.standing = append(q.standing, s)
 			}
@@ -95,7 +95,7 @@
 	}
 	for _, b := range g.servers.Ready(service) {
 		server := b.Server()
-		if g.notices.Limits().Limited(server.Start()) {
+		if g.notices.Limits().Limited(server.InstanceID()) {
 			return true
 		}
 	}
@@ -106,7 +106,7 @@
 func (g *Gateway) Limited() map[permit.Group][]string {
 	out := map[permit.Group][]string{}
 	for _, start := range g.notices.Limits().Servers() {
-		if server, listed := g.servers.Find(start); listed {
+		if server, listed := g.servers.FindInstance(start); listed {
 			group := permit.Group{Service: server.Service, Index: placement.GroupOf(server.ID, g.groups(server.Service))}
 			out[group] = append(out[group], start)
 		}
@@ -123,11 +123,11 @@
 func (g *Gateway) noneOf(q *request, listed []placement.Candidate) error {
 	rests := time.Duration(0)
 	for _, c := range listed {
-		if c.Rests == 0 && !c.Tried {
+		if c.RetryAfter == 0 && !c.Tried {
 			return g.noServer(q)
 		}
-		if c.Rests > 0 && (rests == 0 || c.Rests < rests) {
-			rests = c.Rests
+		if c.RetryAfter > 0 && (rests == 0 || c.RetryAfter < rests) {
+			rests = c.RetryAfter
 		}
 	}
 	if rests == 0 {
@@ -135,13 +135,13 @@
 	}
 	telemetry.Count("merlinpost_requests_held_back_total", "kind", string(notice.Backoff))
 	after := max(rests+time.Duration(returnSpread*g.draw()*float64(rests)), noServerRetryAfter)
-	return fault.New(fault.ServersRest, "the backend servers of service %q want nothing for %s", q.service, rests).
-		With(fault.NotRun).After(min(after, longestReturn))
+	return fault.New(fault.ServersInBackoff, "the backend servers of service %q want nothing for %s", q.service, rests).
+		WithOutcome(fault.NotRun).WithRetryAfter(min(after, longestReturn))
 }
 
 // limited is the answer where servers take no more now by the rates that they state.
 func (g *Gateway) limited(servers int, wait time.Duration) error {
 	telemetry.Count("merlinpost_requests_held_back_total", "kind", string(notice.RateLimit))
-	return fault.New(fault.ServerRate, "%d backend servers take no more requests by the rates that they state", servers).
-		With(fault.NotRun).After(max(wait, noServerRetryAfter))
+	return fault.New(fault.ServerRateLimit, "%d backend servers take no more requests by the rates that they state", servers).
+		WithOutcome(fault.NotRun).WithRetryAfter(max(wait, noServerRetryAfter))
 }
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -58,8 +58,8 @@
 	It("is why a request is refused that another server has turned away", func() {
 		r := started(2)
 		r.workers[1].Behave(worker.Behaviour{Refuse: true})
-		r.gateway.UsePeers(&decider{answers: []permit.Answer{{Verdict: permit.Granted, Engine: "i-1"},
-			{Verdict: permit.Refused, Limited: 1, Wait: 3 * time.Second}}})
+		r.gateway.UsePeers(&decider{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-1"},
+			{Verdict: permit.Refused, RateLimitedEngines: 1, Wait: 3 * time.Second}}})
 		r.gateway.SetGateways(1)
 		a := r.post("/stream/", "a")
 		Expect(a.body).To(ContainSubstring("server_rate_limit"))
@@ -68,7 +68,7 @@
 
 	It("has plain requests ask for leave, which all gateways share", func() {
 		r := started(2)
-		d := &decider{answers: []permit.Answer{{Verdict: permit.Granted, Engine: "i-1"}}}
+		d := &decider{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-1"}}}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		r.workers[0].Say("Server-Limit: 1")
@@ -82,7 +82,7 @@
 
 	It("goes by its own share where nobody decides", func() {
 		r := started(1)
-		r.gateway.UsePeers(&decider{answers: []permit.Answer{{Verdict: permit.Granted}}})
+		r.gateway.UsePeers(&decider{answers: []permit.Decision{{Verdict: permit.Granted}}})
 		r.gateway.SetGateways(1)
 		r.workers[0].Say("Server-Limit: 0.2")
 		Expect(ask(r, "/again/", 20)).To(Equal(map[int]int{200: 1, 429: 19}))
@@ -150,36 +150,36 @@
 
 	It("is not granted to what has waited for leave meanwhile", func() {
 		r := started(2)
-		d := &decider{answers: []permit.Answer{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
+		d := &decider{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
 		d.during = func() {
-			r.gateway.Notices().Told(notice.Told{Server: "i-0", Draining: true}, "edge-b", time.Now())
+			r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		Expect(r.post("/stream/", "a").status).To(Equal(200))
 		Expect(r.workers[0].Asked()).To(BeZero())
-		Expect(d.asked()[1].Avoid).To(Equal([]string{"i-0"}))
+		Expect(d.asked()[1].ExcludedEngines).To(Equal([]string{"i-0"}))
 	})
 
 	It("still holds parts of prompts that others may fetch", func() {
 		r := started(2)
-		r.gateway.Notices().Told(notice.Told{Server: "i-0", Draining: true}, "edge-b", time.Now())
+		r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		open := map[string]bool{}
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
-			open[e.ID] = e.Open
+			open[e.ID] = e.Accepting
 		}
 		Expect(open).To(Equal(map[string]bool{"i-0": false, "i-1": true}))
 	})
 
 	It("serves again as another start", func() {
 		r := started(1)
-		entry := registry.Server{ID: "i-0", Service: "s", Address: r.workers[0].Address(), Slots: 8, Started: 1}
+		entry := registry.Server{ID: "i-0", Service: "s", Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 1}
 		r.servers.Replace([]registry.Server{entry}, time.Now(), time.Time{})
 		r.workers[0].Say("Server-Leaving: 1")
 		Expect(r.post("/once/", "a").status).To(Equal(200))
 		Expect(r.post("/once/", "b").status).To(Equal(503))
 		r.workers[0].Say()
-		entry.Started = 2
+		entry.StartUnixMs = 2
 		r.servers.Replace([]registry.Server{entry}, time.Now(), time.Time{})
 		Expect(r.post("/once/", "c").status).To(Equal(200))
 	})
@@ -221,13 +221,13 @@
 
 	It("is named to who decides as not usable from here", func() {
 		r := started(2)
-		d := &decider{answers: []permit.Answer{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
+		d := &decider{answers: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		r.workers[0].Behave(refusing)
 		Expect(r.post("/stream/", "a").status).To(Equal(200))
 		Expect(r.post("/stream/", "b").status).To(Equal(200))
-		Expect(d.asked()[2].Avoid).To(Equal([]string{"i-0"}))
+		Expect(d.asked()[2].ExcludedEngines).To(Equal([]string{"i-0"}))
 	})
 
 	It("binds no other gateway", func() {
--- a/internal/gateway/operations.go
+++ b/internal/gateway/operations.go
@@ -32,7 +32,7 @@
 }
 
 func (g *Gateway) listQuarantine(w http.ResponseWriter, _ *http.Request) {
-	list, suspects := g.ledger.Quarantine()
+	list, suspects := g.ledger.List()
 	doc := struct {
 		Requests []quarantineDoc `json:"requests"`
 		Suspects int             `json:"suspects"`
--- a/internal/gateway/operations_test.go
+++ b/internal/gateway/operations_test.go
@@ -28,12 +28,12 @@
 	g.Expect(body).To(MatchJSON(`{"requests":[],"suspects":0}`))
 
 	id, now := quarantine.Identify("team", "POST", "a.example", "/x/", []byte("body")), time.Now()
-	gw.ledger.Ran(time.Second, now.Add(-time.Minute))
+	gw.ledger.RecordRun(time.Second, now.Add(-time.Minute))
 	for i := range 3 {
 		at := now.Add(time.Duration(i-3) * time.Second)
-		gw.ledger.Ended(id, quarantine.End{Server: fmt.Sprint("i-", i), Begun: at.Add(-50 * time.Millisecond), At: at}, at)
+		gw.ledger.RecordCrash(id, quarantine.Crash{Server: fmt.Sprint("i-", i), SentAt: at.Add(-50 * time.Millisecond), At: at}, at)
 	}
-	gw.ledger.Due(now)
+	gw.ledger.DueUpdates(now)
 	_, body = call(http.MethodGet, "/quarantine")
 	g.Expect(body).To(ContainSubstring(id.String()))
 	g.Expect(body).To(ContainSubstring(`"servers":["i-0","i-1","i-2"]`))
