--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -40,7 +40,7 @@
 type Peers interface {
 	// Ask asks the gateway that decides for a group of engines and waits for the
 	// verdict. It is Granted without an engine where nobody is there to decide.
-	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Answer, peers.Leave)
+	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a repeated send to a service from their retry budgets and reports
 	// whether one did. The key determines which gateways are asked.
 	BorrowRepeat(ctx context.Context, service, key string) bool
@@ -54,7 +54,7 @@
 }
 
 // Notices returns what the gateway knows that servers say of themselves.
-func (g *Gateway) Notices() *notice.Board { return g.notices }
+func (g *Gateway) Notices() *notice.Registry { return g.notices }
 
 // Engines lists the members of a group of engines as this gateway knows them. That this
 // gateway can't reach one says nothing for the others, who tell which engines failed them.
@@ -67,8 +67,8 @@
 	var out []permit.Engine
 	for _, b := range g.servers.Ready(group.Service) {
 		if s := b.Server(); placement.GroupOf(s.ID, groups) == group.Index {
-			out = append(out, permit.Engine{ID: s.Start(), FailureDomain: s.FailureDomain, Open: !g.notices.Draining(s.Start()),
-				Slots: s.Slots, Memory: facts.Memory, EventTokens: facts.EventTokens})
+			out = append(out, permit.Engine{ID: s.InstanceID(), FailureDomain: s.FailureDomain, Accepting: !g.notices.Draining(s.InstanceID()),
+				Slots: s.Slots, KVCacheTokens: facts.Memory, TokensPerEvent: facts.EventTokens})
 		}
 	}
 	return out
@@ -83,30 +83,30 @@
 // acquire asks for leave to send the request, at one group of engines after the
 // other, and waits for it. An error means that the request was not sent and that the
 // service has no room.
-func (g *Gateway) acquire(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Leave, error) {
+func (g *Gateway) acquire(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Permit, error) {
 	candidates := g.candidates(q.service, tried)
 	if !slices.ContainsFunc(candidates, reachable) {
-		return placement.Choice{}, peers.Leave{}, g.noneOf(q, candidates)
+		return placement.Choice{}, peers.Permit{}, g.noneOf(q, candidates)
 	}
 	part, _ := q.call.Prompt.Shared()
 	if part == "" {
 		part = q.call.ID
 	}
-	groups := placement.GroupsFor(part, g.groups(q.service))
+	groups := placement.RankGroups(part, g.groups(q.service))
 	asked := g.ask(q, rel)
 	// A strong suspect loses the precedence of broken streams, with which one that may be resumed
 	// ended a server after the other ahead of everybody's questions.
-	asked.Begun = asked.Begun && !t.apart
-	asked.Avoid = avoided(candidates)
+	asked.Resumed = asked.Resumed && !t.apart
+	asked.ExcludedEngines = avoided(candidates)
 	g.noteStanding(q)
-	var refused permit.Answer
+	var refused permit.Decision
 	for ask, group := 0, 0; ask < maxAsks && group < min(maxGroups, len(groups)); ask++ {
 		asked.ID = fmt.Sprintf("%s/%d", q.call.ID, q.asks)
 		q.asks++
 		answer, leave := g.peers.Ask(ctx, permit.Group{Service: q.service, Index: groups[group]}, asked)
 		if ctx.Err() != nil {
-			leave.End(permit.Stream{})
-			return placement.Choice{}, peers.Leave{}, outOfTime(ctx, false)
+			leave.End(permit.StreamStats{})
+			return placement.Choice{}, peers.Permit{}, outOfTime(ctx, false)
 		}
 		switch answer.Verdict {
 		case permit.NoEngine:
@@ -123,23 +123,23 @@
 		}
 		if answer.Engine == "" {
 			choice, err := g.undecided(q, candidates)
-			return choice, peers.Leave{}, err
+			return choice, peers.Permit{}, err
 		}
 		candidates = g.candidates(q.service, tried) // it may have waited for seconds
 		if choice := decided(answer, candidates); choice.Candidate != nil {
 			return choice, leave, nil
 		}
-		leave.End(permit.Stream{})
-		asked.Avoid = append(asked.Avoid, answer.Engine)
+		leave.End(permit.StreamStats{})
+		asked.ExcludedEngines = append(asked.ExcludedEngines, answer.Engine)
 	}
 	if refused.ID == "" {
-		return placement.Choice{}, peers.Leave{}, g.noServer(q)
+		return placement.Choice{}, peers.Permit{}, g.noServer(q)
 	}
-	if refused.Limited > 0 {
-		return placement.Choice{}, peers.Leave{}, g.limited(refused.Limited, refused.Wait)
+	if refused.RateLimitedEngines > 0 {
+		return placement.Choice{}, peers.Permit{}, g.limited(refused.RateLimitedEngines, refused.Wait)
 	}
-	return placement.Choice{}, peers.Leave{}, fault.New(fault.WaitTooLong, "the engines have a backlog of %d tokens", refused.Backlog).
-		With(fault.NotRun).After(refused.Wait)
+	return placement.Choice{}, peers.Permit{}, fault.New(fault.WaitTooLong, "the engines have a backlog of %d tokens", refused.BacklogTokens).
+		WithOutcome(fault.NotRun).WithRetryAfter(refused.Wait)
 }
 
 // undecided chooses the server where no other gateway decides.
@@ -152,14 +152,14 @@
 }
 
 // reachable reports whether the request may be sent to an engine from here.
-func reachable(c placement.Candidate) bool { return !c.Tried && !c.View.Avoided && c.Rests == 0 }
+func reachable(c placement.Candidate) bool { return !c.Tried && !c.View.Avoided && c.RetryAfter == 0 }
 
 // avoided are the engines to which the request can't be sent from here.
 func avoided(candidates []placement.Candidate) []string {
 	var out []string
 	for _, c := range candidates {
 		if !reachable(c) {
-			out = append(out, c.Server.Start())
+			out = append(out, c.Server.InstanceID())
 		}
 	}
 	return out[:min(len(out), maxAvoided)]
@@ -167,14 +167,14 @@
 
 // decided is the choice that an answer names; without a candidate if the engine may
 // get no work from here any more.
-func decided(answer permit.Answer, candidates []placement.Candidate) placement.Choice {
-	choice := placement.Choice{Reason: placement.Decided, Read: answer.Read}
+func decided(answer permit.Decision, candidates []placement.Candidate) placement.Choice {
+	choice := placement.Choice{Reason: placement.Decided, ExpectedPrefill: answer.ExpectedPrefill}
 	for i := range candidates {
 		c := &candidates[i]
 		switch {
-		case c.Server.Start() == answer.Engine && reachable(*c):
+		case c.Server.InstanceID() == answer.Engine && reachable(*c):
 			choice.Candidate = c
-		case c.Server.Start() == answer.FetchFrom && !c.View.Avoided:
+		case c.Server.InstanceID() == answer.FetchFrom && !c.View.Avoided:
 			choice.FetchFrom = c.Server.Address
 		}
 	}
@@ -182,9 +182,9 @@
 }
 
 // noteRefusal keeps a refusal for the decision line.
-func (g *Gateway) noteRefusal(q *request, answer permit.Answer) {
-	q.sends = append(q.sends, send{Result: answer.Verdict.String(), Wait: answer.Wait, Unread: int64(answer.Backlog), Limited: answer.Limited,
-		At: g.now().Sub(q.start)})
+func (g *Gateway) noteRefusal(q *request, answer permit.Decision) {
+	q.sends = append(q.sends, send{Result: answer.Verdict.String(), Wait: answer.Wait, UnreadTokens: int64(answer.BacklogTokens), RateLimited: answer.RateLimitedEngines,
+		SentAfter: g.now().Sub(q.start)})
 }
 
 // patience is how long a caller of the route waits for a first event.
@@ -196,22 +196,22 @@
 func (g *Gateway) ask(q *request, rel *relay) permit.Ask {
 	prompt := q.call.Prompt
 	part, shared := prompt.Shared()
-	a := permit.Ask{Plain: !q.route.PrefixAffinity, Own: prompt.Tokens - shared, Part: part, Shared: shared, Output: prompt.Output, Gap: q.route.TargetGap,
+	a := permit.Ask{Plain: !q.route.PrefixAffinity, UniqueTokens: prompt.Tokens - shared, PrefixID: part, PrefixTokens: shared, OutputTokens: prompt.OutputTokens, MaxEventGap: q.route.TargetGap,
 		FailureDomain: g.settings.Load().FailureDomain}
 	now := g.now()
 	left := q.deadline.Sub(now)
-	answering := g.answerTime(q.route.Name).Of(prompt.Output)
+	answering := g.answerTime(q.route.Name).Estimate(prompt.OutputTokens)
 	elapsed := now.Sub(q.start)
-	a.Deadline = left
-	a.Rank = urgency(q.route.Priority, q.priority)
+	a.ResponseTimeout = left
+	a.Priority = urgency(q.route.Priority, q.priority)
 	if rel.started {
-		a.Begun = true
+		a.Resumed = true
 		rest := max(0, answering-(elapsed-rel.first))
-		a.Limit = max(left-time.Duration(restShare*float64(rest)), shortestLimit)
-		a.Target = a.Limit
+		a.FirstTokenTimeout = max(left-time.Duration(restShare*float64(rest)), shortestLimit)
+		a.FirstTokenTarget = a.FirstTokenTimeout
 		return a
 	}
-	a.Target = q.route.TargetLatency - elapsed
-	a.Limit = max(min(patience(q.route)-elapsed, left-answering), shortestLimit)
+	a.FirstTokenTarget = q.route.TargetLatency - elapsed
+	a.FirstTokenTimeout = max(min(patience(q.route)-elapsed, left-answering), shortestLimit)
 	return a
 }
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -20,12 +20,12 @@
 // decider gives the answers that it is told, the last one again and again.
 type decider struct {
 	mu      sync.Mutex
-	answers []permit.Answer
+	answers []permit.Decision
 	asks    []permit.Ask
 	during  func() // while an ask waits
 }
 
-func (d *decider) Ask(_ context.Context, _ permit.Group, a permit.Ask) (permit.Answer, peers.Leave) {
+func (d *decider) Ask(_ context.Context, _ permit.Group, a permit.Ask) (permit.Decision, peers.Permit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.asks = append(d.asks, a)
@@ -37,7 +37,7 @@
 		d.during()
 	}
 	answer.ID = a.ID
-	return answer, peers.Leave{}
+	return answer, peers.Permit{}
 }
 
 func (d *decider) BorrowRepeat(context.Context, string, string) bool { return false }
@@ -50,14 +50,14 @@
 }
 
 var _ = Describe("a gateway before it sends a long prompt", func() {
-	before := func(workers int, answers ...permit.Answer) (*rig, *decider) {
+	before := func(workers int, answers ...permit.Decision) (*rig, *decider) {
 		r := started(workers)
 		d := &decider{answers: answers}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
 		return r, d
 	}
-	granted := func(engine string) permit.Answer { return permit.Answer{Verdict: permit.Granted, Engine: engine} }
+	granted := func(engine string) permit.Decision { return permit.Decision{Verdict: permit.Granted, Engine: engine} }
 
 	It("sends it where it was granted", func() {
 		r, d := before(3, granted("i-2"))
@@ -75,7 +75,7 @@
 		Expect(r.workers[0].Runs()).To(BeEmpty())
 		Expect(r.workers[1].Runs()).To(HaveLen(1))
 		Expect(d.asks).To(HaveLen(2))
-		Expect(d.asks[1].Avoid).To(ContainElement("i-0"))
+		Expect(d.asks[1].ExcludedEngines).To(ContainElement("i-0"))
 		Expect(d.asks[1].ID).NotTo(Equal(d.asks[0].ID))
 	})
 
@@ -83,13 +83,13 @@
 		r, d := before(2, granted("i-0"), granted("i-0@2000"))
 		d.during = func() {
 			r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s",
-				Address: r.workers[0].Address(), Slots: 8, Started: 2000}}}, time.Now(), time.Time{})
+				Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 2000}}}, time.Now(), time.Time{})
 		}
 		r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s",
-			Address: r.workers[0].Address(), Slots: 8, Started: 1000}}}, time.Now(), time.Time{})
+			Address: r.workers[0].Address(), Slots: 8, StartUnixMs: 1000}}}, time.Now(), time.Time{})
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(d.asks).To(HaveLen(2)) // "i-0" names no start that is listed
-		Expect(d.asks[1].Avoid).To(ContainElement("i-0"))
+		Expect(d.asks[1].ExcludedEngines).To(ContainElement("i-0"))
 		Expect(r.workers[0].Runs()).To(HaveLen(1))
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
 			Expect(e.ID).To(BeElementOf("i-0@2000", "i-1"))
@@ -106,7 +106,7 @@
 	})
 
 	It("refuses at once what has no room, with when to come back", func() {
-		r, _ := before(2, permit.Answer{Verdict: permit.Refused, Wait: 1500 * time.Millisecond})
+		r, _ := before(2, permit.Decision{Verdict: permit.Refused, Wait: 1500 * time.Millisecond})
 		a := r.post("/report/x", "r1")
 		Expect(a.status).To(Equal(429))
 		Expect(a.header.Get("Retry-After")).To(Equal("1.500"))
@@ -114,7 +114,7 @@
 	})
 
 	It("sends it where nobody decides", func() {
-		r, _ := before(2, permit.Answer{Verdict: permit.Granted})
+		r, _ := before(2, permit.Decision{Verdict: permit.Granted})
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(r.runs()).To(HaveLen(1))
 	})
@@ -124,14 +124,14 @@
 		r.workers[0].Next(worker.Behaviour{Refuse: true})
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(d.asks).To(HaveLen(2))
-		Expect(d.asks[1].Avoid).To(Equal([]string{"i-0"}))
+		Expect(d.asks[1].ExcludedEngines).To(Equal([]string{"i-0"}))
 		Expect(r.workers[1].Runs()).To(HaveLen(1))
 	})
 
 	// Seed 307 of the soak: an interactive request was told 429, as for load, while its
 	// engines could not be used.
 	It("says that no server is left, and not that there is load, where no engine can be used", func() {
-		r, d := before(2, permit.Answer{Verdict: permit.NoEngine, Wait: time.Second})
+		r, d := before(2, permit.Decision{Verdict: permit.NoEngine, Wait: time.Second})
 		a := r.post("/stream/x", "r1")
 		Expect(a.status).To(Equal(503))
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
@@ -142,13 +142,13 @@
 	It("tells who asks of all engines that it knows, also of those that it can't reach", func() {
 		r, d := before(2, granted("i-1"))
 		r.workers[0].Close()
-		d.answers = []permit.Answer{granted("i-0"), granted("i-1")}
+		d.answers = []permit.Decision{granted("i-0"), granted("i-1")}
 		Expect(r.post("/report/x", "r1").status).To(Equal(200)) // i-0 is passed over from here now
-		Expect(d.asks[1].Avoid).To(ContainElement("i-0"))
+		Expect(d.asks[1].ExcludedEngines).To(ContainElement("i-0"))
 		engines := r.gateway.Engines(permit.Group{Service: "s"})
 		Expect(engines).To(HaveLen(2))
 		for _, e := range engines {
-			Expect(e.Open).To(BeTrue())
+			Expect(e.Accepting).To(BeTrue())
 		}
 	})
 
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -26,7 +26,7 @@
 func (g *Gateway) UseTrials(t Trials) { g.trials = t }
 
 // Quarantine returns what the gateway knows of requests that may end servers.
-func (g *Gateway) Quarantine() *quarantine.Ledger { return g.ledger }
+func (g *Gateway) Quarantine() *quarantine.Tracker { return g.ledger }
 
 // turn is the place of a send among the runs of the same request. The zero turn is of a request
 // of which nothing is known.
@@ -39,20 +39,20 @@
 // answer. Each attempt of a caller would otherwise begin anew at the next server, at whichever
 // gateway it comes, and one request would end every server of a service.
 func (g *Gateway) awaitTurn(ctx context.Context, q *request, ran bool) (turn, error) {
-	if !g.ledger.Watching() {
+	if !g.ledger.HasEntries() {
 		return turn{}, nil
 	}
 	t := turn{key: max(rand.Uint64(), 1)}
 	for {
 		word := g.ledger.Begin(q.id(), t.key, g.now())
-		if word.Settle > 0 {
-			if err := g.pause(ctx, q, ran, nil, word.Settle); err != nil {
+		if word.ConfirmAfter > 0 {
+			if err := g.pause(ctx, q, ran, nil, word.ConfirmAfter); err != nil {
 				g.ledger.Done(q.id(), t.key, g.now())
 				return t, err
 			}
 			word = g.ledger.Confirm(q.id(), t.key, g.now())
 		}
-		t.apart = word.Apart
+		t.apart = word.Isolate
 		switch {
 		case word.TrialDue:
 			t.apart = true
@@ -87,17 +87,17 @@
 // tryAgain claims the trial of a request whose rest is over.
 func (g *Gateway) tryAgain(ctx context.Context, q *request, t turn, ran bool) error {
 	if g.trials == nil {
-		if v := g.ledger.Standing(q.id()); v != nil {
-			g.ledger.Try(q.id(), t.key, v.Tried(g.now()), g.now())
+		if v := g.ledger.Verdict(q.id()); v != nil {
+			g.ledger.BeginTrial(q.id(), t.key, v.WithTrial(g.now()), g.now())
 		}
 		return nil
 	}
 	v, err := g.trials.Claim(ctx, q.id())
 	if err != nil {
-		return told(fault.New(fault.Quarantined, "servers have ended that ran this request: %w", err).After(trialRetryAfter), ran)
+		return told(fault.New(fault.Quarantined, "servers have ended that ran this request: %w", err).WithRetryAfter(trialRetryAfter), ran)
 	}
 	if v != nil {
-		g.ledger.Try(q.id(), t.key, *v, g.now())
+		g.ledger.BeginTrial(q.id(), t.key, *v, g.now())
 	}
 	return nil
 }
@@ -107,21 +107,21 @@
 // the load, and 502 promises nothing, so that callers repeat at once what may be repeated.
 func (g *Gateway) quarantined(q *request, v *quarantine.Verdict, ran bool) error {
 	after := max(v.Until.Sub(g.now()), trialRetryAfter)
-	return told(fault.New(fault.Quarantined, "%d servers have ended that ran this request", len(v.Servers)).After(after), ran)
+	return told(fault.New(fault.Quarantined, "%d servers have ended that ran this request", len(v.Servers)).WithRetryAfter(after), ran)
 }
 
 // told sets what is said of this attempt.
 func told(e *fault.Error, ran bool) error {
 	if ran {
-		return e.With(fault.Unknown)
+		return e.WithOutcome(fault.Unknown)
 	}
-	return e.With(fault.NotRun)
+	return e.WithOutcome(fault.NotRun)
 }
 
 // mayStill checks the request's standing again when a server has been chosen: the wait for leave
 // takes up to seconds.
 func (g *Gateway) mayStill(q *request, t turn, ran bool) error {
-	if !g.ledger.Watching() {
+	if !g.ledger.HasEntries() {
 		return nil
 	}
 	if word := g.ledger.Check(q.id(), t.key); word.Verdict != nil {
@@ -137,7 +137,7 @@
 	if !t.apart {
 		return tried
 	}
-	out := g.ledger.Occupied(t.key, g.now())
+	out := g.ledger.OccupiedServers(t.key, g.now())
 	for start := range tried {
 		out[start] = true
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -41,30 +41,30 @@
 const maxAnswer = 8 << 20
 
 // take reads the server's answer and relays it if it is the caller's.
-func (g *Gateway) take(ctx context.Context, q *request, rel *relay, resp *exchange.Response, answer Answer, w *watch) (outcome, error) {
+func (g *Gateway) take(ctx context.Context, q *request, rel *relay, resp *exchange.Response, answer ResponseInfo, w *watch) (outcome, error) {
 	if answer.NotRun || resp.Status == http.StatusMisdirectedRequest {
 		return refusedBy(resp)
 	}
 	if resp.Status/100 == 2 && !answer.Sealed {
-		return mayHaveRun, fault.New(fault.EngineFailed, "the answer carries no proof").With(fault.Unknown)
+		return mayHaveRun, fault.New(fault.EngineFailed, "the answer carries no proof").WithOutcome(fault.Unknown)
 	}
 	if q.route.Kind == routing.Streaming && resp.Status/100 == 2 {
 		return g.stream(ctx, q, rel, resp, w)
 	}
 	if rel.started {
-		return brokenOff, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).With(fault.Partial)
+		return brokenOff, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).WithOutcome(fault.Partial)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp, maxAnswer+1))
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return mayHaveRun, outOfTime(ctx, true)
 	case err != nil:
-		return mayHaveRun, fault.New(fault.ShortAnswer, "the answer broke off: %w", err).With(fault.Unknown)
+		return mayHaveRun, fault.New(fault.IncompleteResponse, "the answer broke off: %w", err).WithOutcome(fault.Unknown)
 	case len(body) > maxAnswer:
-		return mayHaveRun, fault.New(fault.ShortAnswer, "the answer has more than %d bytes", maxAnswer).With(fault.Unknown)
+		return mayHaveRun, fault.New(fault.IncompleteResponse, "the answer has more than %d bytes", maxAnswer).WithOutcome(fault.Unknown)
 	}
 	if resp.Status >= http.StatusInternalServerError && q.route.MayRepeat() && len(q.sends) == 0 && q.route.MaxAttempts > 1 {
-		return mayHaveRun, fault.New(fault.EngineFailed, "the server answered %d", resp.Status).With(fault.Unknown)
+		return mayHaveRun, fault.New(fault.EngineFailed, "the server answered %d", resp.Status).WithOutcome(fault.Unknown)
 	}
 	rel.head(resp)
 	rel.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -79,10 +79,10 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxAnswer))
 	code := fault.QueueFull
 	if resp.Status == http.StatusMisdirectedRequest {
-		code = fault.NoServer
+		code = fault.NoBackendServer
 	}
 	return notRun, fault.New(code, "the backend server refused the request with %d", resp.Status).
-		With(fault.NotRun).After(noServerRetryAfter)
+		WithOutcome(fault.NotRun).WithRetryAfter(noServerRetryAfter)
 }
 
 // head sets the caller's headers from the server's.
@@ -151,7 +151,7 @@
 type watch struct {
 	now   func() time.Time
 	first func() // called with the first event
-	seen  *permit.Stream
+	seen  *permit.StreamStats
 	begin time.Time // of the first event
 	last  time.Time
 }
@@ -163,11 +163,11 @@
 		w.begin = now
 		w.first()
 	} else {
-		w.seen.Longest = max(w.seen.Longest, now.Sub(w.last))
+		w.seen.LongestGap = max(w.seen.LongestGap, now.Sub(w.last))
 	}
 	w.seen.Events++
 	w.last = now
-	w.seen.Took = now.Sub(w.begin)
+	w.seen.Duration = now.Sub(w.begin)
 }
 
 // accept reports whether the event is to be relayed, and counts it. Events that
@@ -204,7 +204,7 @@
 	if ctx.Err() != nil {
 		return result, outOfTime(ctx, true)
 	}
-	return result, fault.New(fault.ShortAnswer, "the stream broke off after %d events: %w", r.events, err).With(told)
+	return result, fault.New(fault.IncompleteResponse, "the stream broke off after %d events: %w", r.events, err).WithOutcome(told)
 }
 
 // connectionHeaders concern one connection only.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -23,7 +23,7 @@
 
 // request is one attempt of a caller on its way through the gateway.
 type request struct {
-	call     Call
+	call     RequestInfo
 	table    *routing.Table
 	route    *routing.Route
 	team     *routing.Team
@@ -44,7 +44,7 @@
 	repeatAt time.Time
 	asks     int // for leave, so far
 	// standing is what was known of the service's servers when one was chosen.
-	standing []notice.Standing
+	standing []notice.ActiveNotice
 	// identity is set when it is first asked for; see id.
 	identity *quarantine.ID
 }
@@ -60,25 +60,25 @@
 
 // send is one try to have the request run.
 type send struct {
-	Server string        `json:"server"`
-	Reason string        `json:"reason"` // why the server was chosen
-	Fetch  string        `json:"fetch,omitempty"`
-	Result string        `json:"result"`
-	Cause  string        `json:"cause,omitempty"`
-	Wait   time.Duration `json:"wait,omitempty"`   // that who decides expects
-	Expect time.Duration `json:"expect,omitempty"` // of the time to the first event, by what was learnt
-	First  time.Duration `json:"first,omitempty"`  // the time to the first event
+	Server             string        `json:"server"`
+	Reason             string        `json:"reason"` // why the server was chosen
+	FetchFrom          string        `json:"fetch,omitempty"`
+	Result             string        `json:"result"`
+	Cause              string        `json:"cause,omitempty"`
+	Wait               time.Duration `json:"wait,omitempty"`   // that who decides expects
+	ExpectedFirstEvent time.Duration `json:"expect,omitempty"` // of the time to the first event, by what was learnt
+	FirstEvent         time.Duration `json:"first,omitempty"`  // the time to the first event
 	// Limited is how many servers took nothing by the rates that they state, where that was refused.
-	Limited int           `json:"limited,omitempty"`
-	Running int           `json:"running"`
-	Unread  int64         `json:"unread"`
-	Longest time.Duration `json:"longest,omitempty"` // pause between two events
-	At      time.Duration `json:"at"`                // since the request came
-	Took    time.Duration `json:"took"`              // until the answer's head or the failure
+	RateLimited  int           `json:"limited,omitempty"`
+	Running      int           `json:"running"`
+	UnreadTokens int64         `json:"unread"`
+	LongestGap   time.Duration `json:"longest,omitempty"` // pause between two events
+	SentAfter    time.Duration `json:"at"`                // since the request came
+	Took         time.Duration `json:"took"`              // until the answer's head or the failure
 	// Ended is whether the server has ended, where its connection broke.
-	Ended bool `json:"ended,omitempty"`
+	ServerEnded bool `json:"ended,omitempty"`
 	// Said is what the server said of itself, nil for nothing.
-	Said *notice.Said `json:"said,omitempty"`
+	Notices *notice.Statement `json:"said,omitempty"`
 	// Repeat is the retry budget's decision on repeating this send, nil if the budget was not consulted.
 	Repeat *retrybudget.Decision `json:"repeat,omitempty"`
 }
@@ -151,19 +151,19 @@
 	}
 	q.table = g.table.Load()
 	if q.table == nil {
-		return q, fault.New(fault.NotReady, "no configuration is known yet").With(fault.NotRun).After(startRetryAfter)
+		return q, fault.New(fault.NotReady, "no configuration is known yet").WithOutcome(fault.NotRun).WithRetryAfter(startRetryAfter)
 	}
 	if err := checkHead(r, q.table.Limits.HeaderBytes); err != nil {
 		return q, err
 	}
-	call, err := g.dialect.Call(r.Header)
+	call, err := g.dialect.ParseRequest(r.Header)
 	q.call = call
 	if err != nil {
 		return q, err
 	}
 	path, _, _ := strings.Cut(q.target, "?")
 	if q.route = q.table.Route(r.Host, path); q.route == nil {
-		return q, fault.New(fault.NotFound, "no route for this host and path").With(fault.NotRun)
+		return q, fault.New(fault.NotFound, "no route for this host and path").WithOutcome(fault.NotRun)
 	}
 	if q.team, err = q.table.Authenticate(q.route, call.Key); err != nil {
 		return q, err
@@ -173,7 +173,7 @@
 }
 
 // setTerms works out the deadline, priority and service.
-func (q *request) setTerms(call Call) {
+func (q *request) setTerms(call RequestInfo) {
 	left := q.route.Timeout
 	if call.Deadline > 0 {
 		left = min(left, call.Deadline)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -25,11 +25,11 @@
 // Serve serves callers, readiness checks and metrics until ctx ends or, after
 // stop is closed, until the last request has ended or the grace time is over.
 func (g *Gateway) Serve(ctx context.Context, stop <-chan struct{}) error {
-	callers, err := net.Listen("tcp", g.settings.Load().Callers)
+	callers, err := net.Listen("tcp", g.settings.Load().CallerAddress)
 	if err != nil {
 		return err
 	}
-	checks, err := net.Listen("tcp", g.settings.Load().Readiness)
+	checks, err := net.Listen("tcp", g.settings.Load().ReadinessAddress)
 	if err != nil {
 		return err
 	}
@@ -44,15 +44,15 @@
 	}
 	go serve(server, conns)
 	go serve(&http.Server{Handler: g.checks(), ErrorLog: discardLog()}, checks)
-	if g.settings.Load().Metrics != "" {
-		page, err := net.Listen("tcp", g.settings.Load().Metrics)
+	if g.settings.Load().MetricsAddress != "" {
+		page, err := net.Listen("tcp", g.settings.Load().MetricsAddress)
 		if err != nil {
 			return err
 		}
 		go serve(&http.Server{Handler: g.operations(), ErrorLog: discardLog()}, page)
 	}
 	go g.sweep(ctx)
-	g.logger.Info("gateway started", "host", g.settings.Load().Host, "callers", g.settings.Load().Callers)
+	g.logger.Info("gateway started", "host", g.settings.Load().Host, "callers", g.settings.Load().CallerAddress)
 	select {
 	case err := <-failed:
 		return err
@@ -117,7 +117,7 @@
 		case <-tick.C:
 			g.pool.Sweep()
 			g.notices.Sweep(func(start string) bool {
-				_, listed := g.servers.Find(start)
+				_, listed := g.servers.FindInstance(start)
 				return listed
 			}, g.now())
 		}
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -15,14 +15,14 @@
 func TestAStreamIsTakenDown(t *testing.T) {
 	g := NewWithT(t)
 	now, first := time.Unix(100, 0), 0
-	var seen permit.Stream
+	var seen permit.StreamStats
 	w := watch{now: func() time.Time { return now }, first: func() { first++ }, seen: &seen}
 	for _, pause := range []time.Duration{0, 20, 400, 30} {
 		now = now.Add(pause * time.Millisecond)
 		w.event()
 	}
 	g.Expect(first).To(Equal(1))
-	g.Expect(seen).To(Equal(permit.Stream{Events: 4, Took: 450 * time.Millisecond, Longest: 400 * time.Millisecond}))
+	g.Expect(seen).To(Equal(permit.StreamStats{Events: 4, Duration: 450 * time.Millisecond, LongestGap: 400 * time.Millisecond}))
 }
 
 // A caller waits for the longest of two seconds, four targets and eight pauses.
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -15,13 +15,13 @@
 // A call that was given 0.7 s in all never brought 887 KB over a link of 10 Mbit/s.
 type Limits struct {
 	// Wait is how long the other end may hold the reply back.
-	Wait time.Duration
+	ReplyWait time.Duration
 	// Silence is the longest that nothing may come beside that.
-	Silence time.Duration
+	IdleTimeout time.Duration
 	// Longest bounds the whole beside Wait.
-	Longest time.Duration
+	Timeout time.Duration
 	// Bytes bounds the reply.
-	Bytes int64
+	MaxBytes int64
 }
 
 // progressBytes is how much is read at once: a read of a chunked body returns only when
@@ -38,9 +38,9 @@
 
 // Do makes a call. Errors have code TooLarge or are the client's.
 func Do(client *http.Client, req *http.Request, l Limits) (reply Reply, err error) {
-	ctx, cancel := context.WithTimeout(req.Context(), l.Wait+l.Longest)
+	ctx, cancel := context.WithTimeout(req.Context(), l.ReplyWait+l.Timeout)
 	defer cancel()
-	silence := time.AfterFunc(l.Wait+l.Silence, cancel)
+	silence := time.AfterFunc(l.ReplyWait+l.IdleTimeout, cancel)
 	defer silence.Stop()
 	resp, err := client.Do(req.WithContext(ctx))
 	if err != nil {
@@ -48,12 +48,12 @@
 	}
 	defer func() { _ = resp.Body.Close() }() // what is wanted of it has been read
 	progress := readerFunc(func(p []byte) (int, error) {
-		silence.Reset(l.Silence)
+		silence.Reset(l.IdleTimeout)
 		return resp.Body.Read(p[:min(len(p), progressBytes)])
 	})
-	body, err := io.ReadAll(io.LimitReader(progress, l.Bytes+1))
-	if err == nil && int64(len(body)) > l.Bytes {
-		err = fault.New(fault.TooLarge, "a reply of more than %d bytes", l.Bytes)
+	body, err := io.ReadAll(io.LimitReader(progress, l.MaxBytes+1))
+	if err == nil && int64(len(body)) > l.MaxBytes {
+		err = fault.New(fault.TooLarge, "a reply of more than %d bytes", l.MaxBytes)
 	}
 	return Reply{resp.StatusCode, resp.Header, body}, err
 }
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -15,7 +15,7 @@
 	"github.com/merlinpost/merlinpost/internal/standin/memnet"
 )
 
-var limits = Limits{Wait: time.Second, Silence: 700 * time.Millisecond, Longest: 15 * time.Second, Bytes: 2 << 20}
+var limits = Limits{ReplyWait: time.Second, IdleTimeout: 700 * time.Millisecond, Timeout: 15 * time.Second, MaxBytes: 2 << 20}
 
 // call calls a handler over a link of 1 Mbit/s and returns how long it took, in a synctest
 // bubble.
@@ -65,7 +65,7 @@
 	for name, c := range map[string]struct {
 		before int // bytes
 		within time.Duration
-	}{"before the reply": {0, limits.Wait + limits.Silence}, "in the middle of it": {1000, limits.Silence}} {
+	}{"before the reply": {0, limits.ReplyWait + limits.IdleTimeout}, "in the middle of it": {1000, limits.IdleTimeout}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
@@ -95,11 +95,11 @@
 			}
 		})
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
-		g.Expect(took).To(Equal(limits.Wait + limits.Longest))
+		g.Expect(took).To(Equal(limits.ReplyWait + limits.Timeout))
 	})
 	g := NewWithT(t)
 	limits := limits
-	limits.Bytes = 10
+	limits.MaxBytes = 10
 	req, err := http.NewRequest(http.MethodGet, "http://10.0.0.1/", nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = Do(&http.Client{Transport: fixed("12345678901")}, req, limits)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -47,13 +47,13 @@
 }
 
 // Fence returns the fencing number; 0 while the lease is not held.
-func (l *Lease) Fence() uint64 { return l.fence.Load() }
+func (l *Lease) FencingToken() uint64 { return l.fence.Load() }
 
 // Held is closed when the lease's record is on the log.
 func (l *Lease) Held() <-chan struct{} { return l.held }
 
 // Newborn reports, once held, whether the log shows no earlier process.
-func (l *Lease) Newborn() bool { return l.newborn.Load() }
+func (l *Lease) FirstHolder() bool { return l.newborn.Load() }
 
 // Superseded reports whether another process took the lease over.
 func (l *Lease) Superseded() bool { return l.superseded.Load() }
@@ -142,13 +142,13 @@
 
 // Current asks the log whether the lease is still this process's own. It is
 // for orders to engines that do not check fencing numbers.
-func (l *Lease) Current(ctx context.Context) bool {
-	if l.Fence() == 0 || l.Superseded() {
+func (l *Lease) VerifyHeld(ctx context.Context) bool {
+	if l.FencingToken() == 0 || l.Superseded() {
 		return false
 	}
 	current := true
 	_, _, err := configlog.ReadAll(ctx, l.log, l.stream, func(e configlog.Entry) {
-		if e.Offset > l.Fence() && l.isSuccessor(e) {
+		if e.Offset > l.FencingToken() && l.isSuccessor(e) {
 			current = false
 		}
 	})
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -43,15 +43,15 @@
 	g := NewWithT(t)
 	_, log := logClient(t)
 	first, lost := hold(t, g, log, "one")
-	g.Expect(first.Newborn()).To(BeTrue())
-	g.Expect(first.Current(context.Background())).To(BeTrue())
+	g.Expect(first.FirstHolder()).To(BeTrue())
+	g.Expect(first.VerifyHeld(context.Background())).To(BeTrue())
 	second, _ := hold(t, g, log, "two")
-	g.Expect(second.Newborn()).To(BeFalse())
-	g.Expect(second.Fence()).To(BeNumerically(">", first.Fence()))
+	g.Expect(second.FirstHolder()).To(BeFalse())
+	g.Expect(second.FencingToken()).To(BeNumerically(">", first.FencingToken()))
 	g.Eventually(lost).Should(BeClosed())
 	g.Expect(first.Superseded()).To(BeTrue())
-	g.Expect(first.Current(context.Background())).To(BeFalse())
-	g.Expect(second.Current(context.Background())).To(BeTrue())
+	g.Expect(first.VerifyHeld(context.Background())).To(BeFalse())
+	g.Expect(second.VerifyHeld(context.Background())).To(BeTrue())
 }
 
 // A lost answer does not make a second lease of the same process.
@@ -60,7 +60,7 @@
 	s, log := logClient(t)
 	s.SetFaults(logservice.Faults{LoseAnswers: true})
 	l, _ := hold(t, g, log, "one")
-	g.Expect(l.Fence()).To(Equal(uint64(1)))
+	g.Expect(l.FencingToken()).To(Equal(uint64(1)))
 	_, _, err := configlog.ReadAll(context.Background(), log, configlog.LeaseStream("agent"), func(e configlog.Entry) {
 		g.Expect(e.Offset).To(Equal(uint64(1)))
 	})
@@ -73,5 +73,5 @@
 	s, log := logClient(t)
 	l, _ := hold(t, g, log, "one")
 	s.SetFaults(logservice.Faults{Down: true})
-	g.Expect(l.Current(context.Background())).To(BeFalse())
+	g.Expect(l.VerifyHeld(context.Background())).To(BeFalse())
 }
--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -26,54 +26,54 @@
 // message is an ask, an answer, the end of a request, or the name of a router
 // that is there.
 type message struct {
-	Ask    *quota.Ask
-	Lent   *quota.Lent
-	Closed *quota.Closed
-	Ping   string
+	Request  *quota.GrantRequest
+	Response *quota.GrantResponse
+	Release  *quota.ReleaseNotice
+	Ping     string
 }
 
 // Home is what answers the other routers; its methods must not block.
 type Home interface {
-	Lend(quota.Ask) quota.Lent
-	Close(quota.Closed)
-	Heard(router string)
+	Acquire(quota.GrantRequest) quota.GrantResponse
+	Release(quota.ReleaseNotice)
+	MarkReachable(router string)
 }
 
 // Post sends and receives asks on one UDP socket.
-type Post struct {
+type Transport struct {
 	socket *datagram.Socket[message]
 	home   Home
 
 	mu      sync.Mutex
-	waiting map[uint64]chan quota.Lent
+	waiting map[uint64]chan quota.GrantResponse
 }
 
 // Open listens on an IP address and port; home takes in what others send.
-func Open(address string, home Home) (*Post, error) {
+func Open(address string, home Home) (*Transport, error) {
 	socket, err := datagram.Open[message](address, "merlinpost_lending")
 	if err != nil {
 		return nil, err
 	}
-	return &Post{socket: socket, home: home, waiting: map[uint64]chan quota.Lent{}}, nil
+	return &Transport{socket: socket, home: home, waiting: map[uint64]chan quota.GrantResponse{}}, nil
 }
 
 // Address returns the address in use.
-func (p *Post) Address() string { return p.socket.Address().String() }
+func (p *Transport) Address() string { return p.socket.Address().String() }
 
 // asked is an ask and where to send the answer.
 type asked struct {
-	ask  quota.Ask
+	ask  quota.GrantRequest
 	from netip.AddrPort
 }
 
 // Run receives until ctx ends: one goroutine reads, one answers.
-func (p *Post) Run(ctx context.Context) {
+func (p *Transport) Run(ctx context.Context) {
 	asks := make(chan asked, askRing)
 	var answering sync.WaitGroup
 	answering.Go(func() {
 		for a := range asks {
-			lent := p.home.Lend(a.ask)
-			p.socket.Send(message{Lent: &lent}, a.from)
+			lent := p.home.Acquire(a.ask)
+			p.socket.Send(message{Response: &lent}, a.from)
 		}
 	})
 	p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.take(m, from, asks) })
@@ -81,24 +81,24 @@
 	answering.Wait()
 }
 
-func (p *Post) take(m message, from netip.AddrPort, asks chan<- asked) {
+func (p *Transport) take(m message, from netip.AddrPort, asks chan<- asked) {
 	switch {
 	case m.Ping != "":
-		p.home.Heard(m.Ping)
-	case m.Closed != nil:
-		p.home.Close(*m.Closed)
-	case m.Lent != nil:
-		p.settle(*m.Lent)
-	case m.Ask != nil:
+		p.home.MarkReachable(m.Ping)
+	case m.Release != nil:
+		p.home.Release(*m.Release)
+	case m.Response != nil:
+		p.settle(*m.Response)
+	case m.Request != nil:
 		select {
-		case asks <- asked{*m.Ask, from}:
+		case asks <- asked{*m.Request, from}:
 		default:
 			telemetry.Count("merlinpost_lending_overrun_total")
 		}
 	}
 }
 
-func (p *Post) settle(l quota.Lent) {
+func (p *Transport) settle(l quota.GrantResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if ch := p.waiting[l.Seq]; ch != nil {
@@ -108,31 +108,31 @@
 }
 
 // Ping tells the router at an address that the named one reaches it.
-func (p *Post) Ping(address, self string) {
+func (p *Transport) Ping(address, self string) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
 		p.socket.Send(message{Ping: self}, to)
 	}
 }
 
 // Close tells the home at an address that a request ended.
-func (p *Post) Close(address string, c quota.Closed) {
+func (p *Transport) Release(address string, c quota.ReleaseNotice) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
-		p.socket.Send(message{Closed: &c}, to)
+		p.socket.Send(message{Release: &c}, to)
 	}
 }
 
 // Ask asks the home at an address; false if it does not answer in time. The Seq
 // of an ask is used once.
-func (p *Post) Ask(ctx context.Context, home string, ask quota.Ask) (quota.Lent, bool) {
+func (p *Transport) Acquire(ctx context.Context, home string, ask quota.GrantRequest) (quota.GrantResponse, bool) {
 	to, err := netip.ParseAddrPort(home)
 	if err != nil {
-		return quota.Lent{}, false
+		return quota.GrantResponse{}, false
 	}
-	ch := make(chan quota.Lent, 1)
+	ch := make(chan quota.GrantResponse, 1)
 	p.mu.Lock()
 	p.waiting[ask.Seq] = ch
 	p.mu.Unlock()
-	p.socket.Send(message{Ask: &ask}, to)
+	p.socket.Send(message{Request: &ask}, to)
 	timer := time.NewTimer(askTimeout)
 	defer timer.Stop()
 	select {
@@ -144,5 +144,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, ask.Seq)
-	return quota.Lent{}, false
+	return quota.GrantResponse{}, false
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -34,10 +34,10 @@
 type Options struct {
 	// Heartbeat is the longest time that a link with requests on it sends
 	// nothing, Silent the longest that it may bring nothing.
-	Heartbeat time.Duration
-	Silent    time.Duration
+	HeartbeatInterval time.Duration
+	PeerTimeout       time.Duration
 	// Beat makes the heartbeat; the link fills in NextMS.
-	Beat func() *wire.Beat
+	NewHeartbeat func() *wire.Heartbeat
 }
 
 // Conn is a link after the exchange of Hello.
@@ -99,7 +99,7 @@
 }
 
 func (c *Conn) handshake(self *wire.Hello) error {
-	if err := c.nc.SetDeadline(time.Now().Add(c.opts.Silent)); err != nil {
+	if err := c.nc.SetDeadline(time.Now().Add(c.opts.PeerTimeout)); err != nil {
 		return fault.New(fault.LinkLost, "set deadline: %w", err)
 	}
 	if err := c.w.Write(self); err != nil {
@@ -130,16 +130,16 @@
 func (c *Conn) Peer() wire.Hello { return c.peer }
 
 // Use counts n requests onto the link or, if negative, off it.
-func (c *Conn) Use(n int64) {
+func (c *Conn) AddRequests(n int64) {
 	if now := c.open.Add(n); n > 0 && now == n {
-		c.Poke()
+		c.TriggerHeartbeat()
 		// The peer's next message is due soon now.
-		_ = c.nc.SetReadDeadline(time.Now().Add(c.opts.Silent)) // a closed link ends by itself
+		_ = c.nc.SetReadDeadline(time.Now().Add(c.opts.PeerTimeout)) // a closed link ends by itself
 	}
 }
 
 // Poke sends a heartbeat at once, because what it says has changed.
-func (c *Conn) Poke() {
+func (c *Conn) TriggerHeartbeat() {
 	select {
 	case c.wake <- struct{}{}:
 	default: // one is due already
@@ -149,17 +149,17 @@
 // beatEvery returns the present time between heartbeats.
 func (c *Conn) beatEvery() time.Duration {
 	if c.open.Load() > 0 {
-		return c.opts.Heartbeat
+		return c.opts.HeartbeatInterval
 	}
-	return idleFactor * c.opts.Heartbeat
+	return idleFactor * c.opts.HeartbeatInterval
 }
 
 // silentFor returns how long the link may bring nothing.
 func (c *Conn) silentFor() time.Duration {
 	if c.open.Load() > 0 || c.peerBusy.Load() {
-		return c.opts.Silent
+		return c.opts.PeerTimeout
 	}
-	return idleFactor * c.opts.Silent
+	return idleFactor * c.opts.PeerTimeout
 }
 
 // Done is closed when the link is closed.
@@ -214,8 +214,8 @@
 		if err != nil {
 			return readError(err)
 		}
-		if b, ok := m.(*wire.Beat); ok {
-			c.peerBusy.Store(b.NextMS <= c.opts.Heartbeat.Milliseconds())
+		if b, ok := m.(*wire.Heartbeat); ok {
+			c.peerBusy.Store(b.NextMS <= c.opts.HeartbeatInterval.Milliseconds())
 		}
 		handle(m)
 	}
@@ -246,9 +246,9 @@
 		select {
 		case m = <-c.ring:
 		case <-timer.C:
-			m = c.opts.Beat()
+			m = c.opts.NewHeartbeat()
 		case <-c.wake:
-			m = c.opts.Beat()
+			m = c.opts.NewHeartbeat()
 		case <-c.done:
 			return
 		}
@@ -261,11 +261,11 @@
 
 // writeBatch writes m and what else waits, then flushes.
 func (c *Conn) writeBatch(m wire.Message) error {
-	if err := c.nc.SetWriteDeadline(time.Now().Add(c.opts.Silent)); err != nil {
+	if err := c.nc.SetWriteDeadline(time.Now().Add(c.opts.PeerTimeout)); err != nil {
 		return err
 	}
 	for {
-		if b, ok := m.(*wire.Beat); ok {
+		if b, ok := m.(*wire.Heartbeat); ok {
 			c.announced = c.beatEvery()
 			b.NextMS = c.announced.Milliseconds()
 		}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -23,7 +23,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer ln.Close()
-	opts := Options{Heartbeat: heartbeat, Silent: silent, Beat: func() *wire.Beat { return &wire.Beat{} }}
+	opts := Options{HeartbeatInterval: heartbeat, PeerTimeout: silent, NewHeartbeat: func() *wire.Heartbeat { return &wire.Heartbeat{} }}
 	type opened struct {
 		c   *Conn
 		err error
@@ -58,10 +58,10 @@
 	ended := make(chan error, 2)
 	go func() { ended <- a.Run(ctx, func(wire.Message) { beats.Add(1) }) }()
 	go func() { ended <- b.Run(ctx, func(wire.Message) {}) }()
-	b.Send(&wire.Beat{}) // as an agent does at once
+	b.Send(&wire.Heartbeat{}) // as an agent does at once
 	for _, use := range []int64{1, -1, 1, 1, -2} {
-		a.Use(use)
-		b.Use(use)
+		a.AddRequests(use)
+		b.AddRequests(use)
 		g.Consistently(func() int { return len(ended) }, 3*silent, heartbeat).Should(BeZero())
 	}
 	g.Eventually(beats.Load).Should(BeNumerically(">", 5))
@@ -72,7 +72,7 @@
 	g := NewWithT(t)
 	a, b := pair(g) // b never runs: it reads and sends nothing
 	defer b.Close()
-	a.Use(1)
+	a.AddRequests(1)
 	err := a.Run(context.Background(), func(wire.Message) {})
 	g.Expect(fault.Is(err, fault.LinkLost)).To(BeTrue(), "%v", err)
 }
@@ -86,6 +86,6 @@
 		_ = w.Flush()
 	}()
 	go func() { _, _ = wire.NewReader(there).Read() }() // takes the other hello off the pipe
-	_, err := Open(here, wire.Hello{Name: "a"}, Options{Heartbeat: heartbeat, Silent: time.Second})
+	_, err := Open(here, wire.Hello{Name: "a"}, Options{HeartbeatInterval: heartbeat, PeerTimeout: time.Second})
 	g.Expect(fault.Is(err, fault.BadVersion)).To(BeTrue(), "%v", err)
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -18,7 +18,7 @@
 func Run(ctx context.Context, s *Scenario, policy Policy, factor float64, logger *slog.Logger) (*Report, error) {
 	if s.Deployment == nil {
 		if len(s.Routers) == 0 {
-			return nil, fault.New(fault.BadSettings, "either routers or a deployment is needed").InField("routers")
+			return nil, fault.New(fault.BadSettings, "either routers or a deployment is needed").WithField("routers")
 		}
 		return drive(ctx, s, s.Routers, factor, func(time.Duration) {}), nil
 	}
@@ -52,7 +52,7 @@
 		names = append(names, s.Streams[i].Class)
 	}
 	for _, t := range s.Teams {
-		teams[t.Name] = &resource.Team{KeysSHA256: []string{resource.HashKey(t.Key)}, DefaultClass: names[0], Classes: names}
+		teams[t.Name] = &resource.Team{KeysSHA256: []string{resource.HashAPIKey(t.Key)}, DefaultClass: names[0], Classes: names}
 	}
 	off := func(part string) bool { return slices.Contains(policy.Without, part) }
 	return dev.Start(ctx, dev.Options{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Engines: dep.Engines, Slots: dep.Slots,
@@ -89,7 +89,7 @@
 
 func checkClass(c *resource.Class) error {
 	if c.Tier == 0 && c.Preemptible {
-		return fault.New(fault.BadSettings, "the top tier is never preempted").InField("stream.preemptible")
+		return fault.New(fault.BadSettings, "the top tier is never preempted").WithField("stream.preemptible")
 	}
 	return nil
 }
--- a/internal/notice/board.go
+++ b/internal/notice/board.go
@@ -20,7 +20,7 @@
 
 // Board is what a gateway knows of notices, by the start of a server: what it heard in answers, and
 // what the others told. It is safe for concurrent use.
-type Board struct {
+type Registry struct {
 	limits *ratelimit.Limiter
 	notify func(Event)
 	count  atomic.Int32  // of servers: most days have none
@@ -61,20 +61,20 @@
 
 // NewBoard returns an empty board that keeps limits in force at a limiter. Notify is called with each
 // change; it does not call the board.
-func NewBoard(limits *ratelimit.Limiter, notify func(Event)) *Board {
-	return &Board{limits: limits, notify: notify, wake: make(chan struct{}, 1), servers: map[string]*state{}}
+func NewRegistry(limits *ratelimit.Limiter, notify func(Event)) *Registry {
+	return &Registry{limits: limits, notify: notify, wake: make(chan struct{}, 1), servers: map[string]*state{}}
 }
 
 // Limits returns the limiter.
-func (b *Board) Limits() *ratelimit.Limiter { return b.limits }
+func (b *Registry) Limits() *ratelimit.Limiter { return b.limits }
 
 // Empty reports whether nothing is known of any server.
-func (b *Board) Empty() bool { return b.count.Load() == 0 }
+func (b *Registry) Empty() bool { return b.count.Load() == 0 }
 
 // Heard takes in what the answer to a request says, which was sent at a time. Answers overtake each
 // other: one that says less than what was heard last counts only if its request was sent after that.
-func (b *Board) Heard(server string, said Said, sent, now time.Time) {
-	if said.Silent() && b.Empty() {
+func (b *Registry) RecordAnswer(server string, said Statement, sent, now time.Time) {
+	if said.Empty() && b.Empty() {
 		return
 	}
 	b.mu.Lock()
@@ -99,7 +99,7 @@
 }
 
 // state returns what is known of a server; nil for nothing, unless it is to be made.
-func (b *Board) state(server string, create bool, now time.Time) *state {
+func (b *Registry) state(server string, create bool, now time.Time) *state {
 	s := b.servers[server]
 	if s == nil && create && len(b.servers) < maxServers {
 		s = &state{listed: now}
@@ -109,7 +109,7 @@
 	return s
 }
 
-func (b *Board) setDraining(server string, s *state, at time.Time, from string, now time.Time) {
+func (b *Registry) setDraining(server string, s *state, at time.Time, from string, now time.Time) {
 	if s.draining {
 		return
 	}
@@ -119,7 +119,7 @@
 
 // rest keeps a time for which the server wants nothing from this gateway. It binds no other, so that
 // none is told.
-func (b *Board) rest(server string, s *state, until, now time.Time) {
+func (b *Registry) rest(server string, s *state, until, now time.Time) {
 	begins := !now.Before(s.restsUntil)
 	s.restsUntil, s.restedAt = until, now
 	if begins {
@@ -128,7 +128,7 @@
 }
 
 // RestsFor returns for how long a server wants nothing from this gateway, 0 if it takes requests.
-func (b *Board) RestsFor(server string, now time.Time) time.Duration {
+func (b *Registry) BackoffRemaining(server string, now time.Time) time.Duration {
 	if b.Empty() {
 		return 0
 	}
@@ -142,7 +142,7 @@
 }
 
 // Draining reports whether a server is known to leave.
-func (b *Board) Draining(server string) bool {
+func (b *Registry) Draining(server string) bool {
 	if b.Empty() {
 		return false
 	}
@@ -152,24 +152,24 @@
 	return s != nil && s.draining
 }
 
-func (b *Board) setLimit(server string, s *state, limit float64, stated time.Time, from string, now time.Time) {
+func (b *Registry) setLimit(server string, s *state, limit float64, stated time.Time, from string, now time.Time) {
 	changed := !s.limited || s.limit != limit
 	s.limited, s.limit, s.stated, s.from = true, limit, stated, from
 	if !changed {
 		return
 	}
-	b.limits.Set(server, limit, now)
+	b.limits.SetRate(server, limit, now)
 	b.changed(s, Event{Server: server, Kind: RateLimit, Limit: limit, From: from}, now)
 }
 
-func (b *Board) clearLimit(server string, s *state, at time.Time, from string, now time.Time) {
+func (b *Registry) clearLimit(server string, s *state, at time.Time, from string, now time.Time) {
 	s.limited, s.cleared, s.from = false, at, from
 	b.limits.Remove(server)
 	b.changed(s, Event{Server: server, Kind: RateLimit, Ended: true, From: from}, now)
 }
 
 // changed tells of a change: the others, where it was heard here.
-func (b *Board) changed(s *state, e Event, now time.Time) {
+func (b *Registry) changed(s *state, e Event, now time.Time) {
 	b.notify(e)
 	if e.From != "" {
 		return
@@ -182,17 +182,17 @@
 }
 
 // Standing is a notice that is in force, as decision lines show it.
-type Standing struct {
-	Server string        `json:"server"`
-	Kind   Kind          `json:"kind"`
-	Limit  *float64      `json:"limit,omitempty"` // requests a second, of a rate limit
-	Left   time.Duration `json:"left,omitempty"`  // of a backoff
-	Age    time.Duration `json:"age"`             // since it was said last, as far as is known
-	From   string        `json:"from,omitempty"`  // the gateway that told, empty where it was heard here
+type ActiveNotice struct {
+	Server    string        `json:"server"`
+	Kind      Kind          `json:"kind"`
+	Limit     *float64      `json:"limit,omitempty"` // requests a second, of a rate limit
+	Remaining time.Duration `json:"left,omitempty"`  // of a backoff
+	Age       time.Duration `json:"age"`             // since it was said last, as far as is known
+	From      string        `json:"from,omitempty"`  // the gateway that told, empty where it was heard here
 }
 
 // Standing returns what is known of a server.
-func (b *Board) Standing(server string, now time.Time) (out []Standing) {
+func (b *Registry) Active(server string, now time.Time) (out []ActiveNotice) {
 	if b.Empty() {
 		return nil
 	}
@@ -203,14 +203,14 @@
 		return nil
 	}
 	if s.draining {
-		out = append(out, Standing{Server: server, Kind: Draining, Age: now.Sub(s.leftAt), From: s.leftFrom})
+		out = append(out, ActiveNotice{Server: server, Kind: Draining, Age: now.Sub(s.leftAt), From: s.leftFrom})
 	}
 	if s.limited {
 		limit := s.limit
-		out = append(out, Standing{Server: server, Kind: RateLimit, Limit: &limit, Age: now.Sub(s.stated), From: s.from})
+		out = append(out, ActiveNotice{Server: server, Kind: RateLimit, Limit: &limit, Age: now.Sub(s.stated), From: s.from})
 	}
 	if left := s.restsUntil.Sub(now); left > 0 {
-		out = append(out, Standing{Server: server, Kind: Backoff, Left: left, Age: now.Sub(s.restedAt)})
+		out = append(out, ActiveNotice{Server: server, Kind: Backoff, Remaining: left, Age: now.Sub(s.restedAt)})
 	}
 	return out
 }
@@ -220,7 +220,7 @@
 
 // Sweep forgets servers that have not been listed for a while. Listed may hold locks under which this
 // board is called.
-func (b *Board) Sweep(listed func(server string) bool, now time.Time) {
+func (b *Registry) Sweep(listed func(server string) bool, now time.Time) {
 	if b.Empty() {
 		return
 	}
--- a/internal/notice/days_test.go
+++ b/internal/notice/days_test.go
@@ -383,7 +383,7 @@
 // and a half times it and five in any 4 s; those that leave or rest get nothing from gateways that they
 // have told; refusals are true, at once and tell when to come back; and where nothing is in the way, most
 // of what the limits allow is used.
-func TestWhatServersSayIsHeededOnAnyDay(t *testing.T) {
+func TestFleetsHeedNotices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDay(t)
 		if wrong := d.play(); wrong != "" {
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -19,7 +19,7 @@
 )
 
 // Said is what one answer says of its server.
-type Said struct {
+type Statement struct {
 	Draining bool `json:"draining,omitempty"`
 	// Limited is whether a rate limit is stated, Limit its requests a second.
 	Limited bool    `json:"limited,omitempty"`
@@ -31,12 +31,12 @@
 }
 
 // Silent reports whether the answer says nothing of its server.
-func (s Said) Silent() bool {
+func (s Statement) Empty() bool {
 	return !s.Draining && !s.Limited && s.Backoff == 0 && len(s.Unreadable) == 0
 }
 
 // Kinds returns the kinds of notices that the answer gives.
-func (s Said) Kinds() []Kind {
+func (s Statement) Kinds() []Kind {
 	var out []Kind
 	if s.Draining {
 		out = append(out, Draining)
@@ -51,7 +51,7 @@
 }
 
 // unreadable reports whether a notice was given that could not be read.
-func (s Said) unreadable(kind Kind) bool { return slices.Contains(s.Unreadable, kind) }
+func (s Statement) unreadable(kind Kind) bool { return slices.Contains(s.Unreadable, kind) }
 
 // MaxLimit bounds the rates that are taken for one, in requests a second: a backend server runs some
 // ten or hundred requests at once.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -54,7 +54,7 @@
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, fault.New(fault.LinkLost, "%s %s: %w", method, path, err).With(fault.Unknown)
+		return nil, fault.New(fault.LinkLost, "%s %s: %w", method, path, err).WithOutcome(fault.Unknown)
 	}
 	if resp.StatusCode < 300 {
 		return resp, nil
--- a/internal/peers/beats.go
+++ b/internal/peers/beats.go
@@ -9,7 +9,7 @@
 
 // NewsBeat is the pause between heartbeats of a gateway that reads the store for
 // the others. It repeats what a lost datagram did not bring.
-const NewsBeat = 400 * time.Millisecond
+const ReportInterval = 400 * time.Millisecond
 
 // liveLogEvery bounds the lines about the number of live gateways: when all start
 // at once it changes with each that is heard.
@@ -17,7 +17,7 @@
 
 // heard takes in a heartbeat.
 func (p *Peers) heard(b beat, from netip.AddrPort, now time.Time) {
-	if b.New {
+	if b.Starting {
 		defer p.welcome(b.Host, from, now)
 	}
 	p.mu.Lock()
@@ -26,7 +26,7 @@
 	if m := p.members.known[b.Host]; m != nil && b.Learnt != nil {
 		m.learnt = b.Learnt
 	}
-	for _, f := range b.Findings {
+	for _, f := range b.States {
 		p.findings.hear(f, from, now)
 	}
 }
@@ -38,7 +38,7 @@
 	every := p.members.beatEvery()
 	own := p.findings.own(now)
 	if len(own) > 0 {
-		every = NewsBeat
+		every = ReportInterval
 	}
 	due := now.Sub(p.lastBeat) >= every || p.findings.news
 	if due {
@@ -66,13 +66,13 @@
 	p.mu.Lock()
 	b := p.ownBeat(own)
 	p.mu.Unlock()
-	p.sendAll(message{Beat: b})
+	p.sendAll(message{Heartbeat: b})
 }
 
 // ownBeat is a heartbeat of this gateway.
 func (p *Peers) ownBeat(own []finding) *beat {
-	return &beat{Host: p.members.self.Host, Capacity: p.members.self.Capacity, Leaving: p.leaving, Findings: own, Learnt: p.learnt,
-		New: time.Since(p.start) < newFor}
+	return &beat{Host: p.members.self.Host, Capacity: p.members.self.Capacity, Leaving: p.leaving, States: own, Learnt: p.learnt,
+		Starting: time.Since(p.start) < newFor}
 }
 
 // sendAll sends a message to all known members.
@@ -89,7 +89,7 @@
 }
 
 // Leave tells the others that this gateway is about to end.
-func (p *Peers) Leave() {
+func (p *Peers) AnnounceLeave() {
 	p.mu.Lock()
 	p.leaving = true
 	p.local.SetGateways(0) // before the other gateways redistribute its share of the slack
--- a/internal/peers/learnt.go
+++ b/internal/peers/learnt.go
@@ -31,9 +31,9 @@
 // Run's goroutine.
 func (p *Peers) takeLearnt() {
 	var out []learnt
-	for _, l := range p.desk.Learnt() {
-		if l.Observed > 0 {
-			out = append(out, learnt{l.Service, us(l.Read), us(l.Pairs), us(l.Latency), us(l.Token), us(l.Pause), float32(l.Observed)})
+	for _, l := range p.desk.Stats() {
+		if l.Observations > 0 {
+			out = append(out, learnt{l.Service, us(l.PrefillPer1000Tokens), us(l.AttentionPerMillionPairs), us(l.FirstEventLatency), us(l.TokenTime), us(l.MaxEventGap), float32(l.Observations)})
 		}
 	}
 	slices.SortFunc(out, func(a, b learnt) int { return cmp.Compare(b.Observed, a.Observed) })
@@ -44,7 +44,7 @@
 
 // told returns what the others have told of a service's engines: the figures that rest on
 // most observations. A gateway that begins to decide starts with them.
-func (p *Peers) told(service string) (enginemodel.Figures, bool) {
+func (p *Peers) told(service string) (enginemodel.Estimates, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best learnt
@@ -55,6 +55,6 @@
 			}
 		}
 	}
-	return enginemodel.Figures{Read: fromUs(best.Read), Pairs: fromUs(best.Pairs), Latency: fromUs(best.Latency), Token: fromUs(best.Token),
-		Pause: fromUs(best.Pause), Observed: float64(best.Observed)}, best.Observed > 0
+	return enginemodel.Estimates{PrefillPer1000Tokens: fromUs(best.Read), AttentionPerMillionPairs: fromUs(best.Pairs), FirstEventLatency: fromUs(best.Latency), TokenTime: fromUs(best.Token),
+		MaxEventGap: fromUs(best.Pause), Observations: float64(best.Observed)}, best.Observed > 0
 }
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -32,11 +32,11 @@
 }
 
 // hearNotices takes in what another gateway tells, and answers with what this one knows better.
-func (p *Peers) hearNotices(told []notice.Told, from netip.AddrPort, now time.Time) {
+func (p *Peers) hearNotices(told []notice.Report, from netip.AddrPort, now time.Time) {
 	host := p.hostAt(from)
-	var better []notice.Told
+	var better []notice.Report
 	for _, t := range told {
-		if b := p.board.Told(t, host, now); b != nil {
+		if b := p.board.Receive(t, host, now); b != nil {
 			better = append(better, *b)
 		}
 	}
@@ -61,14 +61,14 @@
 // loan.
 func (p *Peers) lend(now time.Time) {
 	limits := p.board.Limits()
-	if p.board.Empty() || now.Sub(p.loans.lent) < limits.LoanEvery() {
+	if p.board.Empty() || now.Sub(p.loans.lent) < limits.RenewalInterval() {
 		return
 	}
 	p.loans.lent = now
 	p.mu.Lock()
 	limits.SetGateways(p.members.sharing(now))
 	p.mu.Unlock()
-	due := map[netip.AddrPort][]notice.Told{}
+	due := map[netip.AddrPort][]notice.Report{}
 	for group, servers := range p.local.Limited() {
 		p.mu.Lock()
 		home := p.members.home(group.Key(), now)
@@ -77,7 +77,7 @@
 			continue
 		}
 		for _, server := range servers {
-			told, known := p.board.Of(server, now)
+			told, known := p.board.Report(server, now)
 			if known && limits.Lend(server, home.Host, now) {
 				due[home.Address] = append(due[home.Address], told)
 			}
@@ -92,7 +92,7 @@
 
 // borrow takes in the shares that another gateway lends, with what it knows of the servers: the word
 // of a rate may have been lost here.
-func (p *Peers) borrow(told []notice.Told, from netip.AddrPort, now time.Time) {
+func (p *Peers) borrow(told []notice.Report, from netip.AddrPort, now time.Time) {
 	p.hearNotices(told, from, now)
 	if now.Before(p.loans.mistrust) {
 		return
@@ -126,7 +126,7 @@
 	}
 	if stalled && !p.board.Empty() {
 		telemetry.Count("merlinpost_rate_shares_returned_total")
-		p.board.Limits().Return(now)
+		p.board.Limits().DropBorrowed(now)
 		p.loans.mistrust = now.Add(stalledFor)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -29,20 +29,20 @@
 
 // message is one datagram. Exactly one field is set.
 type message struct {
-	Beat       *beat          `msgpack:"b,omitempty"`
-	Ask        *ask           `msgpack:"a,omitempty"`
-	Answer     *permit.Answer `msgpack:"v,omitempty"`
-	FirstToken *firstToken    `msgpack:"f,omitempty"`
-	End        *end           `msgpack:"e,omitempty"`
+	Heartbeat     *beat            `msgpack:"b,omitempty"`
+	PermitRequest *ask             `msgpack:"a,omitempty"`
+	PermitAnswer  *permit.Decision `msgpack:"v,omitempty"`
+	FirstToken    *firstToken      `msgpack:"f,omitempty"`
+	End           *end             `msgpack:"e,omitempty"`
 	// Requests is what the sender knows of requests that may end servers.
-	Requests []quarantine.Told `msgpack:"q,omitempty"`
+	Suspects []quarantine.Update `msgpack:"q,omitempty"`
 	// Notices is what the sender knows that servers say of themselves.
-	Notices []notice.Told `msgpack:"n,omitempty"`
+	Notices []notice.Report `msgpack:"n,omitempty"`
 	// Loans are the rates of which the sender lends its share to the receiver.
-	Loans []notice.Told `msgpack:"l,omitempty"`
+	Loans []notice.Report `msgpack:"l,omitempty"`
 	// RepeatAsk asks the receiver for a repeat from its retry budget; RepeatAnswer is the reply.
-	RepeatAsk    *repeatAsk    `msgpack:"r,omitempty"`
-	RepeatAnswer *repeatAnswer `msgpack:"p,omitempty"`
+	RepeatRequest  *repeatAsk    `msgpack:"r,omitempty"`
+	RepeatResponse *repeatAnswer `msgpack:"p,omitempty"`
 }
 
 // beat is a heartbeat with what its sender has confirmed at the store.
@@ -51,8 +51,8 @@
 	Capacity
 	Leaving bool `msgpack:"l,omitempty"`
 	// New is set by a gateway that has just started and asks for what the others know of requests.
-	New      bool      `msgpack:"n,omitempty"`
-	Findings []finding `msgpack:"f,omitempty"`
+	Starting bool      `msgpack:"n,omitempty"`
+	States   []finding `msgpack:"f,omitempty"`
 	// Learnt is what the sender has learnt of the engines for which it decides.
 	Learnt []learnt `msgpack:"e,omitempty"`
 }
@@ -74,17 +74,17 @@
 type end struct {
 	Group permit.Group `msgpack:"g"`
 	ID    string       `msgpack:"i"`
-	permit.Stream
+	permit.StreamStats
 }
 
 // Local is what the gateway of this process knows.
-type Local interface {
+type LocalGateway interface {
 	// Engines lists the members of a group.
 	Engines(permit.Group) []permit.Engine
 	// Quarantine is what it knows of requests that may end servers.
-	Quarantine() *quarantine.Ledger
+	Quarantine() *quarantine.Tracker
 	// Notices is what it knows that servers say of themselves.
-	Notices() *notice.Board
+	Notices() *notice.Registry
 	// Limited lists the servers that state a rate, by the group to which they belong.
 	Limited() map[permit.Group][]string
 	// SetGateways sets the number of gateways, including this one, that share the slack of the retry
@@ -110,20 +110,20 @@
 	self   netip.AddrPort
 	logger *slog.Logger
 	in     chan received
-	desk   *permit.Desk[netip.AddrPort] // of the goroutine in Run
-	local  Local
-	ledger *quarantine.Ledger
-	board  *notice.Board
+	desk   *permit.Scheduler[netip.AddrPort] // of the goroutine in Run
+	local  LocalGateway
+	ledger *quarantine.Tracker
+	board  *notice.Registry
 	loans  loans // of the goroutine in Run
 	start  time.Time
 
 	mu         sync.Mutex
 	members    *members
 	findings   findings
-	learnt     []learnt                      // here, as last told
-	waiting    map[string]chan permit.Answer // by ID of the request
-	repeatAsks map[uint64]chan bool          // without an answer so far, by ID
-	repeatID   uint64                        // of the newest repeatAsk
+	learnt     []learnt                        // here, as last told
+	waiting    map[string]chan permit.Decision // by ID of the request
+	repeatAsks map[uint64]chan bool            // without an answer so far, by ID
+	repeatID   uint64                          // of the newest repeatAsk
 	leaving    bool
 	lastBeat   time.Time
 	lastLive   int // as last logged, at liveLogged
@@ -131,7 +131,7 @@
 }
 
 // Open opens the socket of the gateway on host, which is local, at an IP address and port.
-func Open(host, address string, capacity Capacity, local Local, logger *slog.Logger) (*Peers, error) {
+func Open(host, address string, capacity Capacity, local LocalGateway, logger *slog.Logger) (*Peers, error) {
 	socket, err := datagram.Open[message](address, metric)
 	if err != nil {
 		return nil, err
@@ -140,19 +140,19 @@
 }
 
 // New joins the gateway on host to the others over conn, which it owns.
-func New(host string, conn datagram.PacketConn, capacity Capacity, local Local, logger *slog.Logger) *Peers {
+func New(host string, conn datagram.PacketConn, capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
 	return join(host, datagram.New[message](conn, metric), capacity, local, logger)
 }
 
 // metric begins the names of the counters of datagrams.
 const metric = "merlinpost_peer_datagrams"
 
-func join(host string, socket *datagram.Socket[message], capacity Capacity, local Local, logger *slog.Logger) *Peers {
+func join(host string, socket *datagram.Socket[message], capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
 	self := socket.Address()
 	now := time.Now()
 	p := &Peers{socket: socket, self: self, logger: logger, in: make(chan received, ring), local: local, ledger: local.Quarantine(), board: local.Notices(), start: now,
-		members: newMembers(Member{host, self, capacity}, now), waiting: map[string]chan permit.Answer{}, repeatAsks: map[uint64]chan bool{}}
-	p.desk = permit.NewDesk[netip.AddrPort](local.Engines, p.told, p.board.Limits(), permit.Policy{})
+		members: newMembers(Member{host, self, capacity}, now), waiting: map[string]chan permit.Decision{}, repeatAsks: map[uint64]chan bool{}}
+	p.desk = permit.NewScheduler[netip.AddrPort](local.Engines, p.told, p.board.Limits(), permit.Policy{})
 	return p
 }
 
@@ -179,11 +179,11 @@
 		case <-ctx.Done():
 			return
 		case came = <-p.in:
-		case <-p.ledger.Telling():
-		case <-p.board.Telling():
+		case <-p.ledger.UpdatesReady():
+		case <-p.board.Pending():
 		case <-timer.C:
 			next := idleTick
-			if p.desk.Waiting() > 0 {
+			if p.desk.QueuedCount() > 0 {
 				next = busyTick
 			}
 			timer.Reset(next)
@@ -191,8 +191,8 @@
 		now := time.Now()
 		p.noteStall(now)
 		p.take(came, now)
-		for _, due := range p.desk.Next(now) {
-			p.answer(due.Answer, due.To)
+		for _, due := range p.desk.Poll(now) {
+			p.answer(due.Decision, due.To)
 		}
 		p.updateSlackShare(now)
 		p.beatIfDue(now)
@@ -211,9 +211,9 @@
 
 // logLearnt writes what the decisions of this process rest on.
 func (p *Peers) logLearnt() {
-	for _, l := range p.desk.Learnt() {
-		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.Read, "pairs", l.Pairs, "latency", l.Latency, "token", l.Token,
-			"longest_pause", l.Pause, "observed", l.Observed, "waiting", l.Waiting, "engines", l.Engines, "reading", l.Reading, "running", l.Running)
+	for _, l := range p.desk.Stats() {
+		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.PrefillPer1000Tokens, "pairs", l.AttentionPerMillionPairs, "latency", l.FirstEventLatency, "token", l.TokenTime,
+			"longest_pause", l.MaxEventGap, "observed", l.Observations, "waiting", l.Queued, "engines", l.AvailableEngines, "reading", l.PrefillingEngines, "running", l.Running)
 	}
 }
 
@@ -238,41 +238,41 @@
 
 func (p *Peers) take(r received, now time.Time) {
 	switch {
-	case r.Beat != nil:
-		p.heard(*r.Beat, r.from, now)
-	case r.Ask != nil:
-		p.answer(p.desk.Ask(r.Ask.Group, r.Ask.Ask, r.from, now), r.from)
-	case r.Answer != nil:
-		p.settle(*r.Answer)
+	case r.Heartbeat != nil:
+		p.heard(*r.Heartbeat, r.from, now)
+	case r.PermitRequest != nil:
+		p.answer(p.desk.Submit(r.PermitRequest.Group, r.PermitRequest.Ask, r.from, now), r.from)
+	case r.PermitAnswer != nil:
+		p.settle(*r.PermitAnswer)
 	case r.FirstToken != nil:
-		p.desk.FirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
+		p.desk.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
 	case r.End != nil:
-		p.desk.End(r.End.Group, r.End.ID, r.End.Stream, now)
-	case r.Requests != nil:
-		p.ledger.Hear(r.Requests, r.from.String(), now)
+		p.desk.Finish(r.End.Group, r.End.ID, r.End.StreamStats, now)
+	case r.Suspects != nil:
+		p.ledger.Merge(r.Suspects, r.from.String(), now)
 	case r.Notices != nil:
 		p.hearNotices(r.Notices, r.from, now)
 	case r.Loans != nil:
 		p.borrow(r.Loans, r.from, now)
-	case r.RepeatAsk != nil:
-		p.lendRepeat(*r.RepeatAsk, r.from)
-	case r.RepeatAnswer != nil:
-		p.deliverRepeat(*r.RepeatAnswer)
+	case r.RepeatRequest != nil:
+		p.lendRepeat(*r.RepeatRequest, r.from)
+	case r.RepeatResponse != nil:
+		p.deliverRepeat(*r.RepeatResponse)
 	}
 }
 
 // answer sends an answer.
-func (p *Peers) answer(a permit.Answer, to netip.AddrPort) {
+func (p *Peers) answer(a permit.Decision, to netip.AddrPort) {
 	telemetry.Count("merlinpost_permit_answers_total", "verdict", a.Verdict.String())
 	if to == p.self {
 		p.settle(a)
 		return
 	}
-	p.send(message{Answer: &a}, to)
+	p.send(message{PermitAnswer: &a}, to)
 }
 
 // settle hands an answer to the request that waits for it.
-func (p *Peers) settle(a permit.Answer) {
+func (p *Peers) settle(a permit.Decision) {
 	p.mu.Lock()
 	ch := p.waiting[a.ID]
 	p.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -40,10 +40,10 @@
 // local is a gateway that knows one engine in each group.
 type local struct{}
 
-func (local) Quarantine() *quarantine.Ledger { return quarantine.New() }
+func (local) Quarantine() *quarantine.Tracker { return quarantine.New() }
 
-func (local) Notices() *notice.Board {
-	return notice.NewBoard(ratelimit.New(rand.Float64), func(notice.Event) {})
+func (local) Notices() *notice.Registry {
+	return notice.NewRegistry(ratelimit.New(rand.Float64), func(notice.Event) {})
 }
 
 func (local) Limited() map[permit.Group][]string { return nil }
@@ -52,12 +52,12 @@
 func (local) Stalled(time.Time, time.Time)       {}
 
 func (local) Engines(permit.Group) []permit.Engine {
-	return []permit.Engine{{ID: "engine", Open: true}}
+	return []permit.Engine{{ID: "engine", Accepting: true}}
 }
 
 var group = permit.Group{Service: "s"}
 
-func TestLiveGatewaysAreThoseHeardLately(t *testing.T) {
+func TestLiveGatewaysHaveRecentHeartbeats(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	m := newMembers(member("a", at(1)), now)
@@ -79,7 +79,7 @@
 
 // Gateways that see the same others agree on the home of each engine, and the
 // loss of one moves only its own engines.
-func TestGatewaysAgreeOnHomes(t *testing.T) {
+func TestGatewaysAgreeOnHome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "gateways")
 		now := time.Unix(0, 0)
@@ -114,7 +114,7 @@
 
 // Gateways on hosts with little processor do not decide for others, unless there are
 // no larger ones.
-func TestLargeHostsDecide(t *testing.T) {
+func TestOnlyLargeHostsAreHomes(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	m := newMembers(Member{"small", at(1), Capacity{Cores: 0.144}}, now)
@@ -134,7 +134,7 @@
 
 // Hosts with little processor or a slow link read the store for the others only where
 // there are no larger ones, in an order that all agree on.
-func TestLargeHostsReadForAll(t *testing.T) {
+func TestLargeHostsRankFirst(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	hosts := []Member{
@@ -176,26 +176,26 @@
 	g := NewWithT(t)
 	in := permit.Group{Service: "model-120b", Index: 3}
 	id := "9c41d07be2a35f68/0"
-	rated := notice.Told{Server: "i-7f3a91c2e4@1765000000000", Draining: true, LeftMs: 90000, Limited: true, Limit: 0.25, AgeMs: 90000}
+	rated := notice.Report{Server: "i-7f3a91c2e4@1765000000000", Draining: true, DrainingAgeMs: 90000, Limited: true, Limit: 0.25, LimitAgeMs: 90000}
 	figures := learnt{"model-120b", 25300, 647, 15234, 8123, 151234, 180}
 	for _, m := range []struct {
 		name  string
 		bytes int
 		message
 	}{
-		{"ask", 150, message{Ask: &ask{in, permit.Ask{ID: id, Rank: 7, Own: 6610, Part: "5c1e07a291bd", Shared: 5382, Output: 330,
-			Target: 2400 * time.Millisecond, Gap: 800 * time.Millisecond, Limit: 9 * time.Second, Deadline: 15 * time.Second,
+		{"ask", 150, message{PermitRequest: &ask{in, permit.Ask{ID: id, Priority: 7, UniqueTokens: 6610, PrefixID: "5c1e07a291bd", PrefixTokens: 5382, OutputTokens: 330,
+			FirstTokenTarget: 2400 * time.Millisecond, MaxEventGap: 800 * time.Millisecond, FirstTokenTimeout: 9 * time.Second, ResponseTimeout: 15 * time.Second,
 			FailureDomain: "barrage-hall"}}}},
-		{"answer", 80, message{Answer: &permit.Answer{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", Backlog: 120000}}},
+		{"answer", 80, message{PermitAnswer: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
 		{"first token", 60, message{FirstToken: &firstToken{Group: in, ID: id, Took: 180 * time.Millisecond}}},
-		{"end", 75, message{End: &end{in, id, permit.Stream{Events: 64, Took: 5 * time.Second, Longest: 150 * time.Millisecond}}}},
-		{"heartbeat", 45, message{Beat: &beat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
-		{"heartbeat with figures", 230, message{Beat: &beat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Learnt: []learnt{figures, figures, figures}}}},
-		{"suspect", 120, message{Requests: suspects(1, 1)}},
-		{"strong suspect", 240, message{Requests: suspects(1, 3)}},
-		{"notice", 80, message{Notices: []notice.Told{rated}}},
-		{"loan", 80, message{Loans: []notice.Told{rated}}},
-		{"a datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Told{rated}, noticesInDatagram)}},
+		{"end", 75, message{End: &end{in, id, permit.StreamStats{Events: 64, Duration: 5 * time.Second, LongestGap: 150 * time.Millisecond}}}},
+		{"heartbeat", 45, message{Heartbeat: &beat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
+		{"heartbeat with figures", 230, message{Heartbeat: &beat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Learnt: []learnt{figures, figures, figures}}}},
+		{"suspect", 120, message{Suspects: suspects(1, 1)}},
+		{"strong suspect", 240, message{Suspects: suspects(1, 3)}},
+		{"notice", 80, message{Notices: []notice.Report{rated}}},
+		{"loan", 80, message{Loans: []notice.Report{rated}}},
+		{"a datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Report{rated}, noticesInDatagram)}},
 	} {
 		data, err := msgpack.Marshal(m.message)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -205,24 +205,24 @@
 }
 
 // suspects are so many requests that each ended so many servers, as they are told.
-func suspects(requests, ends int) []quarantine.Told {
+func suspects(requests, ends int) []quarantine.Update {
 	l, now := quarantine.New(), time.Unix(1000, 0)
 	for i := range requests {
 		id := quarantine.Identify("team", "POST", "a.example", fmt.Sprint("/", i), nil)
 		for j := range ends {
 			at := now.Add(time.Duration(j) * time.Second)
-			l.Ended(id, quarantine.End{Server: fmt.Sprintf("i-7f3a91c2%02d@17650000%05d", j, i), Begun: at.Add(-time.Second), At: at}, at)
+			l.RecordCrash(id, quarantine.Crash{Server: fmt.Sprintf("i-7f3a91c2%02d@17650000%05d", j, i), SentAt: at.Add(-time.Second), At: at}, at)
 		}
 	}
-	return l.All(now.Add(time.Minute))
+	return l.Snapshot(now.Add(time.Minute))
 }
 
-func TestWhatIsToldOfRequestsFitsIntoDatagrams(t *testing.T) {
+func TestSuspectBatchesFitIntoDatagrams(t *testing.T) {
 	g := NewWithT(t)
 	told := 0
 	for _, ends := range []int{1, 3, 12} {
 		for _, batch := range batches(suspects(100, ends)) {
-			data, err := msgpack.Marshal(message{Requests: batch})
+			data, err := msgpack.Marshal(message{Suspects: batch})
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(len(data)).To(BeNumerically("<=", 1200))
 			told += len(batch)
@@ -231,7 +231,7 @@
 	g.Expect(told).To(Equal(300))
 }
 
-func TestAFindingOfOthersConfirmsOnlyTheSameState(t *testing.T) {
+func TestRemoteReportConfirmsOnlySameState(t *testing.T) {
 	g := NewWithT(t)
 	f, now := findings{}, time.Unix(100, 0)
 	f.find("t", 7, now, now)
@@ -251,7 +251,7 @@
 // A version is newer than another whenever it was read: one that was read long ago over a slow
 // link is heard of, and the fresh word of a gateway that is behind neither confirms anything nor
 // hides the newer one.
-func TestAHigherVersionIsNewerWheneverItWasRead(t *testing.T) {
+func TestHigherVersionIsNewerRegardlessOfReadTime(t *testing.T) {
 	g := NewWithT(t)
 	f, now := findings{}, time.Unix(100, 0)
 	f.topic("t").versioned = true
@@ -274,7 +274,7 @@
 }
 
 // A state that was fetched from another gateway is not told on to all.
-func TestWhatAnotherToldIsNoNews(t *testing.T) {
+func TestStateFromPeerIsNotReportedAgain(t *testing.T) {
 	g := NewWithT(t)
 	f, now := findings{}, time.Unix(100, 0)
 	f.topic("t").versioned = true
@@ -303,7 +303,7 @@
 		}
 	}
 	request := func(id string) permit.Ask {
-		return permit.Ask{ID: id, Own: 20000, Target: 2 * time.Second, Limit: 8 * time.Second}
+		return permit.Ask{ID: id, UniqueTokens: 20000, FirstTokenTarget: 2 * time.Second, FirstTokenTimeout: 8 * time.Second}
 	}
 
 	It("learn of each other, and of one that leaves", func() {
@@ -312,7 +312,7 @@
 		a.List([]Member{b.Self()}) // b learns of a from its heartbeat
 		Eventually(live(a)).Should(Equal(2))
 		Eventually(live(b)).Should(Equal(2))
-		b.Leave()
+		b.AnnounceLeave()
 		Eventually(live(a)).Should(Equal(1))
 	})
 
@@ -321,17 +321,17 @@
 		ctx := context.Background()
 		for i := range 300 {
 			r := request(fmt.Sprint("r", i))
-			r.Own = 1000 + 10*i
+			r.UniqueTokens = 1000 + 10*i
 			answer, leave := a.Ask(ctx, group, r)
 			Expect(answer.Verdict).To(Equal(permit.Granted))
-			leave.FirstToken(time.Duration(r.Own) * 100 * time.Microsecond) // 10 tokens a ms
-			leave.End(permit.Stream{})
+			leave.FirstToken(time.Duration(r.UniqueTokens) * 100 * time.Microsecond) // 10 tokens a ms
+			leave.End(permit.StreamStats{})
 		}
 		b, _ := open("b")
 		a.List([]Member{b.Self()})
 		told := func() time.Duration {
 			f, _ := b.told("s")
-			return f.Read
+			return f.PrefillPer1000Tokens
 		}
 		Eventually(told, 3*time.Second).Should(BeNumerically("~", 100*time.Millisecond, 20*time.Millisecond))
 		_, known := b.told("other")
@@ -347,7 +347,7 @@
 		ctx := context.Background()
 		first, leave := a.Ask(ctx, group, request("r1"))
 		Expect(first.Verdict).To(Equal(permit.Granted))
-		second := make(chan permit.Answer, 1)
+		second := make(chan permit.Decision, 1)
 		go func() {
 			answer, _ := b.Ask(ctx, group, request("r2"))
 			second <- answer
@@ -373,7 +373,7 @@
 		a, _ := open("a")
 		_, _ = a.Ask(context.Background(), group, request("r1"))
 		ctx, cancel := context.WithCancel(context.Background())
-		done := make(chan permit.Answer, 1)
+		done := make(chan permit.Decision, 1)
 		go func() {
 			answer, _ := a.Ask(ctx, group, request("r2"))
 			done <- answer
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -24,7 +24,7 @@
 )
 
 // Leave is a permit that was granted. The zero Leave was granted by nobody.
-type Leave struct {
+type Permit struct {
 	peers *Peers
 	home  netip.AddrPort
 	group permit.Group
@@ -33,24 +33,24 @@
 
 // FirstToken tells the home that the prompt has been read, and how long after it was sent
 // the first event came.
-func (l Leave) FirstToken(took time.Duration) {
+func (l Permit) FirstToken(took time.Duration) {
 	if l.peers != nil {
 		l.peers.send(message{FirstToken: &firstToken{Group: l.group, ID: l.id, Took: took}}, l.home)
 	}
 }
 
 // End tells the home that the request has ended, and what was seen of its answer.
-func (l Leave) End(s permit.Stream) {
+func (l Permit) End(s permit.StreamStats) {
 	if l.peers != nil {
-		l.peers.send(message{End: &end{Group: l.group, ID: l.id, Stream: s}}, l.home)
+		l.peers.send(message{End: &end{Group: l.group, ID: l.id, StreamStats: s}}, l.home)
 	}
 }
 
 // Ask asks the group's home for leave to send a request and waits while the ask is
 // queued. Where no home answers, the request may be sent: the answer is then Granted
 // without an engine and with a zero Leave. When ctx ends, the answer is Refused.
-func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Answer, Leave) {
-	ch := make(chan permit.Answer, 1)
+func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
+	ch := make(chan permit.Decision, 1)
 	p.mu.Lock()
 	p.waiting[a.ID] = ch
 	p.mu.Unlock()
@@ -67,15 +67,15 @@
 		answer, present := p.askHome(ctx, home, question{group, a, start}, ch)
 		if present {
 			if answer.Verdict != permit.Granted {
-				return answer, Leave{}
+				return answer, Permit{}
 			}
-			return answer, Leave{p, home, group, a.ID}
+			return answer, Permit{p, home, group, a.ID}
 		}
 		p.mu.Lock()
 		p.members.silent(home, time.Now())
 		p.mu.Unlock()
 	}
-	return permit.Answer{ID: a.ID, Verdict: permit.Granted}, Leave{}
+	return permit.Decision{ID: a.ID, Verdict: permit.Granted}, Permit{}
 }
 
 // question is an ask with the time at which its times left were true.
@@ -88,13 +88,13 @@
 // message is the question as it is to be sent now.
 func (q question) message() message {
 	a, elapsed := q.ask, time.Since(q.asked)
-	a.Target -= elapsed
-	a.Limit = max(a.Limit-elapsed, time.Millisecond)
-	return message{Ask: &ask{q.group, a}}
+	a.FirstTokenTarget -= elapsed
+	a.FirstTokenTimeout = max(a.FirstTokenTimeout-elapsed, time.Millisecond)
+	return message{PermitRequest: &ask{q.group, a}}
 }
 
 // askHome asks one home; false when it gives no answer.
-func (p *Peers) askHome(ctx context.Context, home netip.AddrPort, q question, ch <-chan permit.Answer) (permit.Answer, bool) {
+func (p *Peers) askHome(ctx context.Context, home netip.AddrPort, q question, ch <-chan permit.Decision) (permit.Decision, bool) {
 	p.send(q.message(), home)
 	silent := 0
 	timer := time.NewTimer(answerTimeout)
@@ -103,7 +103,7 @@
 		select {
 		case <-ctx.Done():
 			p.send(message{End: &end{Group: q.group, ID: q.ask.ID}}, home)
-			return permit.Answer{ID: q.ask.ID, Verdict: permit.Refused}, true
+			return permit.Decision{ID: q.ask.ID, Verdict: permit.Refused}, true
 		case answer := <-ch:
 			if answer.Verdict != permit.Queued {
 				return answer, true
@@ -112,7 +112,7 @@
 			timer.Reset(askAgain)
 		case <-timer.C:
 			if silent++; silent > maxSilence {
-				return permit.Answer{}, false
+				return permit.Decision{}, false
 			}
 			p.send(q.message(), home)
 			timer.Reset(answerTimeout)
--- a/internal/peers/repeats.go
+++ b/internal/peers/repeats.go
@@ -72,7 +72,7 @@
 		p.mu.Unlock()
 	}()
 	askedAt := time.Now()
-	p.send(message{RepeatAsk: &repeatAsk{id, service}}, lender)
+	p.send(message{RepeatRequest: &repeatAsk{id, service}}, lender)
 	timer := time.NewTimer(repeatTimeout)
 	defer timer.Stop()
 	select {
@@ -86,7 +86,7 @@
 
 // lendRepeat answers a repeatAsk from another gateway.
 func (p *Peers) lendRepeat(ask repeatAsk, from netip.AddrPort) {
-	p.send(message{RepeatAnswer: &repeatAnswer{ask.ID, p.local.LendRepeat(ask.Service)}}, from)
+	p.send(message{RepeatResponse: &repeatAnswer{ask.ID, p.local.LendRepeat(ask.Service)}}, from)
 }
 
 // deliverRepeat delivers an answer to the borrowRepeat call that waits for it.
--- a/internal/peers/requests.go
+++ b/internal/peers/requests.go
@@ -21,8 +21,8 @@
 
 // tellRequests tells the others what has changed in the standing of requests.
 func (p *Peers) tellRequests(now time.Time) {
-	for _, batch := range batches(p.ledger.Due(now)) {
-		p.sendAll(message{Requests: batch})
+	for _, batch := range batches(p.ledger.DueUpdates(now)) {
+		p.sendAll(message{Suspects: batch})
 	}
 }
 
@@ -32,7 +32,7 @@
 	p.mu.Lock()
 	if m := p.members.known[host]; m != nil && now.Sub(m.greeted) >= newFor {
 		m.greeted = now
-		defer p.send(message{Beat: p.ownBeat(nil)}, at)
+		defer p.send(message{Heartbeat: p.ownBeat(nil)}, at)
 	}
 	live := slices.DeleteFunc(p.members.live(now), func(h string) bool { return h == host })
 	place := slices.Index(rendezvous.Rank("requests/"+host, live), p.members.self.Host)
@@ -40,8 +40,8 @@
 	if place < 0 || place >= welcomers {
 		return
 	}
-	for _, batch := range batches(p.ledger.All(now)) {
-		p.send(message{Requests: batch}, at)
+	for _, batch := range batches(p.ledger.Snapshot(now)) {
+		p.send(message{Suspects: batch}, at)
 	}
 	for batch := range slices.Chunk(p.board.All(now), noticesInDatagram) {
 		p.send(message{Notices: batch}, at)
@@ -49,12 +49,12 @@
 }
 
 // batches parts what is told so that each part fits in a datagram.
-func batches(told []quarantine.Told) [][]quarantine.Told {
-	var out [][]quarantine.Told
+func batches(told []quarantine.Update) [][]quarantine.Update {
+	var out [][]quarantine.Update
 	size := 0
 	for _, t := range told {
 		if bytes := t.Size(); len(out) == 0 || size+bytes > toldBytes {
-			out, size = append(out, []quarantine.Told{t}), bytes
+			out, size = append(out, []quarantine.Update{t}), bytes
 		} else {
 			out[len(out)-1], size = append(out[len(out)-1], t), size+bytes
 		}
--- a/internal/peers/slack_test.go
+++ b/internal/peers/slack_test.go
@@ -118,7 +118,7 @@
 }
 
 // Guards against gateways that together use more than the slack of a service.
-func TestAllGatewaysTogetherUseNoMoreThanTheSlack(t *testing.T) {
+func TestGatewaysTogetherStayWithinSlack(t *testing.T) {
 	for size, seeds := range map[int]uint64{4: 100, 22: 30, 390: 1} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			most := 0.0
@@ -146,7 +146,7 @@
 }
 
 // Guards against permanently losing the share of a gateway that does not return.
-func TestTheSlackOfAGoneGatewayIsRedistributed(t *testing.T) {
+func TestSlackOfLostGatewayIsRedistributed(t *testing.T) {
 	f := &slackFleet{rnd: rand.New(rand.NewPCG(1, 1)), now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
 	for range 4 {
 		f.start(f.add())
--- a/internal/permit/ask.go
+++ b/internal/permit/ask.go
@@ -21,45 +21,45 @@
 	FailureDomain string
 	// Open engines may be given prompts. The others may still hold parts that can be
 	// fetched from them.
-	Open bool
+	Accepting bool
 	// Slots is the number of requests that it runs at once, 0 if not known.
 	Slots int
 	// Memory is the number of tokens that its running requests may take, 0 if not known.
-	Memory int
+	KVCacheTokens int
 	// EventTokens is the number of generated tokens in an event of its streams, 0 if not
 	// known.
-	EventTokens int
+	TokensPerEvent int
 }
 
 // Ask is a request that wants to be sent to an engine of a group.
 type Ask struct {
 	ID string `msgpack:"i"`
 	// Rank is the request's urgency at the engine, 0 first.
-	Rank int `msgpack:"r,omitempty"`
+	Priority int `msgpack:"r,omitempty"`
 	// Own are the prompt tokens that the request shares with no other.
-	Own int `msgpack:"o"`
+	UniqueTokens int `msgpack:"o"`
 	// Part is the ID of the part that it shares with others, and Shared the tokens up
 	// to its end.
-	Part   string `msgpack:"p,omitempty"`
-	Shared int    `msgpack:"s,omitempty"`
+	PrefixID     string `msgpack:"p,omitempty"`
+	PrefixTokens int    `msgpack:"s,omitempty"`
 	// Output is the number of tokens that are expected to be generated.
-	Output int `msgpack:"u,omitempty"`
+	OutputTokens int `msgpack:"u,omitempty"`
 	// Target is the time left in which a first token is on time.
-	Target time.Duration `msgpack:"t"`
+	FirstTokenTarget time.Duration `msgpack:"t"`
 	// Gap is the longest pause between events with which the answer is on time, 0 if any.
-	Gap time.Duration `msgpack:"g,omitempty"`
+	MaxEventGap time.Duration `msgpack:"g,omitempty"`
 	// Limit is the time left after which a first token is of no use.
-	Limit time.Duration `msgpack:"l"`
+	FirstTokenTimeout time.Duration `msgpack:"l"`
 	// Deadline is the time left for the whole answer.
-	Deadline time.Duration `msgpack:"d,omitempty"`
+	ResponseTimeout time.Duration `msgpack:"d,omitempty"`
 	// FailureDomain is where the asker stands.
 	FailureDomain string `msgpack:"z,omitempty"`
 	// Begun requests have a part of their answer: the engine that gave it is gone.
-	Begun bool `msgpack:"b,omitempty"`
+	Resumed bool `msgpack:"b,omitempty"`
 	// Plain requests have no prompt that an engine would read: their servers run them side by side.
 	Plain bool `msgpack:"n,omitempty"`
 	// Avoid are engines that failed the request or that its gateway can't reach.
-	Avoid []string `msgpack:"a,omitempty"`
+	ExcludedEngines []string `msgpack:"a,omitempty"`
 }
 
 // Verdict is what is said to an ask.
@@ -91,7 +91,7 @@
 }
 
 // Answer is the verdict on one ask.
-type Answer struct {
+type Decision struct {
 	ID      string  `msgpack:"i"`
 	Verdict Verdict `msgpack:"v"`
 	// Engine is where a granted request is to be sent; empty where nobody decided.
@@ -102,24 +102,24 @@
 	// ask that was refused the time after which it is worth asking again.
 	Wait time.Duration `msgpack:"w,omitempty"`
 	// Read is the expected time from the begin of its reading to the first event.
-	Read time.Duration `msgpack:"r,omitempty"`
+	ExpectedPrefill time.Duration `msgpack:"r,omitempty"`
 	// Backlog are the prompt tokens that were granted or queued and not read yet, in
 	// the whole group.
-	Backlog int `msgpack:"b,omitempty"`
+	BacklogTokens int `msgpack:"b,omitempty"`
 	// Limited is how many engines take nothing now by the rates that they state, or state one where all do.
-	Limited int `msgpack:"l,omitempty"`
+	RateLimitedEngines int `msgpack:"l,omitempty"`
 }
 
 // Stream is what a gateway saw of the answer to a granted request.
-type Stream struct {
+type StreamStats struct {
 	// Events is the number of events.
 	Events int `msgpack:"n,omitempty"`
 	// First is the time from its sending to the first event.
-	First time.Duration `msgpack:"-"`
+	TimeToFirstEvent time.Duration `msgpack:"-"`
 	// Took is the time from the first event to the last.
-	Took time.Duration `msgpack:"t,omitempty"`
+	Duration time.Duration `msgpack:"t,omitempty"`
 	// Longest is the longest pause between two events.
-	Longest time.Duration `msgpack:"l,omitempty"`
+	LongestGap time.Duration `msgpack:"l,omitempty"`
 	// Failed says that the engine is to blame for the end.
-	Failed bool `msgpack:"f,omitempty"`
+	EngineFailed bool `msgpack:"f,omitempty"`
 }
--- a/internal/permit/desk.go
+++ b/internal/permit/desk.go
@@ -17,12 +17,12 @@
 
 // Desk keeps the queues of the groups for which this process decides. From is the
 // type of an asker's address. It is not safe for concurrent use.
-type Desk[From any] struct {
+type Scheduler[From any] struct {
 	engines func(Group) []Engine
-	told    func(service string) (enginemodel.Figures, bool)
+	told    func(service string) (enginemodel.Estimates, bool)
 	limits  *ratelimit.Limiter
 	policy  Policy
-	models  map[string]*enginemodel.Service
+	models  map[string]*enginemodel.ServiceModel
 	queues  map[Group]*kept
 	askers  map[string]From // by ID of what waits
 }
@@ -34,21 +34,21 @@
 }
 
 // Due is an answer that has become due and who is waiting for it.
-type Due[From any] struct {
+type Notification[From any] struct {
 	To From
-	Answer
+	Decision
 }
 
 // NewDesk returns a desk without queues. Engines lists the members of a group; told
 // returns what others have learnt of a service's engines, if any have; limits are the rates that
 // engines state.
-func NewDesk[From any](engines func(Group) []Engine, told func(service string) (enginemodel.Figures, bool), limits *ratelimit.Limiter,
-	policy Policy) *Desk[From] {
-	return &Desk[From]{engines: engines, told: told, limits: limits, policy: policy, models: map[string]*enginemodel.Service{}, queues: map[Group]*kept{}, askers: map[string]From{}}
+func NewScheduler[From any](engines func(Group) []Engine, told func(service string) (enginemodel.Estimates, bool), limits *ratelimit.Limiter,
+	policy Policy) *Scheduler[From] {
+	return &Scheduler[From]{engines: engines, told: told, limits: limits, policy: policy, models: map[string]*enginemodel.ServiceModel{}, queues: map[Group]*kept{}, askers: map[string]From{}}
 }
 
 // Ask takes in an ask for an engine of a group.
-func (d *Desk[From]) Ask(group Group, a Ask, from From, now time.Time) Answer {
+func (d *Scheduler[From]) Submit(group Group, a Ask, from From, now time.Time) Decision {
 	k := d.queues[group]
 	if k == nil {
 		k = &kept{Queue: NewQueue(d.model(group.Service), d.limits, d.policy)}
@@ -56,7 +56,7 @@
 	}
 	k.used = now
 	d.list(group, k, now)
-	answer := k.Ask(a, now)
+	answer := k.Submit(a, now)
 	if answer.Verdict == Queued {
 		d.askers[a.ID] = from
 	}
@@ -64,13 +64,13 @@
 }
 
 // model returns what is learnt of a service's engines.
-func (d *Desk[From]) model(service string) *enginemodel.Service {
+func (d *Scheduler[From]) model(service string) *enginemodel.ServiceModel {
 	m := d.models[service]
 	if m == nil {
 		if f, ok := d.told(service); ok {
-			m = enginemodel.NewServiceFrom(f)
+			m = enginemodel.NewServiceModelFrom(f)
 		} else {
-			m = enginemodel.NewService()
+			m = enginemodel.NewServiceModel()
 		}
 		d.models[service] = m
 	}
@@ -78,30 +78,30 @@
 }
 
 // Learnt is what is known of the engines of a service.
-type Learnt struct {
+type ServiceStats struct {
 	Service string
-	enginemodel.Figures
+	enginemodel.Estimates
 	// Waiting are the asks that wait, Engines those that may be used, Reading those that
 	// read, and Running the granted requests.
-	Waiting, Engines, Reading, Running int
+	Queued, AvailableEngines, PrefillingEngines, Running int
 }
 
 // Learnt returns what is known of the engines of each service for which this process
 // decides.
-func (d *Desk[From]) Learnt() []Learnt {
-	var out []Learnt
+func (d *Scheduler[From]) Stats() []ServiceStats {
+	var out []ServiceStats
 	for service, m := range d.models {
-		l := Learnt{Service: service, Figures: m.Figures()}
+		l := ServiceStats{Service: service, Estimates: m.Estimates()}
 		for group, k := range d.queues {
 			if group.Service == service {
-				l.Waiting += len(k.waiting)
+				l.Queued += len(k.waiting)
 				l.Running += len(k.granted)
 				for _, e := range k.ordered {
-					if e.Open {
-						l.Engines++
+					if e.Accepting {
+						l.AvailableEngines++
 					}
 					if e.pending > 0 {
-						l.Reading++
+						l.PrefillingEngines++
 					}
 				}
 			}
@@ -111,7 +111,7 @@
 	return out
 }
 
-func (d *Desk[From]) list(group Group, k *kept, now time.Time) {
+func (d *Scheduler[From]) list(group Group, k *kept, now time.Time) {
 	if now.Sub(k.listed) >= enginesFor {
 		k.listed = now
 		k.SetEngines(d.engines(group))
@@ -119,32 +119,32 @@
 }
 
 // FirstToken tells that an engine has read a request's prompt, and in what time.
-func (d *Desk[From]) FirstToken(group Group, id string, took time.Duration, now time.Time) {
+func (d *Scheduler[From]) RecordFirstToken(group Group, id string, took time.Duration, now time.Time) {
 	if k := d.queues[group]; k != nil {
-		k.FirstToken(id, took, now)
+		k.RecordFirstToken(id, took, now)
 	}
 }
 
 // End tells that a request has ended or is no longer wanted, and what was seen of its
 // answer.
-func (d *Desk[From]) End(group Group, id string, s Stream, now time.Time) {
+func (d *Scheduler[From]) Finish(group Group, id string, s StreamStats, now time.Time) {
 	if k := d.queues[group]; k != nil {
-		k.End(id, s, now)
+		k.Finish(id, s, now)
 	}
 	delete(d.askers, id)
 }
 
 // Next returns the answers that have become due.
-func (d *Desk[From]) Next(now time.Time) []Due[From] {
-	var out []Due[From]
+func (d *Scheduler[From]) Poll(now time.Time) []Notification[From] {
+	var out []Notification[From]
 	for group, k := range d.queues {
 		if len(k.waiting) > 0 {
 			d.list(group, k, now)
 		}
-		for _, a := range k.Next(now) {
+		for _, a := range k.Poll(now) {
 			if to, ok := d.askers[a.ID]; ok {
 				delete(d.askers, a.ID)
-				out = append(out, Due[From]{to, a})
+				out = append(out, Notification[From]{to, a})
 			}
 		}
 		if k.Idle() && now.Sub(k.used) > forgetAfter {
@@ -155,4 +155,4 @@
 }
 
 // Waiting returns the number of asks that wait.
-func (d *Desk[From]) Waiting() int { return len(d.askers) }
+func (d *Scheduler[From]) QueuedCount() int { return len(d.askers) }
--- a/internal/permit/engine.go
+++ b/internal/permit/engine.go
@@ -36,7 +36,7 @@
 // engine is what is known of one engine of a group.
 type engine struct {
 	Engine
-	model    *enginemodel.Engine
+	model    *enginemodel.EngineModel
 	position float64 // in the order of preference for short prompts, 0 to 1
 	runs     map[string]*entry
 	used     int // tokens of memory that its runs may take
@@ -64,12 +64,12 @@
 	took time.Duration // as expected
 }
 
-func newEngine(e Engine, service *enginemodel.Service) *engine {
-	return &engine{Engine: e, model: service.NewEngine(), runs: map[string]*entry{}}
+func newEngine(e Engine, service *enginemodel.ServiceModel) *engine {
+	return &engine{Engine: e, model: service.NewEngineModel(), runs: map[string]*entry{}}
 }
 
 // usable reports whether the engine may get prompts now.
-func (e *engine) usable(now time.Time) bool { return e.Open && !now.Before(e.pause) }
+func (e *engine) usable(now time.Time) bool { return e.Accepting && !now.Before(e.pause) }
 
 // hasRoom reports whether the engine can take a request into its batch: what waits
 // inside an engine, or is put back there for want of memory, is out of our hands.
@@ -77,11 +77,11 @@
 	if e.Slots > 0 && len(e.runs) >= e.Slots {
 		return false
 	}
-	return e.Memory == 0 || len(e.runs) == 0 || e.used+a.tokens() <= int(ownMemory*float64(e.Memory))
+	return e.KVCacheTokens == 0 || len(e.runs) == 0 || e.used+a.tokens() <= int(ownMemory*float64(e.KVCacheTokens))
 }
 
 // tokens is the memory that a request takes at an engine beside the parts that it shares.
-func (a Ask) tokens() int { return a.Own + a.Output }
+func (a Ask) tokens() int { return a.UniqueTokens + a.OutputTokens }
 
 // wait is the time until the engine has read what was granted, as far as can be told:
 // of one that should have read it before, nobody knows when it will have.
@@ -152,12 +152,12 @@
 }
 
 // learn takes in what was seen of an answer.
-func (e *engine) learn(service *enginemodel.Service, en *entry, s Stream) {
-	if s.Events < leastEvents || e.EventTokens == 0 || en.firstAt.IsZero() {
+func (e *engine) learn(service *enginemodel.ServiceModel, en *entry, s StreamStats) {
+	if s.Events < leastEvents || e.TokensPerEvent == 0 || en.firstAt.IsZero() {
 		return
 	}
-	if beside := e.readFor - en.readBefore; float64(beside) < mostBeside*float64(s.Took) {
-		service.Generated((s.Events-1)*e.EventTokens, s.Took-beside)
+	if beside := e.readFor - en.readBefore; float64(beside) < mostBeside*float64(s.Duration) {
+		service.ObserveGeneration((s.Events-1)*e.TokensPerEvent, s.Duration-beside)
 	}
 	longest := time.Duration(0)
 	for _, r := range e.reads {
@@ -165,18 +165,18 @@
 			longest = max(longest, r.took)
 		}
 	}
-	service.Paused(s.Longest, longest)
+	service.ObserveGap(s.LongestGap, longest)
 }
 
 // slack is how much of the time that a stream has left it does not need itself.
-func (e *engine) slack(en *entry, service *enginemodel.Service, now time.Time) time.Duration {
-	if en.ask.Deadline == 0 {
+func (e *engine) slack(en *entry, service *enginemodel.ServiceModel, now time.Time) time.Duration {
+	if en.ask.ResponseTimeout == 0 {
 		return time.Hour
 	}
 	reading := e.readFor - en.readBefore
-	made := service.Made(now.Sub(en.firstAt)-reading, reading, e.EventTokens)
-	rest := max(float64(en.ask.Output)-made, outputSlack*float64(en.ask.Output))
-	return en.ask.Deadline - now.Sub(en.arrived) - time.Duration(rest*float64(service.TokenTime()))
+	made := service.TokensGenerated(now.Sub(en.firstAt)-reading, reading, e.TokensPerEvent)
+	rest := max(float64(en.ask.OutputTokens)-made, outputSlack*float64(en.ask.OutputTokens))
+	return en.ask.ResponseTimeout - now.Sub(en.arrived) - time.Duration(rest*float64(service.TokenTime()))
 }
 
 // answered and failed count what became of a request.
--- a/internal/permit/limits_test.go
+++ b/internal/permit/limits_test.go
@@ -10,14 +10,14 @@
 
 // plain is an ask without a prompt.
 func plain(id string, rank int) Ask {
-	return Ask{ID: id, Plain: true, Rank: rank, Target: 300 * time.Millisecond, Limit: 2 * time.Second, Deadline: 5 * time.Second}
+	return Ask{ID: id, Plain: true, Priority: rank, FirstTokenTarget: 300 * time.Millisecond, FirstTokenTimeout: 2 * time.Second, ResponseTimeout: 5 * time.Second}
 }
 
 // limitedQueue is a queue of so many engines, of which so many state a rate.
 func limitedQueue(engines, limited int, rate float64) (*Queue, time.Time) {
 	q, now := newQueue(engines)
 	for i := range limited {
-		q.limits.Set(fmt.Sprint("e", i), rate, now)
+		q.limits.SetRate(fmt.Sprint("e", i), rate, now)
 	}
 	return q, now
 }
@@ -30,12 +30,12 @@
 	end := now.Add(20 * time.Second)
 	for i := 0; now.Before(end); i++ {
 		a := sharing(fmt.Sprint(i), "part", 100)
-		if answer := q.Ask(a, now); answer.Verdict == Granted {
+		if answer := q.Submit(a, now); answer.Verdict == Granted {
 			granted[answer.Engine]++
 		}
-		q.FirstToken(a.ID, 5*time.Millisecond, now)
-		q.End(a.ID, Stream{}, now)
-		q.Next(now)
+		q.RecordFirstToken(a.ID, 5*time.Millisecond, now)
+		q.Finish(a.ID, StreamStats{}, now)
+		q.Poll(now)
 		now = now.Add(20 * time.Millisecond)
 	}
 	g.Expect(granted["e0"]).To(BeNumerically("<=", 21))
@@ -48,13 +48,13 @@
 	q, now := limitedQueue(3, 1, 0)
 	granted := map[string]int{}
 	for i := range 40 {
-		answer := q.Ask(plain(fmt.Sprint(i), 0), now)
+		answer := q.Submit(plain(fmt.Sprint(i), 0), now)
 		g.Expect(answer.Verdict).To(Equal(Granted))
 		granted[answer.Engine]++
 	}
 	g.Expect(granted["e1"]).To(BeNumerically("~", granted["e2"], 1))
 	for i := range 40 {
-		q.End(fmt.Sprint(i), Stream{}, now)
+		q.Finish(fmt.Sprint(i), StreamStats{}, now)
 	}
 	g.Expect(q.Idle()).To(BeTrue())
 }
@@ -64,13 +64,13 @@
 	g := NewWithT(t)
 	q, now := limitedQueue(2, 0, 0)
 	for i := range 20 {
-		answer := q.Ask(plain(fmt.Sprint(i), 0), now)
-		q.End(fmt.Sprint(i), Stream{Failed: answer.Engine == "e0"}, now)
+		answer := q.Submit(plain(fmt.Sprint(i), 0), now)
+		q.Finish(fmt.Sprint(i), StreamStats{EngineFailed: answer.Engine == "e0"}, now)
 	}
 	g.Expect(q.engines["e0"].usable(now)).To(BeTrue())
 	granted := map[string]int{}
 	for i := range 10 {
-		granted[q.Ask(plain(fmt.Sprint("more-", i), 0), now).Engine]++
+		granted[q.Submit(plain(fmt.Sprint("more-", i), 0), now).Engine]++
 	}
 	g.Expect(granted["e1"]).To(Equal(10))
 }
@@ -85,15 +85,15 @@
 			q, now := limitedQueue(3, 3, 4) // 12 a second
 			sent, refused := map[int]int{}, map[int]int{}
 			rank, arrived := map[string]int{}, map[string]time.Time{}
-			take := func(a Answer) {
+			take := func(a Decision) {
 				switch a.Verdict {
 				case Granted:
 					sent[rank[a.ID]]++
-					q.FirstToken(a.ID, 10*time.Millisecond, now)
-					q.End(a.ID, Stream{}, now)
+					q.RecordFirstToken(a.ID, 10*time.Millisecond, now)
+					q.Finish(a.ID, StreamStats{}, now)
 				case Refused:
 					refused[rank[a.ID]]++
-					g.Expect(a.Limited).To(BeNumerically(">", 0))
+					g.Expect(a.RateLimitedEngines).To(BeNumerically(">", 0))
 					g.Expect(a.Wait).To(BeNumerically(">=", shortestReturn))
 					g.Expect(now.Sub(arrived[a.ID])).To(BeNumerically("<", 2*time.Second))
 				default:
@@ -103,14 +103,14 @@
 			for i := range 500 { // 8 urgent and 17 others a second
 				a := plain(fmt.Sprint(i), 6)
 				if kind == "prompt" {
-					a.Plain, a.Own = false, 300
+					a.Plain, a.UniqueTokens = false, 300
 				}
 				if i%25 < 8 {
-					a.Rank = 0
+					a.Priority = 0
 				}
-				rank[a.ID], arrived[a.ID] = a.Rank, now
-				take(q.Ask(a, now))
-				for _, answer := range q.Next(now) {
+				rank[a.ID], arrived[a.ID] = a.Priority, now
+				take(q.Submit(a, now))
+				for _, answer := range q.Poll(now) {
 					take(answer)
 				}
 				now = now.Add(40 * time.Millisecond)
@@ -128,9 +128,9 @@
 func TestAGrantedRequestEndsWithItsDeadline(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(plain("a", 0), now)
+	q.Submit(plain("a", 0), now)
 	now = now.Add(5*time.Second + forgetAfterDeadline + time.Millisecond)
-	q.Next(now)
+	q.Poll(now)
 	g.Expect(q.Idle()).To(BeTrue())
 }
 
@@ -138,14 +138,14 @@
 func TestWhatWaitsIsToldAtOnceWhenAllEnginesLeave(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("running", huge), now)
-	g.Expect(q.Ask(long("waiting", huge), now).Verdict).To(Equal(Queued))
+	q.Submit(long("running", huge), now)
+	g.Expect(q.Submit(long("waiting", huge), now).Verdict).To(Equal(Queued))
 	leaving := names(1)
-	leaving[0].Open = false
+	leaving[0].Accepting = false
 	q.SetEngines(leaving)
 	now = now.Add(lookEvery)
-	due := q.Next(now)
+	due := q.Poll(now)
 	g.Expect(due).To(HaveLen(1))
 	g.Expect(due[0].Verdict).To(Equal(NoEngine))
-	g.Expect(q.Ask(long("later", huge), now).Verdict).To(Equal(NoEngine))
+	g.Expect(q.Submit(long("later", huge), now).Verdict).To(Equal(NoEngine))
 }
--- a/internal/permit/place.go
+++ b/internal/permit/place.go
@@ -70,13 +70,13 @@
 
 // locate finds the shared part of an ask.
 func (q *Queue) locate(a Ask, now time.Time) location {
-	if a.Part == "" {
+	if a.PrefixID == "" {
 		return location{holds: func(string) bool { return true }}
 	}
-	at := location{holds: func(id string) bool { return q.prefixes.holds(a.Part, id, now) }}
-	at.source = q.prefixes.source(a.Part, func(id string) bool { return q.engines[id] != nil }, now)
+	at := location{holds: func(id string) bool { return q.prefixes.holds(a.PrefixID, id, now) }}
+	at.source = q.prefixes.source(a.PrefixID, func(id string) bool { return q.engines[id] != nil }, now)
 	if at.source == "" {
-		at.home = q.home(a.Part)
+		at.home = q.home(a.PrefixID)
 	}
 	return at
 }
@@ -84,29 +84,29 @@
 // prompt works out what the engine of a site has to read of a prompt, and returns what it
 // counts beyond that time that the shared part is not there.
 func (q *Queue) prompt(s *site, a Ask, at location, now time.Time) (extra time.Duration) {
-	s.unread = a.Own
+	s.unread = a.UniqueTokens
 	id := s.engine.ID
 	if !at.holds(id) {
-		again := s.engine.model.ReadTime(a.Own+a.Shared, 0, now) - s.engine.model.ReadTime(a.Own, a.Shared, now)
+		again := s.engine.model.PrefillTime(a.UniqueTokens+a.PrefixTokens, 0, now) - s.engine.model.PrefillTime(a.UniqueTokens, a.PrefixTokens, now)
 		known := at.source != "" && !q.policy.NoFetch
-		worthFetching := a.Shared >= minFetch && !q.policy.NoFetch
+		worthFetching := a.PrefixTokens >= minFetch && !q.policy.NoFetch
 		switch {
 		case known && worthFetching:
 			s.fetchFrom = at.source
 			extra = time.Duration(fetchCost * float64(again))
 		case id == at.home:
-			s.unread += a.Shared
+			s.unread += a.PrefixTokens
 		case worthFetching:
 			s.fetchFrom = at.home // it may be there
-			s.unread += a.Shared
+			s.unread += a.PrefixTokens
 			extra = time.Duration(fetchCost * float64(again))
 		default:
-			s.unread += a.Shared
+			s.unread += a.PrefixTokens
 			extra = time.Duration(againCost * float64(again))
 		}
 	}
-	s.after = a.Own + a.Shared - s.unread
-	s.reading = s.engine.model.ReadTime(s.unread, s.after, now)
+	s.after = a.UniqueTokens + a.PrefixTokens - s.unread
+	s.reading = s.engine.model.PrefillTime(s.unread, s.after, now)
 	return extra
 }
 
@@ -114,10 +114,10 @@
 func (q *Queue) place(e *entry, now time.Time) bool {
 	due, allowed := q.mayHarm(e, now)
 	for _, s := range q.sites(e.ask, now) {
-		if !q.policy.NoHarm && q.harmed(s, e.ask, due, now) > allowed {
+		if !q.policy.IgnoreInterference && q.harmed(s, e.ask, due, now) > allowed {
 			continue
 		}
-		if !q.limits.Take(s.engine.ID, now) {
+		if !q.limits.Allow(s.engine.ID, now) {
 			continue
 		}
 		q.grant(e, s, now)
@@ -144,7 +144,7 @@
 	beside := time.Duration(besidePart * float64(q.tightest(now)))
 	out := q.scratch[:0]
 	for _, en := range q.ordered {
-		if !en.usable(now) || !en.hasRoom(a) || slices.Contains(a.Avoid, en.ID) {
+		if !en.usable(now) || !en.hasRoom(a) || slices.Contains(a.ExcludedEngines, en.ID) {
 			continue
 		}
 		budget := q.limits.Budget(en.ID, now)
@@ -160,13 +160,13 @@
 		} else {
 			s.cost += q.prompt(&s, a, at, now)
 		}
-		if en.pending > 0 && s.wait > lead && s.wait+s.reading > beside && !q.policy.Together {
+		if en.pending > 0 && s.wait > lead && s.wait+s.reading > beside && !q.policy.ConcurrentPrefills {
 			continue
 		}
 		if a.FailureDomain != "" && a.FailureDomain != en.FailureDomain {
 			s.cost += remoteCost
 		}
-		s.cost += s.wait + s.reading + time.Duration(en.errors.Share(now)*float64(errorCost))
+		s.cost += s.wait + s.reading + time.Duration(en.errors.Rate(now)*float64(errorCost))
 		if !a.Plain {
 			s.cost += q.crowding(s, beside)
 		}
@@ -183,7 +183,7 @@
 	weight := min(float64(s.reading)/float64(beside), 1)
 	streams := float64(len(s.engine.runs) - s.engine.pending)
 	out := weight * crowdWeight * streams * float64(s.reading)
-	if !q.policy.NoOrder {
+	if !q.policy.NoEnginePreference {
 		out += float64(orderCost) * (1 - weight) * s.engine.position
 	}
 	if slots := s.engine.Slots; slots > 0 {
@@ -197,14 +197,14 @@
 // and how many streams that are more urgent than itself it may harm then: more the nearer
 // it is to being refused.
 func (q *Queue) mayHarm(e *entry, now time.Time) (due bool, allowed int) {
-	waited, bound := float64(now.Sub(e.arrived)), e.ask.Limit
-	if e.ask.Target > 0 {
-		bound = min(bound, e.ask.Target)
+	waited, bound := float64(now.Sub(e.arrived)), e.ask.FirstTokenTimeout
+	if e.ask.FirstTokenTarget > 0 {
+		bound = min(bound, e.ask.FirstTokenTarget)
 	}
 	if waited < dueShare*float64(bound) {
 		return false, 0
 	}
-	return true, dueHarm + int(limitHarm*min(waited/float64(max(e.ask.Limit, 1)), 1))
+	return true, dueHarm + int(limitHarm*min(waited/float64(max(e.ask.FirstTokenTimeout, 1)), 1))
 }
 
 // harmed counts the streams of an engine that would pause for too long, or not end in
@@ -212,15 +212,15 @@
 // count.
 func (q *Queue) harmed(s site, a Ask, due bool, now time.Time) int {
 	reading := s.engine.readJust(q.event(s.engine), now) + s.reading
-	pause := q.model.Pause(reading, s.engine.EventTokens)
+	pause := q.model.EventGap(reading, s.engine.TokensPerEvent)
 	n := 0
 	for _, run := range s.engine.runs {
-		if !run.read || due && run.ask.Rank >= a.Rank {
+		if !run.read || due && run.ask.Priority >= a.Priority {
 			continue
 		}
-		tooLong := run.ask.Gap > 0 && pause > run.ask.Gap
+		tooLong := run.ask.MaxEventGap > 0 && pause > run.ask.MaxEventGap
 		slack := s.engine.slack(run, q.model, now)
-		if tooLong || slack > 0 && slack < s.reading && !q.policy.NoPacing {
+		if tooLong || slack > 0 && slack < s.reading && !q.policy.IgnoreResponseTimeouts {
 			n++
 		}
 	}
@@ -230,7 +230,7 @@
 // event is the time in which the streams of an engine give an event each while it reads
 // nothing.
 func (q *Queue) event(e *engine) time.Duration {
-	return time.Duration(max(e.EventTokens, 1)) * q.model.TokenTime()
+	return time.Duration(max(e.TokensPerEvent, 1)) * q.model.TokenTime()
 }
 
 const tightestFor = 10 * time.Second
--- a/internal/permit/policy.go
+++ b/internal/permit/policy.go
@@ -4,19 +4,19 @@
 // value is the product's policy.
 type Policy struct {
 	// NoHarm: prompts are placed whatever they do to the streams beside them.
-	NoHarm bool
+	IgnoreInterference bool
 	// NoPacing: the time that streams need to end is left out of that.
-	NoPacing bool
+	IgnoreResponseTimeouts bool
 	// NoOrder: no engine is preferred for short or for long prompts.
-	NoOrder bool
+	NoEnginePreference bool
 	// Together: engines are given further prompts while they read.
-	Together bool
+	ConcurrentPrefills bool
 	// NoLearning: the start values stand for all engines.
 	NoLearning bool
 	// NoFetch: shared parts are read where they lack.
 	NoFetch bool
 	// ByArrival: what can still be on time does not go before what can't.
-	ByArrival bool
+	IgnoreLateness bool
 	// Patient: nothing is refused before its limit.
-	Patient bool
+	NoEarlyRefusal bool
 }
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -68,7 +68,7 @@
 // Queue decides for one group of engines. It is not safe for concurrent use.
 type Queue struct {
 	policy   Policy
-	model    *enginemodel.Service
+	model    *enginemodel.ServiceModel
 	limits   *ratelimit.Limiter
 	engines  map[string]*engine
 	ordered  []*engine // in order of ID
@@ -87,7 +87,7 @@
 }
 
 // NewQueue returns an empty queue without engines.
-func NewQueue(model *enginemodel.Service, limits *ratelimit.Limiter, policy Policy) *Queue {
+func NewQueue(model *enginemodel.ServiceModel, limits *ratelimit.Limiter, policy Policy) *Queue {
 	return &Queue{policy: policy, model: model, limits: limits, engines: map[string]*engine{}, prefixes: newPrefixes(), asked: map[string]*entry{}, granted: map[string]*entry{}}
 }
 
@@ -111,7 +111,7 @@
 	}
 	q.ordered = slices.DeleteFunc(q.ordered, func(e *engine) bool {
 		if !listed[e.ID] {
-			e.Open = false
+			e.Accepting = false
 			delete(q.engines, e.ID)
 		}
 		return !listed[e.ID]
@@ -134,23 +134,23 @@
 }
 
 // Ask takes in an ask; asking again with the same ID repeats the answer.
-func (q *Queue) Ask(a Ask, now time.Time) Answer {
+func (q *Queue) Submit(a Ask, now time.Time) Decision {
 	if e := q.granted[a.ID]; e != nil {
 		return q.grantAnswer(e, now)
 	}
 	if e := q.asked[a.ID]; e != nil {
 		e.heard = now
-		return Answer{ID: a.ID, Verdict: Queued}
+		return Decision{ID: a.ID, Verdict: Queued}
 	}
 	q.numbers++
 	e := &entry{ask: a, arrived: now, heard: now, number: q.numbers}
 	if len(q.ordered) == 0 {
 		// This gateway has not read the list of engines yet, or reads an older one. The
 		// asker has one to go by.
-		return Answer{ID: a.ID, Verdict: Granted}
+		return Decision{ID: a.ID, Verdict: Granted}
 	}
-	q.noteGap(a.Gap, now)
-	q.load.add(a.Rank, q.work(a), now)
+	q.noteGap(a.MaxEventGap, now)
+	q.load.add(a.Priority, q.work(a), now)
 	if !q.anyUsable(a, now) {
 		return q.answer(a.ID, NoEngine, shortestReturn, now)
 	}
@@ -169,22 +169,22 @@
 
 // FirstToken tells that the engine has read the request's prompt, in the time that its
 // gateway saw.
-func (q *Queue) FirstToken(id string, took time.Duration, now time.Time) {
+func (q *Queue) RecordFirstToken(id string, took time.Duration, now time.Time) {
 	e := q.granted[id]
 	if e == nil || e.read {
 		return
 	}
 	if e.alone && !q.policy.NoLearning {
-		e.engine.model.Observe(e.unread, e.after, took, now)
+		e.engine.model.ObservePrefill(e.unread, e.after, took, now)
 	}
 	q.read++
 	e.engine.answered(now)
-	q.prefixes.use(e.ask.Part, e.engine.ID, now)
+	q.prefixes.use(e.ask.PrefixID, e.engine.ID, now)
 	e.engine.settle(e, now)
 }
 
 // End tells that the request has ended or is no longer wanted, and what its gateway saw.
-func (q *Queue) End(id string, s Stream, now time.Time) {
+func (q *Queue) Finish(id string, s StreamStats, now time.Time) {
 	if e := q.granted[id]; e != nil {
 		if e.read && !q.policy.NoLearning {
 			e.engine.learn(q.model, e, s)
@@ -192,8 +192,8 @@
 		e.engine.end(e, now)
 		switch {
 		case e.ask.Plain: // servers that can't be reached are named by who asks
-			e.engine.errors.Add(now, s.Failed)
-		case s.Failed:
+			e.engine.errors.Add(now, s.EngineFailed)
+		case s.EngineFailed:
 			e.engine.failed(now)
 		}
 		delete(q.granted, id)
@@ -211,7 +211,7 @@
 
 // Next returns what has become due: grants, and refusals of asks that can't be
 // served in time any more.
-func (q *Queue) Next(now time.Time) []Answer {
+func (q *Queue) Poll(now time.Time) []Decision {
 	lookThrough := now.Sub(q.looked) >= lookEvery
 	if lookThrough {
 		q.looked = now
@@ -223,7 +223,7 @@
 		return nil
 	}
 	slices.SortFunc(q.waiting, func(a, b *entry) int { return q.order(a, b, now) })
-	var out []Answer
+	var out []Decision
 	if lookThrough {
 		out = q.refuseHopeless(now)
 	}
@@ -262,7 +262,7 @@
 			e.engine.settle(e, now)
 			e.engine.failed(now)
 		}
-		if now.Sub(e.granted) > forgetGranted || e.ask.Deadline > 0 && now.Sub(e.arrived) > e.ask.Deadline+forgetAfterDeadline {
+		if now.Sub(e.granted) > forgetGranted || e.ask.ResponseTimeout > 0 && now.Sub(e.arrived) > e.ask.ResponseTimeout+forgetAfterDeadline {
 			e.engine.end(e, now)
 			delete(q.granted, id)
 		}
@@ -293,17 +293,17 @@
 // over.
 func (q *Queue) anyUsable(a Ask, now time.Time) bool {
 	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
-		return e.Open && e.pause.Sub(now) <= a.Limit && !slices.Contains(a.Avoid, e.ID)
+		return e.Accepting && e.pause.Sub(now) <= a.FirstTokenTimeout && !slices.Contains(a.ExcludedEngines, e.ID)
 	})
 }
 
-func (q *Queue) grantAnswer(e *entry, now time.Time) Answer {
+func (q *Queue) grantAnswer(e *entry, now time.Time) Decision {
 	a := q.answer(e.ask.ID, Granted, 0, now)
-	a.Engine, a.FetchFrom, a.Read = e.engine.ID, e.fetch, e.reading
+	a.Engine, a.FetchFrom, a.ExpectedPrefill = e.engine.ID, e.fetch, e.reading
 	return a
 }
 
-func (q *Queue) answer(id string, v Verdict, wait time.Duration, now time.Time) Answer {
+func (q *Queue) answer(id string, v Verdict, wait time.Duration, now time.Time) Decision {
 	backlog, limited, all := 0, 0, q.allLimited(now)
 	for _, en := range q.ordered {
 		backlog += en.unread
@@ -312,7 +312,7 @@
 		}
 	}
 	for _, e := range q.waiting {
-		backlog += e.ask.Own
+		backlog += e.ask.UniqueTokens
 	}
-	return Answer{ID: id, Verdict: v, Wait: wait, Backlog: backlog, Limited: limited}
+	return Decision{ID: id, Verdict: v, Wait: wait, BacklogTokens: backlog, RateLimitedEngines: limited}
 }
--- a/internal/permit/queue_test.go
+++ b/internal/permit/queue_test.go
@@ -14,13 +14,13 @@
 )
 
 func long(id string, own int) Ask {
-	return Ask{ID: id, Rank: 6, Own: own, Target: 2500 * time.Millisecond, Limit: 10 * time.Second}
+	return Ask{ID: id, Priority: 6, UniqueTokens: own, FirstTokenTarget: 2500 * time.Millisecond, FirstTokenTimeout: 10 * time.Second}
 }
 
 // sharing is an ask for a prompt with a shared part of 5,000 tokens.
 func sharing(id, part string, own int) Ask {
 	a := long(id, own)
-	a.Part, a.Shared = part, 5000
+	a.PrefixID, a.PrefixTokens = part, 5000
 	return a
 }
 
@@ -28,15 +28,15 @@
 func names(n int) []Engine {
 	out := make([]Engine, n)
 	for i := range out {
-		out[i] = Engine{ID: fmt.Sprint("e", i), Open: true, EventTokens: 4}
+		out[i] = Engine{ID: fmt.Sprint("e", i), Accepting: true, TokensPerEvent: 4}
 	}
 	return out
 }
 
 func newQueue(engines int) (*Queue, time.Time) {
-	f := enginemodel.NewService().Figures()
-	f.Observed = 100 // another gateway has found that the start values are right
-	q := NewQueue(enginemodel.NewServiceFrom(f), ratelimit.New(rand.Float64), Policy{})
+	f := enginemodel.NewServiceModel().Estimates()
+	f.Observations = 100 // another gateway has found that the start values are right
+	q := NewQueue(enginemodel.NewServiceModelFrom(f), ratelimit.New(rand.Float64), Policy{})
 	q.SetEngines(names(engines))
 	return q, time.Unix(100, 0)
 }
@@ -46,12 +46,12 @@
 // took 85,000 tokens for ten times as long as its engines needed.
 func TestNobodyIsRefusedByStartValues(t *testing.T) {
 	g := NewWithT(t)
-	q := NewQueue(enginemodel.NewService(), ratelimit.New(rand.Float64), Policy{})
+	q := NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{})
 	q.SetEngines(names(1))
 	now := time.Unix(100, 0)
 	refused := func(name string, asks int) (n int) {
 		for i := range asks {
-			if q.Ask(long(fmt.Sprint(name, i), 10000), now).Verdict == Refused {
+			if q.Submit(long(fmt.Sprint(name, i), 10000), now).Verdict == Refused {
 				n++
 			}
 		}
@@ -60,15 +60,15 @@
 	g.Expect(refused("early-", 100)).To(BeZero())
 
 	now = now.Add(10 * time.Second) // nor later, while little was read
-	q = NewQueue(enginemodel.NewService(), ratelimit.New(rand.Float64), Policy{NoLearning: true})
+	q = NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{NoLearning: true})
 	q.SetEngines(names(1))
 	for i := range manyRead {
 		g.Expect(refused(fmt.Sprint("few-", i, "-"), 1)).To(BeZero())
 		for id := range q.granted {
-			q.FirstToken(id, time.Millisecond, now)
-			q.End(id, Stream{}, now)
+			q.RecordFirstToken(id, time.Millisecond, now)
+			q.Finish(id, StreamStats{}, now)
 		}
-		q.Next(now)
+		q.Poll(now)
 	}
 	g.Expect(refused("late-", 100)).To(BeNumerically(">", 0), "by then the figures count as they are")
 }
@@ -79,22 +79,22 @@
 func TestPromptsAreReadOneAtATime(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	first := q.Ask(long("a", 6000), now)
+	first := q.Submit(long("a", 6000), now)
 	g.Expect(first.Verdict).To(Equal(Granted))
 	g.Expect(first.Engine).To(Equal("e0"))
-	g.Expect(first.Read).To(BeNumerically("~", 165*time.Millisecond, time.Millisecond))
-	g.Expect(q.Ask(long("b", 6000), now).Verdict).To(Equal(Queued))
-	g.Expect(q.Ask(long("b", 6000), now).Verdict).To(Equal(Queued)) // asked again
-	g.Expect(q.Next(now)).To(BeEmpty())
+	g.Expect(first.ExpectedPrefill).To(BeNumerically("~", 165*time.Millisecond, time.Millisecond))
+	g.Expect(q.Submit(long("b", 6000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(long("b", 6000), now).Verdict).To(Equal(Queued)) // asked again
+	g.Expect(q.Poll(now)).To(BeEmpty())
 	now = now.Add(150 * time.Millisecond)
-	q.FirstToken("a", 150*time.Millisecond, now)
-	due := q.Next(now)
+	q.RecordFirstToken("a", 150*time.Millisecond, now)
+	due := q.Poll(now)
 	g.Expect(due).To(HaveLen(1))
 	g.Expect(due[0].ID).To(Equal("b"))
 	g.Expect(due[0].Verdict).To(Equal(Granted))
-	g.Expect(q.Ask(long("b", 6000), now).Verdict).To(Equal(Granted)) // its grant was lost
-	q.End("a", Stream{}, now)
-	q.End("b", Stream{}, now)
+	g.Expect(q.Submit(long("b", 6000), now).Verdict).To(Equal(Granted)) // its grant was lost
+	q.Finish("a", StreamStats{}, now)
+	q.Finish("b", StreamStats{}, now)
 	g.Expect(q.Idle()).To(BeTrue())
 }
 
@@ -104,9 +104,9 @@
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for i := range 4 {
-		g.Expect(q.Ask(long(fmt.Sprint(i), 200), now).Verdict).To(Equal(Granted)) // 20 ms each
+		g.Expect(q.Submit(long(fmt.Sprint(i), 200), now).Verdict).To(Equal(Granted)) // 20 ms each
 	}
-	g.Expect(q.Ask(long("more", 2000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(long("more", 2000), now).Verdict).To(Equal(Queued))
 }
 
 func TestWhatCannotBeReadInTimeIsRefusedAtOnce(t *testing.T) {
@@ -115,7 +115,7 @@
 		q, now := newQueue(engines)
 		refused := 0
 		for i := range 100 * engines {
-			a := q.Ask(long(fmt.Sprint(i), 10000), now)
+			a := q.Submit(long(fmt.Sprint(i), 10000), now)
 			if a.Verdict == Refused {
 				refused++
 				g.Expect(a.Wait).To(BeNumerically(">=", shortestReturn))
@@ -131,26 +131,26 @@
 func TestMoreUrgentRequestsGoFirst(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("running", huge), now)
-	q.Ask(long("early", 1000), now)
+	q.Submit(long("running", huge), now)
+	q.Submit(long("early", 1000), now)
 	urgent := long("urgent", 1000)
-	urgent.Rank = 0
-	q.Ask(urgent, now.Add(time.Millisecond))
-	q.FirstToken("running", 100*time.Millisecond, now.Add(100*time.Millisecond))
-	due := q.Next(now.Add(100 * time.Millisecond))
+	urgent.Priority = 0
+	q.Submit(urgent, now.Add(time.Millisecond))
+	q.RecordFirstToken("running", 100*time.Millisecond, now.Add(100*time.Millisecond))
+	due := q.Poll(now.Add(100 * time.Millisecond))
 	g.Expect(due[0].ID).To(Equal("urgent"))
 }
 
 func TestWhatCanStillBeOnTimeGoesBeforeWhatIsLate(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("running", huge), now)
-	q.Ask(long("late", 3000), now)
+	q.Submit(long("running", huge), now)
+	q.Submit(long("late", 3000), now)
 	now = now.Add(2300 * time.Millisecond)
 	q.granted["running"].lost = now.Add(time.Second)
-	q.Ask(long("timely", 3000), now)
-	q.FirstToken("running", 100*time.Millisecond, now)
-	due := q.Next(now)
+	q.Submit(long("timely", 3000), now)
+	q.RecordFirstToken("running", 100*time.Millisecond, now)
+	due := q.Poll(now)
 	g.Expect(due[0].ID).To(Equal("timely"))
 }
 
@@ -160,15 +160,15 @@
 func TestALostNoticeDoesNotStopAnEngine(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("lost", 3000), now) // 90 ms
-	q.Ask(long("next", 3000), now)
-	g.Expect(q.Next(now.Add(300 * time.Millisecond))).To(BeEmpty())
-	g.Expect(q.Next(now.Add(430 * time.Millisecond))).To(BeEmpty()) // read, but the engine may be silent
-	due := q.Next(now.Add(430*time.Millisecond + firstPause + lookEvery))
+	q.Submit(long("lost", 3000), now) // 90 ms
+	q.Submit(long("next", 3000), now)
+	g.Expect(q.Poll(now.Add(300 * time.Millisecond))).To(BeEmpty())
+	g.Expect(q.Poll(now.Add(430 * time.Millisecond))).To(BeEmpty()) // read, but the engine may be silent
+	due := q.Poll(now.Add(430*time.Millisecond + firstPause + lookEvery))
 	g.Expect(due).To(HaveLen(1))
-	q.End("next", Stream{}, now)
+	q.Finish("next", StreamStats{}, now)
 	g.Expect(q.Idle()).To(BeFalse())
-	q.Next(now.Add(forgetGranted + time.Millisecond)) // the end of "lost" was lost too
+	q.Poll(now.Add(forgetGranted + time.Millisecond)) // the end of "lost" was lost too
 	g.Expect(q.Idle()).To(BeTrue())
 	g.Expect(q.ordered[0].runs).To(BeEmpty())
 }
@@ -177,14 +177,14 @@
 func TestAnAskThatIsNotRepeatedIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("running", huge), now)
-	q.Ask(long("gone", huge), now)
-	q.Ask(long("kept", huge), now)
+	q.Submit(long("running", huge), now)
+	q.Submit(long("gone", huge), now)
+	q.Submit(long("kept", huge), now)
 	q.granted["running"].lost = now.Add(time.Minute)
 	for range 4 {
 		now = now.Add(time.Second)
-		g.Expect(q.Ask(long("kept", huge), now).Verdict).To(Equal(Queued))
-		q.Next(now)
+		g.Expect(q.Submit(long("kept", huge), now).Verdict).To(Equal(Queued))
+		q.Poll(now)
 	}
 	g.Expect(q.asked).To(HaveKey("kept"))
 	g.Expect(q.asked).NotTo(HaveKey("gone"))
@@ -197,13 +197,13 @@
 	for i := range 400 {
 		id := fmt.Sprint(i)
 		own := 2000 + 100*(i%60)
-		g.Expect(q.Ask(long(id, own), now).Verdict).To(Equal(Granted))
+		g.Expect(q.Submit(long(id, own), now).Verdict).To(Equal(Granted))
 		took := time.Duration(own) * 50 * time.Microsecond // 20 tokens a ms
 		now = now.Add(took)
-		q.FirstToken(id, took, now)
-		q.End(id, Stream{}, now)
+		q.RecordFirstToken(id, took, now)
+		q.Finish(id, StreamStats{}, now)
 	}
-	g.Expect(q.model.ReadTime(5000, 0)).To(BeNumerically("~", 250*time.Millisecond, 10*time.Millisecond))
+	g.Expect(q.model.PrefillTime(5000, 0)).To(BeNumerically("~", 250*time.Millisecond, 10*time.Millisecond))
 }
 
 // No engine of a group is idle while a prompt waits for another.
@@ -212,7 +212,7 @@
 	q, now := newQueue(3)
 	used := map[string]int{}
 	for i := range 6 {
-		if a := q.Ask(sharing(fmt.Sprint(i), "same", 6000), now); a.Verdict == Granted {
+		if a := q.Submit(sharing(fmt.Sprint(i), "same", 6000), now); a.Verdict == Granted {
 			used[a.Engine]++
 		}
 	}
@@ -223,43 +223,43 @@
 func TestARequestGoesWhereItsSharedPartIs(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(3)
-	first := q.Ask(sharing("first", "x", 2000), now)
+	first := q.Submit(sharing("first", "x", 2000), now)
 	g.Expect(first.FetchFrom).To(BeEmpty())
 	g.Expect(q.granted["first"].unread).To(Equal(7000)) // nobody holds the part
 	now = now.Add(200 * time.Millisecond)
-	q.FirstToken("first", 100*time.Millisecond, now)
-	second := q.Ask(sharing("second", "x", 2000), now)
+	q.RecordFirstToken("first", 100*time.Millisecond, now)
+	second := q.Submit(sharing("second", "x", 2000), now)
 	g.Expect(second.Engine).To(Equal(first.Engine))
 	g.Expect(second.FetchFrom).To(BeEmpty())
 	g.Expect(q.granted["second"].unread).To(Equal(2000))
 	// With its holder busy it goes elsewhere and fetches the part from there.
-	q.Ask(sharing("third", "x", 6000), now)
-	fourth := q.Ask(sharing("fourth", "x", 6000), now)
+	q.Submit(sharing("third", "x", 6000), now)
+	fourth := q.Submit(sharing("fourth", "x", 6000), now)
 	g.Expect(fourth.Verdict).To(Equal(Granted))
 	g.Expect(fourth.Engine).NotTo(Equal(first.Engine))
 	g.Expect(fourth.FetchFrom).To(Equal(first.Engine))
-	q.End("second", Stream{}, now)
-	q.End("third", Stream{}, now)
+	q.Finish("second", StreamStats{}, now)
+	q.Finish("third", StreamStats{}, now)
 	now = now.Add(100 * time.Millisecond)
-	q.FirstToken("fourth", 100*time.Millisecond, now)
+	q.RecordFirstToken("fourth", 100*time.Millisecond, now)
 	// A holder that left the part for long prompts can still be fetched from, one that
 	// is gone can't.
 	now = now.Add(time.Second)
 	list := names(3)
 	for i := range list {
-		list[i].Open = list[i].ID != first.Engine && list[i].ID != fourth.Engine
+		list[i].Accepting = list[i].ID != first.Engine && list[i].ID != fourth.Engine
 	}
 	q.SetEngines(list)
-	fifth := q.Ask(sharing("fifth", "x", 2000), now)
+	fifth := q.Submit(sharing("fifth", "x", 2000), now)
 	g.Expect(fifth.FetchFrom).To(Equal(fourth.Engine)) // which used it last
-	q.End("fifth", Stream{}, now)
+	q.Finish("fifth", StreamStats{}, now)
 	for i := range list {
-		list[i].Open = true
+		list[i].Accepting = true
 		if list[i].ID == fifth.Engine {
 			q.SetEngines(list[i : i+1])
 		}
 	}
-	g.Expect(q.Ask(sharing("sixth", "x", 2000), now).FetchFrom).To(BeEmpty())
+	g.Expect(q.Submit(sharing("sixth", "x", 2000), now).FetchFrom).To(BeEmpty())
 }
 
 // After a change of who decides nothing is known of parts. Whoever decides comes to
@@ -271,21 +271,21 @@
 	for i := range 40 {
 		after, _ := newQueue(5)
 		part := fmt.Sprint("part", i)
-		first := before.Ask(sharing(part, part, 1000), now)
-		before.End(part, Stream{}, now)
-		second := after.Ask(sharing("x", part, 1000), now)
+		first := before.Submit(sharing(part, part, 1000), now)
+		before.Finish(part, StreamStats{}, now)
+		second := after.Submit(sharing("x", part, 1000), now)
 		g.Expect(second.Engine).To(Equal(first.Engine))
 		g.Expect(second.FetchFrom).To(BeEmpty())
 		homes[second.Engine] = true
 		// With the home busy the part is sought there all the same.
-		after.Ask(long("y", huge), now)
+		after.Submit(long("y", huge), now)
 		busy, _ := newQueue(5)
 		for _, e := range busy.ordered {
 			if e.ID == first.Engine {
 				busy.grant(&entry{ask: long("busy", huge)}, site{engine: e, unread: huge, reading: time.Second}, now)
 			}
 		}
-		g.Expect(busy.Ask(sharing("z", part, 1000), now).FetchFrom).To(Equal(first.Engine))
+		g.Expect(busy.Submit(sharing("z", part, 1000), now).FetchFrom).To(Equal(first.Engine))
 	}
 	g.Expect(len(homes)).To(BeNumerically(">", 2))
 }
@@ -293,20 +293,20 @@
 func TestWhatCannotBeBegunBeforeItsLimitIsRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(long("running", 5*huge), now) // 1.1 s
+	q.Submit(long("running", 5*huge), now) // 1.1 s
 	tight := long("tight", 1000)
-	tight.Limit = 500 * time.Millisecond
-	g.Expect(q.Ask(tight, now).Verdict).To(Equal(Refused))
-	g.Expect(q.Ask(long("other", 1000), now).Verdict).To(Equal(Queued))
+	tight.FirstTokenTimeout = 500 * time.Millisecond
+	g.Expect(q.Submit(tight, now).Verdict).To(Equal(Refused))
+	g.Expect(q.Submit(long("other", 1000), now).Verdict).To(Equal(Queued))
 }
 
 func TestPartsAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Ask(sharing("a", "x", 2000), now)
-	q.FirstToken("a", 100*time.Millisecond, now)
-	q.End("a", Stream{}, now)
-	q.Next(now.Add(holdFor + pruneEvery + time.Millisecond))
+	q.Submit(sharing("a", "x", 2000), now)
+	q.RecordFirstToken("a", 100*time.Millisecond, now)
+	q.Finish("a", StreamStats{}, now)
+	q.Poll(now.Add(holdFor + pruneEvery + time.Millisecond))
 	g.Expect(q.prefixes.held).To(BeEmpty())
 }
 
@@ -318,24 +318,24 @@
 	at := map[string]int{}
 	for i := range 400 {
 		id := fmt.Sprint(i)
-		a := q.Ask(long(id, 5000), now)
+		a := q.Submit(long(id, 5000), now)
 		if a.Verdict == Granted {
 			at[a.Engine]++
 			if a.Engine == "e0" {
-				q.End(id, Stream{Failed: true}, now)
+				q.Finish(id, StreamStats{EngineFailed: true}, now)
 			}
 		}
 		now = now.Add(20 * time.Millisecond)
 		for granted, e := range q.granted {
 			if now.Sub(e.granted) >= 125*time.Millisecond {
-				q.FirstToken(granted, 100*time.Millisecond, now)
-				q.End(granted, Stream{}, now)
+				q.RecordFirstToken(granted, 100*time.Millisecond, now)
+				q.Finish(granted, StreamStats{}, now)
 			}
 		}
-		for _, due := range q.Next(now) {
+		for _, due := range q.Poll(now) {
 			if due.Verdict == Granted && due.Engine == "e0" {
 				at["e0"]++
-				q.End(due.ID, Stream{Failed: true}, now)
+				q.Finish(due.ID, StreamStats{EngineFailed: true}, now)
 			}
 		}
 	}
@@ -347,11 +347,11 @@
 	g := NewWithT(t)
 	q, now := newQueue(2)
 	a := long("a", 2000)
-	a.Avoid = []string{"e0"}
-	g.Expect(q.Ask(a, now).Engine).To(Equal("e1"))
+	a.ExcludedEngines = []string{"e0"}
+	g.Expect(q.Submit(a, now).Engine).To(Equal("e1"))
 	b := long("b", 2000)
-	b.Avoid = []string{"e0", "e1"}
-	g.Expect(q.Ask(b, now).Verdict).To(Equal(NoEngine)) // whatever the load
+	b.ExcludedEngines = []string{"e0", "e1"}
+	g.Expect(q.Submit(b, now).Verdict).To(Equal(NoEngine)) // whatever the load
 }
 
 // A gateway that has not read the list of engines yet, for one that started while the
@@ -359,7 +359,7 @@
 func TestWhoKnowsNoEngineLeavesItToTheAsker(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(0)
-	a := q.Ask(long("a", 2000), now)
+	a := q.Submit(long("a", 2000), now)
 	g.Expect(a.Verdict).To(Equal(Granted))
 	g.Expect(a.Engine).To(BeEmpty())
 	g.Expect(q.Idle()).To(BeTrue())
@@ -372,7 +372,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q, now := newQueue(rapid.IntRange(1, 4).Draw(t, "engines"))
 		open, granted := map[string]bool{}, map[string]int{}
-		settle := func(a Answer) {
+		settle := func(a Decision) {
 			switch a.Verdict {
 			case Queued:
 				open[a.ID] = true
@@ -387,7 +387,7 @@
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			for _, a := range q.Next(now) {
+			for _, a := range q.Poll(now) {
 				if !open[a.ID] {
 					t.Fatalf("a second verdict for %s", a.ID)
 				}
@@ -397,28 +397,28 @@
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
 				if a := fmt.Sprint("r", i); !open[a] {
-					settle(q.Ask(Ask{ID: a, Rank: rapid.IntRange(0, 8).Draw(t, "rank"), Own: rapid.IntRange(1, 30000).Draw(t, "own"),
-						Part: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "part"), Shared: rapid.IntRange(0, 6000).Draw(t, "shared"),
-						Target: time.Duration(rapid.IntRange(1, 3000).Draw(t, "target")) * time.Millisecond,
-						Limit:  time.Duration(rapid.IntRange(1, 10000).Draw(t, "limit")) * time.Millisecond}, now))
+					settle(q.Submit(Ask{ID: a, Priority: rapid.IntRange(0, 8).Draw(t, "rank"), UniqueTokens: rapid.IntRange(1, 30000).Draw(t, "own"),
+						PrefixID: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "part"), PrefixTokens: rapid.IntRange(0, 6000).Draw(t, "shared"),
+						FirstTokenTarget:  time.Duration(rapid.IntRange(1, 3000).Draw(t, "target")) * time.Millisecond,
+						FirstTokenTimeout: time.Duration(rapid.IntRange(1, 10000).Draw(t, "limit")) * time.Millisecond}, now))
 				}
 			case 2:
-				q.FirstToken(id, 100*time.Millisecond, now)
+				q.RecordFirstToken(id, 100*time.Millisecond, now)
 			case 3:
 				q.SetEngines(names(rapid.IntRange(0, 4).Draw(t, "engines")))
 			default:
-				q.End(id, Stream{Failed: rapid.Bool().Draw(t, "failed"), Events: rapid.IntRange(0, 90).Draw(t, "events"),
-					Took: time.Duration(rapid.IntRange(0, 9000).Draw(t, "took")) * time.Millisecond, Longest: time.Duration(rapid.IntRange(0, 900).Draw(t, "longest")) * time.Millisecond}, now)
+				q.Finish(id, StreamStats{EngineFailed: rapid.Bool().Draw(t, "failed"), Events: rapid.IntRange(0, 90).Draw(t, "events"),
+					Duration: time.Duration(rapid.IntRange(0, 9000).Draw(t, "took")) * time.Millisecond, LongestGap: time.Duration(rapid.IntRange(0, 900).Draw(t, "longest")) * time.Millisecond}, now)
 				delete(open, id)
 				delete(granted, id)
 			}
 			checkReading(t, q)
 		}
 		for id := range open {
-			q.End(id, Stream{}, now)
+			q.Finish(id, StreamStats{}, now)
 		}
 		for id := range granted {
-			q.End(id, Stream{}, now)
+			q.Finish(id, StreamStats{}, now)
 		}
 		for _, e := range q.ordered {
 			if e.unread != 0 || e.pending != 0 || len(e.runs) != 0 || e.used != 0 {
@@ -453,23 +453,23 @@
 func TestADeskKeepsGroupsApart(t *testing.T) {
 	g := NewWithT(t)
 	lists := 0
-	told := func(string) (enginemodel.Figures, bool) { return enginemodel.Figures{}, false }
-	d := NewDesk[string](func(Group) []Engine { lists++; return names(1) }, told, ratelimit.New(rand.Float64), Policy{})
+	told := func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false }
+	d := NewScheduler[string](func(Group) []Engine { lists++; return names(1) }, told, ratelimit.New(rand.Float64), Policy{})
 	now := time.Unix(100, 0)
 	one, two := Group{Service: "s"}, Group{Service: "s", Index: 1}
-	g.Expect(d.Ask(one, long("a", huge), "gw1", now).Verdict).To(Equal(Granted))
-	g.Expect(d.Ask(one, long("b", huge), "gw2", now).Verdict).To(Equal(Queued))
-	g.Expect(d.Ask(two, long("c", huge), "gw2", now).Verdict).To(Equal(Granted))
+	g.Expect(d.Submit(one, long("a", huge), "gw1", now).Verdict).To(Equal(Granted))
+	g.Expect(d.Submit(one, long("b", huge), "gw2", now).Verdict).To(Equal(Queued))
+	g.Expect(d.Submit(two, long("c", huge), "gw2", now).Verdict).To(Equal(Granted))
 	g.Expect(lists).To(Equal(2))
-	g.Expect(d.Waiting()).To(Equal(1))
-	d.FirstToken(one, "a", 100*time.Millisecond, now)
-	due := d.Next(now)
+	g.Expect(d.QueuedCount()).To(Equal(1))
+	d.RecordFirstToken(one, "a", 100*time.Millisecond, now)
+	due := d.Poll(now)
 	g.Expect(due).To(HaveLen(1))
 	g.Expect(due[0].To).To(Equal("gw2"))
-	d.End(one, "a", Stream{}, now)
-	d.End(one, "b", Stream{}, now)
-	d.End(two, "c", Stream{}, now)
-	d.Next(now.Add(forgetAfter + time.Second))
+	d.Finish(one, "a", StreamStats{}, now)
+	d.Finish(one, "b", StreamStats{}, now)
+	d.Finish(two, "c", StreamStats{}, now)
+	d.Poll(now.Add(forgetAfter + time.Second))
 	g.Expect(d.queues).To(BeEmpty())
 }
 
@@ -480,21 +480,21 @@
 	q, now := newQueue(64)
 	for i := range 64 * 30 {
 		id := fmt.Sprint("stream", i)
-		q.Ask(long(id, 100), now)
-		q.FirstToken(id, time.Millisecond, now)
+		q.Submit(long(id, 100), now)
+		q.RecordFirstToken(id, time.Millisecond, now)
 	}
 	for i := range 64 {
-		q.Ask(long(fmt.Sprint("running", i), huge), now)
+		q.Submit(long(fmt.Sprint("running", i), huge), now)
 	}
 	for i := range 400 {
-		q.Ask(long(fmt.Sprint("w", i), 100), now)
+		q.Submit(long(fmt.Sprint("w", i), 100), now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		a := long("x", 100)
-		q.Ask(a, now)
-		q.Next(now)
-		q.End("x", Stream{}, now)
+		q.Submit(a, now)
+		q.Poll(now)
+		q.Finish("x", StreamStats{}, now)
 	}
 }
 
@@ -505,36 +505,36 @@
 	q, now := newQueue(1)
 	sent, refused := map[int]int{}, map[int]int{}
 	rank, ends := map[string]int{}, map[string]time.Time{}
-	take := func(a Answer) {
+	take := func(a Decision) {
 		switch a.Verdict {
 		case Granted:
 			sent[rank[a.ID]]++
-			ends[a.ID] = now.Add(a.Read)
+			ends[a.ID] = now.Add(a.ExpectedPrefill)
 		case Refused:
 			refused[rank[a.ID]]++
 		}
 	}
 	ask := func(a Ask) {
-		rank[a.ID] = a.Rank
-		take(q.Ask(a, now))
+		rank[a.ID] = a.Priority
+		take(q.Submit(a, now))
 	}
 	for i := range 1000 { // 20 s
 		if i%10 == 0 {
 			ask(long(fmt.Sprint("report-", i), 8000))
 		}
 		if i%100 < 8 { // a burst every 2 s, half of the engine's time in all
-			urgent := Ask{ID: fmt.Sprint("question-", i), Own: 3500, Target: 300 * time.Millisecond, Limit: 2 * time.Second}
+			urgent := Ask{ID: fmt.Sprint("question-", i), UniqueTokens: 3500, FirstTokenTarget: 300 * time.Millisecond, FirstTokenTimeout: 2 * time.Second}
 			ask(urgent)
 		}
 		now = now.Add(20 * time.Millisecond)
 		for id, end := range ends {
 			if !now.Before(end) {
-				q.FirstToken(id, 0, now)
-				q.End(id, Stream{}, now)
+				q.RecordFirstToken(id, 0, now)
+				q.Finish(id, StreamStats{}, now)
 				delete(ends, id)
 			}
 		}
-		for _, a := range q.Next(now) {
+		for _, a := range q.Poll(now) {
 			take(a)
 		}
 	}
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -31,13 +31,13 @@
 // order is the order of waiting asks: rank; then those whose callers have a part of the
 // answer; then those that can still be on time; then arrival.
 func (q *Queue) order(a, b *entry, now time.Time) int {
-	if c := cmp.Compare(a.ask.Rank, b.ask.Rank); c != 0 {
+	if c := cmp.Compare(a.ask.Priority, b.ask.Priority); c != 0 {
 		return c
 	}
-	if a.ask.Begun != b.ask.Begun {
-		return first(a.ask.Begun)
+	if a.ask.Resumed != b.ask.Resumed {
+		return first(a.ask.Resumed)
 	}
-	if x, y := q.onTime(a, now), q.onTime(b, now); x != y && !q.policy.ByArrival {
+	if x, y := q.onTime(a, now), q.onTime(b, now); x != y && !q.policy.IgnoreLateness {
 		return first(x)
 	}
 	return cmp.Compare(a.number, b.number)
@@ -47,7 +47,7 @@
 
 // onTime reports whether the request can be on time if it is granted now.
 func (q *Queue) onTime(e *entry, now time.Time) bool {
-	return now.Sub(e.arrived) <= time.Duration(onTimePart*float64(e.ask.Target))
+	return now.Sub(e.arrived) <= time.Duration(onTimePart*float64(e.ask.FirstTokenTarget))
 }
 
 // wait is the expected time from now on until an engine begins to read the request: what
@@ -74,7 +74,7 @@
 	if a.Plain {
 		return plainWork
 	}
-	return q.model.ReadTime(a.Own, a.Shared)
+	return q.model.PrefillTime(a.UniqueTokens, a.PrefixTokens)
 }
 
 func mean(sum time.Duration, count int, otherwise time.Duration) time.Duration {
@@ -144,8 +144,8 @@
 
 // refuseHopeless refuses waiting asks, which are in order, that can't be served in time
 // any more.
-func (q *Queue) refuseHopeless(now time.Time) []Answer {
-	var out []Answer
+func (q *Queue) refuseHopeless(now time.Time) []Decision {
+	var out []Decision
 	var all time.Duration
 	for _, e := range q.waiting {
 		all += q.work(e.ask)
@@ -155,7 +155,7 @@
 	if len(engines) == 0 {
 		verdict = NoEngine
 	}
-	allLeave := !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Open })
+	allLeave := !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting })
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
 		wait := engines.free(ahead)
 		if !allLeave && !q.hopeless(e, wait, engines.engines(), now) {
@@ -174,13 +174,13 @@
 // leave over: where that is nothing, they would wait in vain.
 func (q *Queue) hopeless(e *entry, wait time.Duration, engines float64, now time.Time) bool {
 	age := now.Sub(e.arrived)
-	if age > e.ask.Limit || q.policy.Patient || q.uninformed(now) {
-		return age > e.ask.Limit
+	if age > e.ask.FirstTokenTimeout || q.policy.NoEarlyRefusal || q.uninformed(now) {
+		return age > e.ask.FirstTokenTimeout
 	}
-	if age+wait > time.Duration(onTimePart*float64(e.ask.Target)) {
-		wait = q.drained(wait, e.ask.Rank, engines, now)
+	if age+wait > time.Duration(onTimePart*float64(e.ask.FirstTokenTarget)) {
+		wait = q.drained(wait, e.ask.Priority, engines, now)
 	}
-	return age+wait > time.Duration(lateShare*float64(e.ask.Limit))
+	return age+wait > time.Duration(lateShare*float64(e.ask.FirstTokenTimeout))
 }
 
 // manyRead is how many prompts engines have read when the figures count as they are. Short prompts are
@@ -191,12 +191,12 @@
 // gateway that had just started, or decided for few, took a backlog for ten times as long as its
 // engines needed, and refused interactive requests at once.
 func (q *Queue) uninformed(now time.Time) bool {
-	return q.read < manyRead && !q.model.Informed() && !q.allLimited(now)
+	return q.read < manyRead && !q.model.Calibrated() && !q.allLimited(now)
 }
 
 // allLimited reports whether each engine states a rate. Waits rest on these then and on nothing learnt.
 func (q *Queue) allLimited(now time.Time) bool {
-	return !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Open && !q.limits.Budget(e.ID, now).Limited })
+	return !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting && !q.limits.Budget(e.ID, now).Limited })
 }
 
 // exhausted reports whether an engine takes nothing now by the rate that it states.
@@ -219,5 +219,5 @@
 // comeBack is when a refused caller is to ask again: when the backlog has sunk to what its
 // target bears, with what comes meanwhile.
 func (q *Queue) comeBack(wait time.Duration, a Ask, engines float64, now time.Time) time.Duration {
-	return min(max(q.drained(wait, a.Rank, engines, now)-a.Target/2, shortestReturn), longestReturn)
+	return min(max(q.drained(wait, a.Priority, engines, now)-a.FirstTokenTarget/2, shortestReturn), longestReturn)
 }
--- a/internal/placement/answertime.go
+++ b/internal/placement/answertime.go
@@ -18,13 +18,13 @@
 // expect of their length. Expected lengths are often far off, but about right in the
 // mean, and engines are three times as fast while they read little. It is safe for
 // concurrent use.
-type AnswerTime struct {
+type ResponseTimeEstimator struct {
 	mu       sync.Mutex
 	perToken time.Duration // 0: nothing was measured
 }
 
 // Add counts an answer that took so long from its first event to its end.
-func (a *AnswerTime) Add(took time.Duration, expectedTokens int) {
+func (a *ResponseTimeEstimator) Observe(took time.Duration, expectedTokens int) {
 	if expectedTokens <= 0 {
 		return
 	}
@@ -38,7 +38,7 @@
 }
 
 // Of returns how long an answer of the expected length takes.
-func (a *AnswerTime) Of(expectedTokens int) time.Duration {
+func (a *ResponseTimeEstimator) Estimate(expectedTokens int) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.perToken == 0 {
--- a/internal/placement/answertime_test.go
+++ b/internal/placement/answertime_test.go
@@ -9,14 +9,14 @@
 
 func TestTheTimeOfAnswersIsMeasured(t *testing.T) {
 	g := NewWithT(t)
-	var a AnswerTime
-	g.Expect(a.Of(100)).To(Equal(100 * firstTokenTime))
-	a.Add(time.Second, 0) // no length was expected
-	g.Expect(a.Of(100)).To(Equal(100 * firstTokenTime))
+	var a ResponseTimeEstimator
+	g.Expect(a.Estimate(100)).To(Equal(100 * firstTokenTime))
+	a.Observe(time.Second, 0) // no length was expected
+	g.Expect(a.Estimate(100)).To(Equal(100 * firstTokenTime))
 	for range 100 {
-		a.Add(800*time.Millisecond, 100)
+		a.Observe(800*time.Millisecond, 100)
 	}
-	g.Expect(a.Of(100)).To(BeNumerically("~", 800*time.Millisecond, 5*time.Millisecond))
-	a.Add(80*time.Second, 100) // one that was far off moves it by a tenth
-	g.Expect(a.Of(100)).To(BeNumerically("<", 10*time.Second))
+	g.Expect(a.Estimate(100)).To(BeNumerically("~", 800*time.Millisecond, 5*time.Millisecond))
+	a.Observe(80*time.Second, 100) // one that was far off moves it by a tenth
+	g.Expect(a.Estimate(100)).To(BeNumerically("<", 10*time.Second))
 }
--- a/internal/placement/groups.go
+++ b/internal/placement/groups.go
@@ -12,11 +12,11 @@
 const groupSize = 64
 
 // Groups returns the number of groups of a service with so many engines.
-func Groups(engines int) int { return max(1, (engines+groupSize-1)/groupSize) }
+func GroupCount(engines int) int { return max(1, (engines+groupSize-1)/groupSize) }
 
 // GroupsFor returns the groups in the order in which a request with the key is to
 // ask them. Requests with the same shared part ask the same group first.
-func GroupsFor(key string, groups int) []int {
+func RankGroups(key string, groups int) []int {
 	if groups == 1 {
 		return []int{0}
 	}
@@ -32,4 +32,4 @@
 }
 
 // GroupOf returns the group of an engine.
-func GroupOf(engine string, groups int) int { return GroupsFor(engine, groups)[0] }
+func GroupOf(engine string, groups int) int { return RankGroups(engine, groups)[0] }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -19,10 +19,10 @@
 
 // Prompt describes what a model engine has to read and may generate.
 type Prompt struct {
-	Model  string
-	Tokens int // to read, all parts together
-	Output int // expected at most
-	Parts  []Part
+	Model        string
+	Tokens       int // to read, all parts together
+	OutputTokens int // expected at most
+	Parts        []Part
 }
 
 // Shared returns the ID of the last part that other requests may share and the
@@ -46,7 +46,7 @@
 	// Tried servers have already failed this request.
 	Tried bool
 	// Rests is for how long the server wants nothing from this gateway.
-	Rests time.Duration
+	RetryAfter time.Duration
 }
 
 // Request is what the choice depends on.
@@ -68,7 +68,7 @@
 	FetchFrom string
 	Reason    string // Home, Spread, Least or Decided
 	// Read is the expected time to the first event, 0 if not known.
-	Read time.Duration
+	ExpectedPrefill time.Duration
 }
 
 // The reasons of a choice.
@@ -115,7 +115,7 @@
 
 // Engine chooses among the servers of a model service where no gateway is there to decide
 // for all: by what this one knows alone.
-func Engine(req Request, candidates []Candidate) Choice {
+func ChooseEngine(req Request, candidates []Candidate) Choice {
 	if len(candidates) == 0 {
 		return Choice{}
 	}
@@ -173,7 +173,7 @@
 }
 
 // Plain chooses among the servers of a plain service.
-func Plain(req Request, candidates []Candidate) Choice {
+func ChoosePlain(req Request, candidates []Candidate) Choice {
 	if len(candidates) == 0 {
 		return Choice{}
 	}
@@ -232,7 +232,7 @@
 // this gateway can tell.
 func cost(c *Candidate, req Request) float64 {
 	v := c.View
-	ms := float64(v.Unread)/tokensPerMs + runningMs*float64(v.Running) + errorWeightMs*v.ErrorShare
+	ms := float64(v.UnreadTokens)/tokensPerMs + runningMs*float64(v.InFlight) + errorWeightMs*v.ErrorRate
 	if c.Server.FailureDomain != req.FailureDomain {
 		ms += remoteMs
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -21,7 +21,7 @@
 }
 
 func prompt(shared string) Prompt {
-	return Prompt{Tokens: 12000, Output: 300, Parts: []Part{{ID: "all", Tokens: 500}, {ID: shared, Tokens: 4500}, {ID: "own", Tokens: 7000}}}
+	return Prompt{Tokens: 12000, OutputTokens: 300, Parts: []Part{{ID: "all", Tokens: 500}, {ID: shared, Tokens: 4500}, {ID: "own", Tokens: 7000}}}
 }
 
 func TestTheSharedPartIsTheLastButOne(t *testing.T) {
@@ -38,15 +38,15 @@
 	g := NewWithT(t)
 	all := engines(12)
 	req := Request{Prompt: prompt("x"), FailureDomain: "0"}
-	home := Engine(req, all)
+	home := ChooseEngine(req, all)
 	g.Expect(home.Reason).To(Equal(Home))
-	g.Expect(Engine(req, all).Candidate).To(BeIdenticalTo(home.Candidate))
-	home.Candidate.View.Unread = 20000 // 350 ms
-	spread := Engine(req, all)
+	g.Expect(ChooseEngine(req, all).Candidate).To(BeIdenticalTo(home.Candidate))
+	home.Candidate.View.UnreadTokens = 20000 // 350 ms
+	spread := ChooseEngine(req, all)
 	g.Expect(spread.Reason).To(Equal(Spread))
 	g.Expect(spread.FetchFrom).To(Equal(home.Candidate.Server.Address))
 	home.Candidate.View.Avoided = true
-	g.Expect(Engine(req, all).FetchFrom).To(BeEmpty())
+	g.Expect(ChooseEngine(req, all).FetchFrom).To(BeEmpty())
 }
 
 // A part that many ask for loads its home although each gateway sends it little; what
@@ -59,21 +59,21 @@
 	for i := range all {
 		all[i].View.Load = registry.Load{Running: 10, Slots: 64, At: now}
 	}
-	home := Engine(req, all)
+	home := ChooseEngine(req, all)
 	g.Expect(home.Reason).To(Equal(Home))
 	home.Candidate.View.Load.Running = 10 + homeSlackMs/reportedMs
-	g.Expect(Engine(req, all).Reason).To(Equal(Home))
+	g.Expect(ChooseEngine(req, all).Reason).To(Equal(Home))
 	home.Candidate.View.Load.Running++
-	next := Engine(req, all)
+	next := ChooseEngine(req, all)
 	g.Expect(next.Reason).To(Equal(Spread))
 	g.Expect(next.FetchFrom).To(Equal(home.Candidate.Server.Address))
 	for draw := range 10 {
 		req.Draw = float64(draw) / 10
-		g.Expect(Engine(req, all).Candidate).To(BeIdenticalTo(next.Candidate))
+		g.Expect(ChooseEngine(req, all).Candidate).To(BeIdenticalTo(next.Candidate))
 	}
 	// One that says nothing counts as loaded as the others.
 	home.Candidate.View.Load = registry.Load{}
-	g.Expect(Engine(req, all).Reason).To(Equal(Home))
+	g.Expect(ChooseEngine(req, all).Reason).To(Equal(Home))
 	g.Expect(home.Candidate.View.Load.Running).To(Equal(10))
 }
 
@@ -81,28 +81,28 @@
 	g := NewWithT(t)
 	all := engines(12)
 	req := Request{Prompt: prompt("x")}
-	home := Engine(req, all)
+	home := ChooseEngine(req, all)
 	g.Expect(home.Reason).To(Equal(Home))
 	home.Candidate.Tried = true
-	second := Engine(req, all).Candidate
+	second := ChooseEngine(req, all).Candidate
 	g.Expect(second).NotTo(BeIdenticalTo(home.Candidate))
 	second.View.Avoided = true
-	third := Engine(req, all).Candidate
+	third := ChooseEngine(req, all).Candidate
 	g.Expect([]bool{third.Tried, third.View.Avoided}).To(Equal([]bool{false, false}))
 	home.Candidate.Tried = false
-	g.Expect(Engine(req, all).Candidate).To(BeIdenticalTo(home.Candidate))
-	g.Expect(Engine(req, nil).Candidate).To(BeNil())
+	g.Expect(ChooseEngine(req, all).Candidate).To(BeIdenticalTo(home.Candidate))
+	g.Expect(ChooseEngine(req, nil).Candidate).To(BeNil())
 }
 
 func TestGroupsAreEvenAndStable(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect([]int{Groups(0), Groups(1), Groups(groupSize), Groups(groupSize + 1)}).To(Equal([]int{1, 1, 1, 2}))
-	groups := Groups(650)
+	g.Expect([]int{GroupCount(0), GroupCount(1), GroupCount(groupSize), GroupCount(groupSize + 1)}).To(Equal([]int{1, 1, 1, 2}))
+	groups := GroupCount(650)
 	size := make([]int, groups)
 	for i := range 650 {
 		engine := fmt.Sprint("e", i)
 		size[GroupOf(engine, groups)]++
-		g.Expect(GroupsFor(engine, groups)).To(HaveLen(groups))
+		g.Expect(RankGroups(engine, groups)).To(HaveLen(groups))
 	}
 	for _, n := range size {
 		g.Expect(n).To(BeNumerically("~", 650/groups, 30))
@@ -112,9 +112,9 @@
 func TestFailingServersArePassedOver(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(4)
-	all[0].View.ErrorShare, all[1].View.Avoided, all[2].Tried = 0.5, true, true
+	all[0].View.ErrorRate, all[1].View.Avoided, all[2].Tried = 0.5, true, true
 	for draw := range 10 {
-		c := Plain(Request{Draw: float64(draw) / 10, FailureDomain: "0"}, all)
+		c := ChoosePlain(Request{Draw: float64(draw) / 10, FailureDomain: "0"}, all)
 		g.Expect(c.Candidate.Server.ID).To(Equal("e03"))
 	}
 }
@@ -125,6 +125,6 @@
 	req := Request{Prompt: prompt("x")}
 	b.ReportAllocs()
 	for b.Loop() {
-		Engine(req, all)
+		ChooseEngine(req, all)
 	}
 }
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -19,13 +19,13 @@
 func BenchmarkFlood(b *testing.B) {
 	l := seasoned(12)
 	for i := range maxRequests {
-		l.Ended(id(fmt.Sprint("flood-", i)), end(fmt.Sprint("o-", i%100), 4), at(4))
+		l.RecordCrash(id(fmt.Sprint("flood-", i)), end(fmt.Sprint("o-", i%100), 4), at(4))
 	}
 	i := 0
 	for b.Loop() {
 		now := at(5).Add(time.Duration(i) * time.Millisecond)
 		i++
-		l.Ended(id(fmt.Sprint("more-", i)), End{Server: fmt.Sprint("m-", i), Begun: now.Add(-time.Second), At: now}, now)
-		l.Due(now)
+		l.RecordCrash(id(fmt.Sprint("more-", i)), Crash{Server: fmt.Sprint("m-", i), SentAt: now.Add(-time.Second), At: now}, now)
+		l.DueUpdates(now)
 	}
 }
--- a/internal/quarantine/deployment_test.go
+++ b/internal/quarantine/deployment_test.go
@@ -127,8 +127,8 @@
 }
 
 // quarantined returns the verdicts that a gateway knows.
-func quarantined(n *simfleet.Node) []quarantine.Quarantined {
-	list, _ := n.Gateway().Quarantine().Quarantine()
+func quarantined(n *simfleet.Node) []quarantine.QuarantinedRequest {
+	list, _ := n.Gateway().Quarantine().List()
 	return list
 }
 
--- a/internal/quarantine/events.go
+++ b/internal/quarantine/events.go
@@ -34,7 +34,7 @@
 type Event struct {
 	Kind    Kind
 	ID      ID
-	Ends    []End
+	Crashes []Crash
 	Verdict *Verdict
 	Cause   Cause // of Lifted
 }
@@ -42,7 +42,7 @@
 // maxEvents bounds the events that wait to be taken: a few for each request that is kept.
 const maxEvents = 1024
 
-func (l *Ledger) note(e Event) {
+func (l *Tracker) note(e Event) {
 	if len(l.events) < maxEvents {
 		l.events = append(l.events, e)
 	}
@@ -50,13 +50,13 @@
 }
 
 // News has room for one word that there are events to take.
-func (l *Ledger) News() <-chan struct{} { return l.news }
+func (l *Tracker) EventsReady() <-chan struct{} { return l.news }
 
 // Telling has room for one word that something is to be told to the other gateways at once.
-func (l *Ledger) Telling() <-chan struct{} { return l.telling }
+func (l *Tracker) UpdatesReady() <-chan struct{} { return l.telling }
 
 // Events takes the events since the last call.
-func (l *Ledger) Events() []Event {
+func (l *Tracker) DrainEvents() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := l.events
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -6,11 +6,11 @@
 )
 
 // End is the end of a backend server while it ran a request.
-type End struct {
+type Crash struct {
 	// Server is the start of the server that ended: what starts again under its ID is another.
 	Server string
 	// Begun is when the request was sent there, At when its connection broke.
-	Begun, At time.Time
+	SentAt, At time.Time
 	// rate is how often, in times a second, a run met the end of its server about then.
 	rate float64
 }
@@ -42,12 +42,12 @@
 
 // independent returns the ends that say something each: of runs at the same time only the first
 // counts, as servers of one rack end together whatever they run.
-func independent(ends []End) []End {
+func independent(ends []Crash) []Crash {
 	sorted := slices.Clone(ends)
-	slices.SortFunc(sorted, func(a, b End) int { return a.At.Compare(b.At) })
-	var out []End
+	slices.SortFunc(sorted, func(a, b Crash) int { return a.At.Compare(b.At) })
+	var out []Crash
 	for _, end := range sorted {
-		if len(out) == 0 || end.Begun.After(out[len(out)-1].At.Add(-sameMoment)) {
+		if len(out) == 0 || end.SentAt.After(out[len(out)-1].At.Add(-sameMoment)) {
 			out = append(out, end)
 		}
 	}
@@ -55,11 +55,11 @@
 }
 
 // withoutOne leaves out the end that says least: one of runs at the same time, else the oldest.
-func withoutOne(ends []End) []End {
+func withoutOne(ends []Crash) []Crash {
 	counted := independent(ends)
 	least := 0
 	for i, end := range ends {
-		counts := slices.ContainsFunc(counted, func(c End) bool { return c.Server == end.Server })
+		counts := slices.ContainsFunc(counted, func(c Crash) bool { return c.Server == end.Server })
 		if !counts {
 			least = i
 			break
@@ -72,14 +72,14 @@
 }
 
 // guilty reports whether the ends, of which so many are needed, show that the request ends servers.
-func guilty(ends []End, needed int) bool {
+func guilty(ends []Crash, needed int) bool {
 	counted := independent(ends)
 	if len(counted) < needed {
 		return false
 	}
 	all := 1.0
 	for _, end := range counted {
-		all *= chance(end.At.Sub(end.Begun), end.rate)
+		all *= chance(end.At.Sub(end.SentAt), end.rate)
 	}
 	return all < mostChance
 }
--- a/internal/quarantine/id.go
+++ b/internal/quarantine/id.go
@@ -45,7 +45,7 @@
 	var id ID
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(id) {
-		return id, fault.New(fault.BadRequest, "%q is not %d hexadecimal digits", text, 2*len(id)).InField("request")
+		return id, fault.New(fault.BadRequest, "%q is not %d hexadecimal digits", text, 2*len(id)).WithField("request")
 	}
 	copy(id[:], b)
 	return id, nil
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -37,8 +37,8 @@
 
 // Keeper has the duty of a ledger beside its requests: it keeps verdicts in the store, reads those
 // of others, and logs and counts what happens.
-type Keeper struct {
-	ledger *Ledger
+type Persister struct {
+	ledger *Tracker
 	store  Store
 	host   string
 	logger *slog.Logger
@@ -55,17 +55,17 @@
 }
 
 // NewKeeper returns the keeper of a ledger on a host. Run is its duty.
-func NewKeeper(ledger *Ledger, store Store, host string, logger *slog.Logger) *Keeper {
-	return &Keeper{ledger: ledger, store: store, host: host, logger: logger, now: time.Now,
+func NewPersister(ledger *Tracker, store Store, host string, logger *slog.Logger) *Persister {
+	return &Persister{ledger: ledger, store: store, host: host, logger: logger, now: time.Now,
 		writes: make(chan ID, writeQueue), reads: make(chan struct{}, 1), claiming: map[ID]bool{}, unkept: map[ID]bool{}}
 }
 
 // Loaded reports whether the store was asked for verdicts, so that a gateway which starts does not
 // send what was found out before. A failed read does not hold it up longer: it is repeated.
-func (k *Keeper) Loaded() bool { return k.loaded.Load() }
+func (k *Persister) Loaded() bool { return k.loaded.Load() }
 
 // Run works until ctx ends: one goroutine calls the store, this one takes events.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Persister) Run(ctx context.Context) {
 	var calling sync.WaitGroup
 	defer calling.Wait()
 	calling.Go(func() { k.callStore(ctx) })
@@ -75,8 +75,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.ledger.News():
-			for _, e := range k.ledger.Events() {
+		case <-k.ledger.EventsReady():
+			for _, e := range k.ledger.DrainEvents() {
 				k.take(e)
 			}
 		case <-tick.C:
@@ -86,14 +86,14 @@
 	}
 }
 
-func (k *Keeper) gauge() {
-	list, suspects := k.ledger.Quarantine()
+func (k *Persister) gauge() {
+	list, suspects := k.ledger.List()
 	telemetry.Gauge("merlinpost_quarantined_requests", float64(len(list)))
 	telemetry.Gauge("merlinpost_suspect_requests", float64(suspects))
 }
 
 // take logs and counts an event, and has the store follow.
-func (k *Keeper) take(e Event) {
+func (k *Persister) take(e Event) {
 	telemetry.Count("merlinpost_quarantine_events_total", "event", e.Kind.String())
 	if k.lines.Allow(e.Kind.String(), k.now()) {
 		k.log(e)
@@ -116,8 +116,8 @@
 	Renewed: "quarantined request on trial", Lifted: "quarantine ended", Dropped: "evidence dropped for want of room",
 }
 
-func (k *Keeper) log(e Event) {
-	fields := []any{slog.String("request", e.ID.String()), slog.Any("servers", servers(e.Ends)), slog.Int("independent", len(independent(e.Ends)))}
+func (k *Persister) log(e Event) {
+	fields := []any{slog.String("request", e.ID.String()), slog.Any("servers", servers(e.Crashes)), slog.Int("independent", len(independent(e.Crashes)))}
 	if v := e.Verdict; v != nil {
 		fields = append(fields, slog.Duration("refused_for", v.Until.Sub(k.now())), slog.Int("trials", v.Trials), slog.Any("verdict_servers", v.Servers))
 	}
@@ -132,7 +132,7 @@
 }
 
 // write has the store follow the ledger about a request.
-func (k *Keeper) write(id ID) {
+func (k *Persister) write(id ID) {
 	k.mu.Lock()
 	k.unkept[id] = true
 	k.mu.Unlock()
@@ -143,7 +143,7 @@
 }
 
 // callStore reads verdicts at the start and when servers end, and writes them.
-func (k *Keeper) callStore(ctx context.Context) {
+func (k *Persister) callStore(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	read := k.read(ctx)
@@ -171,7 +171,7 @@
 }
 
 // read takes in what the store keeps; false if it can't be read.
-func (k *Keeper) read(ctx context.Context) bool {
+func (k *Persister) read(ctx context.Context) bool {
 	kept, _, err := k.store.Newest(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -187,7 +187,7 @@
 			continue
 		}
 		if now.Sub(v.Until) <= forgetAfter {
-			k.ledger.Adopt(id, v, now)
+			k.ledger.AdoptVerdict(id, v, now)
 		}
 	}
 	return true
@@ -202,7 +202,7 @@
 	return id, v, err
 }
 
-func (k *Keeper) repeatWrites(ctx context.Context) {
+func (k *Persister) repeatWrites(ctx context.Context) {
 	k.mu.Lock()
 	var ids []ID
 	for id := range k.unkept {
@@ -215,9 +215,9 @@
 }
 
 // sync writes what the ledger has about a request.
-func (k *Keeper) sync(ctx context.Context, id ID) {
+func (k *Persister) sync(ctx context.Context, id ID) {
 	var value []byte
-	if v := k.ledger.Standing(id); v != nil {
+	if v := k.ledger.Verdict(id); v != nil {
 		var err error
 		if value, err = encodeKept(*v, k.host); err != nil {
 			k.logger.Error("verdict not encoded", "request", id.String(), "error", err)
@@ -237,7 +237,7 @@
 }
 
 // claimStart marks that a trial of the request is being claimed here; false if it is already.
-func (k *Keeper) claimStart(id ID) (unkept, ok bool) {
+func (k *Persister) claimStart(id ID) (unkept, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.claiming[id] {
@@ -251,7 +251,7 @@
 // those that can't hear each other, one gets it, by a write that holds only if nobody has
 // written in between. The verdict is nil where the quarantine was lifted meanwhile. Errors
 // have code Quarantined where another has the trial.
-func (k *Keeper) Claim(ctx context.Context, id ID) (*Verdict, error) {
+func (k *Persister) Claim(ctx context.Context, id ID) (*Verdict, error) {
 	unkept, ok := k.claimStart(id)
 	if !ok {
 		return nil, errTrialTaken(id)
@@ -264,7 +264,7 @@
 	var err error
 	for range maxClaims {
 		var v *Verdict
-		if v, err = k.claim(ctx, id, unkept); !fault.Is(err, fault.Conflict) {
+		if v, err = k.claim(ctx, id, unkept); !fault.Is(err, fault.RevisionConflict) {
 			return v, err
 		}
 	}
@@ -272,17 +272,17 @@
 }
 
 func errTrialTaken(id ID) error {
-	return fault.New(fault.Quarantined, "another has the trial of request %s", id).With(fault.NotRun)
+	return fault.New(fault.Quarantined, "another has the trial of request %s", id).WithOutcome(fault.NotRun)
 }
 
 // claim tries once.
-func (k *Keeper) claim(ctx context.Context, id ID, unkept bool) (*Verdict, error) {
+func (k *Persister) claim(ctx context.Context, id ID, unkept bool) (*Verdict, error) {
 	kept, end, err := k.store.Newest(ctx)
 	if err != nil {
 		return nil, err
 	}
 	now := k.now()
-	standing := k.ledger.Standing(id)
+	standing := k.ledger.Verdict(id)
 	if standing == nil {
 		return nil, nil
 	}
@@ -297,11 +297,11 @@
 			return nil, err
 		}
 		if v.Trials > standing.Trials {
-			k.ledger.Adopt(id, v, now)
+			k.ledger.AdoptVerdict(id, v, now)
 			return nil, errTrialTaken(id)
 		}
 	}
-	v := standing.Tried(now)
+	v := standing.WithTrial(now)
 	if value, err = encodeKept(v, k.host); err != nil {
 		return nil, fault.New(fault.Internal, "%w", err)
 	}
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -44,7 +44,7 @@
 	defer s.mu.Unlock()
 	s.readers = nil
 	if at != nil && at.Offset != s.end {
-		return fault.New(fault.Conflict, "it ends at %d", s.end)
+		return fault.New(fault.RevisionConflict, "it ends at %d", s.end)
 	}
 	s.end++
 	s.kept[key] = value
@@ -65,8 +65,8 @@
 	won := make(chan *Verdict, 2)
 	for i := range 2 {
 		ledger := seasoned(12)
-		ledger.Adopt(fatal, v, now)
-		keeper := NewKeeper(ledger, store, fmt.Sprint("edge-", i), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		ledger.AdoptVerdict(fatal, v, now)
+		keeper := NewPersister(ledger, store, fmt.Sprint("edge-", i), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		claims.Go(func() {
 			if claimed, err := keeper.Claim(context.Background(), fatal); err == nil {
 				won <- claimed
--- a/internal/quarantine/kept.go
+++ b/internal/quarantine/kept.go
@@ -26,10 +26,10 @@
 func decodeKept(value []byte, now time.Time) (Verdict, error) {
 	var doc keptDoc
 	if err := json.Unmarshal(value, &doc); err != nil {
-		return Verdict{}, fault.New(fault.BadFrame, "%w", err).InField("verdict")
+		return Verdict{}, fault.New(fault.BadFrame, "%w", err).WithField("verdict")
 	}
 	if doc.Trials < 0 || doc.Until < doc.Since {
-		return Verdict{}, fault.New(fault.BadFrame, "%d trials, from %d until %d", doc.Trials, doc.Since, doc.Until).InField("verdict")
+		return Verdict{}, fault.New(fault.BadFrame, "%d trials, from %d until %d", doc.Trials, doc.Since, doc.Until).WithField("verdict")
 	}
 	left := min(time.UnixMilli(doc.Until).Sub(now), rest(doc.Trials))
 	// Since goes by this host's clock: what it cleared after that stands.
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -52,7 +52,7 @@
 
 // entry is what is kept of one request.
 type entry struct {
-	ends    []End
+	ends    []Crash
 	cleared time.Time // of the newest sign that it ends no servers
 	verdict *Verdict
 	judgeAt time.Time // when the ends are weighed; zero when they have been
@@ -69,7 +69,7 @@
 // Ledger keeps what is known of requests that may end servers, here and at the other gateways.
 // It is empty on a calm day. It decides nothing about time: the caller's now is passed to each
 // method. It is safe for concurrent use.
-type Ledger struct {
+type Tracker struct {
 	watching atomic.Int64 // entries
 
 	mu      sync.Mutex
@@ -86,16 +86,16 @@
 }
 
 // New returns an empty ledger.
-func New() *Ledger {
-	return &Ledger{entries: map[ID]*entry{}, explained: map[string]time.Time{}, ended: map[string]time.Time{},
+func New() *Tracker {
+	return &Tracker{entries: map[ID]*entry{}, explained: map[string]time.Time{}, ended: map[string]time.Time{},
 		met: map[string][]ID{}, news: make(chan struct{}, 1), telling: make(chan struct{}, 1)}
 }
 
 // Watching reports whether there is anything to compare requests with.
-func (l *Ledger) Watching() bool { return l.watching.Load() > 0 }
+func (l *Tracker) HasEntries() bool { return l.watching.Load() > 0 }
 
 // entry returns what is kept of a request, made when it is first asked for.
-func (l *Ledger) entry(id ID) *entry {
+func (l *Tracker) entry(id ID) *entry {
 	e := l.entries[id]
 	if e == nil {
 		if len(l.entries) >= maxRequests {
@@ -109,7 +109,7 @@
 }
 
 // makeRoom drops the suspect with the fewest ends, of these the oldest; verdicts go last.
-func (l *Ledger) makeRoom() {
+func (l *Tracker) makeRoom() {
 	var (
 		least   ID
 		weakest *entry
@@ -119,7 +119,7 @@
 			least, weakest = id, e
 		}
 	}
-	l.note(Event{Kind: Dropped, ID: least, Ends: weakest.ends})
+	l.note(Event{Kind: Dropped, ID: least, Crashes: weakest.ends})
 	l.drop(least)
 }
 
@@ -147,7 +147,7 @@
 	return at
 }
 
-func (l *Ledger) drop(id ID) {
+func (l *Tracker) drop(id ID) {
 	if e := l.entries[id]; e != nil {
 		close(e.changed)
 		e.changed = make(chan struct{}) // whoever still holds the entry may change it
@@ -158,7 +158,7 @@
 
 // change wakes those who wait for the request, and has the change told to the other gateways
 // where it is this one's to tell.
-func (l *Ledger) change(e *entry, tell bool, now time.Time) {
+func (l *Tracker) change(e *entry, tell bool, now time.Time) {
 	close(e.changed)
 	e.changed = make(chan struct{})
 	if tell {
@@ -169,7 +169,7 @@
 }
 
 // dueBy has Due look through the entries at a moment, if not before.
-func (l *Ledger) dueBy(at time.Time) {
+func (l *Tracker) dueBy(at time.Time) {
 	if l.dueAt.IsZero() || at.Before(l.dueAt) {
 		l.dueAt = at
 	}
@@ -184,35 +184,35 @@
 }
 
 // Ran counts a run of any request that has come to its end.
-func (l *Ledger) Ran(d time.Duration, now time.Time) {
+func (l *Tracker) RecordRun(d time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hazard.ran(d, now)
 }
 
 // SetServers says how many servers can be reached.
-func (l *Ledger) SetServers(n int) {
+func (l *Tracker) SetServerCount(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.servers = n
 }
 
 // ServerEnded takes in that a server has ended, whatever it ran.
-func (l *Ledger) ServerEnded(start string, now time.Time) {
+func (l *Tracker) RecordServerCrash(start string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.remember(l.ended, start, now)
 }
 
 // remember keeps the first time at which a server was known to have ended.
-func (l *Ledger) remember(in map[string]time.Time, start string, at time.Time) {
+func (l *Tracker) remember(in map[string]time.Time, start string, at time.Time) {
 	if _, known := in[start]; !known && len(in) < maxExplained {
 		in[start] = at
 	}
 }
 
 // Surveyed has the others told again of a request for which servers were looked after.
-func (l *Ledger) Surveyed(id ID, now time.Time) {
+func (l *Tracker) Rebroadcast(id ID, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[id]; e != nil {
@@ -221,7 +221,7 @@
 }
 
 // Known reports whether a server is known to have ended.
-func (l *Ledger) Known(start string) bool {
+func (l *Tracker) KnownCrashed(start string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, known := l.ended[start]
@@ -230,13 +230,13 @@
 
 // Ended takes in that a server has ended while it ran the request for this gateway, and reports whether
 // the request is a strong suspect.
-func (l *Ledger) Ended(id ID, end End, now time.Time) (strong bool) {
+func (l *Tracker) RecordCrash(id ID, end Crash, now time.Time) (strong bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hazard.hit(end.Server, now)
 	e := l.entry(id)
 	if l.add(id, e, end, now) {
-		l.note(Event{Kind: Suspected, ID: id, Ends: slices.Clone(e.ends), Verdict: copied(e.verdict)})
+		l.note(Event{Kind: Suspected, ID: id, Crashes: slices.Clone(e.ends), Verdict: copied(e.verdict)})
 		l.change(e, true, now)
 	}
 	l.dropEmpty(id, e)
@@ -244,14 +244,14 @@
 }
 
 // add keeps an end; false where it says nothing new.
-func (l *Ledger) add(id ID, e *entry, end End, now time.Time) bool {
+func (l *Tracker) add(id ID, e *entry, end Crash, now time.Time) bool {
 	l.remember(l.ended, end.Server, end.At)
 	_, explained := l.explained[end.Server]
 	if e.verdict != nil {
 		// It explains the end to all others that ran there.
 		l.explain(id, end.Server, now)
 	}
-	known := slices.ContainsFunc(e.ends, func(other End) bool { return other.Server == end.Server })
+	known := slices.ContainsFunc(e.ends, func(other Crash) bool { return other.Server == end.Server })
 	if known || (explained && e.verdict == nil) || !end.At.After(e.cleared) || now.Sub(end.At) > keepEvidence {
 		return false
 	}
@@ -272,7 +272,7 @@
 }
 
 // dropEmpty drops an entry of which nothing is left to know.
-func (l *Ledger) dropEmpty(id ID, e *entry) {
+func (l *Tracker) dropEmpty(id ID, e *entry) {
 	if !e.suspect() && e.verdict == nil && e.cleared.IsZero() && len(e.own) == 0 {
 		l.drop(id)
 	}
@@ -280,12 +280,12 @@
 
 // Completed takes in that the request was answered by a server: what ended the servers before
 // was something else.
-func (l *Ledger) Completed(id ID, now time.Time) { l.clear(id, Answered, now) }
+func (l *Tracker) RecordAnswer(id ID, now time.Time) { l.clear(id, Answered, now) }
 
 // Lift ends the quarantine of a request on an operator's word; false if it has none.
-func (l *Ledger) Lift(id ID, now time.Time) bool { return l.clear(id, ByOperator, now) }
+func (l *Tracker) Lift(id ID, now time.Time) bool { return l.clear(id, ByOperator, now) }
 
-func (l *Ledger) clear(id ID, why Cause, now time.Time) bool {
+func (l *Tracker) clear(id ID, why Cause, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[id]
@@ -294,7 +294,7 @@
 	}
 	lifted := e.verdict != nil
 	if lifted {
-		l.note(Event{Kind: Lifted, ID: id, Cause: why, Ends: slices.Clone(e.ends), Verdict: copied(e.verdict)})
+		l.note(Event{Kind: Lifted, ID: id, Cause: why, Crashes: slices.Clone(e.ends), Verdict: copied(e.verdict)})
 	}
 	e.clear(now)
 	l.change(e, true, now)
@@ -306,7 +306,7 @@
 	if at.After(e.cleared) {
 		e.cleared = at
 	}
-	e.ends = slices.DeleteFunc(e.ends, func(end End) bool { return !end.At.After(e.cleared) })
+	e.ends = slices.DeleteFunc(e.ends, func(end Crash) bool { return !end.At.After(e.cleared) })
 	if e.verdict != nil && !e.verdict.Since.After(e.cleared) {
 		e.verdict = nil
 	}
@@ -317,7 +317,7 @@
 const keepCleared = 30 * time.Second
 
 // Sweep forgets what is too old. It is called every second or so.
-func (l *Ledger) Sweep(now time.Time) {
+func (l *Tracker) Sweep(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, known := range []map[string]time.Time{l.explained, l.ended} {
@@ -333,7 +333,7 @@
 		}
 	}
 	for id, e := range l.entries {
-		e.ends = slices.DeleteFunc(e.ends, func(end End) bool { return e.verdict == nil && now.Sub(end.At) > keepEvidence })
+		e.ends = slices.DeleteFunc(e.ends, func(end Crash) bool { return e.verdict == nil && now.Sub(end.At) > keepEvidence })
 		l.judge(id, e, now)
 		if e.verdict != nil && now.Sub(e.verdict.Until) > forgetAfter {
 			l.note(Event{Kind: Lifted, ID: id, Cause: Forgotten, Verdict: copied(e.verdict)})
@@ -355,25 +355,25 @@
 }
 
 // Quarantined is a request with a verdict, for operators.
-type Quarantined struct {
+type QuarantinedRequest struct {
 	ID      ID
 	Verdict Verdict
-	Ends    []End
+	Crashes []Crash
 }
 
 // Quarantine lists the requests with a verdict, the newest first, and counts the suspects.
-func (l *Ledger) Quarantine() (list []Quarantined, suspects int) {
+func (l *Tracker) List() (list []QuarantinedRequest, suspects int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, e := range l.entries {
 		switch {
 		case e.verdict != nil:
-			list = append(list, Quarantined{id, *e.verdict, slices.Clone(e.ends)})
+			list = append(list, QuarantinedRequest{id, *e.verdict, slices.Clone(e.ends)})
 		case e.suspect():
 			suspects++
 		}
 	}
-	slices.SortFunc(list, func(a, b Quarantined) int { return b.Verdict.Since.Compare(a.Verdict.Since) })
+	slices.SortFunc(list, func(a, b QuarantinedRequest) int { return b.Verdict.Since.Compare(a.Verdict.Since) })
 	return list, suspects
 }
 
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -15,52 +15,52 @@
 }
 
 // end is the end of a server after a run of 60 ms.
-func end(server string, seconds float64) End {
-	return End{Server: server, Begun: at(seconds - 0.06), At: at(seconds)}
+func end(server string, seconds float64) Crash {
+	return Crash{Server: server, SentAt: at(seconds - 0.06), At: at(seconds)}
 }
 
 func id(name string) ID { return Identify("team", "POST", "a.example", "/"+name, nil) }
 
 // seasoned is a ledger that has seen calm for a while.
-func seasoned(servers int) *Ledger {
+func seasoned(servers int) *Tracker {
 	l := New()
-	l.Ran(time.Second, at(-20))
-	l.SetServers(servers)
+	l.RecordRun(time.Second, at(-20))
+	l.SetServerCount(servers)
 	return l
 }
 
 // judged gives the verdict on a request at a moment.
-func judged(l *Ledger, of ID, seconds float64) *Verdict {
-	l.Due(at(seconds))
-	return l.Standing(of)
+func judged(l *Tracker, of ID, seconds float64) *Verdict {
+	l.DueUpdates(at(seconds))
+	return l.Verdict(of)
 }
 
 func TestThreeEndsOneAfterTheOtherGiveAVerdict(t *testing.T) {
 	g := NewWithT(t)
 	l := seasoned(12)
 	fatal := id("fatal")
-	l.Ended(fatal, end("i-1", 1), at(1))
-	l.Ended(fatal, end("i-1", 1), at(1)) // told twice
-	l.Ended(fatal, end("i-2", 2), at(2))
+	l.RecordCrash(fatal, end("i-1", 1), at(1))
+	l.RecordCrash(fatal, end("i-1", 1), at(1)) // told twice
+	l.RecordCrash(fatal, end("i-2", 2), at(2))
 	g.Expect(judged(l, fatal, 2.1)).To(BeNil())
-	l.Ended(fatal, end("i-3", 3), at(3))
+	l.RecordCrash(fatal, end("i-3", 3), at(3))
 	v := judged(l, fatal, 3.1)
 	g.Expect(v).NotTo(BeNil())
 	g.Expect(v.Servers).To(ConsistOf("i-1", "i-2", "i-3"))
 	g.Expect(v.Until).To(Equal(at(3.1).Add(rest(0))))
 	g.Expect(l.Begin(fatal, 1, at(4)).Verdict).NotTo(BeNil())
-	g.Expect(l.Begin(id("other"), 1, at(4))).To(Equal(Turn{}))
+	g.Expect(l.Begin(id("other"), 1, at(4))).To(Equal(Decision{}))
 }
 
 func TestAnAnswerInBetweenEndsSuspicion(t *testing.T) {
 	g := NewWithT(t)
 	l := seasoned(12)
 	harmless := id("harmless")
-	l.Ended(harmless, end("i-1", 1), at(1))
-	l.Ended(harmless, end("i-2", 2), at(2))
-	l.Completed(harmless, at(2.5))
-	l.Ended(harmless, end("i-3", 3), at(3))
-	l.Ended(harmless, end("i-0", 2.4), at(3)) // a late word of before
+	l.RecordCrash(harmless, end("i-1", 1), at(1))
+	l.RecordCrash(harmless, end("i-2", 2), at(2))
+	l.RecordAnswer(harmless, at(2.5))
+	l.RecordCrash(harmless, end("i-3", 3), at(3))
+	l.RecordCrash(harmless, end("i-0", 2.4), at(3)) // a late word of before
 	g.Expect(judged(l, harmless, 3.1)).To(BeNil())
 }
 
@@ -69,7 +69,7 @@
 	l := seasoned(12)
 	popular := id("popular")
 	for i := range 5 { // a rack
-		l.Ended(popular, End{Server: fmt.Sprint("i-", i), Begun: at(0.8), At: at(1 + float64(i)/100)}, at(1.1))
+		l.RecordCrash(popular, Crash{Server: fmt.Sprint("i-", i), SentAt: at(0.8), At: at(1 + float64(i)/100)}, at(1.1))
 	}
 	g.Expect(judged(l, popular, 1.2)).To(BeNil())
 	g.Expect(independent(l.entries[popular].ends)).To(HaveLen(1))
@@ -79,12 +79,12 @@
 	g := NewWithT(t)
 	l := seasoned(12)
 	fatal := id("fatal")
-	l.ServerEnded("i-9", at(0.5))
+	l.RecordServerCrash("i-9", at(0.5))
 	for i := 1; i <= 3; i++ {
-		l.Ended(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		l.RecordCrash(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	g.Expect(judged(l, fatal, 3.1)).To(BeNil())
-	l.Ended(fatal, end("i-4", 4), at(4))
+	l.RecordCrash(fatal, end("i-4", 4), at(4))
 	g.Expect(judged(l, fatal, 4.1)).NotTo(BeNil())
 }
 
@@ -93,16 +93,16 @@
 	g := NewWithT(t)
 	l := seasoned(12)
 	for i := range 20 {
-		l.Ended(id(fmt.Sprint(i)), end("i-1", 1), at(1))
-		l.Ended(id(fmt.Sprint(i)), end("i-2", 2), at(2))
+		l.RecordCrash(id(fmt.Sprint(i)), end("i-1", 1), at(1))
+		l.RecordCrash(id(fmt.Sprint(i)), end("i-2", 2), at(2))
 	}
 	for i := range 19 {
-		l.Completed(id(fmt.Sprint(i)), at(2.5))
+		l.RecordAnswer(id(fmt.Sprint(i)), at(2.5))
 	}
 	last := id("19")
-	l.Ended(last, end("i-3", 3), at(3))
+	l.RecordCrash(last, end("i-3", 3), at(3))
 	g.Expect(judged(l, last, 3.1)).To(BeNil())
-	l.Ended(last, end("i-4", 4), at(4))
+	l.RecordCrash(last, end("i-4", 4), at(4))
 	g.Expect(judged(l, last, 4.1)).NotTo(BeNil())
 }
 
@@ -111,14 +111,14 @@
 	l := seasoned(12)
 	for i := range 20 { // runs of 0.5 s, half of which meet the end of their server
 		now := at(float64(i) / 2)
-		l.Ran(500*time.Millisecond, now)
-		l.Ran(500*time.Millisecond, now)
-		l.Ended(id(fmt.Sprint("other-", i)), End{Server: fmt.Sprint("o-", i), Begun: now.Add(-500 * time.Millisecond), At: now}, now)
+		l.RecordRun(500*time.Millisecond, now)
+		l.RecordRun(500*time.Millisecond, now)
+		l.RecordCrash(id(fmt.Sprint("other-", i)), Crash{Server: fmt.Sprint("o-", i), SentAt: now.Add(-500 * time.Millisecond), At: now}, now)
 	}
 	harmless := id("harmless")
 	for i := range 6 {
 		s := 9 + float64(i)*0.6
-		l.Ended(harmless, End{Server: fmt.Sprint("i-", i), Begun: at(s - 0.5), At: at(s)}, at(s))
+		l.RecordCrash(harmless, Crash{Server: fmt.Sprint("i-", i), SentAt: at(s - 0.5), At: at(s)}, at(s))
 	}
 	g.Expect(judged(l, harmless, 13)).To(BeNil())
 }
@@ -131,11 +131,11 @@
 		l := New()
 		if others {
 			beside := id("beside")
-			l.Hear([]Told{{ID: beside[:], Seen: recent.Milliseconds()}}, "elder", at(0))
+			l.Merge([]Update{{ID: beside[:], ObservedMS: recent.Milliseconds()}}, "elder", at(0))
 		}
 		fatal := id("fatal")
 		for i := 1; i <= 3; i++ {
-			l.Ended(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+			l.RecordCrash(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 		}
 		if others {
 			g.Expect(judged(l, fatal, 3.1)).To(BeNil())
@@ -150,14 +150,14 @@
 	l := seasoned(12)
 	fatal, beside := id("fatal"), id("beside")
 	for i := 1; i <= 2; i++ {
-		l.Ended(beside, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		l.RecordCrash(beside, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	for i := 1; i <= 4; i++ {
-		l.Ended(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		l.RecordCrash(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	g.Expect(judged(l, fatal, 4.1)).NotTo(BeNil())
-	l.Ended(beside, end("i-3", 3), at(4.2)) // a late word
-	g.Expect(l.Begin(beside, 1, at(5))).To(Equal(Turn{}), "nothing is left against it")
+	l.RecordCrash(beside, end("i-3", 3), at(4.2)) // a late word
+	g.Expect(l.Begin(beside, 1, at(5))).To(Equal(Decision{}), "nothing is left against it")
 }
 
 // Either of two that ran on the same servers may be the cause; the next end tells.
@@ -166,35 +166,35 @@
 	l := seasoned(12)
 	a, b := id("a"), id("b")
 	for i := 1; i <= 4; i++ {
-		l.Ended(a, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
-		l.Ended(b, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		l.RecordCrash(a, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		l.RecordCrash(b, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	g.Expect(judged(l, a, 4.1)).To(BeNil())
 	g.Expect(judged(l, b, 4.1)).To(BeNil())
-	l.Ended(a, end("i-5", 5), at(5))
+	l.RecordCrash(a, end("i-5", 5), at(5))
 	g.Expect(judged(l, a, 5.1)).NotTo(BeNil())
-	g.Expect(l.Begin(b, 1, at(6))).To(Equal(Turn{}))
+	g.Expect(l.Begin(b, 1, at(6))).To(Equal(Decision{}))
 }
 
 func TestOneRunOfASuspectGoesOnAtATime(t *testing.T) {
 	g := NewWithT(t)
 	l := seasoned(12)
 	suspect := id("suspect")
-	l.Ended(suspect, end("i-1", 1), at(1))
-	g.Expect(l.Begin(suspect, 1, at(1.1))).To(Equal(Turn{}))
+	l.RecordCrash(suspect, end("i-1", 1), at(1))
+	g.Expect(l.Begin(suspect, 1, at(1.1))).To(Equal(Decision{}))
 	g.Expect(l.Begin(suspect, 2, at(1.2)).Changed).NotTo(BeNil())
-	g.Expect(l.Begin(suspect, 2, at(2.2))).To(Equal(Turn{}), "one end is common: no long wait")
+	g.Expect(l.Begin(suspect, 2, at(2.2))).To(Equal(Decision{}), "one end is common: no long wait")
 	l.Done(suspect, 1, at(2.3))
 	l.Done(suspect, 2, at(2.3))
 
-	l.Ended(suspect, end("i-2", 3), at(3))
-	g.Expect(l.Begin(suspect, 9, at(3.1)).Settle).To(BeNumerically(">", 0))
+	l.RecordCrash(suspect, end("i-2", 3), at(3))
+	g.Expect(l.Begin(suspect, 9, at(3.1)).ConfirmAfter).To(BeNumerically(">", 0))
 	word := l.Begin(suspect, 5, at(3.11))
 	g.Expect(word.Changed).NotTo(BeNil())
-	l.Hear([]Told{{ID: suspect[:], Runs: []ToldRun{{Key: 4}}}}, "other", at(3.112))
+	l.Merge([]Update{{ID: suspect[:], Runs: []RunRecord{{Key: 4}}}}, "other", at(3.112))
 	g.Expect(l.Confirm(suspect, 9, at(3.12)).Changed).NotTo(BeNil(), "the other gateway's has the lower key")
 	g.Expect(l.Begin(suspect, 9, at(3.2)).Changed).NotTo(BeNil())
-	g.Expect(l.Begin(suspect, 9, at(6)).Settle).To(BeNumerically(">", 0), "nothing was heard of that run")
+	g.Expect(l.Begin(suspect, 9, at(6)).ConfirmAfter).To(BeNumerically(">", 0), "nothing was heard of that run")
 }
 
 func TestStrongSuspectsArePlacedOneAfterTheOther(t *testing.T) {
@@ -202,17 +202,17 @@
 	l := seasoned(12)
 	a, b := id("a"), id("b")
 	for i := 1; i <= 2; i++ {
-		l.Ended(a, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
-		l.Ended(b, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		l.RecordCrash(a, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		l.RecordCrash(b, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	l.Begin(a, 1, at(3))
 	l.Begin(b, 2, at(3))
 	g.Expect(l.Confirm(a, 1, at(3.02)).Changed).To(BeNil())
 	g.Expect(l.Confirm(b, 2, at(3.02)).Changed).NotTo(BeNil())
-	l.Place(a, 1, "i-5", at(3.03))
+	l.SetServer(a, 1, "i-5", at(3.03))
 	l.Begin(b, 2, at(3.04))
 	g.Expect(l.Confirm(b, 2, at(3.06)).Changed).To(BeNil())
-	g.Expect(l.Occupied(2, at(3.06))).To(Equal(map[string]bool{"i-5": true}))
+	g.Expect(l.OccupiedServers(2, at(3.06))).To(Equal(map[string]bool{"i-5": true}))
 }
 
 func TestWhatIsKeptIsBounded(t *testing.T) {
@@ -220,35 +220,35 @@
 	l := seasoned(12)
 	fatal := id("fatal")
 	for i := 1; i <= 3; i++ {
-		l.Ended(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		l.RecordCrash(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	g.Expect(judged(l, fatal, 3.1)).NotTo(BeNil())
 	for i := range maxRequests + 100 {
-		l.Ended(id(fmt.Sprint("flood-", i)), end(fmt.Sprint("o-", i), 4), at(4))
+		l.RecordCrash(id(fmt.Sprint("flood-", i)), end(fmt.Sprint("o-", i), 4), at(4))
 	}
 	g.Expect(l.entries).To(HaveLen(maxRequests))
-	g.Expect(l.Standing(fatal)).NotTo(BeNil(), "verdicts go last")
-	g.Expect(len(l.Due(at(5)))).To(Equal(maxTold))
-	g.Expect(len(l.All(at(5)))).To(Equal(maxToldToNew))
+	g.Expect(l.Verdict(fatal)).NotTo(BeNil(), "verdicts go last")
+	g.Expect(len(l.DueUpdates(at(5)))).To(Equal(maxTold))
+	g.Expect(len(l.Snapshot(at(5)))).To(Equal(maxToldToNew))
 	for i := range 3 * maxEnds {
-		l.Ended(id("often"), end(fmt.Sprint("e-", i), 5+float64(i)), at(5+float64(i)))
+		l.RecordCrash(id("often"), end(fmt.Sprint("e-", i), 5+float64(i)), at(5+float64(i)))
 	}
 	g.Expect(len(l.entries[id("often")].ends)).To(BeNumerically("<=", maxEnds))
 	l.Sweep(at(5).Add(keepEvidence + time.Hour))
 	g.Expect(l.entries).To(HaveLen(1), "the verdict")
 	l.Sweep(at(5).Add(3 * 24 * time.Hour))
-	g.Expect(l.Watching()).To(BeFalse())
+	g.Expect(l.HasEntries()).To(BeFalse())
 }
 
 // Whatever the order in which gateways hear of each other, and how often, they come to the same.
 func TestWordsMergeInAnyOrder(t *testing.T) {
 	g := NewWithT(t)
 	fatal := id("fatal")
-	var words []Told
+	var words []Update
 	for i := 1; i <= 3; i++ {
 		witness := seasoned(12)
-		witness.Ended(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
-		words = append(words, witness.Due(at(4))...)
+		witness.RecordCrash(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		words = append(words, witness.DueUpdates(at(4))...)
 	}
 	g.Expect(words).To(HaveLen(3))
 	rapid.Check(t, func(t *rapid.T) {
@@ -256,7 +256,7 @@
 		l := seasoned(12)
 		again := rapid.SliceOfN(rapid.SampledFrom(words), 0, 10).Draw(t, "again")
 		for i, word := range rapid.Permutation(append(again, words...)).Draw(t, "order") {
-			l.Hear([]Told{word}, fmt.Sprint(i), at(4))
+			l.Merge([]Update{word}, fmt.Sprint(i), at(4))
 		}
 		v := judged(l, fatal, 4.1)
 		g.Expect(v).NotTo(BeNil())
@@ -270,16 +270,16 @@
 	here, there := seasoned(12), seasoned(12)
 	fatal, beside := id("fatal"), id("beside")
 	for i := 1; i <= 3; i++ {
-		here.Ended(beside, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		here.RecordCrash(beside, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	for i := 1; i <= 4; i++ {
-		there.Ended(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		there.RecordCrash(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	g.Expect(judged(here, beside, 5)).NotTo(BeNil())
 	g.Expect(judged(there, fatal, 5)).NotTo(BeNil())
-	here.Hear(there.All(at(6)), "there", at(6))
-	g.Expect(here.Standing(beside)).To(BeNil())
-	g.Expect(here.Standing(fatal)).NotTo(BeNil())
+	here.Merge(there.Snapshot(at(6)), "there", at(6))
+	g.Expect(here.Verdict(beside)).To(BeNil())
+	g.Expect(here.Verdict(fatal)).NotTo(BeNil())
 }
 
 func TestATrialIsTheOnlyRunAndItsAnswerEndsTheQuarantine(t *testing.T) {
@@ -287,28 +287,28 @@
 	l := seasoned(12)
 	fatal := id("fatal")
 	for i := 1; i <= 3; i++ {
-		l.Ended(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		l.RecordCrash(fatal, end(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	v := judged(l, fatal, 3.1)
 	due := v.Until.Add(time.Second)
 	g.Expect(l.Begin(fatal, 1, due).TrialDue).To(BeTrue())
-	l.Try(fatal, 1, v.Tried(due), due)
+	l.BeginTrial(fatal, 1, v.WithTrial(due), due)
 	g.Expect(l.Check(fatal, 1).Verdict).To(BeNil(), "it is the trial")
 	g.Expect(l.Check(fatal, 2).Verdict).NotTo(BeNil())
 	word := l.Begin(fatal, 2, due.Add(time.Second))
 	g.Expect(word.Verdict).NotTo(BeNil())
 	g.Expect(word.TrialDue).To(BeFalse())
-	l.Completed(fatal, due.Add(2*time.Second))
-	g.Expect(l.Begin(fatal, 3, due.Add(3*time.Second))).To(Equal(Turn{}))
+	l.RecordAnswer(fatal, due.Add(2*time.Second))
+	g.Expect(l.Begin(fatal, 3, due.Add(3*time.Second))).To(Equal(Decision{}))
 }
 
 func TestWhatIsToldFitsInADatagram(t *testing.T) {
 	g := NewWithT(t)
 	l := seasoned(12)
 	for i := range maxEnds {
-		l.Ended(id("often"), end(fmt.Sprint("i-1234567890@17654321", 10000+i), float64(i)), at(float64(i)))
+		l.RecordCrash(id("often"), end(fmt.Sprint("i-1234567890@17654321", 10000+i), float64(i)), at(float64(i)))
 	}
-	told := l.Due(at(100))
+	told := l.DueUpdates(at(100))
 	g.Expect(told).To(HaveLen(1))
 	g.Expect(told[0].Size()).To(BeNumerically("<=", 1000))
 }
--- a/internal/quarantine/system_test.go
+++ b/internal/quarantine/system_test.go
@@ -198,7 +198,7 @@
 		d.KillNode(d.Nodes[3])
 		d.StartNode(d.Nodes[3])
 		time.Sleep(3 * time.Second)
-		_, suspects := d.Nodes[3].Gateway().Quarantine().Quarantine()
+		_, suspects := d.Nodes[3].Gateway().Quarantine().List()
 		g.Expect(suspects).To(Equal(1))
 		d.Ask(d.Nodes[3], "once", "third", fatal)
 		time.Sleep(time.Second)
