--- a/internal/quarantine/told.go
+++ b/internal/quarantine/told.go
@@ -8,41 +8,41 @@
 // Told is what one gateway tells another of a request. Times are told as what has passed since,
 // in ms, as clocks of hosts differ. Merging is idempotent and in any order, so that words may be
 // lost, repeated and late.
-type Told struct {
-	ID      []byte     `msgpack:"i"`
-	Ends    []ToldEnd  `msgpack:"e,omitempty"`
-	Cleared *int64     `msgpack:"c,omitempty"` // nil: nothing says that it ends no servers
-	Verdict *ToldTerms `msgpack:"v,omitempty"`
+type Update struct {
+	ID           []byte        `msgpack:"i"`
+	Crashes      []CrashRecord `msgpack:"e,omitempty"`
+	ClearedAgoMS *int64        `msgpack:"c,omitempty"` // nil: nothing says that it ends no servers
+	Verdict      *VerdictTerms `msgpack:"v,omitempty"`
 	// Runs are all runs of the request at the gateway that tells.
-	Runs []ToldRun `msgpack:"r,omitempty"`
+	Runs []RunRecord `msgpack:"r,omitempty"`
 	// Others are servers that have ended lately and did not run the request as far as was known.
-	Others []string `msgpack:"n,omitempty"`
+	OtherServers []string `msgpack:"n,omitempty"`
 	// Seen is for how long the gateway has seen how often servers end, up to recent.
-	Seen int64 `msgpack:"o,omitempty"`
+	ObservedMS int64 `msgpack:"o,omitempty"`
 }
 
 // ToldEnd is an End.
-type ToldEnd struct {
-	Server string `msgpack:"s"`
-	Begun  int64  `msgpack:"b"`
-	At     int64  `msgpack:"a"`
+type CrashRecord struct {
+	Server    string `msgpack:"s"`
+	SentAgoMS int64  `msgpack:"b"`
+	AgoMS     int64  `msgpack:"a"`
 	// Rate is how often, in times a second, a run met the end of its server about then.
 	Rate float32 `msgpack:"r"`
 }
 
 // ToldTerms are those of a Verdict. Its servers are those of the ends, or told before.
-type ToldTerms struct {
-	Since  int64 `msgpack:"s"`
-	Left   int64 `msgpack:"l"`
-	Trials int   `msgpack:"t,omitempty"`
+type VerdictTerms struct {
+	SinceAgoMS  int64 `msgpack:"s"`
+	RemainingMS int64 `msgpack:"l"`
+	Trials      int   `msgpack:"t,omitempty"`
 }
 
 // ToldRun is a run in progress.
-type ToldRun struct {
-	Key     uint64 `msgpack:"k"`
-	Server  string `msgpack:"s,omitempty"`
-	Since   int64  `msgpack:"b"`
-	Settled bool   `msgpack:"d,omitempty"`
+type RunRecord struct {
+	Key          uint64 `msgpack:"k"`
+	Server       string `msgpack:"s,omitempty"`
+	StartedAgoMS int64  `msgpack:"b"`
+	Confirmed    bool   `msgpack:"d,omitempty"`
 }
 
 // repeats are the pauses after which a change is told again, in case a datagram was lost: of
@@ -61,8 +61,8 @@
 )
 
 // Due returns what is to be told to the other gateways now, the strongest suspects first.
-func (l *Ledger) Due(now time.Time) []Told {
-	if !l.Watching() {
+func (l *Tracker) DueUpdates(now time.Time) []Update {
+	if !l.HasEntries() {
 		return nil
 	}
 	l.mu.Lock()
@@ -83,7 +83,7 @@
 		}
 	}
 	slices.SortFunc(due, func(a, b ID) int { return l.strongerFirst(a, b) })
-	var out []Told
+	var out []Update
 	for _, id := range due[:min(len(due), maxTold)] {
 		e := l.entries[id]
 		out = append(out, l.told(id, e, now))
@@ -98,7 +98,7 @@
 }
 
 // strongerFirst compares what is kept of two requests.
-func (l *Ledger) strongerFirst(a, b ID) int {
+func (l *Tracker) strongerFirst(a, b ID) int {
 	if weaker(l.entries[a], l.entries[b]) {
 		return 1
 	}
@@ -117,7 +117,7 @@
 }
 
 // All returns what a gateway is to be told that has just started, the strongest first.
-func (l *Ledger) All(now time.Time) []Told {
+func (l *Tracker) Snapshot(now time.Time) []Update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ids := make([]ID, 0, len(l.entries))
@@ -125,38 +125,38 @@
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b ID) int { return l.strongerFirst(a, b) })
-	var out []Told
+	var out []Update
 	for _, id := range ids[:min(len(ids), maxToldToNew)] {
 		out = append(out, l.told(id, l.entries[id], now))
 	}
 	return out
 }
 
-func (l *Ledger) told(id ID, e *entry, now time.Time) Told {
-	t := Told{ID: id[:], Seen: l.seen(now).Milliseconds()}
+func (l *Tracker) told(id ID, e *entry, now time.Time) Update {
+	t := Update{ID: id[:], ObservedMS: l.seen(now).Milliseconds()}
 	if len(e.ends) >= strongEnds {
 		others := l.othersEnded(now, recent, l.ownOf(e))
-		t.Others = others[:min(len(others), maxOthers)]
+		t.OtherServers = others[:min(len(others), maxOthers)]
 	}
 	ago := func(at time.Time) int64 { return now.Sub(at).Milliseconds() }
 	for _, end := range e.ends {
-		t.Ends = append(t.Ends, ToldEnd{end.Server, ago(end.Begun), ago(end.At), float32(end.rate)})
+		t.Crashes = append(t.Crashes, CrashRecord{end.Server, ago(end.SentAt), ago(end.At), float32(end.rate)})
 	}
 	if !e.cleared.IsZero() {
 		cleared := ago(e.cleared)
-		t.Cleared = &cleared
+		t.ClearedAgoMS = &cleared
 	}
 	if e.verdict != nil {
-		t.Verdict = &ToldTerms{ago(e.verdict.Since), -ago(e.verdict.Until), e.verdict.Trials}
+		t.Verdict = &VerdictTerms{ago(e.verdict.Since), -ago(e.verdict.Until), e.verdict.Trials}
 	}
 	for _, r := range e.own {
-		t.Runs = append(t.Runs, ToldRun{r.key, r.server, ago(r.since), r.settled})
+		t.Runs = append(t.Runs, RunRecord{r.key, r.server, ago(r.since), r.settled})
 	}
 	return t
 }
 
 // Hear takes in what another gateway has told.
-func (l *Ledger) Hear(told []Told, from string, now time.Time) {
+func (l *Tracker) Merge(told []Update, from string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, t := range told {
@@ -168,27 +168,27 @@
 	}
 }
 
-func (l *Ledger) hear(id ID, t Told, from string, now time.Time) {
+func (l *Tracker) hear(id ID, t Update, from string, now time.Time) {
 	at := func(ago int64) time.Time { return now.Add(-time.Duration(ago) * time.Millisecond) }
-	if time.Duration(t.Seen)*time.Millisecond > l.seen(now)+muchLonger {
+	if time.Duration(t.ObservedMS)*time.Millisecond > l.seen(now)+muchLonger {
 		l.elder = now
 	}
 	e := l.entry(id)
-	if t.Cleared != nil {
-		l.heardCleared(id, e, at(*t.Cleared))
+	if t.ClearedAgoMS != nil {
+		l.heardCleared(id, e, at(*t.ClearedAgoMS))
 	}
 	if t.Verdict != nil {
-		l.adopt(id, e, Verdict{Since: at(t.Verdict.Since), Until: at(-t.Verdict.Left), Trials: t.Verdict.Trials, Servers: e.serversWith(t.Ends)})
+		l.adopt(id, e, Verdict{Since: at(t.Verdict.SinceAgoMS), Until: at(-t.Verdict.RemainingMS), Trials: t.Verdict.Trials, Servers: e.serversWith(t.Crashes)})
 	}
-	for _, end := range t.Ends {
-		l.add(id, e, End{Server: end.Server, Begun: at(end.Begun), At: at(end.At), rate: float64(end.Rate)}, now)
+	for _, end := range t.Crashes {
+		l.add(id, e, Crash{Server: end.Server, SentAt: at(end.SentAgoMS), At: at(end.AgoMS), rate: float64(end.Rate)}, now)
 	}
-	for _, start := range t.Others {
+	for _, start := range t.OtherServers {
 		l.remember(l.ended, start, now)
 	}
 	delete(e.others, from)
 	for _, r := range t.Runs {
-		e.others[from] = append(e.others[from], run{key: r.Key, server: r.Server, since: at(r.Since), settled: r.Settled, heard: now})
+		e.others[from] = append(e.others[from], run{key: r.Key, server: r.Server, since: at(r.StartedAgoMS), settled: r.Confirmed, heard: now})
 	}
 	if e.verdict != nil {
 		l.explainAll(id, e, now)
@@ -200,7 +200,7 @@
 }
 
 // heardCleared takes in that another gateway knows the request to end no servers.
-func (l *Ledger) heardCleared(id ID, e *entry, at time.Time) {
+func (l *Tracker) heardCleared(id ID, e *entry, at time.Time) {
 	had := copied(e.verdict)
 	e.clear(at)
 	if had != nil && e.verdict == nil {
@@ -209,16 +209,16 @@
 }
 
 // adopt takes in a verdict of another gateway, or of the store.
-func (l *Ledger) adopt(id ID, e *entry, v Verdict) {
+func (l *Tracker) adopt(id ID, e *entry, v Verdict) {
 	if !v.Since.After(e.cleared) || !v.replaces(e.verdict) {
 		return
 	}
 	e.verdict = &v
-	l.note(Event{Kind: Learnt, ID: id, Ends: slices.Clone(e.ends), Verdict: copied(&v)})
+	l.note(Event{Kind: Learnt, ID: id, Crashes: slices.Clone(e.ends), Verdict: copied(&v)})
 }
 
 // serversWith returns the servers of which the entry knows, and those of further ends.
-func (e *entry) serversWith(told []ToldEnd) []string {
+func (e *entry) serversWith(told []CrashRecord) []string {
 	out := servers(e.ends)
 	if e.verdict != nil {
 		out = slices.Clone(e.verdict.Servers)
@@ -232,7 +232,7 @@
 }
 
 // Adopt takes in a verdict that was kept in the store.
-func (l *Ledger) Adopt(id ID, v Verdict, now time.Time) {
+func (l *Tracker) AdoptVerdict(id ID, v Verdict, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(id)
@@ -245,7 +245,7 @@
 }
 
 // Standing returns the verdict on a request, nil for none.
-func (l *Ledger) Standing(id ID) *Verdict {
+func (l *Tracker) Verdict(id ID) *Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[id]; e != nil {
@@ -260,15 +260,15 @@
 )
 
 // Size is about the size of what is told, in bytes, and not below it.
-func (t Told) Size() int {
+func (t Update) Size() int {
 	n := toldHead
-	for _, end := range t.Ends {
+	for _, end := range t.Crashes {
 		n += toldEndHead + len(end.Server)
 	}
 	for _, r := range t.Runs {
 		n += toldRunHead + len(r.Server)
 	}
-	for _, start := range t.Others {
+	for _, start := range t.OtherServers {
 		n += toldOtherHead + len(start)
 	}
 	return n
--- a/internal/quarantine/turns.go
+++ b/internal/quarantine/turns.go
@@ -6,7 +6,7 @@
 )
 
 // Turn is the word on whether a request may be sent now. The zero Turn is that it may.
-type Turn struct {
+type Decision struct {
 	// Verdict is not nil where the request is refused.
 	Verdict *Verdict
 	// TrialDue is set where the rest of the verdict is over: who gets the trial may send it.
@@ -16,41 +16,41 @@
 	Changed <-chan struct{}
 	Wait    time.Duration
 	// Settle is how long the request waits before Confirm; it has its turn otherwise.
-	Settle time.Duration
+	ConfirmAfter time.Duration
 	// Apart is set for a strong suspect: it is sent where no other suspect runs, so that the
 	// next end points to one, and before nobody else.
-	Apart bool
+	Isolate bool
 }
 
 // Begin asks for a turn to send the request, under a key drawn for it. Where the turn is given,
 // Done must be called. Of a suspect one run goes on at a time.
-func (l *Ledger) Begin(id ID, key uint64, now time.Time) Turn {
+func (l *Tracker) Begin(id ID, key uint64, now time.Time) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[id]
 	if e == nil {
-		return Turn{}
+		return Decision{}
 	}
 	l.judge(id, e, now)
 	if e.verdict != nil {
-		return Turn{Verdict: copied(e.verdict), TrialDue: !now.Before(e.verdict.Until)}
+		return Decision{Verdict: copied(e.verdict), TrialDue: !now.Before(e.verdict.Until)}
 	}
 	if now.Before(e.judgeAt) {
-		return Turn{Changed: e.changed, Wait: e.judgeAt.Sub(now), Apart: true}
+		return Decision{Changed: e.changed, Wait: e.judgeAt.Sub(now), Isolate: true}
 	}
 	if !e.suspect() {
-		return Turn{}
+		return Decision{}
 	}
 	strong := len(e.ends) >= strongEnds
 	if wait := e.waitFor(key, strong, now); wait > 0 {
-		return Turn{Changed: e.changed, Wait: wait, Apart: strong}
+		return Decision{Changed: e.changed, Wait: wait, Isolate: strong}
 	}
 	e.own[key] = &run{key: key, since: now, settled: !strong}
 	l.change(e, true, now)
 	if strong {
-		return Turn{Settle: settle, Apart: true}
+		return Decision{ConfirmAfter: settle, Isolate: true}
 	}
-	return Turn{}
+	return Decision{}
 }
 
 // waitFor returns how long a run has to wait for others that go on.
@@ -87,34 +87,34 @@
 
 // Confirm asks again for a turn after Settle: of two that began at the same time the one with
 // the lower key goes on, the other waits.
-func (l *Ledger) Confirm(id ID, key uint64, now time.Time) Turn {
+func (l *Tracker) Confirm(id ID, key uint64, now time.Time) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[id]
 	if e == nil || e.own[key] == nil {
-		return Turn{}
+		return Decision{}
 	}
 	if e.verdict != nil {
 		l.end(id, e, key, now)
-		return Turn{Verdict: copied(e.verdict)}
+		return Decision{Verdict: copied(e.verdict)}
 	}
 	before := func(r run) bool { return r.key != key && (r.settled || r.key < key) }
 	if slices.ContainsFunc(e.runs(now), before) {
 		l.end(id, e, key, now)
-		return Turn{Changed: e.changed, Wait: runLost, Apart: true}
+		return Decision{Changed: e.changed, Wait: runLost, Isolate: true}
 	}
 	if l.placing(id, key, now) {
 		l.end(id, e, key, now)
-		return Turn{Changed: e.changed, Wait: settle, Apart: true}
+		return Decision{Changed: e.changed, Wait: settle, Isolate: true}
 	}
 	e.own[key].settled = true
 	l.change(e, true, now)
-	return Turn{Apart: true}
+	return Decision{Isolate: true}
 }
 
 // placing reports whether another suspect that comes first has no server yet: suspects that are woken
 // by the end of one server would else meet at the next.
-func (l *Ledger) placing(id ID, key uint64, now time.Time) bool {
+func (l *Tracker) placing(id ID, key uint64, now time.Time) bool {
 	first := func(r run) bool { return r.server == "" && r.key < key && now.Sub(r.since) < placingFor }
 	for other, e := range l.entries {
 		if other != id && slices.ContainsFunc(e.runs(now), first) {
@@ -125,29 +125,29 @@
 }
 
 // Check asks whether a request that has its turn, or needs none, may still be sent.
-func (l *Ledger) Check(id ID, key uint64) Turn {
+func (l *Tracker) Check(id ID, key uint64) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[id]
 	if e == nil || e.verdict == nil || e.own[key] != nil && e.own[key].settled && e.verdict.Trials > 0 {
-		return Turn{}
+		return Decision{}
 	}
-	return Turn{Verdict: copied(e.verdict)}
+	return Decision{Verdict: copied(e.verdict)}
 }
 
 // Try begins a trial under a key: v is the verdict with which it was claimed.
-func (l *Ledger) Try(id ID, key uint64, v Verdict, now time.Time) {
+func (l *Tracker) BeginTrial(id ID, key uint64, v Verdict, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(id)
 	e.verdict = &v
 	e.own[key] = &run{key: key, since: now, settled: true}
-	l.note(Event{Kind: Renewed, ID: id, Verdict: copied(&v), Ends: slices.Clone(e.ends)})
+	l.note(Event{Kind: Renewed, ID: id, Verdict: copied(&v), Crashes: slices.Clone(e.ends)})
 	l.change(e, true, now)
 }
 
 // Place says on which server a run goes on.
-func (l *Ledger) Place(id ID, key uint64, server string, now time.Time) {
+func (l *Tracker) SetServer(id ID, key uint64, server string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[id]; e != nil && e.own[key] != nil {
@@ -157,7 +157,7 @@
 }
 
 // Done says that a run has ended. What it says of the server is told before.
-func (l *Ledger) Done(id ID, key uint64, now time.Time) {
+func (l *Tracker) Done(id ID, key uint64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[id]; e != nil && e.own[key] != nil {
@@ -165,14 +165,14 @@
 	}
 }
 
-func (l *Ledger) end(id ID, e *entry, key uint64, now time.Time) {
+func (l *Tracker) end(id ID, e *entry, key uint64, now time.Time) {
 	delete(e.own, key)
 	l.change(e, true, now)
 	l.dropEmpty(id, e)
 }
 
 // Occupied returns the servers that run suspects, without the run of a key.
-func (l *Ledger) Occupied(key uint64, now time.Time) map[string]bool {
+func (l *Tracker) OccupiedServers(key uint64, now time.Time) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[string]bool{}
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -27,13 +27,13 @@
 func rest(trials int) time.Duration { return rests[min(trials, len(rests)-1)] }
 
 // newVerdict returns the verdict that the ends give at now.
-func newVerdict(ends []End, now time.Time) *Verdict {
+func newVerdict(ends []Crash, now time.Time) *Verdict {
 	return &Verdict{Since: now, Until: now.Add(rest(0)), Servers: servers(ends)}
 }
 
 // Tried returns the verdict as it is while a trial runs that begins now. It holds however the
 // trial ends, unless that is with an answer: who tries may be gone by then.
-func (v Verdict) Tried(now time.Time) Verdict {
+func (v Verdict) WithTrial(now time.Time) Verdict {
 	return Verdict{Since: now, Until: now.Add(rest(v.Trials + 1)), Trials: v.Trials + 1, Servers: v.Servers}
 }
 
@@ -45,7 +45,7 @@
 	return v.Until.After(other.Until.Add(time.Second)) // less is the time that a datagram takes
 }
 
-func servers(ends []End) []string {
+func servers(ends []Crash) []string {
 	var out []string
 	for _, end := range ends {
 		if !slices.Contains(out, end.Server) {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -10,24 +10,24 @@
 
 // Ask is a router's wish to admit one request of a team. The router that the
 // team's name ranks first is the team's home and keeps its Ledger.
-type Ask struct {
+type GrantRequest struct {
 	Seq    uint64 // of the asking process; names the grant
 	Team   string
 	Router string // the asking process: name and incarnation
 }
 
 // Lent is the home's answer.
-type Lent struct {
+type GrantResponse struct {
 	Seq     uint64
 	Granted bool
 	// Rate says that the refusal is for the rate, else for concurrency.
-	Rate   bool
-	WaitMS int64 // until it is worth asking again
+	RateLimited  bool
+	RetryAfterMS int64 // until it is worth asking again
 }
 
 // Closed tells the home that requests of a team ended. It names the newest few,
 // so that a lost datagram is made good by the next.
-type Closed struct {
+type ReleaseNotice struct {
 	Team   string
 	Router string
 	Seqs   []uint64
@@ -43,7 +43,7 @@
 // The bound: with n routers and the same view of them everywhere, those that
 // reach the home and those that don't admit together at most
 // rate*t + burst + n requests in a time t.
-type Ledger struct {
+type HomeLimiter struct {
 	mu       sync.Mutex
 	start    time.Time
 	accounts map[string]*account
@@ -61,27 +61,27 @@
 
 // NewLedger returns an empty ledger. A home that starts knows nothing of what
 // was lent before, so its buckets start empty.
-func NewLedger(now time.Time) *Ledger {
-	return &Ledger{start: now, accounts: map[string]*account{}, heard: map[string]time.Time{}, swept: now}
+func NewHomeLimiter(now time.Time) *HomeLimiter {
+	return &HomeLimiter{start: now, accounts: map[string]*account{}, heard: map[string]time.Time{}, swept: now}
 }
 
 const (
 	// PingEvery is how often a router tells each other one that it reaches it.
-	PingEvery = 30 * time.Second
+	PingInterval = 30 * time.Second
 	// heardFor is how long a router counts as reaching the home after it was
 	// heard: two pings may be lost.
-	heardFor = 3 * PingEvery
+	heardFor = 3 * PingInterval
 )
 
 // Heard notes that a router reaches this home.
-func (l *Ledger) Heard(now time.Time, router string) {
+func (l *HomeLimiter) MarkReachable(now time.Time, router string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.heard[router] = now
 }
 
 // Close takes in that requests ended.
-func (l *Ledger) Close(c Closed) {
+func (l *HomeLimiter) Release(c ReleaseNotice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.accounts[c.Team]; a != nil {
@@ -92,7 +92,7 @@
 }
 
 // reach returns the share of the routers that reach this home.
-func (l *Ledger) reach(now time.Time, routers int) float64 {
+func (l *HomeLimiter) reach(now time.Time, routers int) float64 {
 	n := 0
 	for r, at := range l.heard {
 		if now.Sub(at) < heardFor {
@@ -105,7 +105,7 @@
 }
 
 // Lend decides on an ask. routers is the number of live routers.
-func (l *Ledger) Lend(now time.Time, ask Ask, team *resource.Team, routers int) Lent {
+func (l *HomeLimiter) Acquire(now time.Time, ask GrantRequest, team *resource.Team, routers int) GrantResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep(now)
@@ -117,10 +117,10 @@
 		l.accounts[ask.Team] = a
 	}
 	if team.Concurrency > 0 && l.inProgress(a) >= max(1, int(float64(team.Concurrency)*share)) {
-		return Lent{Seq: ask.Seq, WaitMS: time.Second.Milliseconds()}
+		return GrantResponse{Seq: ask.Seq, RetryAfterMS: time.Second.Milliseconds()}
 	}
 	if wait := a.take(now, team, share); wait > 0 {
-		return Lent{Seq: ask.Seq, Rate: true, WaitMS: max(1, wait.Milliseconds())}
+		return GrantResponse{Seq: ask.Seq, RateLimited: true, RetryAfterMS: max(1, wait.Milliseconds())}
 	}
 	if team.Concurrency > 0 {
 		if a.open[ask.Router] == nil {
@@ -128,11 +128,11 @@
 		}
 		a.open[ask.Router][ask.Seq] = true
 	}
-	return Lent{Seq: ask.Seq, Granted: true}
+	return GrantResponse{Seq: ask.Seq, Granted: true}
 }
 
 // inProgress counts an account's grants of routers that are still heard.
-func (l *Ledger) inProgress(a *account) int {
+func (l *HomeLimiter) inProgress(a *account) int {
 	n := 0
 	for r, grants := range a.open {
 		if _, heard := l.heard[r]; !heard || len(grants) == 0 {
@@ -162,7 +162,7 @@
 	return 0
 }
 
-func (l *Ledger) sweep(now time.Time) {
+func (l *HomeLimiter) sweep(now time.Time) {
 	if now.Sub(l.swept) < forgetAfter {
 		return
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -18,7 +18,7 @@
 )
 
 // Teams holds the use of all teams. It is safe for concurrent use.
-type Teams struct {
+type LocalLimiter struct {
 	mu    sync.Mutex
 	teams map[string]*use
 	swept time.Time
@@ -37,11 +37,13 @@
 const forgetAfter = 10 * time.Minute
 
 // NewTeams returns limits with nothing used.
-func NewTeams(now time.Time) *Teams { return &Teams{teams: map[string]*use{}, swept: now} }
+func NewLocalLimiter(now time.Time) *LocalLimiter {
+	return &LocalLimiter{teams: map[string]*use{}, swept: now}
+}
 
 // Admit takes one request of the team in, for a router that is one of
 // routers. The caller calls the returned function when the request has ended.
-func (t *Teams) Admit(now time.Time, name string, team *resource.Team, routers int) (func(), *fault.Error) {
+func (t *LocalLimiter) Admit(now time.Time, name string, team *resource.Team, routers int) (func(), *fault.Error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
@@ -63,7 +65,7 @@
 }
 
 // Use counts a request that the team's home admitted.
-func (t *Teams) Use(now time.Time, name string) {
+func (t *LocalLimiter) StartGranted(now time.Time, name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
@@ -73,7 +75,7 @@
 }
 
 // End counts the end of such a request and returns the newest few that ended.
-func (t *Teams) End(name string, seq uint64) []uint64 {
+func (t *LocalLimiter) EndGranted(name string, seq uint64) []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.of(name)
@@ -82,13 +84,13 @@
 }
 
 // Drop notes a grant that was not used, as End does.
-func (t *Teams) Drop(name string, seq uint64) []uint64 {
+func (t *LocalLimiter) DiscardGrant(name string, seq uint64) []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.of(name).ended(seq)
 }
 
-func (t *Teams) of(name string) *use {
+func (t *LocalLimiter) of(name string) *use {
 	u := t.teams[name]
 	if u == nil {
 		u = &use{}
@@ -106,13 +108,13 @@
 }
 
 // Refusal is the fault that a home's refusal means.
-func Refusal(l Lent, team *resource.Team) *fault.Error {
-	wait := time.Duration(l.WaitMS) * time.Millisecond
-	if l.Rate {
-		return fault.New(fault.TeamRate, "the team is over its rate of %g a second", team.Rate).With(fault.NotRun).After(wait)
+func RefusalError(l GrantResponse, team *resource.Team) *fault.Error {
+	wait := time.Duration(l.RetryAfterMS) * time.Millisecond
+	if l.RateLimited {
+		return fault.New(fault.TeamRateLimit, "the team is over its rate of %g a second", team.Rate).WithOutcome(fault.NotRun).WithRetryAfter(wait)
 	}
-	return fault.New(fault.TeamConcurrency, "the team has %d requests in progress already", team.Concurrency).
-		With(fault.NotRun).After(wait)
+	return fault.New(fault.TeamConcurrencyLimit, "the team has %d requests in progress already", team.Concurrency).
+		WithOutcome(fault.NotRun).WithRetryAfter(wait)
 }
 
 func (u *use) concurrency(team *resource.Team, share float64) *fault.Error {
@@ -123,8 +125,8 @@
 	if u.open < limit {
 		return nil
 	}
-	return fault.New(fault.TeamConcurrency, "the team has %d requests in progress here", u.open).
-		With(fault.NotRun).After(time.Second)
+	return fault.New(fault.TeamConcurrencyLimit, "the team has %d requests in progress here", u.open).
+		WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 }
 
 func (u *use) rate(now time.Time, team *resource.Team, share, burst float64) *fault.Error {
@@ -139,21 +141,21 @@
 	}
 	if u.tokens < 1 {
 		wait := max(time.Millisecond, time.Duration((1-u.tokens)/rate*float64(time.Second)))
-		return fault.New(fault.TeamRate, "the team is over its rate of %g a second", team.Rate).
-			With(fault.NotRun).After(wait)
+		return fault.New(fault.TeamRateLimit, "the team is over its rate of %g a second", team.Rate).
+			WithOutcome(fault.NotRun).WithRetryAfter(wait)
 	}
 	u.tokens--
 	return nil
 }
 
-func (t *Teams) done(u *use) {
+func (t *LocalLimiter) done(u *use) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u.open--
 }
 
 // sweep forgets idle teams now and then.
-func (t *Teams) sweep(now time.Time) {
+func (t *LocalLimiter) sweep(now time.Time) {
 	if now.Sub(t.swept) < forgetAfter {
 		return
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -20,9 +20,9 @@
 		n := rapid.IntRange(1, 8).Draw(t, "routers")
 		team := &resource.Team{Rate: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: rapid.IntRange(1, 50).Draw(t, "burst"),
 			Concurrency: rapid.IntRange(0, 20).Draw(t, "concurrency")}
-		routers := make([]*Teams, n)
+		routers := make([]*LocalLimiter, n)
 		for i := range routers {
-			routers[i] = NewTeams(epoch)
+			routers[i] = NewLocalLimiter(epoch)
 		}
 		now, admitted := epoch, 0
 		var open []func()
@@ -51,12 +51,12 @@
 
 func TestARefusedTeamIsToldWhenToComeBack(t *testing.T) {
 	g := NewWithT(t)
-	q := NewTeams(epoch)
+	q := NewLocalLimiter(epoch)
 	team := &resource.Team{Rate: 2, Burst: 1}
 	_, e := q.Admit(epoch, "a", team, 1)
 	g.Expect(e).To(BeNil())
 	_, e = q.Admit(epoch, "a", team, 1)
-	g.Expect(e.Code).To(Equal(fault.TeamRate))
+	g.Expect(e.Code).To(Equal(fault.TeamRateLimit))
 	_, e = q.Admit(epoch.Add(e.RetryAfter), "a", team, 1)
 	g.Expect(e).To(BeNil())
 	_, e = q.Admit(epoch, "b", team, 1)
@@ -65,7 +65,7 @@
 
 func TestIdleTeamsAreForgotten(t *testing.T) {
 	g := NewWithT(t)
-	q := NewTeams(epoch)
+	q := NewLocalLimiter(epoch)
 	release, _ := q.Admit(epoch, "a", &resource.Team{}, 1)
 	release()
 	_, _ = q.Admit(epoch.Add(2*forgetAfter), "b", &resource.Team{}, 1)
@@ -75,8 +75,8 @@
 // cluster is routers with a home that some of them reach.
 type cluster struct {
 	n       int
-	home    *Ledger
-	routers []*Teams
+	home    *HomeLimiter
+	routers []*LocalLimiter
 	cut     []bool
 	seq     uint64
 }
@@ -88,15 +88,15 @@
 		return release, e == nil
 	}
 	c.seq++
-	ask := Ask{Seq: c.seq, Team: "team", Router: string(rune('a' + i))}
-	if !c.home.Lend(now, ask, team, c.n).Granted {
+	ask := GrantRequest{Seq: c.seq, Team: "team", Router: string(rune('a' + i))}
+	if !c.home.Acquire(now, ask, team, c.n).Granted {
 		return nil, false
 	}
-	r.Use(now, "team")
+	r.StartGranted(now, "team")
 	return func() {
-		closed := Closed{Team: "team", Router: ask.Router, Seqs: r.End("team", ask.Seq)}
+		closed := ReleaseNotice{Team: "team", Router: ask.Router, Seqs: r.EndGranted("team", ask.Seq)}
 		if !c.cut[i] { // else it is lost on the way
-			c.home.Close(closed)
+			c.home.Release(closed)
 		}
 	}, true
 }
@@ -107,10 +107,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "routers")
 		team := &resource.Team{Concurrency: rapid.IntRange(1, 10).Draw(t, "limit")}
-		c := &cluster{n: n, home: NewLedger(epoch), cut: make([]bool, n)}
+		c := &cluster{n: n, home: NewHomeLimiter(epoch), cut: make([]bool, n)}
 		for i := range n {
-			c.routers = append(c.routers, NewTeams(epoch))
-			c.home.Heard(epoch, string(rune('a'+i)))
+			c.routers = append(c.routers, NewLocalLimiter(epoch))
+			c.home.MarkReachable(epoch, string(rune('a'+i)))
 		}
 		var open []func()
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -136,16 +136,16 @@
 		g := NewWithT(t)
 		n := rapid.IntRange(1, 8).Draw(t, "routers")
 		team := &resource.Team{Rate: float64(rapid.IntRange(1, 100).Draw(t, "rate")), Burst: rapid.IntRange(1, 30).Draw(t, "burst")}
-		c := &cluster{n: n, home: NewLedger(epoch), cut: make([]bool, n)}
+		c := &cluster{n: n, home: NewHomeLimiter(epoch), cut: make([]bool, n)}
 		for range n {
-			c.routers = append(c.routers, NewTeams(epoch))
+			c.routers = append(c.routers, NewLocalLimiter(epoch))
 		}
 		now, admitted, changes := epoch, 0, 0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 60).Draw(t, "what") {
 			case 0:
-				c.home = NewLedger(now)
+				c.home = NewHomeLimiter(now)
 				changes++
 			case 1:
 				i := rapid.IntRange(0, n-1).Draw(t, "cut")
@@ -174,16 +174,16 @@
 	g := NewWithT(t)
 	const n = 390
 	team := &resource.Team{Rate: 10, Burst: 10}
-	home, equal := NewLedger(epoch), make([]*Teams, n)
+	home, equal := NewHomeLimiter(epoch), make([]*LocalLimiter, n)
 	for i := range n {
-		home.Heard(epoch, string(rune(0x4e00+i)))
-		equal[i] = NewTeams(epoch)
+		home.MarkReachable(epoch, string(rune(0x4e00+i)))
+		equal[i] = NewLocalLimiter(epoch)
 	}
 	lent, shared := 0, 0
 	for k := range 100 { // 10 s at the rate, each request at another router
 		now := epoch.Add(time.Duration(k) * 100 * time.Millisecond)
 		router := (k * 7) % 5 // a balancer that keeps a team to few routers
-		if home.Lend(now, Ask{Seq: uint64(k), Team: "t", Router: string(rune(0x4e00 + router))}, team, n).Granted {
+		if home.Acquire(now, GrantRequest{Seq: uint64(k), Team: "t", Router: string(rune(0x4e00 + router))}, team, n).Granted {
 			lent++
 		}
 		if release, e := equal[router].Admit(now, "t", team, n); e == nil {
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -72,7 +72,7 @@
 // Set puts the rate of a server in force. What it got before is not known here: it gets the first
 // request within the time of one, drawn so that gateways that hear of the rate together do not all
 // send at one time.
-func (l *Limiter) Set(server string, rate float64, now time.Time) {
+func (l *Limiter) SetRate(server string, rate float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.buckets[server]
@@ -154,7 +154,7 @@
 
 // Take takes leave for one request; false if the server takes none now. A server without a rate
 // takes any.
-func (l *Limiter) Take(server string, now time.Time) bool {
+func (l *Limiter) Allow(server string, now time.Time) bool {
 	if l.count.Load() == 0 {
 		return true
 	}
@@ -173,7 +173,7 @@
 }
 
 // LoanEvery returns the pause between two renewals of a loan.
-func (l *Limiter) LoanEvery() time.Duration {
+func (l *Limiter) RenewalInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(float64(l.loan()) / renewals)
@@ -214,7 +214,7 @@
 
 // Return gives all that was borrowed back, as when this process has been held up: it can't tell how old
 // the words are that it takes in next.
-func (l *Limiter) Return(now time.Time) {
+func (l *Limiter) DropBorrowed(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, b := range l.buckets {
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -20,7 +20,7 @@
 // taken is how many requests are sent of those that come every step from one time to another.
 func taken(l *Limiter, from, to, step time.Duration) (n int) {
 	for t := from; t < to; t += step {
-		if l.Take(server, at(t)) {
+		if l.Allow(server, at(t)) {
 			n++
 		}
 	}
@@ -32,7 +32,7 @@
 	l := New(half)
 	g.Expect(l.Budget(server, at(0))).To(Equal(Budget{}))
 	g.Expect(taken(l, 0, time.Second, time.Millisecond)).To(Equal(1000))
-	l.Set(server, 1, at(0))
+	l.SetRate(server, 1, at(0))
 	g.Expect(l.Limited(server)).To(BeTrue())
 	g.Expect(l.Limited("i-2")).To(BeFalse())
 	l.Remove(server)
@@ -44,12 +44,12 @@
 	for _, rate := range []float64{0.2, 1, 4, 60} {
 		g := NewWithT(t)
 		l := New(half)
-		l.Set(server, rate, at(0))
+		l.SetRate(server, rate, at(0))
 		g.Expect(taken(l, 0, 20*time.Second, time.Millisecond)).To(BeNumerically("~", 20*rate, 1+rate*depthFor.Seconds()))
 		b := l.Budget(server, at(20*time.Second))
 		g.Expect(b.Rate).To(Equal(rate))
 		g.Expect(taken(l, 20*time.Second, 20*time.Second+b.Wait-time.Microsecond, time.Millisecond)).To(BeZero())
-		g.Expect(l.Take(server, at(20*time.Second+b.Wait))).To(BeTrue())
+		g.Expect(l.Allow(server, at(20*time.Second+b.Wait))).To(BeTrue())
 	}
 }
 
@@ -57,7 +57,7 @@
 func TestAServerThatTakesNothingIsStillAsked(t *testing.T) {
 	g := NewWithT(t)
 	l := New(half)
-	l.Set(server, 0, at(0))
+	l.SetRate(server, 0, at(0))
 	g.Expect(taken(l, 0, 100*time.Second, 100*time.Millisecond)).To(BeNumerically("~", 20, 1))
 }
 
@@ -66,13 +66,13 @@
 	a, b := New(half), New(half)
 	for _, l := range []*Limiter{a, b} {
 		l.SetGateways(4)
-		l.Set(server, 100, at(0))
+		l.SetRate(server, 100, at(0))
 	}
 	g.Expect(a.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*surplus/4, 0.01))
 	g.Expect(a.Lend(server, "b", at(0))).To(BeTrue())
 	b.Borrow(server, "a", at(0))
 	g.Expect(a.Budget(server, at(0)).Rate).To(BeZero())
-	g.Expect(a.Take(server, at(time.Second))).To(BeFalse())
+	g.Expect(a.Allow(server, at(time.Second))).To(BeFalse())
 	g.Expect(b.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*surplus/2, 0.01))
 	g.Expect(a.Lend(server, "c", at(time.Second))).To(BeFalse(), "b has it")
 	g.Expect(a.Lend(server, "b", at(time.Second))).To(BeTrue(), "renewed")
@@ -81,17 +81,17 @@
 	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*surplus/4, 0.01))
 	g.Expect(a.Lend(server, "c", at(lapsed))).To(BeTrue())
 	b.Borrow(server, "a", at(lapsed))
-	b.Return(at(lapsed))
+	b.DropBorrowed(at(lapsed))
 	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*surplus/4, 0.01))
 }
 
 func TestAChangedRateIsInForceAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	l := New(half)
-	l.Set(server, 60, at(0))
-	l.Set(server, 1, at(10*time.Second)) // what had grown under the higher rate is gone
+	l.SetRate(server, 60, at(0))
+	l.SetRate(server, 1, at(10*time.Second)) // what had grown under the higher rate is gone
 	g.Expect(taken(l, 10*time.Second, 14*time.Second, time.Millisecond)).To(BeNumerically("<=", 5))
-	l.Set(server, 60, at(14*time.Second))
+	l.SetRate(server, 60, at(14*time.Second))
 	g.Expect(taken(l, 14*time.Second, 18*time.Second, time.Millisecond)).To(BeNumerically(">=", 230))
 }
 
@@ -148,7 +148,7 @@
 	g := d.gateways[i]
 	g.limiter = New(d.rnd.Float64)
 	g.limiter.SetGateways(len(d.gateways))
-	g.limiter.Set(server, d.rate, at(d.now))
+	g.limiter.SetRate(server, d.rate, at(d.now))
 	for j := range g.hears {
 		g.hears[j] = d.now
 	}
@@ -202,9 +202,9 @@
 				d.take(l)
 			}
 			g.in = nil
-			g.limiter.Return(at(d.now))
+			g.limiter.DropBorrowed(at(d.now))
 		}
-		if d.now-g.lentAt >= g.limiter.LoanEvery() {
+		if d.now-g.lentAt >= g.limiter.RenewalInterval() {
 			g.lentAt = d.now
 			for j := range d.gateways {
 				if j != i {
@@ -231,7 +231,7 @@
 	if home != i && (d.cutOff[i][home] || d.cutOff[home][i] || d.now < g.heldTo) {
 		g = d.gateways[i]
 	}
-	if g.limiter.Take(server, at(d.now)) {
+	if g.limiter.Allow(server, at(d.now)) {
 		d.sent = append(d.sent, d.now)
 	}
 }
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -22,7 +22,7 @@
 	// MaxEntries bounds the keys that are remembered at once.
 	MaxEntries = 200_000
 	// MaxKeptBody is the largest answer kept for repeats, bytes.
-	MaxKeptBody = 64 << 10
+	MaxStoredBodyBytes = 64 << 10
 )
 
 // Phase is how far the call of a key has come.
@@ -30,10 +30,10 @@
 
 // The phases.
 const (
-	Claiming Phase = iota // being claimed; not started
-	Running               // started at the backend server
-	Done                  // ended with an answer
-	Lost                  // started, and nobody knows how it ended
+	Claiming       Phase = iota // being claimed; not started
+	Running                     // started at the backend server
+	Done                        // ended with an answer
+	OutcomeUnknown              // started, and nobody knows how it ended
 )
 
 // Result is the answer of a finished call.
@@ -59,7 +59,7 @@
 }
 
 // Book is an agent's memory of keys, as their home and as a witness.
-type Book struct {
+type Store struct {
 	start time.Time
 	// witnessSince is when this agent's role as a witness last changed, as a
 	// change of the pool's servers does. It is after start.
@@ -78,72 +78,72 @@
 }
 
 // NewBook returns the empty memory of an agent that started at the given time.
-func NewBook(start time.Time) *Book {
-	return &Book{start: start, witnessSince: start, entries: map[string]*Entry{}, claims: map[string]*Entry{}}
+func NewStore(start time.Time) *Store {
+	return &Store{start: start, witnessSince: start, entries: map[string]*Entry{}, claims: map[string]*Entry{}}
 }
 
 // SetNewborn says that the log shows no earlier process of this agent; witness
 // says that the servers of its pools never changed either, so that it was the
 // witness of its keys from the first.
-func (b *Book) SetNewborn(witness bool) {
+func (b *Store) SetFirstProcess(witness bool) {
 	b.newborn = true
 	b.witnessNewborn = witness && b.witnessSince.Equal(b.start)
 }
 
 // ServersChanged says that the servers of a pool changed: claims of keys that
 // this agent now witnesses may be with another one until the window has passed.
-func (b *Book) ServersChanged(now time.Time) {
+func (b *Store) ServersChanged(now time.Time) {
 	b.witnessSince, b.witnessNewborn = now, false
 }
 
 // Witnesses reports whether this agent's memory as a witness covers the window.
-func (b *Book) Witnesses(now time.Time, window time.Duration) bool {
+func (b *Store) WitnessCovers(now time.Time, window time.Duration) bool {
 	return b.witnessNewborn || now.Sub(b.witnessSince) >= window
 }
 
 // HeldByOther reports whether this agent witnessed that another one claimed
 // the key. Such a key may have run there before its home moved here.
-func (b *Book) HeldByOther(now time.Time, key string) bool {
+func (b *Store) ClaimedByOther(now time.Time, key string) bool {
 	e := b.claims[key]
 	return e != nil && now.Before(e.expires)
 }
 
 // SetLogRead says that the claims on the log were read and given to Remember.
-func (b *Book) SetLogRead() { b.logRead = true }
+func (b *Store) SetLogRead() { b.logRead = true }
 
 // Len returns the number of keys remembered.
-func (b *Book) Len() int { return len(b.entries) + len(b.claims) }
+func (b *Store) Len() int { return len(b.entries) + len(b.claims) }
 
 // Remembers reports whether this process's memory covers the whole window.
-func (b *Book) Remembers(now time.Time, window time.Duration) bool {
+func (b *Store) Covers(now time.Time, window time.Duration) bool {
 	return b.newborn || now.Sub(b.start) >= window
 }
 
 // untilRemembers returns how long until the memory covers the window.
-func (b *Book) untilRemembers(now time.Time, window time.Duration) time.Duration {
+func (b *Store) untilRemembers(now time.Time, window time.Duration) time.Duration {
 	return max(0, window-now.Sub(b.start))
 }
 
 // Lookup returns the entry of a key. Another body under the same key is a
 // fault of code KeyConflict.
-func (b *Book) Lookup(now time.Time, key string, digest uint64) (*Entry, *fault.Error) {
+func (b *Store) Lookup(now time.Time, key string, digest uint64) (*Entry, *fault.Error) {
 	b.sweep(now)
 	e := b.entries[key]
 	if e == nil || !now.Before(e.expires) {
 		return nil, nil
 	}
 	if e.Digest != digest {
-		return nil, fault.New(fault.KeyConflict, "the key was used with another body").
-			InField("Idempotency-Key").With(fault.NotRun)
+		return nil, fault.New(fault.IdempotencyKeyConflict, "the key was used with another body").
+			WithField("Idempotency-Key").WithOutcome(fault.NotRun)
 	}
 	return e, nil
 }
 
 // Begin remembers a key that is about to be claimed.
-func (b *Book) Begin(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
+func (b *Store) Reserve(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
 	if b.Len() >= MaxEntries {
 		return nil, fault.New(fault.RecordsFull, "%d keys are remembered already", b.Len()).
-			With(fault.NotRun).After(window)
+			WithOutcome(fault.NotRun).WithRetryAfter(window)
 	}
 	e := &Entry{Digest: digest, expires: now.Add(window)}
 	b.entries[key] = e
@@ -152,20 +152,20 @@
 }
 
 // Remember takes in a claim read from the log: its call may have run.
-func (b *Book) Remember(now time.Time, key string, digest uint64, window time.Duration) {
+func (b *Store) AddLoggedClaim(now time.Time, key string, digest uint64, window time.Duration) {
 	if _, known := b.entries[key]; known || b.Len() >= MaxEntries {
 		return
 	}
-	b.entries[key] = &Entry{Digest: digest, Phase: Lost, expires: now.Add(window)}
+	b.entries[key] = &Entry{Digest: digest, Phase: OutcomeUnknown, expires: now.Add(window)}
 	b.order = append(b.order, expiry{key, false})
 }
 
 // Forget drops a key whose call was never started.
-func (b *Book) Forget(key string) { delete(b.entries, key) }
+func (b *Store) Delete(key string) { delete(b.entries, key) }
 
 // Finish keeps the answer of a call for repeats.
-func (e *Entry) Finish(r Result) {
-	if len(r.Body) > MaxKeptBody {
+func (e *Entry) Complete(r Result) {
+	if len(r.Body) > MaxStoredBodyBytes {
 		r.Body, r.BodyDropped = nil, true
 	}
 	e.Phase, e.Result = Done, r
@@ -173,19 +173,19 @@
 
 // Grant answers a claim as a witness. A claim is recorded even when the
 // witness can't vouch, so that it can vouch for it later.
-func (b *Book) Grant(now time.Time, c *wire.Claim) *wire.Claimed {
+func (b *Store) HandleClaim(now time.Time, c *wire.ClaimRequest) *wire.ClaimResponse {
 	b.sweep(now)
-	window := time.Duration(c.WindowMS) * time.Millisecond
-	out := &wire.Claimed{Seq: c.Seq, State: wire.ClaimGranted}
-	vouches := b.Witnesses(now, window)
+	window := time.Duration(c.RetentionMS) * time.Millisecond
+	out := &wire.ClaimResponse{Seq: c.Seq, Result: wire.ClaimGranted}
+	vouches := b.WitnessCovers(now, window)
 	if e := b.entries[c.Key]; e != nil && now.Before(e.expires) && e.Phase != Claiming {
-		out.State = wire.ClaimTaken // it ran here while this agent was its home
+		out.Result = wire.ClaimTaken // it ran here while this agent was its home
 		return out
 	}
 	old := b.claims[c.Key]
 	switch {
 	case old != nil && now.Before(old.expires) && old.holder != c.Holder:
-		out.State = wire.ClaimTaken
+		out.Result = wire.ClaimTaken
 		return out
 	case old != nil && now.Before(old.expires):
 		vouches = old.vouched
@@ -196,14 +196,14 @@
 		b.order = append(b.order, expiry{c.Key, true})
 	}
 	if !vouches {
-		out.State, out.WaitMS = wire.ClaimCannotVouch, max(0, window-now.Sub(b.witnessSince)).Milliseconds()
+		out.Result, out.RetryAfterMS = wire.ClaimNotReady, max(0, window-now.Sub(b.witnessSince)).Milliseconds()
 	}
 	return out
 }
 
 // sweep forgets expired keys from the front. Keys with a long window hold
 // back shorter ones behind them; MaxEntries bounds what that costs.
-func (b *Book) sweep(now time.Time) {
+func (b *Store) sweep(now time.Time) {
 	for len(b.order) > 0 {
 		head := b.order[0]
 		m := b.entries
@@ -221,11 +221,11 @@
 }
 
 // Word is what came of asking the witness.
-type Word uint8
+type WitnessReply uint8
 
 // The words.
 const (
-	WitnessGranted Word = iota
+	WitnessGranted WitnessReply = iota
 	WitnessTaken
 	WitnessCannotVouch
 	WitnessUnreachable
@@ -237,10 +237,10 @@
 
 // The decisions.
 const (
-	Run         Decision = iota // start the call
-	RunOnceKept                 // start it once the claim is on the log
-	AlreadyRan                  // an earlier process of the home may have run it
-	Refuse                      // nobody can vouch
+	Run             Decision = iota // start the call
+	RunAfterLogging                 // start it once the claim is on the log
+	AlreadyRan                      // an earlier process of the home may have run it
+	Refuse                          // nobody can vouch
 )
 
 // Decide is the rule of the home agent. It never gives Run or RunOnceKept when
@@ -251,8 +251,8 @@
 //   - so an agent without memory needs both the witness's word and the log.
 //
 // moved says that another agent was the key's home within the window.
-func (b *Book) Decide(now time.Time, window time.Duration, word Word, moved bool) Decision {
-	remembers := b.Remembers(now, window) && !moved
+func (b *Store) Decide(now time.Time, window time.Duration, word WitnessReply, moved bool) Decision {
+	remembers := b.Covers(now, window) && !moved
 	switch word {
 	case WitnessTaken:
 		return AlreadyRan
@@ -266,23 +266,23 @@
 		}
 	case WitnessUnreachable:
 		if remembers {
-			return RunOnceKept
+			return RunAfterLogging
 		}
 	case NoWitness:
 		if remembers || b.logRead {
-			return RunOnceKept
+			return RunAfterLogging
 		}
 	}
 	return Refuse
 }
 
 // RefuseFault is the answer to a key that nobody can vouch for.
-func (b *Book) RefuseFault(now time.Time, window time.Duration) *fault.Error {
-	return fault.New(fault.CannotVouch, "after a restart nobody can tell whether the key was used before").
-		InField("Idempotency-Key").With(fault.NotRun).After(max(time.Second, b.untilRemembers(now, window)))
+func (b *Store) RefusalFault(now time.Time, window time.Duration) *fault.Error {
+	return fault.New(fault.IdempotentResultUnknown, "after a restart nobody can tell whether the key was used before").
+		WithField("Idempotency-Key").WithOutcome(fault.NotRun).WithRetryAfter(max(time.Second, b.untilRemembers(now, window)))
 }
 
 // String returns the word for metrics.
-func (w Word) String() string {
+func (w WitnessReply) String() string {
 	return [...]string{"granted", "taken", "cannot_vouch", "unreachable", "none"}[w]
 }
--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -18,12 +18,12 @@
 
 func TestAnotherBodyUnderOneKeyIsAConflict(t *testing.T) {
 	g := NewWithT(t)
-	b := NewBook(epoch)
-	e, err := b.Begin(epoch, "k", 1, window)
+	b := NewStore(epoch)
+	e, err := b.Reserve(epoch, "k", 1, window)
 	g.Expect(err).To(BeNil())
-	e.Finish(Result{Status: 200, Body: []byte("done")})
+	e.Complete(Result{Status: 200, Body: []byte("done")})
 	_, err = b.Lookup(epoch, "k", 2)
-	g.Expect(err.Code).To(Equal(fault.KeyConflict))
+	g.Expect(err.Code).To(Equal(fault.IdempotencyKeyConflict))
 	same, err := b.Lookup(epoch, "k", 1)
 	g.Expect(err).To(BeNil())
 	g.Expect(same.Result.Body).To(Equal([]byte("done")))
@@ -34,12 +34,12 @@
 
 func TestABookHasABound(t *testing.T) {
 	g := NewWithT(t)
-	b := NewBook(epoch)
+	b := NewStore(epoch)
 	for i := range MaxEntries {
-		_, err := b.Begin(epoch, fmt.Sprint(i), 1, window)
+		_, err := b.Reserve(epoch, fmt.Sprint(i), 1, window)
 		g.Expect(err).To(BeNil())
 	}
-	_, err := b.Begin(epoch, "one more", 1, window)
+	_, err := b.Reserve(epoch, "one more", 1, window)
 	g.Expect(err.Code).To(Equal(fault.RecordsFull))
 	g.Expect(err.Outcome).To(Equal(fault.NotRun))
 }
@@ -48,7 +48,7 @@
 // fail. It counts the runs of one key.
 type model struct {
 	now                  time.Time
-	home, witness        *Book
+	home, witness        *Store
 	homeLives            int
 	log                  []string // keys claimed on the log
 	logDown, witnessDown bool
@@ -59,7 +59,7 @@
 
 // restartHome starts the home agent anew, reading the log if it can.
 func (m *model) restartHome() {
-	m.home = NewBook(m.now)
+	m.home = NewStore(m.now)
 	m.homeLives++
 	m.recoverHome()
 }
@@ -69,11 +69,11 @@
 		return
 	}
 	if !m.everStarted {
-		m.home.SetNewborn(true)
+		m.home.SetFirstProcess(true)
 	}
 	m.everStarted = true
 	for _, k := range m.log {
-		m.home.Remember(m.now, k, 1, window)
+		m.home.AddLoggedClaim(m.now, k, 1, window)
 	}
 	m.home.SetLogRead()
 }
@@ -90,12 +90,12 @@
 	}
 	word := WitnessUnreachable
 	if !m.witnessDown {
-		c := m.witness.Grant(m.now, &wire.Claim{Key: key, Holder: fmt.Sprint("home/", m.homeLives), Digest: 1, WindowMS: window.Milliseconds()})
-		word = map[wire.ClaimState]Word{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
-			wire.ClaimCannotVouch: WitnessCannotVouch}[c.State]
+		c := m.witness.HandleClaim(m.now, &wire.ClaimRequest{Key: key, Holder: fmt.Sprint("home/", m.homeLives), Digest: 1, RetentionMS: window.Milliseconds()})
+		word = map[wire.ClaimResult]WitnessReply{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
+			wire.ClaimNotReady: WitnessCannotVouch}[c.Result]
 	}
 	switch m.home.Decide(m.now, window, word, false) {
-	case RunOnceKept:
+	case RunAfterLogging:
 		if m.logDown {
 			return
 		}
@@ -104,14 +104,14 @@
 	default:
 		return
 	}
-	e, err := m.home.Begin(m.now, key, 1, window)
+	e, err := m.home.Reserve(m.now, key, 1, window)
 	if err != nil {
 		return
 	}
 	e.Phase = Running
 	m.runs++
 	m.lastRun = m.now
-	e.Finish(Result{Status: 200})
+	e.Complete(Result{Status: 200})
 }
 
 // Home and witness crash, links and the log fail, in any order, and the caller
@@ -119,9 +119,9 @@
 func TestAKeyRunsAtMostOnceWhateverFails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{now: epoch}
-		m.witness = NewBook(epoch)
+		m.witness = NewStore(epoch)
 		if rapid.Bool().Draw(t, "witness is new") {
-			m.witness.SetNewborn(true)
+			m.witness.SetFirstProcess(true)
 		}
 		m.restartHome()
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -129,7 +129,7 @@
 			case 0:
 				m.restartHome()
 			case 1: // a witness that restarts is not new any more
-				m.witness = NewBook(m.now)
+				m.witness = NewStore(m.now)
 			case 2:
 				m.logDown = !m.logDown
 				if !m.logDown {
@@ -156,8 +156,8 @@
 // time to come back; a new deployment vouches from its first call.
 func TestANewDeploymentVouchesAtOnce(t *testing.T) {
 	g := NewWithT(t)
-	m := &model{now: epoch, witness: NewBook(epoch)}
-	m.witness.SetNewborn(true)
+	m := &model{now: epoch, witness: NewStore(epoch)}
+	m.witness.SetFirstProcess(true)
 	m.restartHome()
 	m.call("a")
 	m.witnessDown = true
--- a/internal/registry/backend.go
+++ b/internal/registry/backend.go
@@ -33,7 +33,7 @@
 
 // Begin counts a request that is sent to the backend server. Unread are the
 // prompt tokens that it is expected to read first.
-func (b *Backend) Begin(unread int) {
+func (b *Backend) BeginRequest(unread int) {
 	b.mu.Lock()
 	b.running++
 	b.tokens += int64(unread)
@@ -41,21 +41,21 @@
 }
 
 // FirstToken counts the end of a request's prompt reading.
-func (b *Backend) FirstToken(unread int) {
+func (b *Backend) RecordFirstToken(unread int) {
 	b.mu.Lock()
 	b.tokens -= int64(unread)
 	b.mu.Unlock()
 }
 
 // End counts the end of a request.
-func (b *Backend) End() {
+func (b *Backend) EndRequest() {
 	b.mu.Lock()
 	b.running--
 	b.mu.Unlock()
 }
 
 // Report takes in what the backend server said of its load.
-func (b *Backend) Report(l Load) {
+func (b *Backend) RecordLoad(l Load) {
 	b.mu.Lock()
 	b.reported = l
 	b.mu.Unlock()
@@ -77,7 +77,7 @@
 
 // Failed counts a request that the backend server did not answer as it should.
 // Unreachable failures make it passed over for a while.
-func (b *Backend) Failed(now time.Time, unreachable bool) {
+func (b *Backend) RecordFailure(now time.Time, unreachable bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.errors.Add(now, true)
@@ -91,14 +91,14 @@
 
 // Gone records that another start answers at the address: nothing is sent there
 // until the list says so too, or goneFor has passed.
-func (b *Backend) Gone(now time.Time) {
+func (b *Backend) RecordReplaced(now time.Time) {
 	b.mu.Lock()
 	b.avoid = now.Add(goneFor)
 	b.mu.Unlock()
 }
 
 // Answered counts a request that the backend server answered.
-func (b *Backend) Answered(now time.Time) {
+func (b *Backend) RecordSuccess(now time.Time) {
 	b.mu.Lock()
 	b.errors.Add(now, false)
 	b.failures = 0
@@ -108,13 +108,13 @@
 
 // View is a backend server at one moment, for placement.
 type View struct {
-	Running int   // own requests in progress
-	Unread  int64 // prompt tokens of own requests before their first token
-	Load    Load  // zero if nothing was said lately
+	InFlight     int   // own requests in progress
+	UnreadTokens int64 // prompt tokens of own requests before their first token
+	Load         Load  // zero if nothing was said lately
 	// Avoided servers could not be reached lately.
 	Avoided bool
 	// ErrorShare is the share of recent requests that failed, 0 to 1.
-	ErrorShare float64
+	ErrorRate float64
 }
 
 // reportFor is how long what a backend server said of its load is looked at: a gateway
@@ -129,6 +129,6 @@
 	if now.Sub(reported.At) > reportFor {
 		reported = Load{}
 	}
-	return View{Running: b.running, Unread: b.tokens, Load: reported,
-		Avoided: now.Before(b.avoid), ErrorShare: b.errors.Share(now)}
+	return View{InFlight: b.running, UnreadTokens: b.tokens, Load: reported,
+		Avoided: now.Before(b.avoid), ErrorRate: b.errors.Rate(now)}
 }
--- a/internal/registry/failurerate.go
+++ b/internal/registry/failurerate.go
@@ -41,7 +41,7 @@
 }
 
 // Share returns the share of recent answers that were failures, 0 to 1.
-func (r *FailureRate) Share(now time.Time) float64 {
+func (r *FailureRate) Rate(now time.Time) float64 {
 	r.forget(now)
 	return r.failed / (r.all + priorAnswers)
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -22,18 +22,18 @@
 	// Draining servers finish what they have and take no new work.
 	Draining bool
 	// ColdFor is how much longer the server stays slow after its start.
-	ColdFor time.Duration
+	WarmupRemaining time.Duration
 	// Started tells the starts of a server from each other: the Unix time in ms that it
 	// states, 0 if it states none.
-	Started int64
+	StartUnixMs int64
 }
 
 // Start names one start of the server. What is learnt of one says nothing of another.
-func (s Server) Start() string {
-	if s.Started == 0 {
+func (s Server) InstanceID() string {
+	if s.StartUnixMs == 0 {
 		return s.ID
 	}
-	return s.ID + startSeparator + strconv.FormatInt(s.Started, 10)
+	return s.ID + startSeparator + strconv.FormatInt(s.StartUnixMs, 10)
 }
 
 // startSeparator stands between a server's ID and the time of its start.
@@ -41,7 +41,7 @@
 
 // sameStart reports whether two entries are of one start, as far as they tell.
 func (s Server) sameStart(other Server) bool {
-	return s.Started == other.Started || s.Started == 0 || other.Started == 0
+	return s.StartUnixMs == other.StartUnixMs || s.StartUnixMs == 0 || other.StartUnixMs == 0
 }
 
 // Change is one entry of the list as it was written: the newest entry of a
@@ -51,7 +51,7 @@
 	Server *Server
 	// Unusable is set where the newest entry names no server to use, so that a removal
 	// is not held back: no outage of the list explains it.
-	Unusable bool
+	Invalid bool
 }
 
 // Registry is the list of backend servers. It is safe for concurrent use.
@@ -96,11 +96,11 @@
 			r.put(*c.Server)
 			continue
 		}
-		if b := r.backends[c.ID]; b != nil && now.Before(grace) && !b.server().Draining && !c.Unusable {
+		if b := r.backends[c.ID]; b != nil && now.Before(grace) && !b.server().Draining && !c.Invalid {
 			r.expiries[c.ID] = grace
 			continue
 		}
-		if b := r.backends[c.ID]; b != nil && !c.Unusable {
+		if b := r.backends[c.ID]; b != nil && !c.Invalid {
 			r.gone(b)
 		}
 		dropped = r.drop(c.ID, dropped)
@@ -151,7 +151,7 @@
 // gone tells of a server that has ended unless it drained.
 func (r *Registry) gone(b *Backend) {
 	if s := b.server(); !s.Draining {
-		r.ended(s.Start())
+		r.ended(s.InstanceID())
 	}
 }
 
@@ -228,7 +228,7 @@
 }
 
 // Find returns the entry of a start of a backend server; false if it is not listed.
-func (r *Registry) Find(start string) (Server, bool) {
+func (r *Registry) FindInstance(start string) (Server, bool) {
 	id := start
 	if i := strings.LastIndex(start, startSeparator); i >= 0 {
 		id = start[:i]
@@ -236,7 +236,7 @@
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	for _, id := range []string{id, start} { // a start that states no time is the ID
-		if b := r.backends[id]; b != nil && b.server().Start() == start {
+		if b := r.backends[id]; b != nil && b.server().InstanceID() == start {
 			return b.Server(), true
 		}
 	}
@@ -259,7 +259,7 @@
 
 // Confirmed records that the list was found unchanged at a time, and drops the
 // entries whose grace is over by now, all of them if grace is zero.
-func (r *Registry) Confirmed(at, now, grace time.Time) (dropped []string) {
+func (r *Registry) Confirm(at, now, grace time.Time) (dropped []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if grace.IsZero() {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -35,8 +35,8 @@
 	r.Replace([]Server{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, now, time.Time{})
 	grace := now.Add(time.Second)
 	r.Apply([]Change{{ID: "b"}}, now, grace)
-	g.Expect(r.Confirmed(now, now.Add(500*time.Millisecond), grace)).To(BeEmpty())
-	g.Expect(r.Confirmed(now.Add(time.Second), grace, grace)).To(Equal([]string{"b"}))
+	g.Expect(r.Confirm(now, now.Add(500*time.Millisecond), grace)).To(BeEmpty())
+	g.Expect(r.Confirm(now.Add(time.Second), grace, grace)).To(Equal([]string{"b"}))
 	g.Expect(ids(r)).To(Equal([]string{"a"}))
 	g.Expect(r.Age(grace.Add(time.Second))).To(Equal(time.Second))
 }
@@ -48,7 +48,7 @@
 	r.Apply([]Change{{ID: "a"}}, now, now.Add(time.Second))
 	g.Expect(ids(r)).To(Equal([]string{"a"}))
 	// Another process was in touch with the list all the while.
-	g.Expect(r.Confirmed(now, now, time.Time{})).To(Equal([]string{"a"}))
+	g.Expect(r.Confirm(now, now, time.Time{})).To(Equal([]string{"a"}))
 	g.Expect(ids(r)).To(BeEmpty())
 }
 
@@ -105,15 +105,15 @@
 func TestAnUnreachableServerIsAvoidedForAWhile(t *testing.T) {
 	g := NewWithT(t)
 	b, now := &Backend{}, time.Unix(0, 0)
-	b.Failed(now, true)
+	b.RecordFailure(now, true)
 	g.Expect(b.View(now).Avoided).To(BeTrue())
 	g.Expect(b.View(now.Add(firstAvoidance)).Avoided).To(BeFalse())
 	for range 20 {
-		b.Failed(now, true)
+		b.RecordFailure(now, true)
 	}
 	g.Expect(b.View(now.Add(longestAvoidance - time.Millisecond)).Avoided).To(BeTrue())
 	g.Expect(b.View(now.Add(longestAvoidance)).Avoided).To(BeFalse())
-	b.Answered(now)
+	b.RecordSuccess(now)
 	g.Expect(b.View(now).Avoided).To(BeFalse())
 }
 
@@ -123,30 +123,30 @@
 	for i := range 100 {
 		now = now.Add(30 * time.Millisecond)
 		if i%2 == 0 {
-			b.Failed(now, false)
+			b.RecordFailure(now, false)
 		} else {
-			b.Answered(now)
+			b.RecordSuccess(now)
 		}
 	}
-	g.Expect(b.View(now).ErrorShare).To(BeNumerically("~", 0.5, 0.06))
-	g.Expect(b.View(now.Add(30 * time.Second)).ErrorShare).To(BeNumerically("<", 0.01))
+	g.Expect(b.View(now).ErrorRate).To(BeNumerically("~", 0.5, 0.06))
+	g.Expect(b.View(now.Add(30 * time.Second)).ErrorRate).To(BeNumerically("<", 0.01))
 }
 
 func TestOwnLoadIsCounted(t *testing.T) {
 	g := NewWithT(t)
 	b, now := &Backend{}, time.Unix(0, 0)
-	b.Begin(100)
-	b.Begin(50)
-	b.FirstToken(100)
-	b.Report(Load{Running: 3, Slots: 8, At: now})
+	b.BeginRequest(100)
+	b.BeginRequest(50)
+	b.RecordFirstToken(100)
+	b.RecordLoad(Load{Running: 3, Slots: 8, At: now})
 	v := b.View(now)
-	g.Expect(v.Running).To(Equal(2))
-	g.Expect(v.Unread).To(BeEquivalentTo(50))
+	g.Expect(v.InFlight).To(Equal(2))
+	g.Expect(v.UnreadTokens).To(BeEquivalentTo(50))
 	g.Expect(v.Load.Running).To(Equal(3))
 	g.Expect(b.View(now.Add(reportFor)).Load.Running).To(Equal(3))
 	g.Expect(b.View(now.Add(reportFor + time.Millisecond)).Load).To(Equal(Load{}))
-	b.End()
-	g.Expect(b.View(now).Running).To(Equal(1))
+	b.EndRequest()
+	g.Expect(b.View(now).InFlight).To(Equal(1))
 }
 
 // A server that starts again under its ID is another process: nothing that was learnt of
@@ -157,14 +157,14 @@
 	var ended []string
 	r.OnRestart(func(address string) { ended = append(ended, address) })
 	entry := func(started int64, address string) Change {
-		return Change{ID: "a", Server: &Server{ID: "a", Service: "s", Address: address, Slots: 8, Started: started}}
+		return Change{ID: "a", Server: &Server{ID: "a", Service: "s", Address: address, Slots: 8, StartUnixMs: started}}
 	}
 	r.Apply([]Change{entry(1000, "10.0.0.1:80")}, now, time.Time{})
 	before := r.Ready("s")[0]
-	before.Begin(500)
-	before.Report(Load{Running: 8, Waiting: 3, Slots: 8, At: now})
+	before.BeginRequest(500)
+	before.RecordLoad(Load{Running: 8, Waiting: 3, Slots: 8, At: now})
 	for range 5 {
-		before.Failed(now, true)
+		before.RecordFailure(now, true)
 	}
 	r.Apply([]Change{entry(1000, "10.0.0.1:80")}, now, time.Time{}) // a heartbeat
 	g.Expect(r.Ready("s")[0]).To(BeIdenticalTo(before))
@@ -174,17 +174,17 @@
 	g.Expect(ended).To(Equal([]string{"10.0.0.1:80"}))
 	after := r.Ready("s")[0]
 	g.Expect(after.View(now)).To(Equal(View{}))
-	g.Expect(after.Server().Start()).To(Equal("a@2000"))
+	g.Expect(after.Server().InstanceID()).To(Equal("a@2000"))
 	// Late words of the old process.
-	before.Report(Load{Running: 7, Slots: 8, At: now})
-	before.Gone(now)
-	before.End()
+	before.RecordLoad(Load{Running: 7, Slots: 8, At: now})
+	before.RecordReplaced(now)
+	before.EndRequest()
 	g.Expect(after.View(now)).To(Equal(View{}))
 
 	// An entry that does not state its start says nothing of a restart.
 	r.Apply([]Change{entry(0, "10.0.0.2:80")}, now, time.Time{})
 	g.Expect(r.Ready("s")[0]).To(BeIdenticalTo(after))
-	g.Expect(after.Server().Start()).To(Equal("a"))
+	g.Expect(after.Server().InstanceID()).To(Equal("a"))
 }
 
 // Whatever starts of a server are listed in whatever order, the state is that of the
@@ -196,14 +196,14 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "listed") || started == 0 {
 				next := rapid.Int64Range(1, 3).Draw(t, "started")
-				r.Replace([]Server{{ID: "a", Service: "s", Address: "x", Started: next}}, now, time.Time{})
+				r.Replace([]Server{{ID: "a", Service: "s", Address: "x", StartUnixMs: next}}, now, time.Time{})
 				if next != started {
 					started, sent = next, 0
 				}
 			}
-			r.Ready("s")[0].Begin(1)
+			r.Ready("s")[0].BeginRequest(1)
 			sent++
-			if got := r.Ready("s")[0].View(now).Running; got != sent {
+			if got := r.Ready("s")[0].View(now).InFlight; got != sent {
 				t.Fatalf("%d requests at start %d, %d were sent to it", got, started, sent)
 			}
 		}
--- a/internal/relay/cancel.go
+++ b/internal/relay/cancel.go
@@ -17,7 +17,7 @@
 		return
 	}
 	m.state = cancelling
-	m.fx.Arm(TimerCancel, m.cfg.Cancel)
+	m.fx.SetTimer(TimerCancel, m.cfg.CancelTimeout)
 	m.fx.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
 	if !m.linkUp {
 		m.fx.Abandon(m.attempt)
@@ -26,7 +26,7 @@
 }
 
 // Cancelled takes in the agent's word on a cancel.
-func (m *Machine) Cancelled(c *wire.Cancelled) {
+func (m *Machine) HandleCancelled(c *wire.Cancelled) {
 	if m.mine(c.Attempt) && m.state == cancelling {
 		m.settleCancel(c.Ran)
 	}
@@ -40,7 +40,7 @@
 }
 
 // CallerGone says that nobody waits for the answer any more.
-func (m *Machine) CallerGone() {
+func (m *Machine) HandleCallerGone() {
 	if m.state == finished {
 		return
 	}
--- a/internal/relay/linkstate.go
+++ b/internal/relay/linkstate.go
@@ -6,26 +6,26 @@
 )
 
 // LinkDown says that the link to the agent is gone.
-func (m *Machine) LinkDown() {
+func (m *Machine) HandleLinkDown() {
 	if m.state == finished || m.state == parked || !m.linkUp {
 		return
 	}
 	m.linkUp = false
-	m.fx.Arm(TimerAnswer, 0)
+	m.fx.SetTimer(TimerOfferReply, 0)
 	if m.state == cancelling {
 		return // its timer runs
 	}
-	m.fx.Arm(TimerLost, m.cfg.Lost)
+	m.fx.SetTimer(TimerAgentLost, m.cfg.LostTimeout)
 }
 
 // LinkUp says that the agent is reached again; same is false if it restarted
 // and so forgot the attempt.
-func (m *Machine) LinkUp(same bool) {
+func (m *Machine) HandleLinkUp(same bool) {
 	if m.state == finished || m.state == parked || m.linkUp {
 		return
 	}
 	m.linkUp = true
-	m.fx.Arm(TimerLost, 0)
+	m.fx.SetTimer(TimerAgentLost, 0)
 	switch {
 	case !same && m.state == cancelling:
 		m.settleCancel(true)
@@ -34,7 +34,7 @@
 	case m.state == cancelling:
 		m.fx.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
 	default:
-		m.fx.Arm(TimerAnswer, m.cfg.Answer)
+		m.fx.SetTimer(TimerOfferReply, m.cfg.OfferReplyTimeout)
 		m.resume()
 	}
 }
@@ -42,5 +42,5 @@
 // lost gives up on the present attempt, which may have run.
 func (m *Machine) lost(why string) {
 	m.fx.Abandon(m.attempt)
-	m.attemptFailed(fault.New(fault.LinkLost, "%s", why).With(fault.Unknown))
+	m.attemptFailed(fault.New(fault.LinkLost, "%s", why).WithOutcome(fault.Unknown))
 }
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -34,7 +34,7 @@
 		w.disturb(kind, a)
 	case "gone":
 		if len(w.requests) > 0 {
-			pick(w, w.requests, "which request").m.CallerGone()
+			pick(w, w.requests, "which request").m.HandleCallerGone()
 		}
 	case "heal":
 		for _, r := range w.requests {
@@ -69,7 +69,7 @@
 			a.restart()
 		}
 		for _, r := range w.requests {
-			r.m.Place()
+			r.m.HandleAgentAvailable()
 		}
 	case "crash":
 		a.engineCrash()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -25,7 +25,7 @@
 
 // Window is how many chunks an agent may send ahead of acknowledgement; it
 // bounds what a router holds for a slow caller.
-const Window = 128
+const WindowChunks = 128
 
 // maxBusyLinks bounds the links that are tried in a row for one offer.
 const maxBusyLinks = 16
@@ -35,10 +35,10 @@
 
 // The timers.
 const (
-	TimerLost     Timer = iota // the agent is out of reach for too long
-	TimerCancel                // the agent does not confirm a cancel
-	TimerDeadline              // the whole request is overdue
-	TimerAnswer                // the agent does not answer an offer
+	TimerAgentLost  Timer = iota // the agent is out of reach for too long
+	TimerCancel                  // the agent does not confirm a cancel
+	TimerDeadline                // the whole request is overdue
+	TimerOfferReply              // the agent does not answer an offer
 )
 
 // Effects is what a Machine does to the world.
@@ -59,9 +59,9 @@
 	// Finish gives the final word; e is nil for a whole answer.
 	Finish(end *wire.End, e *fault.Error)
 	// Arm starts a timer, replacing one of the same name; 0 stops it.
-	Arm(t Timer, d time.Duration)
+	SetTimer(t Timer, d time.Duration)
 	// Retry takes one retry out of the budget, false if it is spent.
-	Retry() bool
+	TakeRetry() bool
 }
 
 // Config is the timing and the limits of a request.
@@ -69,11 +69,11 @@
 	MaxAttempts int
 	MayRepeat   bool
 	// Resumable says that another agent can go on after delivered chunks.
-	Resumable bool
-	RunWithin time.Duration
-	Lost      time.Duration // how long an agent may be out of reach
-	Cancel    time.Duration // how long a cancel may take to be confirmed
-	Answer    time.Duration // how long a verdict may take
+	Resumable         bool
+	RunTimeout        time.Duration
+	LostTimeout       time.Duration // how long an agent may be out of reach
+	CancelTimeout     time.Duration // how long a cancel may take to be confirmed
+	OfferReplyTimeout time.Duration // how long a verdict may take
 }
 
 type state uint8
@@ -115,11 +115,11 @@
 func (m *Machine) Retries() int { return m.retries }
 
 // Delivered returns the number of chunks passed on.
-func (m *Machine) Delivered() uint32 { return m.asm.Next() }
+func (m *Machine) Delivered() uint32 { return m.asm.NextSeq() }
 
 // Start makes the first offer.
 func (m *Machine) Start() {
-	m.fx.Arm(TimerDeadline, m.cfg.RunWithin)
+	m.fx.SetTimer(TimerDeadline, m.cfg.RunTimeout)
 	m.offer()
 }
 
@@ -128,18 +128,18 @@
 // loses its connections gets them back within moments.
 func (m *Machine) offer() {
 	m.attempt++
-	e := m.fx.Offer(m.attempt, m.asm.Next(), string(m.text))
+	e := m.fx.Offer(m.attempt, m.asm.NextSeq(), string(m.text))
 	for busyLinks := 0; e != nil && e.Code == fault.LinkBusy && busyLinks < maxBusyLinks; busyLinks++ {
 		// Nothing was sent, so it is the same attempt still.
-		e = m.fx.Offer(m.attempt, m.asm.Next(), string(m.text))
+		e = m.fx.Offer(m.attempt, m.asm.NextSeq(), string(m.text))
 	}
 	switch {
 	case e == nil:
-	case e.Code == fault.NoLink && (m.refusal == nil || !Busy(m.refusal.Code)):
+	case e.Code == fault.BackendServersUnreachable && (m.refusal == nil || !IsOverload(m.refusal.Code)):
 		m.state = parked
 		m.cause = e
-		m.fx.Arm(TimerAnswer, 0)
-		m.fx.Arm(TimerLost, m.cfg.Lost)
+		m.fx.SetTimer(TimerOfferReply, 0)
+		m.fx.SetTimer(TimerAgentLost, m.cfg.LostTimeout)
 		return
 	default:
 		if m.refusal == nil {
@@ -149,12 +149,12 @@
 		return
 	}
 	m.state, m.linkUp = offered, true
-	m.fx.Arm(TimerLost, 0)
-	m.fx.Arm(TimerAnswer, m.cfg.Answer)
+	m.fx.SetTimer(TimerAgentLost, 0)
+	m.fx.SetTimer(TimerOfferReply, m.cfg.OfferReplyTimeout)
 }
 
 // Place says that an agent may be reached now.
-func (m *Machine) Place() {
+func (m *Machine) HandleAgentAvailable() {
 	if m.state == parked {
 		m.attempt-- // the offer that found no agent was none
 		m.offer()
@@ -167,11 +167,11 @@
 }
 
 // Verdict takes in the agent's word on an offer or a resume.
-func (m *Machine) Verdict(v *wire.Verdict) {
+func (m *Machine) HandleVerdict(v *wire.OfferResponse) {
 	if !m.mine(v.Attempt) {
 		return
 	}
-	m.fx.Arm(TimerAnswer, 0)
+	m.fx.SetTimer(TimerOfferReply, 0)
 	if v.Fault == nil {
 		if m.state == offered {
 			m.state = accepted
@@ -190,7 +190,7 @@
 // says whether it may have run.
 func (m *Machine) attemptFailed(e *fault.Error) {
 	if m.state == offered || m.state == accepted {
-		m.fx.Arm(TimerAnswer, 0)
+		m.fx.SetTimer(TimerOfferReply, 0)
 	}
 	m.refusal = e
 	if e.Outcome != fault.NotRun {
@@ -210,31 +210,31 @@
 
 // final lists the faults that another agent would give as well.
 var final = map[fault.Code]bool{
-	fault.KeyConflict: true, fault.CannotVouch: true, fault.TooLarge: true, fault.BadRequest: true,
-	fault.Expired: true, fault.Deadline: true,
+	fault.IdempotencyKeyConflict: true, fault.IdempotentResultUnknown: true, fault.TooLarge: true, fault.BadRequest: true,
+	fault.StartDeadlinePassed: true, fault.DeadlinePassed: true,
 }
 
 func (m *Machine) mayOfferAgain(e *fault.Error) bool {
 	if final[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
 		return false
 	}
-	if m.asm.Next() > 0 && !m.cfg.Resumable {
+	if m.asm.NextSeq() > 0 && !m.cfg.Resumable {
 		return false
 	}
 	// Refusals for load come when the pool is busy: offering them again is
 	// what could bury it, so the budget bounds it. The rest, offers and work
 	// that were lost on the way, is no more than the lost server and link
 	// held, and MaxAttempts bounds it.
-	return !Busy(e.Code) || m.fx.Retry()
+	return !IsOverload(e.Code) || m.fx.TakeRetry()
 }
 
 // Busy reports whether a code is a refusal for load.
-func Busy(c fault.Code) bool {
+func IsOverload(c fault.Code) bool {
 	return c == fault.QueueFull || c == fault.WaitTooLong || c == fault.RecordsFull
 }
 
 // Chunk takes in a piece of the answer.
-func (m *Machine) Chunk(c *wire.Chunk) {
+func (m *Machine) HandleChunk(c *wire.Chunk) {
 	if !m.mine(c.Attempt) || m.state == cancelling {
 		return
 	}
@@ -251,22 +251,22 @@
 		m.text = append(m.text, c.Data...)
 	}
 	m.fx.Deliver(c.Data)
-	if m.asm.Next()-m.acked >= ackEvery {
+	if m.asm.NextSeq()-m.acked >= ackEvery {
 		m.ack(false)
 	}
 }
 
 func (m *Machine) ack(final bool) {
-	m.acked = m.asm.Next()
+	m.acked = m.asm.NextSeq()
 	m.fx.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.acked, Final: final})
 }
 
 func (m *Machine) resume() {
-	m.fx.Send(&wire.Resume{ID: m.id, Attempt: m.attempt, Next: m.asm.Next()})
+	m.fx.Send(&wire.Resume{ID: m.id, Attempt: m.attempt, Next: m.asm.NextSeq()})
 }
 
 // End takes in the end of the answer.
-func (m *Machine) End(e *wire.End) {
+func (m *Machine) HandleEnd(e *wire.End) {
 	if !m.mine(e.Attempt) {
 		return
 	}
@@ -281,7 +281,7 @@
 		m.attemptFailed(f)
 		return
 	}
-	if e.Total != m.asm.Next() {
+	if e.Total != m.asm.NextSeq() {
 		m.resume()
 		return
 	}
@@ -290,12 +290,12 @@
 }
 
 // Timeout takes in a timer that ran out.
-func (m *Machine) Timeout(t Timer) {
+func (m *Machine) HandleTimeout(t Timer) {
 	if m.state == finished {
 		return
 	}
 	switch t {
-	case TimerLost:
+	case TimerAgentLost:
 		if m.state == parked {
 			m.finish(nil, m.cause)
 			return
@@ -303,7 +303,7 @@
 		if !m.linkUp && m.state != cancelling {
 			m.lost("the agent could not be reached")
 		}
-	case TimerAnswer:
+	case TimerOfferReply:
 		if m.state == offered {
 			m.lost("the agent did not answer")
 		}
@@ -313,20 +313,20 @@
 			m.settleCancel(true)
 		}
 	case TimerDeadline:
-		m.cancel(fault.New(fault.Deadline, "the request took too long"))
+		m.cancel(fault.New(fault.DeadlinePassed, "the request took too long"))
 	}
 }
 
 // finish gives the final word with the outcome that is true of all attempts.
 func (m *Machine) finish(end *wire.End, e *fault.Error) {
 	m.state = finished
-	for _, t := range []Timer{TimerLost, TimerCancel, TimerDeadline, TimerAnswer} {
-		m.fx.Arm(t, 0)
+	for _, t := range []Timer{TimerAgentLost, TimerCancel, TimerDeadline, TimerOfferReply} {
+		m.fx.SetTimer(t, 0)
 	}
 	if e != nil {
 		final := *e
 		switch {
-		case m.asm.Next() > 0:
+		case m.asm.NextSeq() > 0:
 			final.Outcome = fault.Partial
 		case m.unsettled > 0:
 			final.Outcome = fault.Unknown
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -86,7 +86,7 @@
 	a.core = execution.New(execution.Config{
 		Admission: admission.Config{Slots: 2, QueueLimit: 3, MaxPreemptions: 2, FloorWindow: time.Second, Preemption: true,
 			Floors: true, Fairness: true, EarlyRefusal: true},
-		MaxHeld: 20, OrphanAfter: 3 * time.Second, TombstoneFor: 20 * time.Second, MaxTombstones: 30,
+		MaxAttempts: 20, OrphanTimeout: 3 * time.Second, TombstoneRetention: 20 * time.Second, MaxTombstones: 30,
 	}, a.w.now, a, func(string) bool { return true })
 	a.links = map[execution.LinkID]*conn{}
 	a.runs = nil
@@ -107,18 +107,18 @@
 }
 
 func (a *agent) Start(r execution.Run) {
-	a.runs = append(a.runs, &run{Run: r, made: int(r.Done)})
-	req := a.w.byID(r.Key.ID)
+	a.runs = append(a.runs, &run{Run: r, made: int(r.GeneratedTokens)})
+	req := a.w.byID(r.Key.RequestID)
 	if req.finished > 0 && req.err != nil && req.err.Outcome == fault.NotRun {
-		a.w.t.Fatalf("%s was told not run and then started", r.Key.ID)
+		a.w.t.Fatalf("%s was told not run and then started", r.Key.RequestID)
 	}
-	a.w.starts[r.Key.ID]++
-	if !req.repeat && a.w.starts[r.Key.ID] > 1 {
-		a.w.t.Fatalf("%s may not be repeated and ran twice", r.Key.ID)
+	a.w.starts[r.Key.RequestID]++
+	if !req.repeat && a.w.starts[r.Key.RequestID] > 1 {
+		a.w.t.Fatalf("%s may not be repeated and ran twice", r.Key.RequestID)
 	}
 }
 
-func (a *agent) Stop(k execution.Key, number int) {
+func (a *agent) Stop(k execution.AttemptKey, number int) {
 	for _, r := range a.runs {
 		if r.Key == k && r.Number == number {
 			r.stopped = true
@@ -128,7 +128,7 @@
 
 func (a *agent) Use(execution.LinkID, int) {}
 
-func (a *agent) Claim(execution.Key, *wire.Offer) {}
+func (a *agent) Claim(execution.AttemptKey, *wire.Offer) {}
 
 func (w *world) byID(id string) *request {
 	for _, r := range w.requests {
@@ -156,8 +156,8 @@
 func (r *request) Offer(attempt uint32, done uint32, doneText string) *fault.Error {
 	a := pick(r.w, r.w.agents, "agent")
 	if a.down {
-		code := pick(r.w, []fault.Code{fault.NoServer, fault.NoLink, fault.LinkBusy}, "code")
-		return fault.New(code, "no agent is reached").With(fault.NotRun)
+		code := pick(r.w, []fault.Code{fault.NoBackendServer, fault.BackendServersUnreachable, fault.LinkBusy}, "code")
+		return fault.New(code, "no agent is reached").WithOutcome(fault.NotRun)
 	}
 	if r.conn != nil {
 		r.old = append(r.old, r.conn)
@@ -165,8 +165,8 @@
 	r.open(a)
 	r.life, r.offerTime = a.life, r.w.now
 	r.conn.toAgent = append(r.conn.toAgent, &wire.Offer{ID: r.id, Attempt: attempt, Team: "t", Tier: uint8(len(r.id) % 3),
-		StartWithinMS: 4000, RunWithinMS: 20000, MayRepeat: r.repeat, Preemptible: r.repeat, MaxTokens: r.length,
-		Done: done, DoneText: doneText, Window: 4})
+		StartTimeoutMS: 4000, RunTimeoutMS: 20000, Retryable: r.repeat, Preemptible: r.repeat, MaxTokens: r.length,
+		ChunksDelivered: done, DeliveredText: doneText, SendWindow: 4})
 	return nil
 }
 
@@ -214,7 +214,7 @@
 }
 
 // Arm implements Effects.
-func (r *request) Arm(t Timer, d time.Duration) {
+func (r *request) SetTimer(t Timer, d time.Duration) {
 	delete(r.timers, t)
 	if d > 0 {
 		r.timers[t] = r.w.now.Add(d)
@@ -222,18 +222,18 @@
 }
 
 // Retry implements Effects.
-func (r *request) Retry() bool { return true }
+func (r *request) TakeRetry() bool { return true }
 
 func (r *request) receive(m wire.Message) {
 	switch m := m.(type) {
-	case *wire.Verdict:
-		r.m.Verdict(m)
+	case *wire.OfferResponse:
+		r.m.HandleVerdict(m)
 	case *wire.Chunk:
-		r.m.Chunk(m)
+		r.m.HandleChunk(m)
 	case *wire.End:
-		r.m.End(m)
+		r.m.HandleEnd(m)
 	case *wire.Cancelled:
-		r.m.Cancelled(m)
+		r.m.HandleCancelled(m)
 	}
 }
 
@@ -294,7 +294,7 @@
 		c.a.core.LinkDown(w.now, c.id)
 	}
 	if c.req.conn == c {
-		c.req.m.LinkDown()
+		c.req.m.HandleLinkDown()
 	}
 }
 
@@ -308,7 +308,7 @@
 		r.old = append(r.old, old)
 	}
 	r.open(old.a)
-	r.m.LinkUp(old.a.life == r.life)
+	r.m.HandleLinkUp(old.a.life == r.life)
 }
 
 // step is one step of every engine.
@@ -321,14 +321,14 @@
 			if x.stopped {
 				continue
 			}
-			req := w.byID(x.Key.ID)
+			req := w.byID(x.Key.RequestID)
 			if x.made < req.length {
-				a.core.Token(w.now, x.Key, x.Number, []byte(token(x.Key.ID, x.made)), 1)
+				a.core.Output(w.now, x.Key, x.Number, []byte(token(x.Key.RequestID, x.made)), 1)
 				x.made++
 			}
 			if x.made >= req.length && !x.stopped {
 				x.stopped = true
-				a.core.Ended(w.now, x.Key, x.Number, wire.End{}, nil)
+				a.core.RunEnded(w.now, x.Key, x.Number, wire.End{}, nil)
 			}
 		}
 	}
@@ -339,7 +339,7 @@
 	for _, x := range append([]*run(nil), a.runs...) {
 		if !x.stopped {
 			x.stopped = true
-			a.core.Ended(a.w.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").With(fault.Unknown))
+			a.core.RunEnded(a.w.now, x.Key, x.Number, wire.End{}, fault.New(fault.EngineFailed, "crash").WithOutcome(fault.Unknown))
 		}
 	}
 }
@@ -353,10 +353,10 @@
 		}
 	}
 	for _, r := range w.requests {
-		for t := TimerLost; t <= TimerAnswer; t++ {
+		for t := TimerAgentLost; t <= TimerOfferReply; t++ {
 			if due, ok := r.timers[t]; ok && !due.After(w.now) {
 				delete(r.timers, t)
-				r.m.Timeout(t)
+				r.m.HandleTimeout(t)
 			}
 		}
 	}
@@ -365,8 +365,8 @@
 func (w *world) add(repeat bool) {
 	r := &request{w: w, id: fmt.Sprintf("r%d", len(w.requests)), repeat: repeat, timers: map[Timer]time.Time{},
 		length: rapid.IntRange(0, 12).Draw(w.t, "length")}
-	r.m = New(r.id, Config{MaxAttempts: 4, MayRepeat: repeat, Resumable: repeat, RunWithin: 15 * time.Second,
-		Lost: time.Second, Cancel: 500 * time.Millisecond, Answer: time.Second}, r)
+	r.m = New(r.id, Config{MaxAttempts: 4, MayRepeat: repeat, Resumable: repeat, RunTimeout: 15 * time.Second,
+		LostTimeout: time.Second, CancelTimeout: 500 * time.Millisecond, OfferReplyTimeout: time.Second}, r)
 	w.requests = append(w.requests, r)
 	r.m.Start()
 }
--- a/internal/resource/file.go
+++ b/internal/resource/file.go
@@ -58,7 +58,7 @@
 	}
 	spec, err := json.Marshal(r.Spec)
 	if err != nil {
-		return Desired{}, fault.New(fault.InvalidConfig, "%w", err).InField("spec")
+		return Desired{}, fault.New(fault.InvalidConfig, "%w", err).WithField("spec")
 	}
 	if _, err := ParseSpec(kind, r.Name, spec); err != nil {
 		return Desired{}, err
--- a/internal/resource/fold.go
+++ b/internal/resource/fold.go
@@ -11,7 +11,7 @@
 // refuses the same records.
 const (
 	MaxResources  = 20000
-	MaxHistory    = 8    // earlier contents kept of each resource
+	MaxVersions   = 8    // earlier contents kept of each resource
 	MaxDeleted    = 512  // deleted resources whose history is kept
 	MaxOperations = 1024 // operations whose results are kept
 	MaxChanges    = 1000 // changes in one record
@@ -95,7 +95,7 @@
 // Fold is the configuration state. It is a pure function of the records that
 // Apply was given in order of their offsets. It is not safe for concurrent
 // use; View returns what is.
-type Fold struct {
+type State struct {
 	revision  uint64
 	resources map[Ref]*Resource
 	live      int
@@ -106,15 +106,15 @@
 }
 
 // NewFold returns an empty state at revision 0.
-func NewFold() *Fold {
-	return &Fold{resources: map[Ref]*Resource{}, opIndex: map[string]int{}}
+func NewState() *State {
+	return &State{resources: map[Ref]*Resource{}, opIndex: map[string]int{}}
 }
 
 // Revision returns the offset of the last record folded in. Offsets start at 1.
-func (f *Fold) Revision() uint64 { return f.revision }
+func (f *State) Revision() uint64 { return f.revision }
 
 // Operation returns the result of an operation if it is still kept.
-func (f *Fold) Operation(id string) (Result, bool) {
+func (f *State) Operation(id string) (Result, bool) {
 	i, ok := f.opIndex[id]
 	if !ok {
 		return Result{}, false
@@ -126,7 +126,7 @@
 // revision has no effect: the state never goes back. A broken or stale record
 // has no effect either, but its result is kept. The second value is false when
 // the record was already folded in or its operation was known before.
-func (f *Fold) Apply(offset uint64, data []byte) (Result, bool) {
+func (f *State) Apply(offset uint64, data []byte) (Result, bool) {
 	if offset <= f.revision {
 		return Result{}, false
 	}
@@ -147,7 +147,7 @@
 }
 
 // Check reports what Apply would answer to rec now, without changing f.
-func (f *Fold) Check(rec Record) error {
+func (f *State) Check(rec Record) error {
 	var res Result
 	u := &undo{}
 	e := f.tryChanges(f.revision+1, rec, &res, u)
@@ -158,7 +158,7 @@
 	return nil
 }
 
-func (f *Fold) applyChanges(offset uint64, rec Record, res *Result) *fault.Error {
+func (f *State) applyChanges(offset uint64, rec Record, res *Result) *fault.Error {
 	u := &undo{}
 	e := f.tryChanges(offset, rec, res, u)
 	if e != nil {
@@ -178,7 +178,7 @@
 	started bool
 }
 
-func (u *undo) save(f *Fold, ref Ref) {
+func (u *undo) save(f *State, ref Ref) {
 	if !u.started {
 		u.started, u.live, u.deleted = true, f.live, append([]Ref(nil), f.deleted...)
 	}
@@ -186,7 +186,7 @@
 	u.before = append(u.before, f.resources[ref])
 }
 
-func (u *undo) run(f *Fold) {
+func (u *undo) run(f *State) {
 	if !u.started {
 		return
 	}
@@ -200,7 +200,7 @@
 	f.live, f.deleted = u.live, u.deleted
 }
 
-func (f *Fold) tryChanges(offset uint64, rec Record, res *Result, u *undo) *fault.Error {
+func (f *State) tryChanges(offset uint64, rec Record, res *Result, u *undo) *fault.Error {
 	if len(rec.Changes) == 0 || len(rec.Changes) > MaxChanges {
 		return invalid("changes", "a record has %d changes, allowed are 1 to %d", len(rec.Changes), MaxChanges)
 	}
@@ -227,7 +227,7 @@
 	return where + "." + field
 }
 
-func (f *Fold) applyOne(offset uint64, rec *Record, c *Change, res *Result, u *undo) *fault.Error {
+func (f *State) applyOne(offset uint64, rec *Record, c *Change, res *Result, u *undo) *fault.Error {
 	ref := Ref{c.Kind, c.Name}
 	old := f.resources[ref]
 	if e := checkBase(old, c, res); e != nil {
@@ -267,13 +267,13 @@
 	}
 	if old != nil {
 		res.Winner = old.Latest().Operation
-		return fault.New(fault.Conflict, "based on revision %d, but %s set revision %d with operation %s",
+		return fault.New(fault.RevisionConflict, "based on revision %d, but %s set revision %d with operation %s",
 			c.Base, old.Latest().Actor, current, res.Winner)
 	}
-	return fault.New(fault.Conflict, "based on revision %d, but the resource does not exist", c.Base)
+	return fault.New(fault.RevisionConflict, "based on revision %d, but the resource does not exist", c.Base)
 }
 
-func (f *Fold) count(old, next *Resource, ref Ref) {
+func (f *State) count(old, next *Resource, ref Ref) {
 	wasLive, isLive := old != nil && !old.Deleted(), !next.Deleted()
 	switch {
 	case isLive && !wasLive:
@@ -285,7 +285,7 @@
 	}
 }
 
-func (f *Fold) forgetDeleted(ref Ref) {
+func (f *State) forgetDeleted(ref Ref) {
 	for i, d := range f.deleted {
 		if d == ref {
 			f.deleted = append(append([]Ref(nil), f.deleted[:i]...), f.deleted[i+1:]...)
@@ -294,7 +294,7 @@
 	}
 }
 
-func (f *Fold) trimDeleted() {
+func (f *State) trimDeleted() {
 	for len(f.deleted) > MaxDeleted {
 		delete(f.resources, f.deleted[0])
 		f.deleted = f.deleted[1:]
@@ -307,8 +307,8 @@
 		versions = append(versions, old.Versions...)
 	}
 	versions = append(versions, v)
-	if len(versions) > MaxHistory {
-		versions = versions[len(versions)-MaxHistory:]
+	if len(versions) > MaxVersions {
+		versions = versions[len(versions)-MaxVersions:]
 	}
 	return versions
 }
@@ -321,7 +321,7 @@
 	return out.Bytes()
 }
 
-func (f *Fold) remember(res Result) {
+func (f *State) remember(res Result) {
 	f.opIndex[res.Operation] = len(f.ops) + f.dropped
 	f.ops = append(f.ops, res)
 	if len(f.ops) > MaxOperations {
--- a/internal/resource/fold_test.go
+++ b/internal/resource/fold_test.go
@@ -22,7 +22,7 @@
 	return Change{Verb: Put, Kind: k, Name: name, Base: base, Spec: json.RawMessage(spec)}
 }
 
-func mustApply(g *WithT, f *Fold, offset uint64, op string, changes ...Change) {
+func mustApply(g *WithT, f *State, offset uint64, op string, changes ...Change) {
 	res, fresh := f.Apply(offset, record(op, changes...))
 	g.Expect(fresh).To(BeTrue())
 	g.Expect(res.Err()).NotTo(HaveOccurred())
@@ -30,18 +30,18 @@
 
 func TestRacingChangesHaveOneWinner(t *testing.T) {
 	g := NewWithT(t)
-	f := NewFold()
+	f := NewState()
 	mustApply(g, f, 1, "op1", put(KindClass, "helpline", 0, fmt.Sprintf(classSpec, 0)))
 	mustApply(g, f, 2, "op2", put(KindClass, "helpline", 1, fmt.Sprintf(classSpec, 1)))
 	res, _ := f.Apply(3, record("op3", put(KindClass, "helpline", 1, fmt.Sprintf(classSpec, 2))))
-	g.Expect(res.Code).To(Equal(fault.Conflict))
+	g.Expect(res.Code).To(Equal(fault.RevisionConflict))
 	g.Expect(res.Winner).To(Equal("op2"))
 	g.Expect(f.View().Classes["helpline"].Tier).To(Equal(1))
 }
 
 func TestRecordIsAppliedWholeOrNotAtAll(t *testing.T) {
 	g := NewWithT(t)
-	f := NewFold()
+	f := NewState()
 	mustApply(g, f, 1, "op1", put(KindClass, "a", 0, fmt.Sprintf(classSpec, 0)))
 	before := f.View()
 	res, _ := f.Apply(2, record("op2",
@@ -56,7 +56,7 @@
 
 func TestReferencesAreChecked(t *testing.T) {
 	g := NewWithT(t)
-	f := NewFold()
+	f := NewState()
 	pool := `{"servers":[{"name":"s1","agent":"127.0.0.1:1","failure_domain":"a"}]}`
 	mustApply(g, f, 1, "op1", put(KindPool, "p", 0, pool), put(KindModel, "m", 0, `{"pool":"p"}`))
 	res, _ := f.Apply(2, record("op2", Change{Verb: Delete, Kind: KindPool, Name: "p", Base: 1}))
@@ -113,7 +113,7 @@
 		g := NewWithT(t)
 		n := rapid.IntRange(1, 40).Draw(t, "records")
 		cut := rapid.IntRange(0, n).Draw(t, "cut")
-		whole, part := NewFold(), NewFold()
+		whole, part := NewState(), NewState()
 		var records [][]byte
 		for i := range n {
 			records = append(records, drawRecord(t, uint64(i)))
@@ -140,7 +140,7 @@
 
 func TestCheckChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFold()
+		f := NewState()
 		for i := range rapid.IntRange(0, 10).Draw(t, "records") {
 			f.Apply(uint64(i+1), drawRecord(t, uint64(i)))
 		}
@@ -166,7 +166,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f := NewFold()
+		f := NewState()
 		for i, r := range records {
 			f.Apply(uint64(i+1), r)
 		}
--- a/internal/resource/references.go
+++ b/internal/resource/references.go
@@ -6,12 +6,12 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-func (f *Fold) exists(ref Ref) bool {
+func (f *State) exists(ref Ref) bool {
 	r := f.resources[ref]
 	return r != nil && !r.Deleted()
 }
 
-func (f *Fold) checkReferences(changes []Change) *fault.Error {
+func (f *State) checkReferences(changes []Change) *fault.Error {
 	deleted := map[Ref]bool{}
 	for _, c := range changes {
 		ref := Ref{c.Kind, c.Name}
@@ -36,7 +36,7 @@
 
 // checkInUse names the first resource in use by name: the order in which the
 // map is walked must not show in the result.
-func (f *Fold) checkInUse(deleted map[Ref]bool) *fault.Error {
+func (f *State) checkInUse(deleted map[Ref]bool) *fault.Error {
 	first := ""
 	for _, r := range f.resources {
 		if r.Deleted() {
@@ -52,11 +52,11 @@
 	if first == "" {
 		return nil
 	}
-	return fault.New(fault.InUse, "it is still in use").InField(first)
+	return fault.New(fault.InUse, "it is still in use").WithField(first)
 }
 
 // rolloutsOf returns the live rollouts of a model by name.
-func (f *Fold) rolloutsOf(model string) []*Rollout {
+func (f *State) rolloutsOf(model string) []*Rollout {
 	var names []string
 	for ref, r := range f.resources {
 		if spec, ok := r.spec.(*Rollout); ok && spec.Model == model {
@@ -76,7 +76,7 @@
 
 // checkShares keeps the shares of a model's rollouts within 100 percent and
 // its versions apart.
-func (f *Fold) checkShares(changes []Change) *fault.Error {
+func (f *State) checkShares(changes []Change) *fault.Error {
 	for _, c := range changes {
 		changed, ok := f.resources[Ref{c.Kind, c.Name}]
 		if !ok || changed.Deleted() || c.Kind != KindRollout {
--- a/internal/resource/snapshot.go
+++ b/internal/resource/snapshot.go
@@ -22,7 +22,7 @@
 const snapshotFormat = 1
 
 // Snapshot encodes the state; equal states give equal bytes.
-func (f *Fold) Snapshot() ([]byte, error) {
+func (f *State) Snapshot() ([]byte, error) {
 	s := snapshot{Format: snapshotFormat, Revision: f.revision, Deleted: f.deleted, Operations: f.ops}
 	if s.Deleted == nil {
 		s.Deleted = []Ref{}
@@ -52,7 +52,7 @@
 func Digest(snapshot []byte) uint64 { return xxhash.Sum64(snapshot) }
 
 // Restore decodes a snapshot into a new Fold.
-func Restore(data []byte) (*Fold, error) {
+func Restore(data []byte) (*State, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, fault.New(fault.InvalidConfig, "decode snapshot: %w", err)
@@ -60,7 +60,7 @@
 	if s.Format != snapshotFormat {
 		return nil, fault.New(fault.InvalidConfig, "snapshot format %d, this program reads %d", s.Format, snapshotFormat)
 	}
-	f := NewFold()
+	f := NewState()
 	f.revision, f.deleted = s.Revision, s.Deleted
 	for _, r := range s.Resources {
 		if len(r.Versions) == 0 {
--- a/internal/resource/spec.go
+++ b/internal/resource/spec.go
@@ -31,7 +31,7 @@
 var Kinds = []Kind{KindClass, KindPool, KindModel, KindService, KindTeam, KindRollout}
 
 // Tiers is the number of service tiers; 0 is the highest.
-const Tiers = 5
+const NumTiers = 5
 
 // BaseVersion is the version of a model that takes the share of traffic that
 // no rollout takes.
@@ -189,7 +189,7 @@
 }
 
 func invalid(field, format string, args ...any) *fault.Error {
-	return fault.New(fault.InvalidConfig, format, args...).InField(field)
+	return fault.New(fault.InvalidConfig, format, args...).WithField(field)
 }
 
 var (
@@ -202,7 +202,7 @@
 	if k := Kind(s); slices.Contains(Kinds, k) {
 		return k, nil
 	}
-	return "", fault.New(fault.NotFound, "no kind %q; kinds are %v", s, Kinds).InField("kind")
+	return "", fault.New(fault.NotFound, "no kind %q; kinds are %v", s, Kinds).WithField("kind")
 }
 
 func newSpec(k Kind) Spec {
@@ -253,12 +253,12 @@
 var unknownField = regexp.MustCompile(`unknown field "([^"]*)"`)
 
 func jsonError(err error) *fault.Error {
-	e := fault.New(fault.InvalidConfig, "%w", err).InField("spec")
+	e := fault.New(fault.InvalidConfig, "%w", err).WithField("spec")
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" {
-		return e.InField(typed.Field)
+		return e.WithField(typed.Field)
 	}
 	if m := unknownField.FindStringSubmatch(err.Error()); m != nil {
-		return e.InField(m[1])
+		return e.WithField(m[1])
 	}
 	return e
 }
--- a/internal/resource/view.go
+++ b/internal/resource/view.go
@@ -26,7 +26,7 @@
 
 // View builds a picture of the current state. Its cost grows with the number
 // of resources; build one after a batch of records, not after each.
-func (f *Fold) View() *View {
+func (f *State) View() *View {
 	v := &View{Revision: f.revision,
 		Classes: map[string]*Class{}, Teams: map[string]*Team{}, Pools: map[string]*Pool{},
 		Models: map[string]*Model{}, Services: map[string]*Service{}, Rollouts: map[string]*Rollout{},
@@ -70,19 +70,19 @@
 }
 
 // HashKey returns the hash under which a key is configured.
-func HashKey(key string) string {
+func HashAPIKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
 // TeamByKey returns the name of the team that the key belongs to.
 func (v *View) TeamByKey(key string) (string, bool) {
-	name, ok := v.byKey[HashKey(key)]
+	name, ok := v.byKey[HashAPIKey(key)]
 	return name, ok
 }
 
 // RolloutsOf returns the rollouts of a model, ordered by version.
-func (v *View) RolloutsOf(model string) []*Rollout { return v.byModel[model] }
+func (v *View) RolloutsForModel(model string) []*Rollout { return v.byModel[model] }
 
 // Get returns a resource that is not deleted.
 func (v *View) Get(ref Ref) (*Resource, bool) {
@@ -101,11 +101,11 @@
 
 // List returns the resources of a kind that are not deleted, by name.
 func (v *View) List(k Kind) []*Resource {
-	return slices.DeleteFunc(v.All(k), (*Resource).Deleted)
+	return slices.DeleteFunc(v.ListWithDeleted(k), (*Resource).Deleted)
 }
 
 // All returns the resources of a kind, deleted ones too, by name.
-func (v *View) All(k Kind) []*Resource {
+func (v *View) ListWithDeleted(k Kind) []*Resource {
 	var out []*Resource
 	for ref, r := range v.resources {
 		if ref.Kind == k {
@@ -123,7 +123,7 @@
 }
 
 // PoolsOf returns the names of the pools that contain the backend server.
-func (v *View) PoolsOf(server string) []string {
+func (v *View) PoolsWithServer(server string) []string {
 	var out []string
 	for name, p := range v.Pools {
 		for _, s := range p.Servers {
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a budget that stays empty after it is exhausted.
-func TestTheBudgetComesBack(t *testing.T) {
+func TestBudgetReplenishesAfterExhaustion(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Settings{Ratio: 0.5, Window: 10 * time.Second, Slack: 4}, 1, now)
@@ -32,7 +32,7 @@
 }
 
 // At a single instant, a budget never grants more than its slack plus its ratio of the requests.
-func TestRetriesStayInsideTheBudget(t *testing.T) {
+func TestRepeatsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		b := New(Settings{Ratio: 0.1, Window: 10 * time.Second, Slack: 5}, 1, now)
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestTheDecisionReportsTakenAndAllowed(t *testing.T) {
+func TestDecisionReportsTakenAndAllowed(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Settings{Ratio: 1.0 / 3, Window: 10 * time.Second, Slack: 10}, 1, now)
@@ -66,7 +66,7 @@
 }
 
 // Guards against a settings reload that discards the repeats already counted.
-func TestAReloadOfTheSettingsKeepsCountedRepeats(t *testing.T) {
+func TestSettingsReloadKeepsCountedRepeats(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	s := Settings{Ratio: 1.0 / 3, Window: 10 * time.Second, Slack: 10}
@@ -82,7 +82,7 @@
 }
 
 // Guards against counting requests queued during a stall as current ones.
-func TestRequestsQueuedDuringAStallPayForNothing(t *testing.T) {
+func TestRequestsQueuedDuringStallAddNoBudget(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 10}, 1, now)
@@ -100,7 +100,7 @@
 }
 
 // Guards against counting a repeat both when it is granted and when it is sent.
-func TestARenewedRepeatCountsOnlyWhenItIsSent(t *testing.T) {
+func TestRenewedRepeatCountsOnlyWhenSent(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 0}, 1, now)
@@ -124,7 +124,7 @@
 }
 
 // Guards against tokens that are returned to a bucket which has been refilled since.
-func TestARenewedRepeatReturnsNoTokens(t *testing.T) {
+func TestRenewReturnsNoTokens(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Settings{Ratio: 0, Window: 10 * time.Second, Slack: 10}, 1, now)
@@ -154,7 +154,7 @@
 }
 
 // Guards against sending a repeat that the budget no longer permits.
-func TestRenewDeniesARepeatThatIsNoLongerPermitted(t *testing.T) {
+func TestRenewDeniesRepeatNoLongerPermitted(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 0}, 1, now)
--- a/internal/retrybudget/claim.go
+++ b/internal/retrybudget/claim.go
@@ -10,12 +10,12 @@
 	// at about the same time are granted by priority rather than in order of arrival.
 	queueBelow = 0.5
 	// GrantEvery is the interval at which pending claims are decided.
-	GrantEvery = 10 * time.Millisecond
+	GrantInterval = 10 * time.Millisecond
 	// maxPollInterval bounds the time between two calls of Grant on behalf of the same pending claim.
 	maxPollInterval = 200 * time.Millisecond
 	// minWait is the time that a claim waits before it may be denied because of the claims ahead of it: some of
 	// these may be granted by other gateways in the meantime.
-	minWait = 5 * GrantEvery
+	minWait = 5 * GrantInterval
 	// lendAbove is the fraction of a full budget above which repeats are lent to other gateways.
 	lendAbove = 0.1
 	// byExpiryEvery makes every nth grant go to the claim that expires first, so that claims of a higher rank don't
@@ -87,14 +87,14 @@
 func (b *Budget) Grant(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Sub(b.queue.decidedAt) < GrantEvery {
+	if now.Sub(b.queue.decidedAt) < GrantInterval {
 		return
 	}
 	b.queue.decidedAt = now
 	b.advance(now)
 	for len(b.queue.claims) > 0 && b.available() >= 1-tolerance {
 		p := b.next(now)
-		if now.Sub(p.since) < GrantEvery && !b.batchDue(now) {
+		if now.Sub(p.since) < GrantInterval && !b.batchDue(now) {
 			break
 		}
 		b.queue.grants++
@@ -119,12 +119,12 @@
 func (b *Budget) PollInterval() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return min(GrantEvery*time.Duration(max(1, len(b.queue.claims))), maxPollInterval)
+	return min(GrantInterval*time.Duration(max(1, len(b.queue.claims))), maxPollInterval)
 }
 
 // batchDue reports whether any claim has been queued for GrantEvery.
 func (b *Budget) batchDue(now time.Time) bool {
-	return slices.ContainsFunc(b.queue.claims, func(p *PendingClaim) bool { return now.Sub(p.since) >= GrantEvery })
+	return slices.ContainsFunc(b.queue.claims, func(p *PendingClaim) bool { return now.Sub(p.since) >= GrantInterval })
 }
 
 // resolve removes a claim from the queue and sends it its decision.
--- a/internal/retrybudget/claim_test.go
+++ b/internal/retrybudget/claim_test.go
@@ -61,7 +61,7 @@
 }
 
 // Guards against delaying repeats while enough of the budget is left.
-func TestClaimsAreGrantedAtOnceWhileEnoughBudgetIsLeft(t *testing.T) {
+func TestClaimsAreGrantedImmediatelyWithEnoughBudget(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 40)
 	d := c.claim("a", 5, 0, 20*time.Millisecond)
@@ -70,7 +70,7 @@
 }
 
 // Guards against granting the last repeats of a budget in order of arrival.
-func TestClaimsOnANearlyExhaustedBudgetAreGrantedByPriority(t *testing.T) {
+func TestClaimsNearExhaustionAreGrantedByPriority(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 2)
 	c.claim("late", 0, -time.Second, 2*time.Second)
@@ -86,7 +86,7 @@
 }
 
 // Guards against starving calls by streams of a higher rank, which can wait longer.
-func TestEveryFourthGrantGoesToTheClaimThatExpiresFirst(t *testing.T) {
+func TestEveryFourthGrantGoesToEarliestExpiry(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
 	for i := range 30 {
@@ -99,7 +99,7 @@
 }
 
 // Guards against making a caller wait for a repeat that can't be granted in time.
-func TestAClaimThatWouldExpireBeforeItIsGrantedIsDeniedEarly(t *testing.T) {
+func TestClaimExpiringBeforeGrantIsDeniedEarly(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
 	for i := range 10 {
@@ -126,7 +126,7 @@
 }
 
 // Guards against keeping expired claims in the queue.
-func TestAClaimIsDeniedWhenItExpires(t *testing.T) {
+func TestExpiredClaimIsDenied(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
 	c.claim("a", 0, time.Second, time.Second)
@@ -138,7 +138,7 @@
 }
 
 // Guards against granting a repeat to a withdrawn claim.
-func TestAWithdrawnClaimIsNotGranted(t *testing.T) {
+func TestWithdrawnClaimIsNotGranted(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
 	c.claim("a", 0, time.Second, time.Second)
@@ -160,7 +160,7 @@
 	budget.settings.Slack = 10 // refills enough within the hour that no claim is denied
 	b.ReportAllocs()
 	for b.Loop() {
-		now = now.Add(GrantEvery)
+		now = now.Add(GrantInterval)
 		budget.tokens = 0
 		budget.Grant(now)
 	}
--- a/internal/retrybudget/days_test.go
+++ b/internal/retrybudget/days_test.go
@@ -229,7 +229,7 @@
 // In any window, the repeats of all gateways stay within the rule and within the stricter bound that each gateway
 // enforces, which splits the ratio between the requests of two windows. Only SlackInUse of the slack is allowed:
 // the rest is reserved for sends in flight, which the simulation does not have.
-func TestRepeatsOfAllGatewaysStayWithinTheRuleInAnyWindow(t *testing.T) {
+func TestRepeatsOfAllGatewaysStayWithinRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// Hashed because rapid draws mostly small integers, which would repeat days.
 		d := drawDay(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
@@ -272,7 +272,7 @@
 }
 
 // Guards against a budget too small to repeat all requests that run on a server when it ends.
-func TestTheBudgetCoversTheEndOfAServer(t *testing.T) {
+func TestBudgetCoversServerTermination(t *testing.T) {
 	g := NewWithT(t)
 	const gateways, running = 4, 48
 	s := Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 12}
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -221,7 +221,7 @@
 }
 
 // The repeats of whole fleets, counted when they reach a server, stay within the rule in any window.
-func TestRepeatsOfWholeFleetsStayWithinTheRule(t *testing.T) {
+func TestFleetRepeatsStayWithinRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// Hashed because rapid draws mostly small integers, which would repeat days.
 		d := drawFleetDay(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
@@ -234,7 +234,7 @@
 
 // Guards against losing requests of a server that ends although the budgets of all gateways together permit their
 // repeats.
-func TestRequestsOfAServerThatEndsCompleteOnOthers(t *testing.T) {
+func TestRequestsOfTerminatedServerCompleteOnOthers(t *testing.T) {
 	for _, route := range []string{"resume", "again"} {
 		t.Run(route, func(t *testing.T) {
 			for seed := range uint64(10) {
--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -94,15 +94,15 @@
 		return err
 	}
 	conn, err := link.Open(nc, l.router.hello(), link.Options{
-		Heartbeat: settings.Millis(l.router.set.Link.HeartbeatMS), Silent: settings.Millis(l.router.set.Link.SilentMS),
-		Beat: func() *wire.Beat { return &wire.Beat{Revision: l.router.Config.View().Revision} }})
+		HeartbeatInterval: settings.Millis(l.router.set.Link.HeartbeatMS), PeerTimeout: settings.Millis(l.router.set.Link.SilentMS),
+		NewHeartbeat: func() *wire.Heartbeat { return &wire.Heartbeat{Revision: l.router.Config.View().Revision} }})
 	if err != nil {
 		telemetry.Count("merlinpost_links_failed_total", "code", string(fault.From(err).Code))
 		return err
 	}
 	if conn.Peer().Name != l.server.Name {
 		conn.Close()
-		return fault.New(fault.NoServer, "agent %q answers in place of %q", conn.Peer().Name, l.server.Name)
+		return fault.New(fault.NoBackendServer, "agent %q answers in place of %q", conn.Peer().Name, l.server.Name)
 	}
 	l.up(conn)
 	l.router.links.reached()
@@ -119,7 +119,7 @@
 	peer := conn.Peer()
 	same := l.incarnation == peer.Incarnation
 	l.conn, l.incarnation, l.revision = conn, peer.Incarnation, peer.Revision
-	conn.Use(int64(len(l.attempts)))
+	conn.AddRequests(int64(len(l.attempts)))
 	l.sent = 0
 	if !same {
 		l.serving, l.load = nil, wire.Load{}
@@ -150,9 +150,9 @@
 // receive takes in a message on the link's reading goroutine.
 func (l *agentLink) receive(m wire.Message) {
 	switch m := m.(type) {
-	case *wire.Beat:
+	case *wire.Heartbeat:
 		l.takeBeat(m)
-	case *wire.Verdict:
+	case *wire.OfferResponse:
 		l.takeLoad(m.Load)
 		l.pass(attemptID{m.ID, m.Attempt}, m)
 	case *wire.Chunk:
@@ -162,10 +162,10 @@
 		l.pass(attemptID{m.ID, m.Attempt}, m)
 	case *wire.Cancelled:
 		l.pass(attemptID{m.ID, m.Attempt}, m)
-	case *wire.ConfigPull:
+	case *wire.ConfigRequest:
 		l.answerPull(m)
-	case *wire.ConfigState:
-		if len(m.Data) > 0 && l.router.Config.Install(m.Data) != nil {
+	case *wire.ConfigSnapshot:
+		if len(m.Data) > 0 && l.router.Config.InstallSnapshot(m.Data) != nil {
 			telemetry.Count("merlinpost_config_from_peer_broken_total")
 		}
 	}
@@ -180,14 +180,14 @@
 	}
 }
 
-func (l *agentLink) takeBeat(m *wire.Beat) {
+func (l *agentLink) takeBeat(m *wire.Heartbeat) {
 	l.takeLoad(m.Load)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revision = m.Revision
 	config := l.router.Config
 	if own := config.View().Revision; m.Revision > own && !config.LogUp() && l.conn != nil {
-		l.conn.Send(&wire.ConfigPull{Above: own})
+		l.conn.Send(&wire.ConfigRequest{NewerThan: own})
 	}
 }
 
@@ -209,13 +209,13 @@
 	}
 }
 
-func (l *agentLink) answerPull(m *wire.ConfigPull) {
+func (l *agentLink) answerPull(m *wire.ConfigRequest) {
 	config := l.router.Config
-	revision, data, err := config.Encode(m.Above)
+	revision, data, err := config.EncodeSnapshot(m.NewerThan)
 	if err != nil || !config.Ready() {
 		data = nil
 	}
-	l.send(&wire.ConfigState{Revision: revision, Data: data})
+	l.send(&wire.ConfigSnapshot{Revision: revision, Data: data})
 }
 
 // send sends if the link is up.
@@ -232,7 +232,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
-		return "", fault.New(fault.LinkBusy, "no link to %q", l.server.Name).With(fault.NotRun)
+		return "", fault.New(fault.LinkBusy, "no link to %q", l.server.Name).WithOutcome(fault.NotRun)
 	}
 	id := attemptID{o.ID, o.Attempt}
 	l.attempts[id] = c
@@ -240,10 +240,10 @@
 	if !l.conn.Send(o) {
 		delete(l.attempts, id)
 		// The ring was full, so the offer is not on the link.
-		return "", fault.New(fault.LinkBusy, "the link to %q is overrun", l.server.Name).With(fault.NotRun)
+		return "", fault.New(fault.LinkBusy, "the link to %q is overrun", l.server.Name).WithOutcome(fault.NotRun)
 	}
 	l.sent++
-	l.conn.Use(1)
+	l.conn.AddRequests(1)
 	return l.incarnation, nil
 }
 
@@ -262,7 +262,7 @@
 	}
 	delete(l.attempts, id)
 	if l.conn != nil {
-		l.conn.Use(-1)
+		l.conn.AddRequests(-1)
 	}
 }
 
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -26,20 +26,20 @@
 
 // Request is one caller's request, checked and classified.
 type Request struct {
-	ID        string
-	Kind      wire.Kind
-	Endpoint  string
-	Team      string
-	ClassName string
-	Class     *resource.Class
-	Pool      string
-	Target    string // "model@version" or service name
-	MayRepeat bool
-	Key       string // scoped idempotency key, or empty
-	KeyWindow time.Duration
-	Body      []byte
-	MaxTokens int
-	Prefix    string // start of the prompt, for the choice
+	ID                string
+	Kind              wire.Kind
+	Endpoint          string
+	Team              string
+	ClassName         string
+	Class             *resource.Class
+	Pool              string
+	Target            string // "model@version" or service name
+	MayRepeat         bool
+	IdempotencyKey    string // scoped idempotency key, or empty
+	IdempotencyWindow time.Duration
+	Body              []byte
+	MaxTokens         int
+	Prefix            string // start of the prompt, for the choice
 	// ContentType is the type of Body.
 	ContentType string
 	// Resumable says that another server can go on with the answer.
@@ -58,7 +58,7 @@
 
 // eventRing is how many messages wait for a call's goroutine: the window of an
 // attempt and the few messages around it.
-const eventRing = 2*relay.Window + 64
+const eventRing = 2*relay.WindowChunks + 64
 
 // call runs one request: the goroutine of its caller drives a relay.Machine.
 // It implements relay.Effects; those methods run on that goroutine.
@@ -68,7 +68,7 @@
 	deliver func([]byte) error
 	machine *relay.Machine
 	events  chan any
-	timers  [relay.TimerAnswer + 1]time.Time
+	timers  [relay.TimerOfferReply + 1]time.Time
 
 	missed atomic.Bool // an event found no room
 
@@ -105,7 +105,7 @@
 	if n := r.open.Add(1); n > int64(r.set.Callers.MaxRequests) {
 		r.open.Add(-1)
 		return nil, fault.New(fault.QueueFull, "this router has %d requests in progress", n-1).
-			With(fault.NotRun).After(time.Second)
+			WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	defer r.open.Add(-1)
 	r.mu.Lock()
@@ -117,8 +117,8 @@
 		lost = r.set.Link.LostRepeatableMS
 	}
 	c.machine = relay.New(req.ID, relay.Config{MaxAttempts: r.set.Policy.MaxAttempts, MayRepeat: req.MayRepeat,
-		Resumable: req.Resumable, RunWithin: settings.Millis(req.Class.MaxRunMS), Lost: settings.Millis(lost),
-		Cancel: cancelWait, Answer: answerWait}, c)
+		Resumable: req.Resumable, RunTimeout: settings.Millis(req.Class.MaxRunMS), LostTimeout: settings.Millis(lost),
+		CancelTimeout: cancelWait, OfferReplyTimeout: answerWait}, c)
 	c.run(ctx)
 	return c.end, c.err
 }
@@ -136,10 +136,10 @@
 		case <-timer.C:
 			c.fireTimers()
 		case <-ctx.Done():
-			c.machine.CallerGone()
+			c.machine.HandleCallerGone()
 		}
 		if c.deadSink {
-			c.machine.CallerGone()
+			c.machine.HandleCallerGone()
 		}
 		if len(c.events) == 0 && c.missed.Swap(false) {
 			c.startOver()
@@ -152,9 +152,9 @@
 	if c.link == nil {
 		return
 	}
-	c.machine.LinkDown()
+	c.machine.HandleLinkDown()
 	if incarnation, up := c.link.state(); up {
-		c.machine.LinkUp(incarnation == c.incarnation)
+		c.machine.HandleLinkUp(incarnation == c.incarnation)
 	}
 }
 
@@ -170,25 +170,25 @@
 
 func (c *call) handle(e any) {
 	switch e := e.(type) {
-	case *wire.Verdict:
+	case *wire.OfferResponse:
 		c.noteFailure(e.Fault)
-		c.machine.Verdict(e)
+		c.machine.HandleVerdict(e)
 	case *wire.Chunk:
-		c.machine.Chunk(e)
+		c.machine.HandleChunk(e)
 	case *wire.End:
 		c.noteFailure(e.Fault)
-		c.machine.End(e)
+		c.machine.HandleEnd(e)
 	case *wire.Cancelled:
-		c.machine.Cancelled(e)
+		c.machine.HandleCancelled(e)
 	case linkUp:
 		if e.link == c.link {
-			c.machine.LinkUp(e.incarnation == c.incarnation)
+			c.machine.HandleLinkUp(e.incarnation == c.incarnation)
 		}
 	case placeAgain:
-		c.machine.Place()
+		c.machine.HandleAgentAvailable()
 	case linkDown:
 		if e.link == c.link {
-			c.machine.LinkDown()
+			c.machine.HandleLinkDown()
 		}
 	}
 }
@@ -197,7 +197,7 @@
 // that refused it for load is not asked again, one that lost it is avoided as
 // long as there is another.
 func (c *call) noteFailure(f *wire.Fault) {
-	if f == nil || relay.Busy(fault.Code(f.Code)) {
+	if f == nil || relay.IsOverload(fault.Code(f.Code)) {
 		return
 	}
 	c.avoidPresent()
@@ -226,13 +226,13 @@
 	for t := range c.timers {
 		if due := c.timers[t]; !due.IsZero() && !due.After(now) {
 			c.timers[t] = time.Time{}
-			c.machine.Timeout(relay.Timer(t))
+			c.machine.HandleTimeout(relay.Timer(t))
 		}
 	}
 }
 
 // Arm implements relay.Effects.
-func (c *call) Arm(t relay.Timer, d time.Duration) {
+func (c *call) SetTimer(t relay.Timer, d time.Duration) {
 	c.timers[t] = time.Time{}
 	if d > 0 {
 		c.timers[t] = time.Now().Add(d)
@@ -280,7 +280,7 @@
 func (c *call) Finish(end *wire.End, e *fault.Error) { c.end, c.err = end, e }
 
 // Retry implements relay.Effects.
-func (c *call) Retry() bool {
+func (c *call) TakeRetry() bool {
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
 	return c.router.budget.Take(time.Now()).Granted
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -25,10 +25,10 @@
 	class := c.req.Class
 	incarnation, e := l.register(c, &wire.Offer{ID: c.req.ID, Attempt: attempt, Kind: c.req.Kind, Endpoint: c.req.Endpoint,
 		Team: c.req.Team, Class: c.req.ClassName, Tier: uint8(class.Tier), Floor: class.Floor, Target: c.req.Target,
-		FirstTokenMS: int64(class.FirstTokenMS), StartWithinMS: int64(class.MaxWaitMS), RunWithinMS: int64(class.MaxRunMS),
-		MayRepeat: c.req.MayRepeat, Preemptible: class.Preemptible, Key: c.req.Key, Digest: xxhash.Sum64(c.req.Body),
-		KeyWindowMS: c.req.KeyWindow.Milliseconds(), Body: c.req.Body, MaxTokens: c.req.MaxTokens,
-		Done: done, DoneText: doneText, Window: relay.Window, ContentType: c.req.ContentType})
+		FirstTokenTargetMS: int64(class.FirstTokenMS), StartTimeoutMS: int64(class.MaxWaitMS), RunTimeoutMS: int64(class.MaxRunMS),
+		Retryable: c.req.MayRepeat, Preemptible: class.Preemptible, IdempotencyKey: c.req.IdempotencyKey, BodyDigest: xxhash.Sum64(c.req.Body),
+		KeyRetentionMS: c.req.IdempotencyWindow.Milliseconds(), Body: c.req.Body, MaxTokens: c.req.MaxTokens,
+		ChunksDelivered: done, DeliveredText: doneText, SendWindow: relay.WindowChunks, ContentType: c.req.ContentType})
 	c.incarnation = incarnation
 	if e != nil {
 		c.skip[l.server.Name] = true
@@ -42,7 +42,7 @@
 // look finds a link that came up just before the note.
 func (c *call) chooseOrPark() (*agentLink, *fault.Error) {
 	l, e := c.choose()
-	if e == nil || e.Code != fault.NoLink {
+	if e == nil || e.Code != fault.BackendServersUnreachable {
 		return l, e
 	}
 	c.router.links.park(c)
@@ -55,7 +55,7 @@
 
 // choose returns the link to offer on.
 func (c *call) choose() (*agentLink, *fault.Error) {
-	if c.req.Key != "" {
+	if c.req.IdempotencyKey != "" {
 		return c.home()
 	}
 	links := c.router.links.pool(c.req.Pool)
@@ -73,7 +73,7 @@
 	}
 	for i := range candidates { // no other is left than the one to be avoided
 		if candidates[i].Name == c.avoid {
-			candidates[i].Tried = c.tried[c.avoid] || c.skip[c.avoid]
+			candidates[i].Excluded = c.tried[c.avoid] || c.skip[c.avoid]
 		}
 	}
 	if i, ok := c.pick(candidates); ok {
@@ -92,12 +92,12 @@
 // now, or none is left.
 func (c *call) noneFault(candidates []dispatch.Candidate) *fault.Error {
 	for i := range candidates {
-		if !c.tried[candidates[i].Name] && !candidates[i].Leaving {
-			return fault.New(fault.NoLink, "no backend server for %q can be reached", c.req.Target).
-				With(fault.NotRun).After(time.Second)
+		if !c.tried[candidates[i].Name] && !candidates[i].Draining {
+			return fault.New(fault.BackendServersUnreachable, "no backend server for %q can be reached", c.req.Target).
+				WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 		}
 	}
-	return fault.New(fault.NoServer, "no backend server for %q is left", c.req.Target).With(fault.NotRun).After(time.Second)
+	return fault.New(fault.NoBackendServer, "no backend server for %q is left", c.req.Target).WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 }
 
 // home returns the link to the home agent of the request's idempotency key.
@@ -105,18 +105,18 @@
 func (c *call) home() (*agentLink, *fault.Error) {
 	pool := c.router.Config.View().Pools[c.req.Pool]
 	if pool == nil {
-		return nil, fault.New(fault.NoServer, "there is no pool %q", c.req.Pool).With(fault.NotRun)
+		return nil, fault.New(fault.NoBackendServer, "there is no pool %q", c.req.Pool).WithOutcome(fault.NotRun)
 	}
 	names := make([]string, len(pool.Servers))
 	for i, s := range pool.Servers {
 		names[i] = s.Name
 	}
-	l := c.router.links.server(pool.Server(rendezvous.First(c.req.Key, names)))
+	l := c.router.links.server(pool.Server(rendezvous.First(c.req.IdempotencyKey, names)))
 	if _, up := l.state(); !up {
-		return nil, fault.New(fault.NoLink, "the server that keeps this key can't be reached").With(fault.NotRun).After(time.Second)
+		return nil, fault.New(fault.BackendServersUnreachable, "the server that keeps this key can't be reached").WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	if c.tried[l.server.Name] {
-		return nil, fault.New(fault.NoServer, "the server that keeps this key did not take the call").With(fault.NotRun).After(time.Second)
+		return nil, fault.New(fault.NoBackendServer, "the server that keeps this key did not take the call").WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	return l, nil
 }
@@ -128,7 +128,7 @@
 	for _, holder := range ranked[:min(prefixServers, len(ranked))] {
 		for i := range candidates {
 			if candidates[i].Name == holder {
-				candidates[i].PrefixShare = 1
+				candidates[i].CachedPrefixShare = 1
 			}
 		}
 	}
@@ -141,10 +141,10 @@
 	// Lower tiers do not stand in the way of a higher one: what waits is
 	// passed, what runs gives way.
 	upTo := c.req.Class.Tier + 1
-	return dispatch.Candidate{Name: l.server.Name, FailureDomain: l.server.FailureDomain, Up: l.conn != nil,
-		Leaving: leaving || l.load.Draining, Serves: l.serving[c.req.Target], Queued: sum(firstN(l.load.Queued, upTo)), Running: sum(firstN(l.load.Running, upTo)),
-		Slots: l.load.Slots, Sent: l.sent, ServiceMS: float64(l.load.ServiceMS), FirstMS: l.firstMS,
-		Tried: c.tried[l.server.Name] || c.skip[l.server.Name] || c.avoid == l.server.Name}
+	return dispatch.Candidate{Name: l.server.Name, FailureDomain: l.server.FailureDomain, Connected: l.conn != nil,
+		Draining: leaving || l.load.Draining, TargetLoaded: l.serving[c.req.Target], Queued: sum(firstN(l.load.Queued, upTo)), Running: sum(firstN(l.load.Running, upTo)),
+		Slots: l.load.Slots, SentSinceReport: l.sent, ServiceMS: float64(l.load.ServiceMS), FirstTokenMS: l.firstMS,
+		Excluded: c.tried[l.server.Name] || c.skip[l.server.Name] || c.avoid == l.server.Name}
 }
 
 func firstN(counts []int, n int) []int { return counts[:min(n, len(counts))] }
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -24,24 +24,24 @@
 	if !listed || r.post == nil {
 		return r.quota.Admit(time.Now(), name, team, len(peers))
 	}
-	ask := quota.Ask{Seq: r.askSeq.Add(1), Team: name, Router: r.processName()}
-	var lent quota.Lent
+	ask := quota.GrantRequest{Seq: r.askSeq.Add(1), Team: name, Router: r.processName()}
+	var lent quota.GrantResponse
 	answered := true
 	if home.Name == r.set.Name {
-		lent = (*teamHome)(r).Lend(ask)
+		lent = (*teamHome)(r).Acquire(ask)
 	} else {
-		lent, answered = r.post.Ask(ctx, home.Address, ask)
+		lent, answered = r.post.Acquire(ctx, home.Address, ask)
 	}
 	switch {
 	case !answered:
 		telemetry.Count("merlinpost_lending_fallback_total")
-		r.tellClosed(name, home, r.quota.Drop(name, ask.Seq)) // it may have been granted
+		r.tellClosed(name, home, r.quota.DiscardGrant(name, ask.Seq)) // it may have been granted
 		return r.quota.Admit(time.Now(), name, team, len(peers))
 	case lent.Granted:
-		r.quota.Use(time.Now(), name)
-		return func() { r.tellClosed(name, home, r.quota.End(name, ask.Seq)) }, nil
+		r.quota.StartGranted(time.Now(), name)
+		return func() { r.tellClosed(name, home, r.quota.EndGranted(name, ask.Seq)) }, nil
 	}
-	return nil, quota.Refusal(lent, team)
+	return nil, quota.RefusalError(lent, team)
 }
 
 // processName names this process to the homes of teams.
@@ -49,31 +49,31 @@
 
 // tellClosed tells a team's home that requests ended.
 func (r *Router) tellClosed(name string, home membership.Member, seqs []uint64) {
-	closed := quota.Closed{Team: name, Router: r.processName(), Seqs: seqs}
+	closed := quota.ReleaseNotice{Team: name, Router: r.processName(), Seqs: seqs}
 	if home.Name == r.set.Name {
-		(*teamHome)(r).Close(closed)
+		(*teamHome)(r).Release(closed)
 		return
 	}
-	r.post.Close(home.Address, closed)
+	r.post.Release(home.Address, closed)
 }
 
 // teamHome is a router as the home of teams; it implements lending.Home.
 type teamHome Router
 
 // Lend implements lending.Home.
-func (h *teamHome) Lend(ask quota.Ask) quota.Lent {
+func (h *teamHome) Acquire(ask quota.GrantRequest) quota.GrantResponse {
 	team := h.Config.View().Teams[ask.Team]
 	if team == nil {
-		return quota.Lent{Seq: ask.Seq, WaitMS: time.Second.Milliseconds()}
+		return quota.GrantResponse{Seq: ask.Seq, RetryAfterMS: time.Second.Milliseconds()}
 	}
-	return h.ledger.Lend(time.Now(), ask, team, len((*Router)(h).peers()))
+	return h.ledger.Acquire(time.Now(), ask, team, len((*Router)(h).peers()))
 }
 
 // Close implements lending.Home.
-func (h *teamHome) Close(c quota.Closed) { h.ledger.Close(c) }
+func (h *teamHome) Release(c quota.ReleaseNotice) { h.ledger.Release(c) }
 
 // Heard implements lending.Home.
-func (h *teamHome) Heard(router string) { h.ledger.Heard(time.Now(), router) }
+func (h *teamHome) MarkReachable(router string) { h.ledger.MarkReachable(time.Now(), router) }
 
 // PeersAddress returns the address for the asks of other routers; empty if
 // there is none.
@@ -117,7 +117,7 @@
 		peers := r.peers()
 		telemetry.Gauge("merlinpost_router_peers", float64(len(peers)))
 		for name, m := range peers {
-			if now.Sub(told[name]) >= quota.PingEvery {
+			if now.Sub(told[name]) >= quota.PingInterval {
 				told[name] = now
 				r.post.Ping(m.Address, r.processName())
 			}
--- a/internal/router/links.go
+++ b/internal/router/links.go
@@ -116,7 +116,7 @@
 	for _, l := range s.byName {
 		l.mu.Lock()
 		if l.conn != nil {
-			l.conn.Poke()
+			l.conn.TriggerHeartbeat()
 		}
 		l.mu.Unlock()
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,9 +30,9 @@
 	Config      *configlog.Follower
 	members     *membership.Reader
 	links       *linkSet
-	quota       *quota.Teams
-	ledger      *quota.Ledger
-	post        *lending.Post // nil: equal shares only
+	quota       *quota.LocalLimiter
+	ledger      *quota.HomeLimiter
+	post        *lending.Transport // nil: equal shares only
 	askSeq      atomic.Uint64
 
 	mu     sync.Mutex // guards picker and rnd
@@ -51,7 +51,7 @@
 // New returns a router that has not started yet.
 func New(set settings.Router, logger *slog.Logger) (*Router, error) {
 	p := set.Policy
-	picker, err := dispatch.New(p.Choice, dispatch.Options{Prefix: p.Prefix, Domain: p.Domain, Straggler: p.Straggler, Corrected: p.Corrected})
+	picker, err := dispatch.New(p.Choice, dispatch.Options{PrefixAffinity: p.Prefix, DomainAffinity: p.Domain, StragglerPenalty: p.Straggler, CountUnreported: p.Corrected})
 	if err != nil {
 		return nil, err
 	}
@@ -60,8 +60,8 @@
 	log := configlog.NewClient(set.Log.Address, settings.Millis(set.Log.TimeoutMS))
 	r := &Router{set: set, logger: logger, incarnation: configlog.NewID(), picker: picker, rnd: rnd,
 		budget: retrybudget.New(retrybudget.Settings{Ratio: p.RetryShare, Window: retryWindow, Slack: p.RetryBurst}, 1, time.Now()),
-		quota:  quota.NewTeams(time.Now()),
-		ledger: quota.NewLedger(time.Now())}
+		quota:  quota.NewLocalLimiter(time.Now()),
+		ledger: quota.NewHomeLimiter(time.Now())}
 	r.Config = configlog.NewFollower(log, set.Log, true, logger, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.members = membership.NewReader(set.Members.Address, "", settings.Millis(set.Members.PollMS), logger)
 	r.links = newLinkSet(r)
@@ -91,17 +91,17 @@
 
 // Stop fails the readiness check; requests are still served until the process
 // ends.
-func (r *Router) Stop() {
+func (r *Router) BeginDrain() {
 	if !r.stopping.Swap(true) {
 		r.logger.Info("leaving: the readiness check fails from now on")
 	}
 }
 
 // Open returns the number of requests in progress.
-func (r *Router) Open() int64 { return r.open.Load() }
+func (r *Router) InProgress() int64 { return r.open.Load() }
 
 func (r *Router) hello() wire.Hello {
-	return wire.Hello{Role: "router", Name: r.set.Name, Incarnation: r.incarnation, Domain: r.set.FailureDomain,
+	return wire.Hello{Role: "router", Name: r.set.Name, Incarnation: r.incarnation, FailureDomain: r.set.FailureDomain,
 		Revision: r.Config.View().Revision}
 }
 
@@ -120,7 +120,7 @@
 // Status lists this router and the agents that it has links to.
 func (r *Router) Status() []ProcessStatus {
 	out := []ProcessStatus{{Name: r.set.Name, Role: "router", Up: true, Serving: true, Leaving: r.stopping.Load(),
-		Revision: r.Config.View().Revision, Running: int(r.Open())}}
+		Revision: r.Config.View().Revision, Running: int(r.InProgress())}}
 	return append(out, r.links.status()...)
 }
 
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -11,7 +11,7 @@
 )
 
 // Pages are the two APIs that a router serves.
-type Pages struct{ Callers, Operators http.Handler }
+type Handlers struct{ Callers, Operators http.Handler }
 
 // Listeners are the open listening sockets of a router.
 type Listeners struct{ Callers, Operators net.Listener }
@@ -20,12 +20,12 @@
 func Listen(set settings.Router) (Listeners, error) {
 	callers, err := net.Listen("tcp", set.Callers.Listen)
 	if err != nil {
-		return Listeners{}, fault.New(fault.BadSettings, "%w", err).InField("callers.listen")
+		return Listeners{}, fault.New(fault.BadSettings, "%w", err).WithField("callers.listen")
 	}
 	operators, err := net.Listen("tcp", set.Operators.Listen)
 	if err != nil {
 		_ = callers.Close() // the listen error is the one to report
-		return Listeners{}, fault.New(fault.BadSettings, "%w", err).InField("operators.listen")
+		return Listeners{}, fault.New(fault.BadSettings, "%w", err).WithField("operators.listen")
 	}
 	return Listeners{callers, operators}, nil
 }
@@ -34,7 +34,7 @@
 // progress, or until stop is closed. Then it is a graceful shutdown: the
 // readiness check fails, requests are still taken for the balancer's lag, and
 // the router ends when its last answer has.
-func (r *Router) Serve(ctx context.Context, stop <-chan struct{}, l Listeners, p Pages) error {
+func (r *Router) Serve(ctx context.Context, stop <-chan struct{}, l Listeners, p Handlers) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	callers := &http.Server{Handler: p.Callers, ReadHeaderTimeout: settings.Millis(r.set.Callers.HeaderTimeoutMS)}
@@ -59,7 +59,7 @@
 
 // drain waits for the balancer to notice, then for the last answer.
 func (r *Router) drain(ctx context.Context, callers *http.Server) {
-	r.Stop()
+	r.BeginDrain()
 	callers.SetKeepAlivesEnabled(false) // each answer now ends its connection
 	select {
 	case <-time.After(settings.Millis(r.set.Callers.BalancerLagMS)):
--- a/internal/routing/change.go
+++ b/internal/routing/change.go
@@ -114,7 +114,7 @@
 		t = &Table{}
 	}
 	if c.From != t.Version {
-		return nil, fault.New(fault.InvalidConfig, "a change from version %d does not fit %d", c.From, t.Version).InField("from")
+		return nil, fault.New(fault.InvalidConfig, "a change from version %d does not fit %d", c.From, t.Version).WithField("from")
 	}
 	next := &Table{Version: c.To, Limits: c.Limits, keyed: c.Keyed, engines: c.Engines,
 		hosts: maps.Clone(t.hosts), routesDigest: t.routesDigest, keysDigest: t.keysDigest}
@@ -145,7 +145,7 @@
 		next.putKey(k.Key, &k.Team)
 	}
 	if next.Digest() != c.Digest {
-		return nil, fault.New(fault.InvalidConfig, "the change to version %d makes another table than its maker had", c.To).InField("digest")
+		return nil, fault.New(fault.InvalidConfig, "the change to version %d makes another table than its maker had", c.To).WithField("digest")
 	}
 	return next, nil
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -151,7 +151,7 @@
 
 func (r *Route) check() error {
 	invalid := func(field, format string, args ...any) error {
-		return fault.New(fault.InvalidConfig, format, args...).InField("routes." + r.Name + "." + field)
+		return fault.New(fault.InvalidConfig, format, args...).WithField("routes." + r.Name + "." + field)
 	}
 	switch {
 	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") || !utf8.ValidString(r.PathPrefix):
@@ -208,5 +208,5 @@
 	if r.Anonymous {
 		return nil, nil
 	}
-	return nil, fault.New(fault.Unauthorized, "the key is not known").With(fault.NotRun)
+	return nil, fault.New(fault.Unauthorized, "the key is not known").WithOutcome(fault.NotRun)
 }
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -53,7 +53,7 @@
 	if first.Param() != "" {
 		rule += "=" + first.Param()
 	}
-	return fault.New(code, "value %v breaks the rule %q", first.Value(), rule).InField(path)
+	return fault.New(code, "value %v breaks the rule %q", first.Value(), rule).WithField(path)
 }
 
 // ReadFile decodes the TOML file at path over the defaults already in target
@@ -84,12 +84,12 @@
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		first := strict.Errors[0]
 		row, _ := first.Position()
-		return fault.New(fault.BadSettings, "%s:%d: unknown key", name, row).InField(strings.Join(first.Key(), "."))
+		return fault.New(fault.BadSettings, "%s:%d: unknown key", name, row).WithField(strings.Join(first.Key(), "."))
 	}
 	var bad *toml.DecodeError
 	if errors.As(err, &bad) {
 		row, col := bad.Position()
-		return fault.New(fault.BadSettings, "%s:%d:%d: %w", name, row, col, err).InField(strings.Join(bad.Key(), "."))
+		return fault.New(fault.BadSettings, "%s:%d:%d: %w", name, row, col, err).WithField(strings.Join(bad.Key(), "."))
 	}
 	return fault.New(fault.BadSettings, "%s: %w", name, fmt.Errorf("decode: %w", err))
 }
--- a/internal/simulate/engine.go
+++ b/internal/simulate/engine.go
@@ -164,15 +164,15 @@
 	onFirst     func(now time.Time)
 	onEnd       func(now time.Time)
 	ended       bool
-	seen        permit.Stream
+	seen        permit.StreamStats
 	last        time.Time // of its events
 }
 
 // event counts an event of the job's stream.
 func (j *job) event(at time.Time) {
 	if j.seen.Events > 0 {
-		j.seen.Took += at.Sub(j.last)
-		j.seen.Longest = max(j.seen.Longest, at.Sub(j.last))
+		j.seen.Duration += at.Sub(j.last)
+		j.seen.LongestGap = max(j.seen.LongestGap, at.Sub(j.last))
 	}
 	j.seen.Events++
 	j.last = at
--- a/internal/simulate/result.go
+++ b/internal/simulate/result.go
@@ -61,7 +61,7 @@
 		first = append(first, j.first.Sub(j.arrived))
 	}
 	switch {
-	case j.whole() && j.first.Sub(j.arrived) <= j.class.Target && (j.class.Gap == 0 || j.seen.Longest <= j.class.Gap):
+	case j.whole() && j.first.Sub(j.arrived) <= j.class.Target && (j.class.Gap == 0 || j.seen.LongestGap <= j.class.Gap):
 		r.OnTime++
 	case j.whole():
 		r.Late++
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -58,8 +58,8 @@
 
 // policies are the variants of the decisions themselves.
 var policies = map[Variant]permit.Policy{
-	NoHarm: {NoHarm: true}, NoPacing: {NoPacing: true}, NoOrder: {NoOrder: true}, Together: {Together: true},
-	NoLearning: {NoLearning: true}, NoFetch: {NoFetch: true}, ByArrival: {ByArrival: true}, Patient: {Patient: true},
+	NoHarm: {IgnoreInterference: true}, NoPacing: {IgnoreResponseTimeouts: true}, NoOrder: {NoEnginePreference: true}, Together: {ConcurrentPrefills: true},
+	NoLearning: {NoLearning: true}, NoFetch: {NoFetch: true}, ByArrival: {IgnoreLateness: true}, Patient: {NoEarlyRefusal: true},
 }
 
 // Config is one simulation.
@@ -118,8 +118,8 @@
 	agenda   events
 	random   *rand.Rand
 	engines  map[string]*engine
-	registry []*registry.Registry // of each gateway
-	desk     *permit.Desk[*ask]   // of all groups
+	registry []*registry.Registry    // of each gateway
+	desk     *permit.Scheduler[*ask] // of all groups
 	jobs     []*job
 }
 
@@ -143,7 +143,7 @@
 func Run(c Config) []ClassResult {
 	w := &world{Config: c, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(c.Seed, 7)),
 		engines: map[string]*engine{}}
-	w.desk = permit.NewDesk[*ask](w.list, func(string) (enginemodel.Figures, bool) { return enginemodel.Figures{}, false },
+	w.desk = permit.NewScheduler[*ask](w.list, func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false },
 		ratelimit.New(w.random.Float64), policies[c.Variant])
 	var list []registry.Server
 	for i := range c.Engines {
@@ -190,7 +190,7 @@
 	}
 	var tick func(time.Time)
 	tick = func(now time.Time) {
-		w.tell(w.desk.Next(now))
+		w.tell(w.desk.Poll(now))
 		if now.Sub(start) < w.Length+20*time.Second {
 			w.after(20*time.Millisecond, tick)
 		}
@@ -201,12 +201,12 @@
 // list is the members of a group as the first gateway sees them.
 func (w *world) list(group permit.Group) []permit.Engine {
 	candidates := w.candidates(0, w.now)
-	groups := placement.Groups(len(candidates))
+	groups := placement.GroupCount(len(candidates))
 	var out []permit.Engine
 	for _, c := range candidates {
 		if placement.GroupOf(c.Server.ID, groups) == group.Index {
-			out = append(out, permit.Engine{ID: c.Server.ID, FailureDomain: c.Server.FailureDomain, Open: true, Slots: w.Engine.Slots,
-				Memory: w.Engine.Memory, EventTokens: w.Engine.EventTokens})
+			out = append(out, permit.Engine{ID: c.Server.ID, FailureDomain: c.Server.FailureDomain, Accepting: true, Slots: w.Engine.Slots,
+				KVCacheTokens: w.Engine.Memory, TokensPerEvent: w.Engine.EventTokens})
 		}
 	}
 	return out
@@ -218,7 +218,7 @@
 	id := fmt.Sprint("r", len(w.jobs))
 	part := fmt.Sprint(class.Name, w.random.IntN(class.SharedParts))
 	return &job{id: id, class: class, output: max(1, int(class.Output*math.Exp(0.4*w.random.NormFloat64()))),
-		prompt: placement.Prompt{Tokens: class.Shared + own, Output: int(class.Output),
+		prompt: placement.Prompt{Tokens: class.Shared + own, OutputTokens: int(class.Output),
 			Parts: []placement.Part{{ID: part, Tokens: class.Shared}, {ID: id, Tokens: own}}}}
 }
 
@@ -231,12 +231,12 @@
 	candidates := w.candidates(g, now)
 	switch w.Variant {
 	case Least:
-		w.send(j, g, placement.Plain(req, candidates), now)
+		w.send(j, g, placement.ChoosePlain(req, candidates), now)
 	case NoPermits:
-		w.send(j, g, placement.Engine(req, candidates), now)
+		w.send(j, g, placement.ChooseEngine(req, candidates), now)
 	default:
 		part, _ := j.prompt.Shared()
-		w.ask(&ask{job: j, gateway: g, groups: placement.GroupsFor(part, placement.Groups(len(candidates)))}, now)
+		w.ask(&ask{job: j, gateway: g, groups: placement.RankGroups(part, placement.GroupCount(len(candidates)))}, now)
 	}
 }
 
@@ -254,13 +254,13 @@
 	j := a.job
 	part, shared := j.prompt.Shared()
 	elapsed := now.Sub(j.arrived)
-	answer := w.desk.Ask(a.group(), permit.Ask{ID: j.id, Rank: w.rank(j), Own: j.prompt.Tokens - shared, Part: part, Shared: shared,
-		Output: j.prompt.Output, Gap: j.class.Gap, Deadline: j.class.Deadline - elapsed, Target: j.class.Target - elapsed,
-		Limit: max(4*j.class.Target-elapsed, 500*time.Millisecond)}, a, now)
+	answer := w.desk.Submit(a.group(), permit.Ask{ID: j.id, Priority: w.rank(j), UniqueTokens: j.prompt.Tokens - shared, PrefixID: part, PrefixTokens: shared,
+		OutputTokens: j.prompt.OutputTokens, MaxEventGap: j.class.Gap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.Target - elapsed,
+		FirstTokenTimeout: max(4*j.class.Target-elapsed, 500*time.Millisecond)}, a, now)
 	w.settle(a, answer, now)
 }
 
-func (w *world) settle(a *ask, answer permit.Answer, now time.Time) {
+func (w *world) settle(a *ask, answer permit.Decision, now time.Time) {
 	switch answer.Verdict {
 	case permit.Granted:
 		a.job.group = a.group()
@@ -274,7 +274,7 @@
 }
 
 // decided is the choice that an answer names.
-func (w *world) decided(a *ask, answer permit.Answer, now time.Time) placement.Choice {
+func (w *world) decided(a *ask, answer permit.Decision, now time.Time) placement.Choice {
 	out := placement.Choice{FetchFrom: answer.FetchFrom, Reason: placement.Decided}
 	candidates := w.candidates(a.gateway, now)
 	for i := range candidates {
@@ -285,10 +285,10 @@
 	return out
 }
 
-func (w *world) tell(due []permit.Due[*ask]) {
+func (w *world) tell(due []permit.Notification[*ask]) {
 	for _, d := range due {
 		if !d.To.job.gone {
-			w.settle(d.To, d.Answer, w.now)
+			w.settle(d.To, d.Decision, w.now)
 		}
 	}
 }
@@ -299,7 +299,7 @@
 	fetched := c.FetchFrom != "" && w.engines[c.FetchFrom].has(firstPart(j), now)
 	_, shared := j.prompt.Shared()
 	unread := j.prompt.Tokens - shared
-	b.Begin(unread)
+	b.BeginRequest(unread)
 	e.take(j, w.rank(j), fetched, now)
 	first := func(f *job, at time.Time) {
 		f.first = at
@@ -314,14 +314,14 @@
 			return
 		}
 		j.ended = true
-		b.End()
-		w.desk.End(j.group, j.id, j.seen, now)
-		w.tell(w.desk.Next(now))
+		b.EndRequest()
+		w.desk.Finish(j.group, j.id, j.seen, now)
+		w.tell(w.desk.Poll(now))
 	}
 	w.at(j.arrived.Add(j.class.Deadline), func(now time.Time) { j.onEnd(now) })
 	j.sent = now
 	j.onFirst = func(now time.Time) {
-		b.FirstToken(unread)
+		b.RecordFirstToken(unread)
 	}
 	if !e.busy {
 		e.busy = true
@@ -331,8 +331,8 @@
 
 func (w *world) firstToken(j *job, now time.Time) {
 	j.onFirst(now)
-	w.desk.FirstToken(j.group, j.id, now.Sub(j.sent), now)
-	w.tell(w.desk.Next(now))
+	w.desk.RecordFirstToken(j.group, j.id, now.Sub(j.sent), now)
+	w.tell(w.desk.Poll(now))
 }
 
 func (w *world) step(e *engine, first, end func(*job, time.Time)) {
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -188,10 +188,10 @@
 	p.gateway.UsePeers(others)
 	p.peers = others
 	share := configshare.New(n.Link.DialContext, 0, quiet())
-	follower := follow.New(follow.Parts{Connect: func(address string) follow.Store { return platform.NewStoreOver(n.Link.DialContext, address, quiet()) },
+	follower := follow.New(follow.Dependencies{Connect: func(address string) follow.Store { return platform.NewStoreOver(n.Link.DialContext, address, quiet()) },
 		Topics: platform.Topics, Decoder: platform.Decoder{}, Gateway: p.gateway, Servers: servers, Peers: others, Share: share, Logger: quiet()},
 		follow.Settings{Address: f.storeAt.Address(storePort).String(), DrainWithin: DrainWithin, ApplyWithin: ApplyWithin})
-	keeper := quarantine.NewKeeper(p.gateway.Quarantine(), follower.Quarantine(), n.Name, quiet())
+	keeper := quarantine.NewPersister(p.gateway.Quarantine(), follower.Quarantine(), n.Name, quiet())
 	p.gateway.UseTrials(keeper)
 	asks := n.Link.Listen(peerPort)
 	for _, duty := range []func(){func() { keeper.Run(p.up) }, func() { share.Serve(p.up, asks) }, func() { follower.Run(p.up) }, func() { others.Run(p.up) }} {
@@ -208,7 +208,7 @@
 }
 
 // LeaveNode has a gateway announce that it is about to stop. It keeps serving until it is killed.
-func (f *Fleet) LeaveNode(n *Node) { n.at.Load().peers.Leave() }
+func (f *Fleet) LeaveNode(n *Node) { n.at.Load().peers.AnnounceLeave() }
 
 // StartServer starts a server as another start under its ID, at another address, and lists it.
 func (f *Fleet) StartServer(s *Server) {
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -30,8 +30,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		offer := &Offer{ID: rapid.String().Draw(t, "id"), Attempt: rapid.Uint32().Draw(t, "attempt"),
-			Body: rapid.SliceOfN(rapid.Byte(), 1, 40000).Draw(t, "body"), MayRepeat: rapid.Bool().Draw(t, "may repeat")}
-		end := &End{ID: offer.ID, Total: 7, Fault: FaultOf(fault.New(fault.EngineFailed, "gone").With(fault.Partial)),
+			Body: rapid.SliceOfN(rapid.Byte(), 1, 40000).Draw(t, "body"), Retryable: rapid.Bool().Draw(t, "may repeat")}
+		end := &End{ID: offer.ID, Total: 7, Fault: EncodeFault(fault.New(fault.EngineFailed, "gone").WithOutcome(fault.Partial)),
 			Load: &Load{Queued: []int{1, 2}, Serving: []string{"advisory@base"}}}
 		r := NewReader(bytes.NewReader(encodeAll(t, offer, end)))
 		got, err := r.Read()
@@ -46,7 +46,7 @@
 }
 
 func TestBrokenFramesGetTypedErrors(t *testing.T) {
-	whole := encodeAll(t, &Beat{Revision: 9})
+	whole := encodeAll(t, &Heartbeat{Revision: 9})
 	oversize := append([]byte(nil), whole...)
 	binary.BigEndian.PutUint32(oversize, MaxFrame+1)
 	unknown := append([]byte(nil), whole...)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -23,21 +23,21 @@
 // The message types.
 const (
 	TypeHello Type = iota + 1
-	TypeBeat
+	TypeHeartbeat
 	TypeOffer
-	TypeVerdict
+	TypeOfferResponse
 	TypeChunk
 	TypeEnd
 	TypeAck
 	TypeCancel
 	TypeCancelled
 	TypeResume
-	TypeConfigPull
-	TypeConfigState
-	TypeClaim
-	TypeClaimed
-	TypeTableAsk
-	TypeTableReply
+	TypeConfigRequest
+	TypeConfigSnapshot
+	TypeClaimRequest
+	TypeClaimResponse
+	TypeConfigDeltaRequest
+	TypeConfigDeltaResponse
 )
 
 // Message is any message of the protocol.
@@ -48,23 +48,23 @@
 
 // The kinds of work.
 const (
-	Generate Kind = iota
-	Service
+	KindGenerate Kind = iota
+	KindService
 )
 
 // Hello opens a link in both directions.
 type Hello struct {
-	Version     int
-	Role        string // "router" or "agent"
-	Name        string
-	Incarnation string // identity of the process; a restart changes it
-	Domain      string // failure domain
-	Revision    uint64 // configuration in force
+	Version       int
+	Role          string // "router" or "agent"
+	Name          string
+	Incarnation   string // identity of the process; a restart changes it
+	FailureDomain string // failure domain
+	Revision      uint64 // configuration in force
 }
 
 // Beat is the heartbeat. Agents put their load into it; a Beat is also sent at
 // once when the load's Draining or Serving changes.
-type Beat struct {
+type Heartbeat struct {
 	Revision uint64
 	Load     *Load
 	// NextMS is the longest time until the sender sends again. The receiver
@@ -86,34 +86,34 @@
 
 // Offer hands a request to an agent. The agent answers with a Verdict.
 type Offer struct {
-	ID            string
-	Attempt       uint32
-	Kind          Kind
-	Endpoint      string // path at the backend server
-	Team          string
-	Class         string
-	Tier          uint8
-	Floor         float64 // share of tokens that the class's tier is owed
-	Target        string  // "model@version", or service name
-	FirstTokenMS  int64   // target to the first token, 0: none
-	StartWithinMS int64   // given up on if it could not start within this
-	RunWithinMS   int64   // the whole answer is due within this
-	MayRepeat     bool    // false: runs at most once
-	Preemptible   bool
-	Key           string // idempotency key, scoped by team and service
-	Digest        uint64 // of Body, to find two bodies under one key
-	KeyWindowMS   int64  // how long a key is remembered
-	Body          []byte
-	MaxTokens     int
-	Done          uint32 // chunks already delivered to the caller
-	DoneText      string // their text
-	Window        uint32 // chunks that may be sent ahead of acknowledgement
-	ContentType   string
+	ID                 string
+	Attempt            uint32
+	Kind               Kind
+	Endpoint           string // path at the backend server
+	Team               string
+	Class              string
+	Tier               uint8
+	Floor              float64 // share of tokens that the class's tier is owed
+	Target             string  // "model@version", or service name
+	FirstTokenTargetMS int64   // target to the first token, 0: none
+	StartTimeoutMS     int64   // given up on if it could not start within this
+	RunTimeoutMS       int64   // the whole answer is due within this
+	Retryable          bool    // false: runs at most once
+	Preemptible        bool
+	IdempotencyKey     string // idempotency key, scoped by team and service
+	BodyDigest         uint64 // of Body, to find two bodies under one key
+	KeyRetentionMS     int64  // how long a key is remembered
+	Body               []byte
+	MaxTokens          int
+	ChunksDelivered    uint32 // chunks already delivered to the caller
+	DeliveredText      string // their text
+	SendWindow         uint32 // chunks that may be sent ahead of acknowledgement
+	ContentType        string
 }
 
 // Verdict answers an Offer: accepted (Fault nil) or refused. A refusal means
 // not run, and the agent will not run this attempt later either.
-type Verdict struct {
+type OfferResponse struct {
 	ID      string
 	Attempt uint32
 	Fault   *Fault
@@ -134,7 +134,7 @@
 	ID           string
 	Attempt      uint32
 	Total        uint32
-	Finish       string // engine's finish reason
+	FinishReason string // engine's finish reason
 	PromptTokens int
 	OutputTokens int
 	Status       int    // plain service: HTTP status
@@ -176,40 +176,40 @@
 }
 
 // ConfigPull asks the peer for its configuration if newer than Above.
-type ConfigPull struct{ Above uint64 }
+type ConfigRequest struct{ NewerThan uint64 }
 
 // ConfigState carries a snapshot of a peer's configuration. Empty Data means
 // that the peer has nothing newer.
-type ConfigState struct {
+type ConfigSnapshot struct {
 	Revision uint64
 	Data     []byte
 }
 
 // Claim asks a witness to record that Holder is about to run the call of an
 // idempotency key.
-type Claim struct {
-	Seq      uint64
-	Key      string
-	Holder   string // "agent/incarnation"
-	Digest   uint64
-	WindowMS int64
+type ClaimRequest struct {
+	Seq         uint64
+	Key         string
+	Holder      string // "agent/incarnation"
+	Digest      uint64
+	RetentionMS int64
 }
 
 // ClaimState is a witness's word on a key.
-type ClaimState uint8
+type ClaimResult uint8
 
 // The words of a witness.
 const (
-	ClaimGranted ClaimState = iota // recorded for this holder
-	ClaimTaken                     // another holder had it first
-	ClaimCannotVouch
+	ClaimGranted ClaimResult = iota // recorded for this holder
+	ClaimTaken                      // another holder had it first
+	ClaimNotReady
 )
 
 // Claimed answers a Claim.
-type Claimed struct {
-	Seq    uint64
-	State  ClaimState
-	WaitMS int64 // until the witness can vouch
+type ClaimResponse struct {
+	Seq          uint64
+	Result       ClaimResult
+	RetryAfterMS int64 // until the witness can vouch
 }
 
 // Fault is a fault.Error on the wire.
@@ -222,7 +222,7 @@
 }
 
 // FaultOf encodes a typed error.
-func FaultOf(e *fault.Error) *Fault {
+func EncodeFault(e *fault.Error) *Fault {
 	if e == nil {
 		return nil
 	}
@@ -240,49 +240,49 @@
 
 // TableAsk asks another gateway for its configuration, as a change against the version that
 // the asker has; 0 for none.
-type TableAsk struct{ Have int64 }
+type ConfigDeltaRequest struct{ HaveVersion int64 }
 
 // TableReply answers a TableAsk.
-type TableReply struct {
+type ConfigDeltaResponse struct {
 	// Busy says that the asker should read the store instead.
 	Busy bool
 	// Offset is where the store's topic goes on behind the version, in an era of the store.
 	Offset int64
 	Era    int64
 	// Bytes is the size of the version in the store.
-	Bytes int
+	SnapshotSize int
 	// Change is a routing.Change, encoded with msgpack and compressed with deflate.
-	Change []byte
+	Delta []byte
 }
 
 // Type methods.
-func (*Hello) Type() Type       { return TypeHello }
-func (*Beat) Type() Type        { return TypeBeat }
-func (*Offer) Type() Type       { return TypeOffer }
-func (*Verdict) Type() Type     { return TypeVerdict }
-func (*Chunk) Type() Type       { return TypeChunk }
-func (*End) Type() Type         { return TypeEnd }
-func (*Ack) Type() Type         { return TypeAck }
-func (*Cancel) Type() Type      { return TypeCancel }
-func (*Cancelled) Type() Type   { return TypeCancelled }
-func (*Resume) Type() Type      { return TypeResume }
-func (*ConfigPull) Type() Type  { return TypeConfigPull }
-func (*ConfigState) Type() Type { return TypeConfigState }
-func (*Claim) Type() Type       { return TypeClaim }
-func (*Claimed) Type() Type     { return TypeClaimed }
-func (*TableAsk) Type() Type    { return TypeTableAsk }
-func (*TableReply) Type() Type  { return TypeTableReply }
+func (*Hello) Type() Type               { return TypeHello }
+func (*Heartbeat) Type() Type           { return TypeHeartbeat }
+func (*Offer) Type() Type               { return TypeOffer }
+func (*OfferResponse) Type() Type       { return TypeOfferResponse }
+func (*Chunk) Type() Type               { return TypeChunk }
+func (*End) Type() Type                 { return TypeEnd }
+func (*Ack) Type() Type                 { return TypeAck }
+func (*Cancel) Type() Type              { return TypeCancel }
+func (*Cancelled) Type() Type           { return TypeCancelled }
+func (*Resume) Type() Type              { return TypeResume }
+func (*ConfigRequest) Type() Type       { return TypeConfigRequest }
+func (*ConfigSnapshot) Type() Type      { return TypeConfigSnapshot }
+func (*ClaimRequest) Type() Type        { return TypeClaimRequest }
+func (*ClaimResponse) Type() Type       { return TypeClaimResponse }
+func (*ConfigDeltaRequest) Type() Type  { return TypeConfigDeltaRequest }
+func (*ConfigDeltaResponse) Type() Type { return TypeConfigDeltaResponse }
 
 func newMessage(t Type) Message {
 	switch t {
 	case TypeHello:
 		return new(Hello)
-	case TypeBeat:
-		return new(Beat)
+	case TypeHeartbeat:
+		return new(Heartbeat)
 	case TypeOffer:
 		return new(Offer)
-	case TypeVerdict:
-		return new(Verdict)
+	case TypeOfferResponse:
+		return new(OfferResponse)
 	case TypeChunk:
 		return new(Chunk)
 	case TypeEnd:
@@ -295,18 +295,18 @@
 		return new(Cancelled)
 	case TypeResume:
 		return new(Resume)
-	case TypeConfigPull:
-		return new(ConfigPull)
-	case TypeConfigState:
-		return new(ConfigState)
-	case TypeClaim:
-		return new(Claim)
-	case TypeClaimed:
-		return new(Claimed)
-	case TypeTableAsk:
-		return new(TableAsk)
-	case TypeTableReply:
-		return new(TableReply)
+	case TypeConfigRequest:
+		return new(ConfigRequest)
+	case TypeConfigSnapshot:
+		return new(ConfigSnapshot)
+	case TypeClaimRequest:
+		return new(ClaimRequest)
+	case TypeClaimResponse:
+		return new(ClaimResponse)
+	case TypeConfigDeltaRequest:
+		return new(ConfigDeltaRequest)
+	case TypeConfigDeltaResponse:
+		return new(ConfigDeltaResponse)
 	}
 	return nil
 }
