--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -239,7 +239,7 @@
 		return nil, err
 	}
 	if service == llmService {
-		w.Behave(completeStream)
+		w.SetBehaviour(completeStream)
 	}
 	f.mu.Lock()
 	f.workers = append(f.workers, w)
@@ -250,7 +250,7 @@
 // streamEvents is the number of events of a stream.
 const streamEvents = 8
 
-var completeStream = worker.Behaviour{Events: streamEvents, BreakAfter: -1, Pace: 5 * time.Millisecond}
+var completeStream = worker.Behaviour{Events: streamEvents, AbortAfterEvents: -1, EventInterval: 5 * time.Millisecond}
 
 func (f *fleet) register(w *worker.Worker, service, state string) error {
 	address, err := f.viaProxy(w.ID, w.Address())
@@ -262,7 +262,7 @@
 	n := f.sequence
 	f.mu.Unlock()
 	f.store.PutJSON(platformstore.TopicServers, w.ID, map[string]any{"service": service, "address": address, "zone": "z", "slots": f.slots(w),
-		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": n, "born": w.Born})
+		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": n, "born": w.StartedMS})
 	return nil
 }
 
@@ -418,9 +418,9 @@
 // wantBody returns the expected response body for a request.
 func wantBody(route, id string) string {
 	if route == "report" || route == "advice" {
-		return worker.Stream(id, streamEvents)
+		return worker.StreamBody(id, streamEvents)
 	}
-	return worker.Answer(id)
+	return worker.ResponseBody(id)
 }
 
 // logLine is a line of the log of a gateway.
--- a/e2e/gateways_test.go
+++ b/e2e/gateways_test.go
@@ -52,10 +52,10 @@
 	It("finish accepted requests on SIGTERM and stop reporting ready at once", func() {
 		f := up(2, 1, 1)
 		g := f.gateways[0]
-		f.workers[0].Behave(worker.Behaviour{Events: streamEvents, BreakAfter: -1, Pace: 100 * time.Millisecond})
+		f.workers[0].SetBehaviour(worker.Behaviour{Events: streamEvents, AbortAfterEvents: -1, EventInterval: 100 * time.Millisecond})
 		answer := make(chan fleetResponse, 1)
 		go func() { answer <- f.send(ctx, g, "advice", "long") }()
-		Eventually(f.workers[0].Runs).Should(HaveLen(1))
+		Eventually(f.workers[0].Executions).Should(HaveLen(1))
 		Expect(g.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
 		Eventually(func() bool { return f.ready(g) }).Should(BeFalse())
 		served(f, g, "post", "while-stopping") // the load balancer may still send requests
@@ -80,12 +80,12 @@
 		Eventually(func() int { return f.send(ctx, g, "advice", "drained").status }).Should(Equal(503))
 		Expect(f.register(engine, llmService, "ready")).To(Succeed())
 		Eventually(func() int { return f.send(ctx, g, "advice", "back").status }).Should(Equal(200))
-		engine.Behave(worker.Behaviour{Hang: true})
-		before := len(engine.Runs())
+		engine.SetBehaviour(worker.Behaviour{Hang: true})
+		before := len(engine.Executions())
 		hanging, queued := make(chan fleetResponse, 1), make(chan fleetResponse, 1)
 		go func() { hanging <- f.send(ctx, g, "advice", "hanging") }()
 		go func() { queued <- f.send(ctx, g, "report", "read-1") }()
-		Eventually(engine.Runs).Should(HaveLen(before + 2))
+		Eventually(engine.Executions).Should(HaveLen(before + 2))
 		go func() { queued <- f.send(ctx, g, "report", "waits-1") }() // for a slot
 		begin := time.Now()
 		Expect(g.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
@@ -120,19 +120,19 @@
 		for _, g := range f.gateways {
 			f.kill(g)
 		}
-		f.store.SetMode(platformstore.Busy)
+		f.store.SetMode(platformstore.ModeUnavailable)
 		for _, g := range f.gateways {
 			Expect(f.start(g)).To(Succeed())
 		}
 		g := f.gateways[0]
 		Eventually(func() int { return f.send(ctx, g, "post", "early").status }).Should(Equal(503))
 		Expect(f.ready(g)).To(BeFalse())
-		f.store.SetMode(platformstore.Up)
+		f.store.SetMode(platformstore.ModeAvailable)
 		Expect(f.waitReady()).To(Succeed())
 		for i, g := range f.gateways {
 			served(f, g, "post", fmt.Sprint("back", i))
 		}
-		Expect(f.workers[1].Runs()).To(HaveLen(3))
+		Expect(f.workers[1].Executions()).To(HaveLen(3))
 	})
 
 	It("serve all kinds of request as soon as they are ready after all were killed at once", func() {
@@ -181,7 +181,7 @@
 		for _, g := range f.gateways {
 			Eventually(func() int { return f.send(ctx, g, "post", "revoked").status }).Should(Equal(401))
 		}
-		f.store.Forget(platformstore.TopicOperator)
+		f.store.Truncate(platformstore.TopicOperator)
 		for _, g := range f.gateways {
 			Consistently(func() int { return f.send(ctx, g, "post", "still").status }, 500*time.Millisecond).Should(Equal(401))
 		}
@@ -211,18 +211,18 @@
 		Expect(f.register(leaving, appService, "draining")).To(Succeed())
 		for _, g := range f.gateways {
 			Eventually(func() int {
-				before := len(leaving.Runs())
+				before := len(leaving.Executions())
 				for i := range 6 {
 					served(f, g, "post", fmt.Sprint("d", i))
 				}
-				return len(leaving.Runs()) - before
+				return len(leaving.Executions()) - before
 			}).Should(BeZero())
 		}
 	})
 
 	It("log why a request failed", func() {
 		f := up(1, 0, 1)
-		f.workers[0].Behave(worker.Behaviour{Drop: true})
+		f.workers[0].SetBehaviour(worker.Behaviour{DropConnection: true})
 		Expect(f.send(ctx, f.gateways[0], "post", "lost").status).To(Equal(502))
 		Eventually(func() []logLine { return f.gateways[0].logLines("lost") }).Should(HaveLen(1))
 		line := f.gateways[0].logLines("lost")[0]
--- a/e2e/gatewaysoak_checks_test.go
+++ b/e2e/gatewaysoak_checks_test.go
@@ -109,7 +109,7 @@
 			return
 		}
 	} else {
-		w.Say("Server-Leaving: 1") // its registry entry still says ready
+		w.SetHeaders("Server-Leaving: 1") // its registry entry still says ready
 	}
 	drained := time.Now()
 	sleep(ctx, drainTimeout+2*drainMargin)
@@ -156,7 +156,7 @@
 	}
 	ran := map[string]int{}
 	for _, w := range s.workers {
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			ran[r.ID]++
 			if want := "body of " + r.ID; r.Body != want || r.Header.Get("X-Tenant") != "team" {
 				s.addViolation("%s ran with body %q for team %q", r.ID, r.Body, r.Header.Get("X-Tenant"))
@@ -212,7 +212,7 @@
 			}
 		}
 		if w := retryrule.Worst(rule, requests, repeats); w.Excess() > 0 {
-			s.addViolation("%d repeats to %s within %s, %.0f are allowed", w.Repeats, service, retryWindow, w.Allowed)
+			s.addViolation("%d repeats to %s within %s, %.0f are allowed", w.Retries, service, retryWindow, w.Allowed)
 		}
 	}
 }
--- a/e2e/gatewaysoak_faults_test.go
+++ b/e2e/gatewaysoak_faults_test.go
@@ -59,18 +59,18 @@
 		proxy := s.proxy(names[rnd.IntN(len(names))])
 		switch rnd.IntN(15) {
 		case 0:
-			s.store.SetMode([]platformstore.Mode{platformstore.Busy, platformstore.Silent}[rnd.IntN(2)])
+			s.store.SetMode([]platformstore.Mode{platformstore.ModeUnavailable, platformstore.ModeUnresponsive}[rnd.IntN(2)])
 			sleep(ctx, pause)
-			s.store.SetMode(platformstore.Up)
+			s.store.SetMode(platformstore.ModeAvailable)
 		case 1:
-			s.store.Forget(platformstore.TopicServers)
-			s.store.Forget(platformstore.TopicOperator)
+			s.store.Truncate(platformstore.TopicServers)
+			s.store.Truncate(platformstore.TopicOperator)
 		case 2:
 			s.publishConfig(nil)
 		case 3:
 			s.publishConfig(unusedRoutes(s.newestVersion() % 7 * 200)) // without a random draw, so that the sequences of existing seeds stay the same
 		case 4:
-			w.Next(faultyBehaviours(w)...)
+			w.QueueBehaviours(faultyBehaviours(w)...)
 		case 5:
 			w.CloseConnections()
 		case 6:
@@ -111,12 +111,12 @@
 		s.fleet.mu.Unlock()
 		pause := time.Duration(100+rnd.IntN(900)) * time.Millisecond
 		if i := rnd.IntN(len(notices) + 1); i < len(notices) {
-			w.Say(notices[i]...)
+			w.SetHeaders(notices[i]...)
 		} else {
-			w.Next(worker.Behaviour{Refuse: true, RetryAfter: "0.4"}, worker.Behaviour{Refuse: true, RetryAfter: "soon"})
+			w.QueueBehaviours(worker.Behaviour{Reject: true, RetryAfter: "0.4"}, worker.Behaviour{Reject: true, RetryAfter: "soon"})
 		}
 		sleep(ctx, pause)
-		w.Say()
+		w.SetHeaders()
 		s.faultLock.RUnlock()
 		sleep(ctx, pause/2)
 	}
@@ -136,7 +136,7 @@
 
 // clearFaults ends all lasting faults.
 func (s *gatewaySoak) clearFaults() {
-	s.store.SetMode(platformstore.Up)
+	s.store.SetMode(platformstore.ModeAvailable)
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	for _, c := range s.proxies {
@@ -152,9 +152,9 @@
 	if serviceOf(w) == llmService {
 		events = streamEvents
 	}
-	return []worker.Behaviour{{Drop: true}, {Refuse: true},
-		{Events: events, ExtraBefore: true, BreakAfter: -1}, {Events: streamEvents, BreakAfter: 3},
-		{Events: events, Unframed: true, BreakAfter: -1}, {Events: events, NoSeal: true, BreakAfter: -1}}
+	return []worker.Behaviour{{DropConnection: true}, {Reject: true},
+		{Events: events, ForeignResponseFirst: true, AbortAfterEvents: -1}, {Events: streamEvents, AbortAfterEvents: 3},
+		{Events: events, CloseDelimited: true, AbortAfterEvents: -1}, {Events: events, OmitSeal: true, AbortAfterEvents: -1}}
 }
 
 func serviceOf(w *worker.Worker) string {
@@ -208,9 +208,9 @@
 		return
 	}
 	if serviceOf(next) == llmService {
-		next.Behave(completeStream)
+		next.SetBehaviour(completeStream)
 	}
-	next.Born = max(next.Born, old.Born+1)
+	next.StartedMS = max(next.StartedMS, old.StartedMS+1)
 	s.fleet.mu.Lock()
 	s.fleet.workers[i] = next
 	s.fleet.mu.Unlock()
--- a/e2e/notices_test.go
+++ b/e2e/notices_test.go
@@ -78,7 +78,9 @@
 // setNotices sets the notice headers of a server. Responses also carry Connection: close, because the
 // server closes its connections, as it does after a stream. Otherwise a request just sent on such a
 // connection would get no response, and its caller an error if no other server takes the request.
-func setNotices(w *worker.Worker, lines ...string) { w.Say(append(lines, "Connection: close")...) }
+func setNotices(w *worker.Worker, lines ...string) {
+	w.SetHeaders(append(lines, "Connection: close")...)
+}
 
 // sendFor sends requests to random gateways for a duration.
 func (s *noticeTest) sendFor(d time.Duration) {
@@ -102,7 +104,7 @@
 
 // busiestServer returns the server that has got the most requests.
 func (s *noticeTest) busiestServer() *worker.Worker {
-	return slices.MaxFunc(s.servers, func(a, b *worker.Worker) int { return a.Asked() - b.Asked() })
+	return slices.MaxFunc(s.servers, func(a, b *worker.Worker) int { return a.RequestCount() - b.RequestCount() })
 }
 
 // maxArrivals returns the largest number of arrivals at a server in any limitWindow that begins after a time.
@@ -171,7 +173,7 @@
 	s.pending.Wait()
 	ran := map[string]bool{}
 	for _, w := range s.servers {
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			ran[r.ID] = true
 		}
 	}
@@ -283,13 +285,13 @@
 			s.sendFor(learnTimeout)
 			before := 0
 			for _, w := range s.servers {
-				before += w.Asked()
+				before += w.RequestCount()
 			}
 			const during = 6 * time.Second
 			s.sendFor(during)
 			used := -before
 			for _, w := range s.servers {
-				used += w.Asked()
+				used += w.RequestCount()
 				s.checkLimit(w, limit, stated)
 			}
 			capacity := limit * float64(len(s.servers)) * during.Seconds()
@@ -354,7 +356,7 @@
 		run("registered as ready", route, 4, func(*noticeTest) {}, true)
 	}
 	for _, route := range []string{"post", "report"} {
-		run("store unresponsive", route, 4, func(s *noticeTest) { s.store.SetMode(platformstore.Silent) }, true)
+		run("store unresponsive", route, 4, func(s *noticeTest) { s.store.SetMode(platformstore.ModeUnresponsive) }, true)
 		run("only server", route, 1, func(*noticeTest) {}, false)
 	}
 }
@@ -391,7 +393,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Close)
-	next.Born = previous.Born + 1
+	next.StartedMS = previous.StartedMS + 1
 	if err := s.register(next, appService, "ready"); err != nil {
 		t.Fatal(err)
 	}
@@ -415,15 +417,15 @@
 			s := startNoticeTest(t, route, 4, 7)
 			s.sendFor(time.Second)
 			for _, w := range s.servers {
-				w.Behave(worker.Behaviour{Refuse: true, RetryAfter: fmt.Sprint(retryAfterSeconds)})
+				w.SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: fmt.Sprint(retryAfterSeconds)})
 			}
 			refusing := time.Now()
 			s.sendFor(time.Second)
 			for _, w := range s.servers {
 				if b := completeStream; servedRoutes[route] == llmService {
-					w.Behave(b)
+					w.SetBehaviour(b)
 				} else {
-					w.Behave(worker.Behaviour{BreakAfter: -1})
+					w.SetBehaviour(worker.Behaviour{AbortAfterEvents: -1})
 				}
 			}
 			s.sendFor(retryAfterSeconds*time.Second + time.Second)
--- a/e2e/quarantine_test.go
+++ b/e2e/quarantine_test.go
@@ -70,7 +70,7 @@
 	o.mu.Lock()
 	o.workers = append(o.workers, w)
 	o.mu.Unlock()
-	w.EndBy(fatalBody, crashDelay, func() { o.recordCrash(w) })
+	w.CrashOn(fatalBody, crashDelay, func() { o.recordCrash(w) })
 }
 
 // recordCrash records the crash of a server and schedules its restart.
@@ -103,9 +103,9 @@
 		o.t.Errorf("restart server %s: %v", w.ID, err)
 		return
 	}
-	next.Born = max(next.Born, w.Born+1)
+	next.StartedMS = max(next.StartedMS, w.StartedMS+1)
 	if o.service == llmService {
-		next.Behave(completeStream)
+		next.SetBehaviour(completeStream)
 	}
 	o.crashOnFatal(next)
 	o.fleet.mu.Lock()
@@ -169,7 +169,7 @@
 	}
 	late := 0
 	for _, w := range o.workers {
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			if r.Body == fatalBody && r.At.After(o.crashes[2].Add(learnTimeout)) {
 				late++
 			}
--- a/e2e/retrybudget_test.go
+++ b/e2e/retrybudget_test.go
@@ -57,7 +57,7 @@
 		sleep(ctx, l.failAt)
 		for _, w := range f.workers {
 			if serviceOf(w) == service {
-				w.BehavePartly(l.failPerTen, 10, l.failing)
+				w.SetPartialBehaviour(l.failPerTen, 10, l.failing)
 			}
 		}
 	})
@@ -98,7 +98,7 @@
 		granted += strings.Count(g.earlierLog.String()+g.log.String(), `"repeat":{"granted":true`)
 	}
 	t.Logf("seed %d: %d requests, %d repeats, %d granted in the gateways' logs; worst window from %s: %d repeats for %d requests, %.0f allowed", seed, len(r.requests), len(r.repeats), granted,
-		r.worst.Begin.Sub(begin).Round(10*time.Millisecond), r.worst.Repeats, r.worst.Requests, r.worst.Allowed)
+		r.worst.Start.Sub(begin).Round(10*time.Millisecond), r.worst.Retries, r.worst.Requests, r.worst.Allowed)
 	return r
 }
 
@@ -125,10 +125,10 @@
 	for _, route := range []string{"list", "post", "report"} {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
-			result := runRetryLoad(t, retryLoad{route: route, failing: worker.Behaviour{Refuse: true}, failPerTen: 5, perSecond: 50,
+			result := runRetryLoad(t, retryLoad{route: route, failing: worker.Behaviour{Reject: true}, failPerTen: 5, perSecond: 50,
 				burstFactor: 5, burstAt: 2 * time.Second, burstEnd: 11 * time.Second, failAt: 9 * time.Second, length: 22 * time.Second}, 1)
 			if result.worst.Excess() > 0 {
-				t.Errorf("%d repeats in the worst window, %.0f are allowed", result.worst.Repeats, result.worst.Allowed)
+				t.Errorf("%d repeats in the worst window, %.0f are allowed", result.worst.Retries, result.worst.Allowed)
 			}
 		})
 	}
@@ -137,9 +137,9 @@
 // Guards against each restart of a gateway granting it a new allowance of repeats.
 func TestRetryBudgetHoldsWhileGatewaysAreKilledInTurn(t *testing.T) {
 	t.Parallel()
-	result := runRetryLoad(t, retryLoad{route: "list", failing: worker.Behaviour{Drop: true}, failPerTen: 5, perSecond: 50,
+	result := runRetryLoad(t, retryLoad{route: "list", failing: worker.Behaviour{DropConnection: true}, failPerTen: 5, perSecond: 50,
 		failAt: 3 * time.Second, length: 20 * time.Second, killEvery: 1200 * time.Millisecond}, 1)
 	if result.worst.Excess() > 0 {
-		t.Errorf("%d repeats in the worst window, %.0f are allowed", result.worst.Repeats, result.worst.Allowed)
+		t.Errorf("%d repeats in the worst window, %.0f are allowed", result.worst.Retries, result.worst.Allowed)
 	}
 }
--- a/e2e/storerestore_test.go
+++ b/e2e/storerestore_test.go
@@ -28,15 +28,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(t, appService, 2)
-			backup := f.store.Copy()
+			backup := f.store.Snapshot()
 			for range lostVersions {
 				f.publishConfig(nil)
 			}
 			f.waitConfigApplied(t, f.newestVersion(), waitTimeout)
-			f.store.SetMode(platformstore.Silent)
+			f.store.SetMode(platformstore.ModeUnresponsive)
 			time.Sleep(storeOutage)
 			f.store.Restore(backup)
-			f.store.SetMode(platformstore.Up)
+			f.store.SetMode(platformstore.ModeAvailable)
 			for range writes - 1 {
 				f.rewriteConfig()
 			}
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -172,9 +172,9 @@
 	for code, n := range d.core.TakeRefusedOffers() {
 		telemetry.Add("merlinpost_agent_refused_total", int(n), "code", string(code))
 	}
-	telemetry.Gauge("merlinpost_agent_held", float64(d.core.AttemptCount()))
-	telemetry.Gauge("merlinpost_agent_tombstones", float64(d.core.TombstoneCount()))
-	telemetry.Gauge("merlinpost_agent_keys", float64(d.core.Keys().Len()))
+	telemetry.SetGauge("merlinpost_agent_held", float64(d.core.AttemptCount()))
+	telemetry.SetGauge("merlinpost_agent_tombstones", float64(d.core.TombstoneCount()))
+	telemetry.SetGauge("merlinpost_agent_keys", float64(d.core.Keys().Len()))
 }
 
 // Send implements execution.Effects.
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -217,8 +217,8 @@
 // startObserving begins the metrics of a request that is well formed.
 func (x *exchange) startObserving() {
 	c := x.class
-	x.observe = telemetry.RequestsOf(x.teamName, x.className).Observe(x.start, telemetry.Targets{
-		FirstToken: settings.Millis(c.FirstTokenMS), BetweenTokens: settings.Millis(c.BetweenTokensMS), Whole: settings.Millis(c.TotalMS)})
+	x.observe = telemetry.RequestMetricsFor(x.teamName, x.className).Observe(x.start, telemetry.LatencyTargets{
+		FirstToken: settings.Millis(c.FirstTokenMS), BetweenTokens: settings.Millis(c.BetweenTokensMS), Total: settings.Millis(c.TotalMS)})
 }
 
 // modelEntry is an entry of the published list of models.
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -30,22 +30,22 @@
 }
 
 type arguments struct {
-	Router   *routerCmd   `arg:"subcommand:router" help:"run a router"`
-	Gateway  *gatewayCmd  `arg:"subcommand:gateway" help:"run a gateway on the platform, before backend servers without an agent"`
-	Dev      *devCmd      `arg:"subcommand:dev" help:"run the whole path on embedded stand-ins"`
-	Validate *validateCmd `arg:"subcommand:validate" help:"check settings and resource files"`
-	HashKey  *hashKeyCmd  `arg:"subcommand:hash-key" help:"print the hash under which a key is configured"`
-	Apply    *applyCmd    `arg:"subcommand:apply" help:"apply a file of resources, whole or not at all"`
-	Get      *getCmd      `arg:"subcommand:get" help:"show resources"`
-	Delete   *deleteCmd   `arg:"subcommand:delete" help:"delete a resource"`
-	Watch    *watchCmd    `arg:"subcommand:watch" help:"show changes of a kind as they take effect"`
-	History  *historyCmd  `arg:"subcommand:history" help:"show the earlier contents of a resource"`
-	Withdraw *withdrawCmd `arg:"subcommand:withdraw" help:"put back an earlier content as a new change"`
-	Op       *opCmd       `arg:"subcommand:operation" help:"show what became of an operation"`
-	Status   *statusCmd   `arg:"subcommand:status" help:"show which process has which revision in force"`
-	Load     *loadCmd     `arg:"subcommand:load" help:"run a load scenario and report"`
-	Simulate *simulateCmd `arg:"subcommand:simulate" help:"play a load against the placement of prompts, in simulated time"`
-	Standin  *standinCmd  `arg:"subcommand:standin" help:"run a stand-in of an outside system"`
+	Router    *routerCmd   `arg:"subcommand:router" help:"run a router"`
+	Gateway   *gatewayCmd  `arg:"subcommand:gateway" help:"run a gateway on the platform, before backend servers without an agent"`
+	Dev       *devCmd      `arg:"subcommand:dev" help:"run the whole path on embedded stand-ins"`
+	Validate  *validateCmd `arg:"subcommand:validate" help:"check settings and resource files"`
+	HashKey   *hashKeyCmd  `arg:"subcommand:hash-key" help:"print the hash under which a key is configured"`
+	Apply     *applyCmd    `arg:"subcommand:apply" help:"apply a file of resources, whole or not at all"`
+	Get       *getCmd      `arg:"subcommand:get" help:"show resources"`
+	Delete    *deleteCmd   `arg:"subcommand:delete" help:"delete a resource"`
+	Watch     *watchCmd    `arg:"subcommand:watch" help:"show changes of a kind as they take effect"`
+	History   *historyCmd  `arg:"subcommand:history" help:"show the earlier contents of a resource"`
+	Withdraw  *withdrawCmd `arg:"subcommand:withdraw" help:"put back an earlier content as a new change"`
+	Operation *opCmd       `arg:"subcommand:operation" help:"show what became of an operation"`
+	Status    *statusCmd   `arg:"subcommand:status" help:"show which process has which revision in force"`
+	Load      *loadCmd     `arg:"subcommand:load" help:"run a load scenario and report"`
+	Simulate  *simulateCmd `arg:"subcommand:simulate" help:"play a load against the placement of prompts, in simulated time"`
+	Standin   *standinCmd  `arg:"subcommand:standin" help:"run a stand-in of an outside system"`
 }
 
 // Description implements go-arg's Described.
@@ -65,7 +65,7 @@
 	}{
 		{a.Router != nil, a.Router}, {a.Gateway != nil, a.Gateway}, {a.Dev != nil, a.Dev}, {a.Validate != nil, a.Validate}, {a.HashKey != nil, a.HashKey},
 		{a.Apply != nil, a.Apply}, {a.Get != nil, a.Get}, {a.Delete != nil, a.Delete}, {a.Watch != nil, a.Watch},
-		{a.History != nil, a.History}, {a.Withdraw != nil, a.Withdraw}, {a.Op != nil, a.Op}, {a.Status != nil, a.Status},
+		{a.History != nil, a.History}, {a.Withdraw != nil, a.Withdraw}, {a.Operation != nil, a.Operation}, {a.Status != nil, a.Status},
 		{a.Load != nil, a.Load}, {a.Simulate != nil, a.Simulate}, {a.Standin != nil, a.Standin},
 	} {
 		if c.set {
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -51,12 +51,12 @@
 	own := platform.Options{MetricsPort: c.MetricsPort, LogOneIn: c.LogOneIn}
 	servers := registry.New()
 	g := gateway.New(set.Gateway(own), platform.Dialect{}, servers, logger)
-	others, err := peers.Open(set.Host, set.Peers(), set.Capacity(), g, logger)
+	others, err := peers.Open(set.Host, set.PeerAddress(), set.Capacity(), g, logger)
 	if err != nil {
 		return err
 	}
 	g.UsePeers(others)
-	asks, err := net.Listen("tcp", set.Peers())
+	asks, err := net.Listen("tcp", set.PeerAddress())
 	if err != nil {
 		return fault.New(fault.BadSettings, "%w", err).WithField("peers.listen")
 	}
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -15,12 +15,12 @@
 	Scenario string    `arg:"positional,required" help:"scenario file (TOML)"`
 	Factors  []float64 `arg:"--factor,separate" help:"multiply every rate; repeat for a table (default 1)"`
 	Seeds    []uint64  `arg:"--seed,separate" help:"seed in place of the file's; repeat for a spread"`
-	Only     []string  `arg:"--variant,separate" help:"run only this variant; repeat for several (default all)"`
+	Variants []string  `arg:"--variant,separate" help:"run only this variant; repeat for several (default all)"`
 	JSON     string    `arg:"--json" help:"write the reports to this file, too"`
 }
 
 func (c *loadCmd) run(ctx context.Context, out io.Writer) error {
-	s, err := load.Read(c.Scenario)
+	s, err := load.ReadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 		cancel()
 	}()
 	logger := telemetry.NewLogger(os.Stderr, settings.Logging{Format: "text", Level: "error"})
-	reports, err := load.Experiment(ctx, s, load.Plan{Factors: c.Factors, Seeds: c.Seeds, Only: c.Only}, logger, func(r *load.Report) {
+	reports, err := load.RunExperiment(ctx, s, load.ExperimentPlan{Factors: c.Factors, Seeds: c.Seeds, VariantNames: c.Variants}, logger, func(r *load.Report) {
 		_, _ = fmt.Fprintf(os.Stderr, "done: variant %q factor %.2f seed %d\n", r.Variant, r.Factor, r.Seed) // progress only
 	})
 	if err != nil {
@@ -43,7 +43,7 @@
 			return err
 		}
 	}
-	return load.Text(out, reports)
+	return load.WriteText(out, reports)
 }
 
 func writeReports(path string, reports []*load.Report) error {
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	if err := load.JSON(f, reports); err != nil {
+	if err := load.WriteJSON(f, reports); err != nil {
 		_ = f.Close() // the write's error is the one to report
 		return err
 	}
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -219,12 +219,12 @@
 
 type statusCmd struct {
 	OperatorFlags
-	All []string `arg:"--also,separate" help:"operators' API of a further router"`
+	MoreRouters []string `arg:"--also,separate" help:"operators' API of a further router"`
 }
 
 func (c *statusCmd) run(ctx context.Context, out io.Writer) error {
 	return table(out, "FROM\tPROCESS\tROLE\tUP\tLEAVING\tREVISION\tRUNNING\tQUEUED", func(w io.Writer) error {
-		for _, address := range append([]string{c.Operators}, c.All...) {
+		for _, address := range append([]string{c.Operators}, c.MoreRouters...) {
 			status, err := operator.New(address, c.Key).Status(ctx)
 			if err != nil {
 				return err
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -28,7 +28,7 @@
 	if c.Engines < 1 || c.Gateways < 1 || c.Factor <= 0 || c.Length <= 0 || c.Seeds < 1 {
 		return fault.New(fault.BadSettings, "engines, gateways, factor, length and seeds must be above 0").WithField("simulate")
 	}
-	scenario, found := simulate.Find(c.Scenario)
+	scenario, found := simulate.FindScenario(c.Scenario)
 	if !found {
 		return fault.New(fault.BadSettings, "%q is no scenario", c.Scenario).WithField("--scenario")
 	}
@@ -52,14 +52,14 @@
 		var seeds [][]simulate.ClassResult
 		for seed := uint64(1); seed <= c.Seeds; seed++ {
 			results := simulate.Run(simulate.Config{Engines: c.Engines, Gateways: c.Gateways, Engine: scenario.Engine,
-				Classes: scenario.Classes(c.Engines, c.Factor), Length: c.Length, Seed: seed, Variant: v})
+				Classes: scenario.Classes(c.Engines, c.Factor), Duration: c.Length, Seed: seed, Variant: v})
 			for _, r := range results {
-				_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%d\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t\n", v, seed, r.Name, r.Asked, r.InTime(), r.Served(),
-					r.Refused, r.Failed, r.FirstTokenP50, r.FirstTokenP95Ms)
+				_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%d\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t\n", v, seed, r.Name, r.Requests, r.OnTimeShare(), r.ServedShare(),
+					r.Refused, r.Failed, r.FirstTokenP50Ms, r.FirstTokenP95Ms)
 			}
-			seeds, classes = append(seeds, results), chart.Classes(results)
+			seeds, classes = append(seeds, results), chart.ClassNames(results)
 		}
-		series = append(series, chart.Mean(v, seeds))
+		series = append(series, chart.MeanSeries(v, seeds))
 	}
 	if err := table.Flush(); err != nil {
 		return fault.New(fault.BadSettings, "%w", err).WithField("simulate")
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -75,14 +75,14 @@
 }
 
 type standinMembersCmd struct {
-	Listen string        `arg:"--listen" default:"127.0.0.1:7001"`
-	Lag    time.Duration `arg:"--lag" default:"1s" help:"how late changes show"`
-	Member []string      `arg:"--member,separate" help:"a live member from the start, as role,name,address"`
+	Listen  string        `arg:"--listen" default:"127.0.0.1:7001"`
+	Lag     time.Duration `arg:"--lag" default:"1s" help:"how late changes show"`
+	Members []string      `arg:"--member,separate" help:"a live member from the start, as role,name,address"`
 }
 
 func (c *standinMembersCmd) run(ctx context.Context, out io.Writer) error {
 	list := members.New(c.Lag)
-	for _, m := range c.Member {
+	for _, m := range c.Members {
 		role, rest, _ := strings.Cut(m, ",")
 		name, address, ok := strings.Cut(rest, ",")
 		if !ok {
@@ -104,24 +104,24 @@
 }
 
 type standinEngineCmd struct {
-	Listen    string        `arg:"--listen" default:"127.0.0.1:7100"`
-	Name      string        `arg:"--name" default:"engine"`
-	Step      time.Duration `arg:"--step" default:"3ms" help:"time of a decoding step"`
-	StepPer   time.Duration `arg:"--step-per-sequence" default:"20us" help:"what each running sequence adds to a step"`
-	Prefill   time.Duration `arg:"--prefill" default:"500us" help:"time to prefill a block of 16 words"`
-	Batch     int           `arg:"--batch" default:"16" help:"most sequences at once"`
-	Cache     int           `arg:"--cache" default:"4096" help:"blocks in the prefix cache"`
-	Fencing   bool          `arg:"--fencing" help:"refuse orders with an old fencing number"`
-	Lag       time.Duration `arg:"--report-lag" default:"1s" help:"age of load reports and cache events"`
-	EventLoss float64       `arg:"--event-loss" default:"0.05" help:"share of cache events lost"`
-	Weights   string        `arg:"--weights" help:"address of the weight store"`
-	Loaded    []string      `arg:"--loaded,separate" help:"target loaded from the start"`
-	Seed      uint64        `arg:"--seed" default:"1"`
+	Listen          string        `arg:"--listen" default:"127.0.0.1:7100"`
+	Name            string        `arg:"--name" default:"engine"`
+	Step            time.Duration `arg:"--step" default:"3ms" help:"time of a decoding step"`
+	StepPerSequence time.Duration `arg:"--step-per-sequence" default:"20us" help:"what each running sequence adds to a step"`
+	PrefillPerBlock time.Duration `arg:"--prefill" default:"500us" help:"time to prefill a block of 16 words"`
+	Batch           int           `arg:"--batch" default:"16" help:"most sequences at once"`
+	Cache           int           `arg:"--cache" default:"4096" help:"blocks in the prefix cache"`
+	Fencing         bool          `arg:"--fencing" help:"refuse orders with an old fencing number"`
+	ReportLag       time.Duration `arg:"--report-lag" default:"1s" help:"age of load reports and cache events"`
+	EventLoss       float64       `arg:"--event-loss" default:"0.05" help:"share of cache events lost"`
+	Weights         string        `arg:"--weights" help:"address of the weight store"`
+	Loaded          []string      `arg:"--loaded,separate" help:"target loaded from the start"`
+	Seed            uint64        `arg:"--seed" default:"1"`
 }
 
 func (c *standinEngineCmd) run(ctx context.Context, out io.Writer) error {
-	e := engine.New(engine.Config{Name: c.Name, Step: c.Step, StepPerSeq: c.StepPer, PrefillPerBlock: c.Prefill, MaxBatch: c.Batch,
-		CacheBlocks: c.Cache, Fencing: c.Fencing, ReportLag: c.Lag, EventLoss: c.EventLoss, Weights: c.Weights, Loaded: c.Loaded, Seed: c.Seed})
+	e := engine.New(engine.Config{Name: c.Name, Step: c.Step, StepPerSeq: c.StepPerSequence, PrefillPerBlock: c.PrefillPerBlock, MaxBatch: c.Batch,
+		CacheBlocks: c.Cache, Fencing: c.Fencing, ReportLag: c.ReportLag, EventLossRate: c.EventLoss, WeightsAddress: c.Weights, LoadedModels: c.Loaded, Seed: c.Seed})
 	go e.Run(ctx)
 	return serveUntilStopped(ctx, out, c.Listen, e.Handler())
 }
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -147,7 +147,7 @@
 	f.view.Store(f.fold.View())
 	close(f.changed)
 	f.changed = make(chan struct{})
-	telemetry.Gauge("merlinpost_config_revision", float64(f.fold.Revision()))
+	telemetry.SetGauge("merlinpost_config_revision", float64(f.fold.Revision()))
 }
 
 func (f *Follower) becomeReady() {
--- a/internal/configshare/configshare_test.go
+++ b/internal/configshare/configshare_test.go
@@ -147,7 +147,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(time.Since(start)).To(BeNumerically(">", 2*silence))
 
-		time.AfterFunc(100*time.Millisecond, func() { p.net.Cut(p.at, p.asker, true) })
+		time.AfterFunc(100*time.Millisecond, func() { p.net.SetPartitioned(p.at, p.asker, true) })
 		start = time.Now()
 		_, _, err = p.fetch(nil)
 		g.Expect(fault.Is(err, fault.LinkLost)).To(BeTrue())
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -55,9 +55,9 @@
 	Classes map[string]*resource.Class
 	Teams   map[string]*resource.Team
 	// Tune changes an agent's settings before it starts.
-	Tune func(*settings.Agent)
+	ConfigureAgent func(*settings.Agent)
 	// TuneRouter changes the router's settings before it starts.
-	TuneRouter func(*settings.Router)
+	ConfigureRouter func(*settings.Router)
 }
 
 // Deployment is a running deployment.
@@ -145,7 +145,7 @@
 func (d *Deployment) addEngine(ctx context.Context, i int, opts Options, logger *slog.Logger) error {
 	e := engine.New(engine.Config{Name: fmt.Sprint("engine-", i), Step: opts.Step, StepPerSeq: opts.Step / 150,
 		PrefillPerBlock: opts.Step / 6, MaxBatch: opts.Slots, CacheBlocks: 4096, Fencing: i%2 == 0, ReportLag: time.Second,
-		EventLoss: 0.05, Loaded: []string{"advisory@" + resource.BaseVersion}, Seed: uint64(i)})
+		EventLossRate: 0.05, LoadedModels: []string{"advisory@" + resource.BaseVersion}, Seed: uint64(i)})
 	address, err := standin.Serve(ctx, anyPort, e.Handler())
 	if err != nil {
 		return err
@@ -172,8 +172,8 @@
 	set.Name, set.FailureDomain = fmt.Sprintf("%s-%d", pool, i), domain(i)
 	set.Listen, set.Metrics, set.Server = anyPort, anyPort, server
 	set.Log.Address, set.Members.Address = d.logAddress, d.membersAddress
-	if opts.Tune != nil {
-		opts.Tune(&set)
+	if opts.ConfigureAgent != nil {
+		opts.ConfigureAgent(&set)
 	}
 	a, err := agent.New(set, logger)
 	if err != nil {
@@ -237,8 +237,8 @@
 	set.Peers.Listen = anyPort
 	set.Operators.Keys = []settings.OperatorKey{{Name: "dev", SHA256: resource.HashAPIKey(OperatorKey)}}
 	set.Log.Address, set.Members.Address = d.logAddress, d.membersAddress
-	if opts.TuneRouter != nil {
-		opts.TuneRouter(&set)
+	if opts.ConfigureRouter != nil {
+		opts.ConfigureRouter(&set)
 	}
 	r, err := assembly.NewRouter(set, logger)
 	if err != nil {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -58,14 +58,14 @@
 			answer, status, err := do(id, "body of "+id)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(status).To(Equal(200))
-			Expect(answer).To(Equal(worker.Answer(id)))
+			Expect(answer).To(Equal(worker.ResponseBody(id)))
 		}
-		runs := server.Runs()
+		runs := server.Executions()
 		Expect(runs).To(HaveLen(2))
 		Expect(runs[1].Method).To(Equal("POST"))
 		Expect(runs[1].Target).To(Equal("/a%20b/?x=1"))
 		Expect(runs[1].Body).To(Equal("body of b"))
-		Expect(server.Opened()).To(Equal(1))
+		Expect(server.ConnectionCount()).To(Equal(1))
 	})
 
 	It("was not sent when no connection opens", func() {
@@ -76,48 +76,48 @@
 	})
 
 	It("may have run when the connection ends without an answer", func() {
-		server.Next(worker.Behaviour{Drop: true})
+		server.QueueBehaviours(worker.Behaviour{DropConnection: true})
 		_, _, err := do("a", "")
 		Expect(failure(err).MayHaveRun).To(BeTrue())
 	})
 
 	It("skips the answer to another request", func() {
-		server.Next(worker.Behaviour{ExtraBefore: true, BreakAfter: -1})
+		server.QueueBehaviours(worker.Behaviour{ForeignResponseFirst: true, AbortAfterEvents: -1})
 		answer, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(worker.Answer("a")))
+		Expect(answer).To(Equal(worker.ResponseBody("a")))
 	})
 
 	It("takes an answer without length as whole when its connection ends in order", func() {
-		server.Next(worker.Behaviour{Unframed: true, BreakAfter: -1})
+		server.QueueBehaviours(worker.Behaviour{CloseDelimited: true, AbortAfterEvents: -1})
 		answer, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(worker.Answer("a")))
+		Expect(answer).To(Equal(worker.ResponseBody("a")))
 		_, _, err = do("b", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(server.Opened()).To(Equal(2))
+		Expect(server.ConnectionCount()).To(Equal(2))
 	})
 
 	It("tells a stream that breaks off from a whole one", func() {
-		server.Next(worker.Behaviour{Events: 3, BreakAfter: 1})
+		server.QueueBehaviours(worker.Behaviour{Events: 3, AbortAfterEvents: 1})
 		answer, _, err := do("a", "")
 		Expect(err).To(HaveOccurred())
 		Expect(answer).To(HavePrefix(worker.Event("a", 1)))
-		server.Next(worker.Behaviour{Events: 3, BreakAfter: -1})
+		server.QueueBehaviours(worker.Behaviour{Events: 3, AbortAfterEvents: -1})
 		answer, _, err = do("b", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(worker.Stream("b", 3)))
+		Expect(answer).To(Equal(worker.StreamBody("b", 3)))
 	})
 
 	It("takes an answer that comes before a long body has been read, and loses no byte of it", func() {
 		long := strings.Repeat("x", 8<<20)
-		server.Next(worker.Behaviour{Early: true})
+		server.QueueBehaviours(worker.Behaviour{RejectBeforeBody: true})
 		_, status, err := do("a", long)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(413))
 		answer, _, err := do("b", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(worker.Answer("b")))
+		Expect(answer).To(Equal(worker.ResponseBody("b")))
 	})
 
 	It("does not use a connection that its server has closed", func() {
@@ -131,7 +131,7 @@
 		}).Should(BeFalse())
 		_, _, err = do("b", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(server.Opened()).To(Equal(2))
+		Expect(server.ConnectionCount()).To(Equal(2))
 	})
 
 	It("keeps no connection to a process that is known to have ended", func() {
@@ -141,7 +141,7 @@
 		pool.CloseIdle("10.0.0.1:80")
 		_, _, err = do("b", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(server.Opened()).To(Equal(2))
+		Expect(server.ConnectionCount()).To(Equal(2))
 	})
 
 	It("sends a request that may run only once on a fresh connection", func() {
@@ -153,7 +153,7 @@
 		resp, err := pool.Do(context.Background(), server.Address(), once)
 		Expect(err).NotTo(HaveOccurred())
 		resp.Close()
-		Expect(server.Opened()).To(Equal(2))
+		Expect(server.ConnectionCount()).To(Equal(2))
 	})
 
 	It("closes idle connections that are too old", func() {
@@ -165,17 +165,17 @@
 	})
 
 	It("ends when its context does, and the server notices", func() {
-		server.Next(worker.Behaviour{Hang: true})
+		server.QueueBehaviours(worker.Behaviour{Hang: true})
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			defer GinkgoRecover()
-			Eventually(server.Runs).Should(HaveLen(1))
+			Eventually(server.Executions).Should(HaveLen(1))
 			cancel()
 		}()
 		_, err := pool.Do(ctx, server.Address(), request("a", ""))
 		Expect(failure(err).MayHaveRun).To(BeTrue())
 		Expect(errors.Is(err, context.Canceled)).To(BeTrue())
-		Eventually(server.Left).Should(Equal(1))
+		Eventually(server.Disconnects).Should(Equal(1))
 	})
 })
 
--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -17,17 +17,17 @@
 func (f *Follower) configTopic() topic {
 	set := f.settings.Load()
 	bound := bound(set.ApplyWithin, 0.7)
-	if _, some := f.Peers.Small(); some {
+	if _, some := f.Peers.SmallHosts(); some {
 		bound.ReadSpread += handOnTime
 	}
 	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: newestReadKB, bound: bound, pause: leastPause, waits: true,
-		slowestRead: freshness.TransferTime(f.configBytes, set.RecordBytes, float64(f.Peers.SlowestLink())),
+		slowestRead: freshness.TransferTime(f.configBytes, set.RecordBytes, float64(f.Peers.SlowestLinkMbps())),
 		confirm:     func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, whole: f.newConfig, added: f.newConfig,
 		handedOn: true,
 		fromPeer: f.configFromPeer,
 		offer:    f.shareConfig,
 		watch: func(failed error) {
-			f.behind.note(f.Gateway.ConfigVersion(), int64(f.Peers.Heard(f.Topics.Configuration)), failed, set.ApplyWithin, time.Now())
+			f.behind.note(f.Gateway.ConfigVersion(), int64(f.Peers.ReportedState(f.Topics.Configuration)), failed, set.ApplyWithin, time.Now())
 		}}
 }
 
@@ -79,7 +79,7 @@
 
 // configFromPeer takes in the configuration of the gateway that told of a newer one.
 func (f *Follower) configFromPeer(ctx context.Context, r *reading) bool {
-	at, from, newer := f.Peers.Newer(f.Topics.Configuration)
+	at, from, newer := f.Peers.NewerState(f.Topics.Configuration)
 	if !newer {
 		return false
 	}
@@ -96,6 +96,6 @@
 	}
 	r.next, r.loaded, r.behind, r.news = logposition.Later(r.next, v.Next), true, false, false
 	f.Share.Put(v)
-	f.Peers.Find(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.since)
+	f.Peers.ReportState(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.since)
 	return true
 }
--- a/internal/follow/deployment_test.go
+++ b/internal/follow/deployment_test.go
@@ -72,7 +72,7 @@
 		h := &simulated{name: spec.name, link: d.net.Host(spec.rate)}
 		servers := registry.New()
 		h.gateway = gateway.New(gateway.Settings{}, platform.Dialect{}, servers, quiet())
-		h.peers = peers.New(spec.name, h.link.Packets(peerPort), peers.Capacity{Cores: spec.cores, LinkMbps: uint32(spec.rate / 1e6)}, h.gateway, quiet())
+		h.peers = peers.New(spec.name, h.link.ListenPacket(peerPort), peers.Capacity{Cores: spec.cores, LinkMbps: uint32(spec.rate / 1e6)}, h.gateway, quiet())
 		asks := h.link.Listen(peerPort)
 		ofHost := parts(h.gateway, servers, h.peers)
 		ofHost.Share = configshare.New(h.link.DialContext, spec.rate/1e6, quiet())
@@ -105,7 +105,9 @@
 func (d *deployment) write(value []byte) { d.store.Put(platformstore.TopicOperator, "config", value) }
 
 // cutFromStore cuts a host from the store, or mends it.
-func (d *deployment) cutFromStore(h *simulated, cut bool) { d.net.Cut(h.link, d.storeAt, cut) }
+func (d *deployment) cutFromStore(h *simulated, cut bool) {
+	d.net.SetPartitioned(h.link, d.storeAt, cut)
+}
 
 // sized is a configuration of about so many bytes.
 func sized(version int64, bytes int) []byte {
@@ -236,7 +238,7 @@
 		for _, h := range d.hosts {
 			before[h.name] = h.link.Received()
 		}
-		d.store.SetDelay(240 * time.Millisecond)
+		d.store.SetResponseDelay(240 * time.Millisecond)
 		d.write(sized(2, 900_000))
 		time.Sleep(simulatedApply)
 		for i, h := range d.hosts {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -68,7 +68,7 @@
 // New returns a follower; Run is its duty.
 func New(parts Dependencies, s Settings) *Follower {
 	f := &Follower{Dependencies: parts, behind: lag{logger: parts.Logger}, entries: map[string]uint64{}}
-	f.Peers.Versioned(f.Topics.Configuration)
+	f.Peers.SetVersioned(f.Topics.Configuration)
 	f.SetSettings(s)
 	return f
 }
@@ -108,7 +108,7 @@
 func (f *Follower) awaitDue(ctx context.Context, t topic, first bool, r *reading) {
 	sleep(ctx, leastPause)
 	for ctx.Err() == nil {
-		confirmed, changed := f.Peers.Confirmed(t.name)
+		confirmed, changed := f.Peers.LastConfirmed(t.name)
 		age := t.pause
 		if !first {
 			age = t.bound.MaxAge(t.slowestRead) + f.later(t)
@@ -135,7 +135,7 @@
 // patience.
 func (f *Follower) later(t topic) time.Duration {
 	later := min(time.Duration(f.Peers.Rank(t.name))*stagger, laterMost)
-	if small, _ := f.Peers.Small(); small && t.handedOn {
+	if small, _ := f.Peers.SmallHosts(); small && t.handedOn {
 		later += handOnTime
 	}
 	return later
@@ -149,7 +149,7 @@
 	if f.Gateway.Ready() {
 		pause = min(retryPause*time.Duration(1+f.Peers.Rank(t.name)), retryMost)
 	}
-	_, changed := f.Peers.Confirmed(t.name)
+	_, changed := f.Peers.LastConfirmed(t.name)
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -123,8 +123,8 @@
 		store.Put(platformstore.TopicOperator, "config", []byte(`{"version":8,"routes":[{"kind":"odd"}]}`))
 		store.Put(platformstore.TopicOperator, "config", configVersion(6))
 		store.Put(platformstore.TopicOperator, "other", []byte("x"))
-		reads := store.Reads()
-		Eventually(store.Reads, within).Should(BeNumerically(">", reads+4))
+		reads := store.RequestCount()
+		Eventually(store.RequestCount, within).Should(BeNumerically(">", reads+4))
 		Expect(gw.ConfigVersion()).To(BeEquivalentTo(7))
 		store.Put(platformstore.TopicOperator, "config", configVersion(9))
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(9))
@@ -135,15 +135,15 @@
 	// read that was given 0.7 s in all and up to 1,024 KB was cut and begun anew for ever.
 	DescribeTable("has the newest configuration in force over a slow link", func(routes, teams int) {
 		set.ApplyWithin = 2 * time.Second
-		store.SetLink(5e6)
+		store.SetBandwidth(5e6)
 		store.Put(platformstore.TopicOperator, "config", largeConfig(1, routes, teams))
 		start()
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(1))
-		store.SetMode(platformstore.Busy)
+		store.SetMode(platformstore.ModeUnavailable)
 		for version := 2; version <= 6; version++ {
 			store.Put(platformstore.TopicOperator, "config", largeConfig(version, routes, teams))
 		}
-		store.SetMode(platformstore.Up)
+		store.SetMode(platformstore.ModeAvailable)
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(6))
 		// In a storm of versions too.
 		for version := 7; version <= 12; version++ {
@@ -164,8 +164,8 @@
 		put("i-2", "ready")
 		store.Put(platformstore.TopicServers, "i-1", nil)
 		store.Put(platformstore.TopicOperator, "config", configVersion(8))
-		store.Forget(platformstore.TopicServers)
-		store.Forget(platformstore.TopicOperator)
+		store.Truncate(platformstore.TopicServers)
+		store.Truncate(platformstore.TopicOperator)
 		Eventually(ids, within).Should(ConsistOf("i-2"))
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(8))
 	})
@@ -187,16 +187,16 @@
 		store.Put(platformstore.TopicOperator, "config", configVersion(7))
 		start()
 		Eventually(gw.Ready, within).Should(BeTrue())
-		store.SetMode(platformstore.Busy)
-		reads := store.Reads()
-		Eventually(store.Reads, within).Should(BeNumerically(">", reads+6))
+		store.SetMode(platformstore.ModeUnavailable)
+		reads := store.RequestCount()
+		Eventually(store.RequestCount, within).Should(BeNumerically(">", reads+6))
 		Expect(gw.Ready()).To(BeTrue())
 		Expect(ids()).To(ConsistOf("i-1", "i-2"))
 		store.Put(platformstore.TopicServers, "i-1", nil)
 		store.Put(platformstore.TopicServers, "i-2", nil)
-		store.SetMode(platformstore.Up)
-		reads = store.Reads()
-		Eventually(store.Reads, within).Should(BeNumerically(">", reads+6))
+		store.SetMode(platformstore.ModeAvailable)
+		reads = store.RequestCount()
+		Eventually(store.RequestCount, within).Should(BeNumerically(">", reads+6))
 		Expect(ids()).To(ConsistOf("i-1", "i-2"))
 		put("i-1", "ready")
 		Eventually(ids, within).Should(ConsistOf("i-1")) // i-2 has not come back in time
@@ -220,8 +220,8 @@
 		Eventually(ids, within).Should(ConsistOf("i-1", "i-2"))
 		Eventually(func() int { return cutOff.Rank("x") + other.Rank("x") }, within).Should(Equal(1)) // they know each other
 		Eventually(others.Loaded, within).Should(BeTrue())
-		reads := store.Reads()
-		Eventually(store.Reads, within).Should(BeNumerically(">", reads+6)) // both were in touch for a while
+		reads := store.RequestCount()
+		Eventually(store.RequestCount, within).Should(BeNumerically(">", reads+6)) // both were in touch for a while
 		unreachable := set
 		unreachable.Address = "127.0.0.1:1"
 		f.SetSettings(unreachable)
@@ -234,10 +234,10 @@
 
 	It("gives up a call that gets no answer", func() {
 		store.Put(platformstore.TopicOperator, "config", configVersion(7))
-		store.SetMode(platformstore.Silent)
+		store.SetMode(platformstore.ModeUnresponsive)
 		start()
-		Eventually(store.Reads, within).Should(BeNumerically(">=", 2))
-		store.SetMode(platformstore.Up)
+		Eventually(store.RequestCount, within).Should(BeNumerically(">=", 2))
+		store.SetMode(platformstore.ModeAvailable)
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(7))
 	})
 })
--- a/internal/follow/gateways.go
+++ b/internal/follow/gateways.go
@@ -64,6 +64,6 @@
 		}
 		list = append(list, peers.Member{Host: r.Key, Address: doc.Address})
 	}
-	f.Peers.List(list)
+	f.Peers.AddListed(list)
 	return true
 }
--- a/internal/follow/lag.go
+++ b/internal/follow/lag.go
@@ -19,20 +19,20 @@
 // than within gets one line, with why the newest could not be read so far, and one more
 // at its end.
 func (l *lag) note(inForce, newest int64, why error, within time.Duration, now time.Time) {
-	telemetry.Gauge("merlinpost_config_newest_heard", float64(max(inForce, newest)))
+	telemetry.SetGauge("merlinpost_config_newest_heard", float64(max(inForce, newest)))
 	if newest <= inForce {
 		if l.told {
 			l.logger.Info("configuration caught up", "config", inForce, "was_behind", now.Sub(l.since))
 		}
 		l.since, l.told = time.Time{}, false
-		telemetry.Gauge("merlinpost_config_behind_seconds", 0)
+		telemetry.SetGauge("merlinpost_config_behind_seconds", 0)
 		return
 	}
 	if l.since.IsZero() {
 		l.since = now
 	}
 	behind := now.Sub(l.since)
-	telemetry.Gauge("merlinpost_config_behind_seconds", behind.Seconds())
+	telemetry.SetGauge("merlinpost_config_behind_seconds", behind.Seconds())
 	if behind > within && !l.told {
 		l.told = true
 		l.logger.Warn("configuration behind", "config", inForce, "newest_heard", newest, "behind", behind, "why", why)
--- a/internal/follow/list_test.go
+++ b/internal/follow/list_test.go
@@ -24,7 +24,7 @@
 type alone struct{ follow.Peers }
 
 func (alone) StoreUpSince(string) time.Time { return time.Time{} }
-func (alone) Versioned(string)              {}
+func (alone) SetVersioned(string)           {}
 
 // unconnected returns a follower that is not connected to a store, and its list.
 func unconnected() (*follow.Follower, *registry.Registry) {
--- a/internal/follow/parts.go
+++ b/internal/follow/parts.go
@@ -76,27 +76,27 @@
 	Rank(topic string) int
 	// Find records the state that this gateway has read, and since when its calls
 	// have been answered without a break.
-	Find(topic string, state uint64, at, since time.Time)
+	ReportState(topic string, state uint64, at, since time.Time)
 	// StoreUpSince returns since when another gateway's calls have been answered
 	// without a break; zero if none has told.
 	StoreUpSince(topic string) time.Time
 	// Heard returns the state of the topic that another gateway told last, 0 for none.
-	Heard(topic string) uint64
+	ReportedState(topic string) uint64
 	// Versioned makes the states of a topic versions.
-	Versioned(topic string)
+	SetVersioned(topic string)
 	// Newer returns whether another gateway told a newer state than this one has, who, and
 	// when that was the newest.
-	Newer(topic string) (at time.Time, from netip.AddrPort, newer bool)
+	NewerState(topic string) (at time.Time, from netip.AddrPort, newer bool)
 	// Confirmed returns when this gateway's state was last found to be the newest,
 	// and a channel that is closed when another finds a newer one.
-	Confirmed(topic string) (at time.Time, changed <-chan struct{})
+	LastConfirmed(topic string) (at time.Time, changed <-chan struct{})
 	// Small returns whether this host has a small processor or link against the largest, and
 	// whether any has.
-	Small() (self, some bool)
+	SmallHosts() (self, some bool)
 	// SlowestLink returns the slowest link of the live gateways in Mbit/s, 0 for not known.
-	SlowestLink() uint32
+	SlowestLinkMbps() uint32
 	// List takes in the gateways that the store lists; Self is this one.
-	List([]peers.Member)
+	AddListed([]peers.Member)
 	Self() peers.Member
 }
 
--- a/internal/follow/reading.go
+++ b/internal/follow/reading.go
@@ -82,7 +82,7 @@
 	r.advance(t, records, next, end)
 	if !r.behind {
 		t.offer(r.next)
-		f.Peers.Find(t.name, state, b.at, r.since)
+		f.Peers.ReportState(t.name, state, b.at, r.since)
 	}
 }
 
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -157,9 +157,9 @@
 	failed := q.lastSent()
 	failed.Repeat = &d
 	telemetry.Count("merlinpost_retry_budget_decisions_total", "service", q.service, "cause", failed.Result, "verdict", verdict)
-	telemetry.Gauge("merlinpost_retry_budget_taken", float64(d.Taken), "service", q.service)
-	telemetry.Gauge("merlinpost_retry_budget_allowed", d.Allowed, "service", q.service)
-	telemetry.Seconds("merlinpost_retry_budget_wait_seconds", d.Waited, "service", q.service, "verdict", verdict)
+	telemetry.SetGauge("merlinpost_retry_budget_taken", float64(d.Taken), "service", q.service)
+	telemetry.SetGauge("merlinpost_retry_budget_allowed", d.Allowed, "service", q.service)
+	telemetry.ObserveDuration("merlinpost_retry_budget_wait_seconds", d.Waited, "service", q.service, "verdict", verdict)
 	return d.Granted
 }
 
@@ -330,16 +330,16 @@
 	seen.EngineFailed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
 	s := send{Server: server.ID, Reason: choice.Reason, FetchFrom: choice.FetchFrom, Result: outcomeNames[result],
 		Running: choice.Candidate.View.InFlight, UnreadTokens: choice.Candidate.View.UnreadTokens,
-		ExpectedFirstEvent: choice.ExpectedPrefill, FirstEvent: seen.TimeToFirstEvent, LongestGap: seen.LongestGap, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: said}
+		ExpectedPrefill: choice.ExpectedPrefill, TimeToFirstEvent: seen.TimeToFirstEvent, LongestGap: seen.LongestGap, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: said}
 	if err != nil {
 		s.Cause = err.Error()
 	}
 	g.ledger.RecordRun(g.now().Sub(sentAt), g.now())
 	switch {
 	case broke(ctx, result, err):
-		s.ServerEnded = g.brokeAt(q, server, quarantine.Crash{Server: server.InstanceID(), SentAt: sentAt, At: g.now()})
+		s.ServerExited = g.brokeAt(q, server, quarantine.Crash{Server: server.InstanceID(), SentAt: sentAt, At: g.now()})
 	case result == delivered && resp.Status < http.StatusInternalServerError && g.ledger.HasEntries():
-		g.ledger.RecordAnswer(q.id(), g.now())
+		g.ledger.RecordResponse(q.id(), g.now())
 	}
 	q.sends = append(q.sends, s)
 	return result, err
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -26,7 +26,7 @@
 // Call is what a caller says of its request.
 type RequestInfo struct {
 	ID          string
-	Key         string
+	APIKey      string
 	Deadline    time.Duration // 0: none was given
 	LastEventID string
 	Prompt      placement.Prompt
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -141,7 +141,7 @@
 
 // Stalled reports that the process was stalled since the given time. Requests that arrived during the stall may
 // be old, so requests counted until the backlog is processed do not add to the retry budgets.
-func (g *Gateway) Stalled(since, until time.Time) {
+func (g *Gateway) RecordStall(since, until time.Time) {
 	g.mu.Lock()
 	g.stalledUntil = until
 	g.mu.Unlock()
@@ -170,7 +170,7 @@
 		}
 	}
 	g.ConfirmTable(at)
-	telemetry.Gauge("merlinpost_config_version", float64(t.Version))
+	telemetry.SetGauge("merlinpost_config_version", float64(t.Version))
 	return true
 }
 
--- a/internal/gateway/gateway_suite_test.go
+++ b/internal/gateway/gateway_suite_test.go
@@ -147,10 +147,10 @@
 }
 
 // runs returns everything that ran on any worker.
-func (r *rig) runs() []worker.Run {
-	var out []worker.Run
+func (r *rig) runs() []worker.Execution {
+	var out []worker.Execution
 	for _, w := range r.workers {
-		out = append(out, w.Runs()...)
+		out = append(out, w.Executions()...)
 	}
 	return out
 }
@@ -158,7 +158,7 @@
 // next sets what the worker that is asked first does with its next request.
 func (r *rig) next(b worker.Behaviour) {
 	for _, w := range r.workers {
-		w.Next(b)
+		w.QueueBehaviours(b)
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -42,7 +42,7 @@
 		a := r.send(req)
 		Expect(a.err).NotTo(HaveOccurred())
 		Expect(a.status).To(Equal(200))
-		Expect(a.body).To(Equal(worker.Answer("a")))
+		Expect(a.body).To(Equal(worker.ResponseBody("a")))
 		Expect(a.header.Get("X-Response-Seal")).To(Equal("i-0.a"))
 		run := r.runs()[0]
 		Expect(run.Target).To(Equal("/once/a%2Fb?x=1&y=%20"))
@@ -104,7 +104,7 @@
 	Describe("when a worker refuses", func() {
 		It("asks another", func() {
 			r := started(2)
-			r.workers[0].Behave(worker.Behaviour{Refuse: true})
+			r.workers[0].SetBehaviour(worker.Behaviour{Reject: true})
 			for i := range 6 {
 				Expect(r.post("/once/", fmt.Sprint("a", i)).status).To(Equal(200))
 			}
@@ -114,7 +114,7 @@
 		It("says that the request has not run, and when to come back, if all do", func() {
 			r := started(2)
 			for _, w := range r.workers {
-				w.Behave(worker.Behaviour{Refuse: true})
+				w.SetBehaviour(worker.Behaviour{Reject: true})
 			}
 			a := r.post("/once/", "a")
 			Expect(a.status).To(Equal(429))
@@ -124,14 +124,14 @@
 
 		It("keeps repeated sends within the budget", func() {
 			r := startedWith(retrybudget.Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 5}, 2)
-			r.workers[0].Behave(worker.Behaviour{Refuse: true})
-			r.workers[1].Behave(worker.Behaviour{Refuse: true})
+			r.workers[0].SetBehaviour(worker.Behaviour{Reject: true})
+			r.workers[1].SetBehaviour(worker.Behaviour{Reject: true})
 			arrivals := 0
 			for i := range 50 {
 				_ = r.post("/once/", fmt.Sprint("a", i))
 			}
 			for _, w := range r.workers {
-				arrivals += w.Asked()
+				arrivals += w.RequestCount()
 			}
 			Expect(arrivals).To(BeNumerically("<=", 50+12))
 			Expect(arrivals).To(BeNumerically(">", 50))
@@ -140,7 +140,7 @@
 		It("logs the retry budget's decision with the failed send", func() {
 			r := startedWith(retrybudget.Settings{Ratio: 2, Window: 10 * time.Second, Slack: 20}, 2)
 			for _, w := range r.workers {
-				w.Behave(worker.Behaviour{Refuse: true})
+				w.SetBehaviour(worker.Behaviour{Reject: true})
 			}
 			for i := range 5 {
 				r.post("/again/x", fmt.Sprint("refused-", i))
@@ -165,7 +165,7 @@
 	Describe("when a worker gives no answer", func() {
 		It("never sends a request again that may run only once", func() {
 			r := started(2)
-			r.next(worker.Behaviour{Drop: true})
+			r.next(worker.Behaviour{DropConnection: true})
 			a := r.post("/once/", "a")
 			Expect(a.status).To(Equal(502))
 			Expect(r.runs()).To(HaveLen(1))
@@ -173,7 +173,7 @@
 
 		It("sends a request again that may be repeated", func() {
 			r := started(2)
-			r.workers[0].Behave(worker.Behaviour{Drop: true})
+			r.workers[0].SetBehaviour(worker.Behaviour{DropConnection: true})
 			for i := range 4 {
 				Expect(r.post("/again/", fmt.Sprint("a", i)).status).To(Equal(200))
 			}
@@ -182,8 +182,8 @@
 		It("never says not run of a request that an earlier server may have run", func() {
 			for i := range 12 {
 				r := started(2)
-				r.workers[0].Behave(worker.Behaviour{Drop: true})
-				r.workers[1].Behave(worker.Behaviour{Refuse: true})
+				r.workers[0].SetBehaviour(worker.Behaviour{DropConnection: true})
+				r.workers[1].SetBehaviour(worker.Behaviour{Reject: true})
 				a := r.post("/again/", fmt.Sprint("a", i))
 				if len(r.runs()) > 0 {
 					Expect(a.status).To(Equal(502))
@@ -193,9 +193,9 @@
 
 		It("answers 504 once the time of the route is over", func() {
 			r := started(1)
-			r.workers[0].Behave(worker.Behaviour{Hang: true})
+			r.workers[0].SetBehaviour(worker.Behaviour{Hang: true})
 			Expect(r.post("/short/", "a").status).To(Equal(504))
-			Eventually(r.workers[0].Left).Should(Equal(1))
+			Eventually(r.workers[0].Disconnects).Should(Equal(1))
 		})
 
 		It("sends the request nowhere else when no connection opens", func() {
@@ -209,91 +209,91 @@
 
 	It("gives no answer as a success that carries no proof", func() {
 		r := started(1)
-		r.workers[0].Behave(worker.Behaviour{NoSeal: true, BreakAfter: -1})
+		r.workers[0].SetBehaviour(worker.Behaviour{OmitSeal: true, AbortAfterEvents: -1})
 		Expect(r.post("/once/", "a").status).To(Equal(502))
 	})
 
 	It("passes a worker's own failure on as it is", func() {
 		r := started(1)
-		r.workers[0].Behave(worker.Behaviour{Status: 500, BreakAfter: -1})
+		r.workers[0].SetBehaviour(worker.Behaviour{Status: 500, AbortAfterEvents: -1})
 		a := r.post("/once/", "a")
 		Expect(a.status).To(Equal(500))
-		Expect(a.body).To(Equal(worker.Answer("a")))
+		Expect(a.body).To(Equal(worker.ResponseBody("a")))
 		Expect(a.header.Get("X-Response-Seal")).To(Equal("i-0.a"))
 	})
 
 	Describe("relaying a stream", func() {
-		events := worker.Behaviour{Events: 5, BreakAfter: -1}
+		events := worker.Behaviour{Events: 5, AbortAfterEvents: -1}
 
 		It("passes on each event", func() {
 			r := started(1)
-			r.workers[0].Behave(events)
+			r.workers[0].SetBehaviour(events)
 			a := r.post("/stream/", "a")
 			Expect(a.err).NotTo(HaveOccurred())
-			Expect(a.body).To(Equal(worker.Stream("a", 5)))
+			Expect(a.body).To(Equal(worker.StreamBody("a", 5)))
 			Expect(a.header.Get("Content-Type")).To(Equal("text/event-stream"))
 		})
 
 		It("goes on at another worker where the route allows it", func() {
 			r := started(2)
 			for _, w := range r.workers {
-				w.Behave(events)
+				w.SetBehaviour(events)
 			}
-			r.workers[0].Next(worker.Behaviour{Events: 5, BreakAfter: 2})
-			for i := 0; r.workers[0].Asked() == 0; i++ {
+			r.workers[0].QueueBehaviours(worker.Behaviour{Events: 5, AbortAfterEvents: 2})
+			for i := 0; r.workers[0].RequestCount() == 0; i++ {
 				id := fmt.Sprint("a", i)
 				a := r.post("/resume/", id)
 				Expect(a.err).NotTo(HaveOccurred())
-				Expect(a.body).To(Equal(worker.Stream(id, 5)))
+				Expect(a.body).To(Equal(worker.StreamBody(id, 5)))
 			}
-			resumed := r.workers[1].Runs()[len(r.workers[1].Runs())-1]
-			Expect(resumed.From).To(Equal(2))
+			resumed := r.workers[1].Executions()[len(r.workers[1].Executions())-1]
+			Expect(resumed.LastEventID).To(Equal(2))
 			Expect(resumed.Header.Get("X-Expect-Instance")).To(Equal("i-1"))
 		})
 
 		It("does not look whole when it breaks off for good", func() {
 			r := started(2)
 			for _, w := range r.workers {
-				w.Behave(worker.Behaviour{Events: 5, BreakAfter: 2})
+				w.SetBehaviour(worker.Behaviour{Events: 5, AbortAfterEvents: 2})
 			}
 			a := r.post("/resume/", "a")
 			Expect(a.err).To(HaveOccurred())
-			Expect(a.body).To(Equal(worker.Stream("a", 2)))
+			Expect(a.body).To(Equal(worker.StreamBody("a", 2)))
 			Expect(r.runs()).To(HaveLen(2))
 		})
 
 		It("ends the connection when a stream that may run only once breaks off", func() {
 			r := started(2)
-			r.next(worker.Behaviour{Events: 5, BreakAfter: 2})
+			r.next(worker.Behaviour{Events: 5, AbortAfterEvents: 2})
 			a := r.post("/stream/", "a")
 			Expect(a.err).To(HaveOccurred())
-			Expect(a.body).To(Equal(worker.Stream("a", 2)))
+			Expect(a.body).To(Equal(worker.StreamBody("a", 2)))
 			Expect(r.runs()).To(HaveLen(1))
 		})
 
 		It("answers 502 when it breaks off before its first event", func() {
 			r := started(2)
-			r.next(worker.Behaviour{Events: 5, BreakAfter: 0})
+			r.next(worker.Behaviour{Events: 5, AbortAfterEvents: 0})
 			Expect(r.post("/stream/", "a").status).To(Equal(502))
 			Expect(r.runs()).To(HaveLen(1))
 		})
 
 		It("ends at the worker when its caller leaves", func() {
 			r := started(1)
-			r.workers[0].Behave(worker.Behaviour{Events: 1000, BreakAfter: -1, Pace: 5 * time.Millisecond})
+			r.workers[0].SetBehaviour(worker.Behaviour{Events: 1000, AbortAfterEvents: -1, EventInterval: 5 * time.Millisecond})
 			ctx, cancel := context.WithCancel(context.Background())
 			resp, err := r.client.Do(r.request(ctx, "/stream/", "a", ""))
 			Expect(err).NotTo(HaveOccurred())
 			_, err = io.ReadFull(resp.Body, make([]byte, len(worker.Event("a", 1))))
 			Expect(err).NotTo(HaveOccurred())
 			cancel()
-			Eventually(r.workers[0].Left).Should(Equal(1))
+			Eventually(r.workers[0].Disconnects).Should(Equal(1))
 		})
 	})
 
 	It("ends a request at the worker when its caller leaves before the answer", func() {
 		r := started(1)
-		r.workers[0].Behave(worker.Behaviour{Hang: true})
+		r.workers[0].SetBehaviour(worker.Behaviour{Hang: true})
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			defer GinkgoRecover()
@@ -301,7 +301,7 @@
 			cancel()
 		}()
 		Expect(r.send(r.request(ctx, "/again/", "a", "")).err).To(HaveOccurred())
-		Eventually(r.workers[0].Left).Should(Equal(1))
+		Eventually(r.workers[0].Disconnects).Should(Equal(1))
 		Expect(r.runs()).To(HaveLen(1))
 	})
 })
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -19,7 +19,7 @@
 		return nil
 	}
 	now := g.now()
-	g.notices.RecordAnswer(server.InstanceID(), *said, sent, now)
+	g.notices.RecordResponse(server.InstanceID(), *said, sent, now)
 	for _, kind := range said.Kinds() {
 		telemetry.Count("merlinpost_server_notices_total", "service", server.Service, "kind", string(kind))
 	}
@@ -103,7 +103,7 @@
 }
 
 // Limited lists the servers that state a rate, by the group to which they belong.
-func (g *Gateway) Limited() map[permit.Group][]string {
+func (g *Gateway) RateLimitedServers() map[permit.Group][]string {
 	out := map[permit.Group][]string{}
 	for _, start := range g.notices.Limits().Servers() {
 		if server, listed := g.servers.FindInstance(start); listed {
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -40,7 +40,7 @@
 type Peers interface {
 	// Ask asks the gateway that decides for a group of engines and waits for the
 	// verdict. It is Granted without an engine where nobody is there to decide.
-	Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
+	RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a repeated send to a service from their retry budgets and reports
 	// whether one did. The key determines which gateways are asked.
 	BorrowRepeat(ctx context.Context, service, key string) bool
@@ -103,7 +103,7 @@
 	for ask, group := 0, 0; ask < maxAsks && group < min(maxGroups, len(groups)); ask++ {
 		asked.ID = fmt.Sprintf("%s/%d", q.call.ID, q.asks)
 		q.asks++
-		answer, leave := g.peers.Ask(ctx, permit.Group{Service: q.service, Index: groups[group]}, asked)
+		answer, leave := g.peers.RequestPermit(ctx, permit.Group{Service: q.service, Index: groups[group]}, asked)
 		if ctx.Err() != nil {
 			leave.End(permit.StreamStats{})
 			return placement.Choice{}, peers.Permit{}, outOfTime(ctx, false)
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -25,7 +25,7 @@
 	during  func() // while an ask waits
 }
 
-func (d *decider) Ask(_ context.Context, _ permit.Group, a permit.Ask) (permit.Decision, peers.Permit) {
+func (d *decider) RequestPermit(_ context.Context, _ permit.Group, a permit.Ask) (permit.Decision, peers.Permit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.asks = append(d.asks, a)
@@ -62,7 +62,7 @@
 	It("sends it where it was granted", func() {
 		r, d := before(3, granted("i-2"))
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
-		Expect(r.workers[2].Runs()).To(HaveLen(1))
+		Expect(r.workers[2].Executions()).To(HaveLen(1))
 		Expect(d.asks).To(HaveLen(1))
 	})
 
@@ -72,8 +72,8 @@
 			r.servers.Apply([]registry.Change{{ID: "i-0", Server: &registry.Server{ID: "i-0", Service: "s", Draining: true}}}, time.Now(), time.Time{})
 		}
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
-		Expect(r.workers[0].Runs()).To(BeEmpty())
-		Expect(r.workers[1].Runs()).To(HaveLen(1))
+		Expect(r.workers[0].Executions()).To(BeEmpty())
+		Expect(r.workers[1].Executions()).To(HaveLen(1))
 		Expect(d.asks).To(HaveLen(2))
 		Expect(d.asks[1].ExcludedEngines).To(ContainElement("i-0"))
 		Expect(d.asks[1].ID).NotTo(Equal(d.asks[0].ID))
@@ -90,7 +90,7 @@
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(d.asks).To(HaveLen(2)) // "i-0" names no start that is listed
 		Expect(d.asks[1].ExcludedEngines).To(ContainElement("i-0"))
-		Expect(r.workers[0].Runs()).To(HaveLen(1))
+		Expect(r.workers[0].Executions()).To(HaveLen(1))
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
 			Expect(e.ID).To(BeElementOf("i-0@2000", "i-1"))
 		}
@@ -121,11 +121,11 @@
 
 	It("names the engine that failed it when it asks for another", func() {
 		r, d := before(2, granted("i-0"), granted("i-1"))
-		r.workers[0].Next(worker.Behaviour{Refuse: true})
+		r.workers[0].QueueBehaviours(worker.Behaviour{Reject: true})
 		Expect(r.post("/report/x", "r1").status).To(Equal(200))
 		Expect(d.asks).To(HaveLen(2))
 		Expect(d.asks[1].ExcludedEngines).To(Equal([]string{"i-0"}))
-		Expect(r.workers[1].Runs()).To(HaveLen(1))
+		Expect(r.workers[1].Executions()).To(HaveLen(1))
 	})
 
 	// Seed 307 of the soak: an interactive request was told 429, as for load, while its
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -60,14 +60,14 @@
 
 // send is one try to have the request run.
 type send struct {
-	Server             string        `json:"server"`
-	Reason             string        `json:"reason"` // why the server was chosen
-	FetchFrom          string        `json:"fetch,omitempty"`
-	Result             string        `json:"result"`
-	Cause              string        `json:"cause,omitempty"`
-	Wait               time.Duration `json:"wait,omitempty"`   // that who decides expects
-	ExpectedFirstEvent time.Duration `json:"expect,omitempty"` // of the time to the first event, by what was learnt
-	FirstEvent         time.Duration `json:"first,omitempty"`  // the time to the first event
+	Server           string        `json:"server"`
+	Reason           string        `json:"reason"` // why the server was chosen
+	FetchFrom        string        `json:"fetch,omitempty"`
+	Result           string        `json:"result"`
+	Cause            string        `json:"cause,omitempty"`
+	Wait             time.Duration `json:"wait,omitempty"`   // that who decides expects
+	ExpectedPrefill  time.Duration `json:"expect,omitempty"` // of the time to the first event, by what was learnt
+	TimeToFirstEvent time.Duration `json:"first,omitempty"`  // the time to the first event
 	// Limited is how many servers took nothing by the rates that they state, where that was refused.
 	RateLimited  int           `json:"limited,omitempty"`
 	Running      int           `json:"running"`
@@ -76,7 +76,7 @@
 	SentAfter    time.Duration `json:"at"`                // since the request came
 	Took         time.Duration `json:"took"`              // until the answer's head or the failure
 	// Ended is whether the server has ended, where its connection broke.
-	ServerEnded bool `json:"ended,omitempty"`
+	ServerExited bool `json:"ended,omitempty"`
 	// Said is what the server said of itself, nil for nothing.
 	Notices *notice.Statement `json:"said,omitempty"`
 	// Repeat is the retry budget's decision on repeating this send, nil if the budget was not consulted.
@@ -165,7 +165,7 @@
 	if q.route = q.table.Route(r.Host, path); q.route == nil {
 		return q, fault.New(fault.NotFound, "no route for this host and path").WithOutcome(fault.NotRun)
 	}
-	if q.team, err = q.table.Authenticate(q.route, call.Key); err != nil {
+	if q.team, err = q.table.Authenticate(q.route, call.APIKey); err != nil {
 		return q, err
 	}
 	q.setTerms(call)
@@ -201,5 +201,5 @@
 	default:
 		g.refuse(w, q, err)
 	}
-	telemetry.Seconds("merlinpost_gateway_request_seconds", g.now().Sub(q.start), "team", q.teamName(), "class", q.route.Name)
+	telemetry.ObserveDuration("merlinpost_gateway_request_seconds", g.now().Sub(q.start), "team", q.teamName(), "class", q.route.Name)
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -58,7 +58,7 @@
 func TestALostAnswerIsSettledByReading(t *testing.T) {
 	g := NewWithT(t)
 	s, log := logClient(t)
-	s.SetFaults(logservice.Faults{LoseAnswers: true})
+	s.SetFaults(logservice.Faults{DropResponses: true})
 	l, _ := hold(t, g, log, "one")
 	g.Expect(l.FencingToken()).To(Equal(uint64(1)))
 	_, _, err := configlog.ReadAll(context.Background(), log, configlog.LeaseStream("agent"), func(e configlog.Entry) {
@@ -72,6 +72,6 @@
 	g := NewWithT(t)
 	s, log := logClient(t)
 	l, _ := hold(t, g, log, "one")
-	s.SetFaults(logservice.Faults{Down: true})
+	s.SetFaults(logservice.Faults{Unavailable: true})
 	g.Expect(l.VerifyHeld(context.Background())).To(BeFalse())
 }
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -8,14 +8,14 @@
 
 // Plan says which runs an experiment makes: each variant with each factor and
 // each seed. Empty lists mean 1, the scenario's seed, and all variants.
-type Plan struct {
-	Factors []float64
-	Seeds   []uint64
-	Only    []string
+type ExperimentPlan struct {
+	Factors      []float64
+	Seeds        []uint64
+	VariantNames []string
 }
 
 // Experiment makes the runs of a plan, one after another, and reports each.
-func Experiment(ctx context.Context, s *Scenario, p Plan, logger *slog.Logger, done func(*Report)) ([]*Report, error) {
+func RunExperiment(ctx context.Context, s *Scenario, p ExperimentPlan, logger *slog.Logger, done func(*Report)) ([]*Report, error) {
 	if len(p.Factors) == 0 {
 		p.Factors = []float64{1}
 	}
@@ -25,7 +25,7 @@
 	var out []*Report
 	for _, factor := range p.Factors {
 		for _, seed := range p.Seeds {
-			for _, v := range s.variants(p.Only) {
+			for _, v := range s.variants(p.VariantNames) {
 				run := *s
 				run.Seed = seed
 				rep, err := Run(ctx, &run, v.Policy, factor, logger)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -99,6 +99,6 @@
 	g.Expect(c.FirstP99).To(BeNumerically("~", 150, 1))
 	g.Expect(rep.delivered).To(Equal(6))
 	var text strings.Builder
-	g.Expect(Text(&text, []*Report{rep})).To(Succeed())
+	g.Expect(WriteText(&text, []*Report{rep})).To(Succeed())
 	g.Expect(text.String()).To(ContainSubstring("33.3%"))
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -30,9 +30,9 @@
 	Classes  []ClassReport `json:"classes"`
 	// TokensMade counts what the embedded engines generated; it is 0 for a
 	// deployment outside. WastedShare is the part of it that no caller got.
-	TokensMade  int     `json:"tokens_made"`
-	WastedShare float64 `json:"wasted_share"`
-	delivered   int
+	TokensGenerated int     `json:"tokens_made"`
+	WastedShare     float64 `json:"wasted_share"`
+	delivered       int
 }
 
 // ClassReport is the part of one class.
@@ -139,11 +139,11 @@
 func (r *Report) addMade(d *dev.Deployment) {
 	for _, e := range d.Engines {
 		for _, x := range e.Executions() {
-			r.TokensMade += x.Tokens
+			r.TokensGenerated += x.Tokens
 		}
 	}
-	if r.TokensMade > 0 {
-		r.WastedShare = float64(r.TokensMade-r.delivered) / float64(r.TokensMade)
+	if r.TokensGenerated > 0 {
+		r.WastedShare = float64(r.TokensGenerated-r.delivered) / float64(r.TokensGenerated)
 	}
 }
 
@@ -157,14 +157,14 @@
 }
 
 // JSON writes reports as a JSON array.
-func JSON(w io.Writer, reports []*Report) error {
+func WriteJSON(w io.Writer, reports []*Report) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
 	return enc.Encode(reports)
 }
 
 // Text writes reports as a table.
-func Text(w io.Writer, reports []*Report) error {
+func WriteText(w io.Writer, reports []*Report) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	if _, err := fmt.Fprintln(t, "variant\tfactor\tseed\tclass\tsent\tanswered\tattained\tfirst p50\tp95\tp99\tgap p95\tp99\twhole p95\tgoodput\twasted\twrong\tshort\t"); err != nil {
 		return err
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -31,7 +31,7 @@
 	rep := drive(ctx, s, []string{d.CallersAddress()}, factor, func(at time.Duration) {
 		if dep := s.Deployment; dep.Slow > 1 && !slowed && at >= settings.Millis(dep.SlowFromMS) {
 			slowed = true
-			d.Engines[0].SetFaults(engine.Faults{Slow: dep.Slow})
+			d.Engines[0].SetFaults(engine.Faults{StepTimeFactor: dep.Slow})
 		}
 	})
 	rep.addMade(d)
@@ -57,7 +57,7 @@
 	off := func(part string) bool { return slices.Contains(policy.Without, part) }
 	return dev.Start(ctx, dev.Options{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Engines: dep.Engines, Slots: dep.Slots,
 		Step: time.Duration(dep.StepMS * float64(time.Millisecond)), Classes: classes, Teams: teams,
-		Tune: func(a *settings.Agent) {
+		ConfigureAgent: func(a *settings.Agent) {
 			if policy.Order != "" {
 				a.Admission.Order = policy.Order
 			}
@@ -68,7 +68,7 @@
 			a.Admission.Preemption, a.Admission.Floors = !off("preemption"), !off("floors")
 			a.Admission.Fairness, a.Admission.EarlyRefusal = !off("fairness"), !off("early_refusal")
 		},
-		TuneRouter: func(r *settings.Router) {
+		ConfigureRouter: func(r *settings.Router) {
 			if policy.Choice != "" {
 				r.Policy.Choice = policy.Choice
 			}
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -102,7 +102,7 @@
 }
 
 // Read reads and checks a scenario file.
-func Read(path string) (*Scenario, error) {
+func ReadScenario(path string) (*Scenario, error) {
 	s := &Scenario{}
 	if err := settings.ReadFile(path, s); err != nil {
 		return nil, err
--- a/internal/notice/board.go
+++ b/internal/notice/board.go
@@ -73,7 +73,7 @@
 
 // Heard takes in what the answer to a request says, which was sent at a time. Answers overtake each
 // other: one that says less than what was heard last counts only if its request was sent after that.
-func (b *Registry) RecordAnswer(server string, said Statement, sent, now time.Time) {
+func (b *Registry) RecordResponse(server string, said Statement, sent, now time.Time) {
 	if said.Empty() && b.Empty() {
 		return
 	}
--- a/internal/notice/board_test.go
+++ b/internal/notice/board_test.go
@@ -35,7 +35,7 @@
 func TestNothingIsKeptWhereNothingIsSaid(t *testing.T) {
 	g := NewWithT(t)
 	b := newBoard()
-	b.RecordAnswer(server, Statement{}, at(0), at(10))
+	b.RecordResponse(server, Statement{}, at(0), at(10))
 	g.Expect(b.Empty()).To(BeTrue())
 	g.Expect(b.Due(at(10))).To(BeEmpty())
 	g.Expect(b.Active(server, at(10))).To(BeEmpty())
@@ -44,15 +44,15 @@
 func TestLimitEndsWithAnswerWithoutIt(t *testing.T) {
 	g := NewWithT(t)
 	b := newBoard()
-	b.RecordAnswer(server, limit(4), at(0), at(100))
+	b.RecordResponse(server, limit(4), at(0), at(100))
 	g.Expect(b.rate(100)).To(Equal(4.0))
 	g.Expect(b.Active(server, at(300))[0].Age).To(Equal(200 * time.Millisecond))
 
-	b.RecordAnswer(server, Statement{}, at(50), at(150)) // was sent before the limit was heard: it may be older
+	b.RecordResponse(server, Statement{}, at(50), at(150)) // was sent before the limit was heard: it may be older
 	g.Expect(b.rate(150)).To(Equal(4.0))
-	b.RecordAnswer(server, Statement{Unreadable: []Kind{RateLimit}}, at(160), at(200)) // says nothing
+	b.RecordResponse(server, Statement{Unreadable: []Kind{RateLimit}}, at(160), at(200)) // says nothing
 	g.Expect(b.rate(200)).To(Equal(4.0))
-	b.RecordAnswer(server, Statement{}, at(160), at(210))
+	b.RecordResponse(server, Statement{}, at(160), at(210))
 	g.Expect(b.limits.Limited(server)).To(BeFalse())
 	g.Expect(b.events).To(Equal([]Event{{Server: server, Kind: RateLimit, Limit: 4}, {Server: server, Kind: RateLimit, Ended: true}}))
 }
@@ -60,24 +60,24 @@
 func TestLowerLimitOfReorderedAnswersApplies(t *testing.T) {
 	g := NewWithT(t)
 	b := newBoard()
-	b.RecordAnswer(server, limit(4), at(0), at(100))
-	b.RecordAnswer(server, limit(1), at(20), at(110))
+	b.RecordResponse(server, limit(4), at(0), at(100))
+	b.RecordResponse(server, limit(1), at(20), at(110))
 	g.Expect(b.rate(110)).To(Equal(1.0))
-	b.RecordAnswer(server, limit(4), at(30), at(120))
+	b.RecordResponse(server, limit(4), at(30), at(120))
 	g.Expect(b.rate(120)).To(Equal(1.0))
-	b.RecordAnswer(server, limit(8), at(115), at(130))
+	b.RecordResponse(server, limit(8), at(115), at(130))
 	g.Expect(b.rate(130)).To(Equal(8.0))
 }
 
 func TestChangeIsSentThreeTimes(t *testing.T) {
 	g := NewWithT(t)
 	b := newBoard()
-	b.RecordAnswer(server, limit(4), at(0), at(100))
+	b.RecordResponse(server, limit(4), at(0), at(100))
 	g.Expect(b.Pending()).To(Receive())
 	told := 0
 	for now := 100; now < 3000; now += 10 {
 		told += len(b.Due(at(now)))
-		b.RecordAnswer(server, limit(4), at(now-5), at(now)) // again and again
+		b.RecordResponse(server, limit(4), at(now-5), at(now)) // again and again
 	}
 	g.Expect(told).To(Equal(tellTimes))
 	g.Expect(b.All(at(3000))).To(HaveLen(1))
@@ -86,13 +86,13 @@
 func TestNewerReportsAreAccepted(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newBoard(), newBoard()
-	a.RecordAnswer(server, limit(1), at(0), at(100))
+	a.RecordResponse(server, limit(1), at(0), at(100))
 	b.Receive(a.Due(at(100))[0], "edge-a", at(105))
 	g.Expect(b.rate(105)).To(Equal(1.0))
 	g.Expect(b.Active(server, at(205))[0].From).To(Equal("edge-a"))
 	g.Expect(b.Due(at(1000))).To(BeEmpty(), "what was told is not told on")
 
-	b.RecordAnswer(server, Statement{}, at(1000), at(1050)) // b hears that it has ended
+	b.RecordResponse(server, Statement{}, at(1000), at(1050)) // b hears that it has ended
 	ended := b.Due(at(1050))[0]
 	late := a.All(at(1060))[0] // a has not heard that yet, and tells what it knows
 	better := b.Receive(late, "edge-a", at(1065))
@@ -102,7 +102,7 @@
 	a.Receive(ended, "edge-b", at(1070))
 	g.Expect(a.limits.Limited(server)).To(BeFalse())
 
-	a.RecordAnswer(server, limit(2), at(1200), at(1300)) // it is limited again
+	a.RecordResponse(server, limit(2), at(1200), at(1300)) // it is limited again
 	g.Expect(a.Receive(b.word(at(1305)), "edge-b", at(1310))).To(BeNil())
 	g.Expect(a.rate(1310)).To(Equal(2.0), "the end of the limit before says nothing of this one")
 }
@@ -116,7 +116,7 @@
 func TestUnlistedServersAreRemoved(t *testing.T) {
 	g := NewWithT(t)
 	b := newBoard()
-	b.RecordAnswer(server, limit(1), at(0), at(100))
+	b.RecordResponse(server, limit(1), at(0), at(100))
 	listed := true
 	sweep := func(ms int) { b.Sweep(func(string) bool { return listed }, at(ms)) }
 	sweep(200_000)
@@ -132,8 +132,8 @@
 func TestDrainingIsReportedAndPermanent(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newBoard(), newBoard()
-	a.RecordAnswer(server, Statement{Draining: true}, at(0), at(100))
-	a.RecordAnswer(server, Statement{}, at(150), at(200)) // an answer that was under way
+	a.RecordResponse(server, Statement{Draining: true}, at(0), at(100))
+	a.RecordResponse(server, Statement{}, at(150), at(200)) // an answer that was under way
 	g.Expect(a.Draining(server)).To(BeTrue())
 	told := a.Due(at(300))
 	g.Expect(told).To(HaveLen(1))
@@ -150,8 +150,8 @@
 func TestDrainingDoesNotEndLimit(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newBoard(), newBoard()
-	b.RecordAnswer(server, limit(4), at(0), at(100))
-	a.RecordAnswer(server, Statement{Draining: true}, at(200), at(300))
+	b.RecordResponse(server, limit(4), at(0), at(100))
+	a.RecordResponse(server, Statement{Draining: true}, at(200), at(300))
 	b.Receive(a.Due(at(300))[0], "edge-a", at(310))
 	g.Expect(b.limits.Limited(server)).To(BeTrue())
 	g.Expect(b.Draining(server)).To(BeTrue())
@@ -161,9 +161,9 @@
 func TestLongestBackoffApplies(t *testing.T) {
 	g := NewWithT(t)
 	b := newBoard()
-	b.RecordAnswer(server, Statement{Backoff: 4 * time.Second}, at(0), at(100))
-	b.RecordAnswer(server, Statement{Backoff: time.Second}, at(10), at(200))
-	b.RecordAnswer(server, Statement{}, at(20), at(300))
+	b.RecordResponse(server, Statement{Backoff: 4 * time.Second}, at(0), at(100))
+	b.RecordResponse(server, Statement{Backoff: time.Second}, at(10), at(200))
+	b.RecordResponse(server, Statement{}, at(20), at(300))
 	g.Expect(b.BackoffRemaining(server, at(1100))).To(Equal(3 * time.Second))
 	g.Expect(b.BackoffRemaining(server, at(4100))).To(BeZero())
 	g.Expect(b.Due(at(400))).To(BeEmpty(), "it binds this gateway alone")
@@ -180,7 +180,7 @@
 	b := newBoard()
 	told := 0
 	for now := 0; now < 10_000; now += 10 {
-		b.RecordAnswer(server, limit(4+float64(now%50)/100), at(now-5), at(now))
+		b.RecordResponse(server, limit(4+float64(now%50)/100), at(now-5), at(now))
 		told += len(b.Due(at(now)))
 	}
 	g.Expect(told).To(BeNumerically("~", 50, 2))
@@ -190,7 +190,7 @@
 // The list calls the board while it holds its lock, and the board asks the list what is listed.
 func TestSweepCallsListedWithoutLock(t *testing.T) {
 	b := newBoard()
-	b.RecordAnswer(server, limit(1), at(0), at(100))
+	b.RecordResponse(server, limit(1), at(0), at(100))
 	b.Sweep(func(s string) bool { return !b.Draining(s) }, at(200))
 }
 
--- a/internal/notice/days_test.go
+++ b/internal/notice/days_test.go
@@ -97,7 +97,7 @@
 	begin time.Time
 
 	mu      sync.Mutex
-	replies map[string]simfleet.Reply
+	replies map[string]simfleet.Response
 	asked   map[string]time.Time
 }
 
@@ -114,7 +114,7 @@
 			id := fmt.Sprintf("%s/%s-%d", n.Name, p.route, i)
 			asked.Go(func() {
 				at := time.Now()
-				r := p.Ask(n, p.route, id, "body of "+id)
+				r := p.SendRequest(n, p.route, id, "body of "+id)
 				p.mu.Lock()
 				p.replies[id], p.asked[id] = r, at
 				p.mu.Unlock()
@@ -138,18 +138,18 @@
 			if p.leaves(i) && now >= p.leaveAt {
 				lines = append(lines, "Server-Leaving: 1")
 			}
-			p.Running(s).Say(lines...)
+			p.CurrentWorker(s).SetHeaders(lines...)
 		}
 		if refuse := now >= p.refuseAt && now < p.refuseAt+p.refuseFor; p.resting > 0 && refuse != refusing {
 			refusing = refuse
-			p.SetPace(0)
+			p.SetEventInterval(0)
 			for _, s := range p.Servers[:p.resting] {
 				if refuse {
-					p.Running(s).Behave(worker.Behaviour{Refuse: true, RetryAfter: strconv.FormatFloat(p.rest.Seconds(), 'f', 3, 64)})
+					p.CurrentWorker(s).SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: strconv.FormatFloat(p.rest.Seconds(), 'f', 3, 64)})
 				}
 			}
 		}
-		p.Pause(step)
+		p.Sleep(step)
 	}
 }
 
@@ -158,7 +158,7 @@
 
 // suffer plays one fault.
 func (p *played) suffer(f fault) {
-	p.Pause(f.at)
+	p.Sleep(f.at)
 	n := p.Nodes[f.node]
 	switch f.kind {
 	case "kill":
@@ -167,14 +167,14 @@
 	case "cut off", "two sides":
 		apart := func(i int) bool { return f.kind == "two sides" && i <= f.node || i == f.node }
 		p.part(apart, true)
-		p.Pause(f.lasts)
+		p.Sleep(f.lasts)
 		p.part(apart, false)
 	case "join":
 		p.AddNode(fmt.Sprint("joined-", f.at))
 	case "store away":
-		p.CutStore(n, true)
-		p.Pause(f.lasts)
-		p.CutStore(n, false)
+		p.PartitionStore(n, true)
+		p.Sleep(f.lasts)
+		p.PartitionStore(n, false)
 	}
 }
 
@@ -183,7 +183,7 @@
 	for i, a := range p.Nodes {
 		for j, b := range p.Nodes {
 			if i < j && apart(i) != apart(j) {
-				p.CutNodes(a, b, cut)
+				p.PartitionNodes(a, b, cut)
 			}
 		}
 	}
@@ -238,7 +238,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, s := range p.Servers {
-		for host, arrivals := range p.perGateway(p.Running(s)) {
+		for host, arrivals := range p.perGateway(p.CurrentWorker(s)) {
 			slices.SortFunc(arrivals, func(a, b worker.Arrival) int { return a.At.Compare(b.At) })
 			if p.leaves(i) {
 				if id := afterLeave(arrivals, p.begin.Add(p.leaveAt+10*time.Millisecond), p.asked); id != "" {
@@ -296,12 +296,12 @@
 	from, to := p.begin.Add(p.limitAt+contact), p.begin.Add(p.liftAt)
 	ran := map[string]bool{}
 	for _, s := range p.Servers {
-		for _, r := range p.Running(s).Runs() {
+		for _, r := range p.CurrentWorker(s).Executions() {
 			ran[r.ID] = true
 		}
 	}
 	for _, s := range p.Servers[:p.limited] {
-		if n, allowed := worst(arrivals(p.Running(s)), from, to), 1.5*p.rate*window.Seconds()+5; float64(n) > allowed {
+		if n, allowed := worst(arrivals(p.CurrentWorker(s)), from, to), 1.5*p.rate*window.Seconds()+5; float64(n) > allowed {
 			return fmt.Sprintf("%s got %d requests in 4 s, allowed %v", s.ID, n, allowed)
 		}
 	}
@@ -315,8 +315,8 @@
 			return id + " was refused and has run"
 		case back <= 0:
 			return id + " was refused without when to come back"
-		case r.Took > longestRefusal:
-			return fmt.Sprintf("%s was refused after %s", id, r.Took)
+		case r.Elapsed > longestRefusal:
+			return fmt.Sprintf("%s was refused after %s", id, r.Elapsed)
 		}
 	}
 	return ""
@@ -332,7 +332,7 @@
 	from, to := p.begin.Add(p.limitAt+contact), p.begin.Add(min(p.liftAt, dayLength-time.Second))
 	n := 0
 	for _, s := range p.Servers {
-		for _, at := range arrivals(p.Running(s)) {
+		for _, at := range arrivals(p.CurrentWorker(s)) {
 			if at.After(from) && at.Before(to) {
 				n++
 			}
@@ -347,8 +347,8 @@
 // play plays a day and returns what is wrong.
 func (d day) play() (wrong string) {
 	synctest.Test(new(testing.T), func(*testing.T) {
-		p := &played{Fleet: simfleet.New(d.gateways, d.servers, 1, nil), day: d, replies: map[string]simfleet.Reply{}, asked: map[string]time.Time{}}
-		defer p.End()
+		p := &played{Fleet: simfleet.New(d.gateways, d.servers, 1, nil), day: d, replies: map[string]simfleet.Response{}, asked: map[string]time.Time{}}
+		defer p.Close()
 		p.begin = time.Now()
 		var duties sync.WaitGroup
 		duties.Go(p.ask)
--- a/internal/peers/beats.go
+++ b/internal/peers/beats.go
@@ -23,8 +23,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.members.beat(Member{b.Host, from, b.Capacity}, b.Leaving, now)
-	if m := p.members.known[b.Host]; m != nil && b.Learnt != nil {
-		m.learnt = b.Learnt
+	if m := p.members.known[b.Host]; m != nil && b.Estimates != nil {
+		m.learnt = b.Estimates
 	}
 	for _, f := range b.States {
 		p.findings.hear(f, from, now)
@@ -52,7 +52,7 @@
 	}
 	p.mu.Unlock()
 	if changed {
-		telemetry.Gauge("merlinpost_gateways_live", float64(live))
+		telemetry.SetGauge("merlinpost_gateways_live", float64(live))
 		p.logger.Info("live gateways changed", "live", live)
 	}
 	if due {
@@ -71,7 +71,7 @@
 
 // ownBeat is a heartbeat of this gateway.
 func (p *Peers) ownBeat(own []finding) *beat {
-	return &beat{Host: p.members.self.Host, Capacity: p.members.self.Capacity, Leaving: p.leaving, States: own, Learnt: p.learnt,
+	return &beat{Host: p.members.self.Host, Capacity: p.members.self.Capacity, Leaving: p.leaving, States: own, Estimates: p.learnt,
 		Starting: time.Since(p.start) < newFor}
 }
 
@@ -98,7 +98,7 @@
 }
 
 // List takes in the gateways that the store lists.
-func (p *Peers) List(all []Member) {
+func (p *Peers) AddListed(all []Member) {
 	p.mu.Lock()
 	p.members.list(all, time.Now())
 	p.mu.Unlock()
--- a/internal/peers/findings.go
+++ b/internal/peers/findings.go
@@ -116,7 +116,7 @@
 
 // Find records the state of a topic that this gateway has read at a time, and since
 // when its calls have been answered without a break.
-func (p *Peers) Find(topic string, state uint64, at, since time.Time) {
+func (p *Peers) ReportState(topic string, state uint64, at, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.findings.find(topic, state, at, since)
@@ -131,7 +131,7 @@
 }
 
 // Versioned makes the states of a topic versions.
-func (p *Peers) Versioned(topic string) {
+func (p *Peers) SetVersioned(topic string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.findings.topic(topic).versioned = true
@@ -139,7 +139,7 @@
 
 // Newer returns the state of a topic that another gateway told, where that is newer than this
 // one's: who told it, and when it was the newest.
-func (p *Peers) Newer(topic string) (at time.Time, from netip.AddrPort, newer bool) {
+func (p *Peers) NewerState(topic string) (at time.Time, from netip.AddrPort, newer bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.findings.topic(topic)
@@ -147,7 +147,7 @@
 }
 
 // Heard returns the state of a topic that another gateway told last, 0 for none.
-func (p *Peers) Heard(topic string) uint64 {
+func (p *Peers) ReportedState(topic string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.findings.topic(topic).heard.state
@@ -156,7 +156,7 @@
 // Confirmed returns when the state that this gateway has of a topic was last
 // found to be the newest, and a channel that is closed when another gateway finds
 // a newer one.
-func (p *Peers) Confirmed(topic string) (at time.Time, changed <-chan struct{}) {
+func (p *Peers) LastConfirmed(topic string) (at time.Time, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.findings.topic(topic)
@@ -165,7 +165,7 @@
 
 // Small reports whether this host has a small processor or link against the largest, and whether
 // any has.
-func (p *Peers) Small() (self, some bool) {
+func (p *Peers) SmallHosts() (self, some bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, small := p.members.bySize(time.Now())
@@ -173,7 +173,7 @@
 }
 
 // SlowestLink returns the slowest link of the live gateways in Mbit/s, 0 where none is known.
-func (p *Peers) SlowestLink() uint32 {
+func (p *Peers) SlowestLinkMbps() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members.slowestLink(time.Now())
--- a/internal/peers/learnt.go
+++ b/internal/peers/learnt.go
@@ -14,13 +14,13 @@
 
 // learnt is what a gateway has learnt of a service's engines, about 50 bytes.
 type learnt struct {
-	Service  string  `msgpack:"s"`
-	Read     float32 `msgpack:"r"` // microseconds for 1,000 prompt tokens
-	Pairs    float32 `msgpack:"a"` // microseconds more for each million pairs of tokens
-	Latency  float32 `msgpack:"l"` // microseconds to the first event of an empty prompt
-	Token    float32 `msgpack:"t"` // microseconds for a generated token
-	Pause    float32 `msgpack:"p"` // microseconds, the longest of a stream
-	Observed float32 `msgpack:"o"` // prompts
+	Service                  string  `msgpack:"s"`
+	PrefillPer1000Tokens     float32 `msgpack:"r"` // microseconds for 1,000 prompt tokens
+	AttentionPerMillionPairs float32 `msgpack:"a"` // microseconds more for each million pairs of tokens
+	FirstEventLatency        float32 `msgpack:"l"` // microseconds to the first event of an empty prompt
+	TokenTime                float32 `msgpack:"t"` // microseconds for a generated token
+	MaxEventGap              float32 `msgpack:"p"` // microseconds, the longest of a stream
+	Observations             float32 `msgpack:"o"` // prompts
 }
 
 func us(d time.Duration) float32 { return float32(d) / float32(time.Microsecond) }
@@ -36,7 +36,7 @@
 			out = append(out, learnt{l.Service, us(l.PrefillPer1000Tokens), us(l.AttentionPerMillionPairs), us(l.FirstEventLatency), us(l.TokenTime), us(l.MaxEventGap), float32(l.Observations)})
 		}
 	}
-	slices.SortFunc(out, func(a, b learnt) int { return cmp.Compare(b.Observed, a.Observed) })
+	slices.SortFunc(out, func(a, b learnt) int { return cmp.Compare(b.Observations, a.Observations) })
 	p.mu.Lock()
 	p.learnt = out[:min(len(out), maxLearnt)]
 	p.mu.Unlock()
@@ -50,11 +50,11 @@
 	var best learnt
 	for _, m := range p.members.known {
 		for _, l := range m.learnt {
-			if l.Service == service && l.Observed > best.Observed {
+			if l.Service == service && l.Observations > best.Observations {
 				best = l
 			}
 		}
 	}
-	return enginemodel.Estimates{PrefillPer1000Tokens: fromUs(best.Read), AttentionPerMillionPairs: fromUs(best.Pairs), FirstEventLatency: fromUs(best.Latency), TokenTime: fromUs(best.Token),
-		MaxEventGap: fromUs(best.Pause), Observations: float64(best.Observed)}, best.Observed > 0
+	return enginemodel.Estimates{PrefillPer1000Tokens: fromUs(best.PrefillPer1000Tokens), AttentionPerMillionPairs: fromUs(best.AttentionPerMillionPairs), FirstEventLatency: fromUs(best.FirstEventLatency), TokenTime: fromUs(best.TokenTime),
+		MaxEventGap: fromUs(best.MaxEventGap), Observations: float64(best.Observations)}, best.Observations > 0
 }
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -69,7 +69,7 @@
 	limits.SetGateways(p.members.sharing(now))
 	p.mu.Unlock()
 	due := map[netip.AddrPort][]notice.Report{}
-	for group, servers := range p.local.Limited() {
+	for group, servers := range p.local.RateLimitedServers() {
 		p.mu.Lock()
 		home := p.members.home(group.Key(), now)
 		p.mu.Unlock()
@@ -122,7 +122,7 @@
 		p.mu.Lock()
 		p.members.recordStall(now)
 		p.mu.Unlock()
-		p.local.Stalled(looked, now.Add(stalledFor))
+		p.local.RecordStall(looked, now.Add(stalledFor))
 	}
 	if stalled && !p.board.Empty() {
 		telemetry.Count("merlinpost_rate_shares_returned_total")
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -29,11 +29,11 @@
 
 // message is one datagram. Exactly one field is set.
 type message struct {
-	Heartbeat     *beat            `msgpack:"b,omitempty"`
-	PermitRequest *ask             `msgpack:"a,omitempty"`
-	PermitAnswer  *permit.Decision `msgpack:"v,omitempty"`
-	FirstToken    *firstToken      `msgpack:"f,omitempty"`
-	End           *end             `msgpack:"e,omitempty"`
+	Heartbeat      *beat            `msgpack:"b,omitempty"`
+	PermitRequest  *ask             `msgpack:"a,omitempty"`
+	PermitDecision *permit.Decision `msgpack:"v,omitempty"`
+	FirstToken     *firstToken      `msgpack:"f,omitempty"`
+	End            *end             `msgpack:"e,omitempty"`
 	// Requests is what the sender knows of requests that may end servers.
 	Suspects []quarantine.Update `msgpack:"q,omitempty"`
 	// Notices is what the sender knows that servers say of themselves.
@@ -54,7 +54,7 @@
 	Starting bool      `msgpack:"n,omitempty"`
 	States   []finding `msgpack:"f,omitempty"`
 	// Learnt is what the sender has learnt of the engines for which it decides.
-	Learnt []learnt `msgpack:"e,omitempty"`
+	Estimates []learnt `msgpack:"e,omitempty"`
 }
 
 // ask is a request for leave to send to an engine of a group.
@@ -86,7 +86,7 @@
 	// Notices is what it knows that servers say of themselves.
 	Notices() *notice.Registry
 	// Limited lists the servers that state a rate, by the group to which they belong.
-	Limited() map[permit.Group][]string
+	RateLimitedServers() map[permit.Group][]string
 	// SetGateways sets the number of gateways, including this one, that share the slack of the retry
 	// budgets; 0 while this gateway has no share.
 	SetGateways(n int)
@@ -95,7 +95,7 @@
 	LendRepeat(service string) bool
 	// Stalled reports that the process was stalled since the given time and processes the backlog until
 	// the other.
-	Stalled(since, until time.Time)
+	RecordStall(since, until time.Time)
 }
 
 // received is a datagram and its sender.
@@ -242,8 +242,8 @@
 		p.heard(*r.Heartbeat, r.from, now)
 	case r.PermitRequest != nil:
 		p.answer(p.desk.Submit(r.PermitRequest.Group, r.PermitRequest.Ask, r.from, now), r.from)
-	case r.PermitAnswer != nil:
-		p.settle(*r.PermitAnswer)
+	case r.PermitDecision != nil:
+		p.settle(*r.PermitDecision)
 	case r.FirstToken != nil:
 		p.desk.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
 	case r.End != nil:
@@ -268,7 +268,7 @@
 		p.settle(a)
 		return
 	}
-	p.send(message{PermitAnswer: &a}, to)
+	p.send(message{PermitDecision: &a}, to)
 }
 
 // settle hands an answer to the request that waits for it.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -46,10 +46,10 @@
 	return notice.NewRegistry(ratelimit.New(rand.Float64), func(notice.Event) {})
 }
 
-func (local) Limited() map[permit.Group][]string { return nil }
-func (local) LendRepeat(string) bool             { return false }
-func (local) SetGateways(int)                    {}
-func (local) Stalled(time.Time, time.Time)       {}
+func (local) RateLimitedServers() map[permit.Group][]string { return nil }
+func (local) LendRepeat(string) bool                        { return false }
+func (local) SetGateways(int)                               {}
+func (local) RecordStall(time.Time, time.Time)              {}
 
 func (local) Engines(permit.Group) []permit.Engine {
 	return []permit.Engine{{ID: "engine", Accepting: true}}
@@ -186,11 +186,11 @@
 		{"ask", 150, message{PermitRequest: &ask{in, permit.Ask{ID: id, Priority: 7, UniqueTokens: 6610, PrefixID: "5c1e07a291bd", PrefixTokens: 5382, OutputTokens: 330,
 			FirstTokenTarget: 2400 * time.Millisecond, MaxEventGap: 800 * time.Millisecond, FirstTokenTimeout: 9 * time.Second, ResponseTimeout: 15 * time.Second,
 			FailureDomain: "barrage-hall"}}}},
-		{"answer", 80, message{PermitAnswer: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
+		{"answer", 80, message{PermitDecision: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
 		{"first token", 60, message{FirstToken: &firstToken{Group: in, ID: id, Took: 180 * time.Millisecond}}},
 		{"end", 75, message{End: &end{in, id, permit.StreamStats{Events: 64, Duration: 5 * time.Second, LongestGap: 150 * time.Millisecond}}}},
 		{"heartbeat", 45, message{Heartbeat: &beat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
-		{"heartbeat with figures", 230, message{Heartbeat: &beat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Learnt: []learnt{figures, figures, figures}}}},
+		{"heartbeat with figures", 230, message{Heartbeat: &beat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Estimates: []learnt{figures, figures, figures}}}},
 		{"suspect", 120, message{Suspects: suspects(1, 1)}},
 		{"strong suspect", 240, message{Suspects: suspects(1, 3)}},
 		{"notice", 80, message{Notices: []notice.Report{rated}}},
@@ -309,7 +309,7 @@
 	It("learn of each other, and of one that leaves", func() {
 		a, _ := open("a")
 		b, _ := open("b")
-		a.List([]Member{b.Self()}) // b learns of a from its heartbeat
+		a.AddListed([]Member{b.Self()}) // b learns of a from its heartbeat
 		Eventually(live(a)).Should(Equal(2))
 		Eventually(live(b)).Should(Equal(2))
 		b.AnnounceLeave()
@@ -322,13 +322,13 @@
 		for i := range 300 {
 			r := request(fmt.Sprint("r", i))
 			r.UniqueTokens = 1000 + 10*i
-			answer, leave := a.Ask(ctx, group, r)
+			answer, leave := a.RequestPermit(ctx, group, r)
 			Expect(answer.Verdict).To(Equal(permit.Granted))
 			leave.FirstToken(time.Duration(r.UniqueTokens) * 100 * time.Microsecond) // 10 tokens a ms
 			leave.End(permit.StreamStats{})
 		}
 		b, _ := open("b")
-		a.List([]Member{b.Self()})
+		a.AddListed([]Member{b.Self()})
 		told := func() time.Duration {
 			f, _ := b.told("s")
 			return f.PrefillPer1000Tokens
@@ -341,15 +341,15 @@
 	It("decide for each other, one prompt after the other", func() {
 		a, _ := open("a")
 		b, _ := open("b")
-		a.List([]Member{b.Self()})
+		a.AddListed([]Member{b.Self()})
 		Eventually(live(a)).Should(Equal(2))
 		Eventually(live(b)).Should(Equal(2))
 		ctx := context.Background()
-		first, leave := a.Ask(ctx, group, request("r1"))
+		first, leave := a.RequestPermit(ctx, group, request("r1"))
 		Expect(first.Verdict).To(Equal(permit.Granted))
 		second := make(chan permit.Decision, 1)
 		go func() {
-			answer, _ := b.Ask(ctx, group, request("r2"))
+			answer, _ := b.RequestPermit(ctx, group, request("r2"))
 			second <- answer
 		}()
 		Consistently(second, 150*time.Millisecond).ShouldNot(Receive())
@@ -360,22 +360,22 @@
 	It("go on when the one that decides is gone", func() {
 		a, _ := open("a")
 		b, stopB := open("b")
-		a.List([]Member{b.Self()})
+		a.AddListed([]Member{b.Self()})
 		Eventually(live(a)).Should(Equal(2))
 		stopB()
 		for i := range 8 { // about half of these groups had their home at b
-			answer, _ := a.Ask(context.Background(), permit.Group{Service: "s", Index: i}, request(fmt.Sprint("r", i)))
+			answer, _ := a.RequestPermit(context.Background(), permit.Group{Service: "s", Index: i}, request(fmt.Sprint("r", i)))
 			Expect(answer.Verdict).To(Equal(permit.Granted))
 		}
 	})
 
 	It("do not keep the place of a request that is given up", func() {
 		a, _ := open("a")
-		_, _ = a.Ask(context.Background(), group, request("r1"))
+		_, _ = a.RequestPermit(context.Background(), group, request("r1"))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan permit.Decision, 1)
 		go func() {
-			answer, _ := a.Ask(ctx, group, request("r2"))
+			answer, _ := a.RequestPermit(ctx, group, request("r2"))
 			done <- answer
 		}()
 		Consistently(done, 100*time.Millisecond).ShouldNot(Receive())
@@ -386,13 +386,13 @@
 	It("tell the others what they have read", func() {
 		a, _ := open("a")
 		b, _ := open("b")
-		a.List([]Member{b.Self()})
+		a.AddListed([]Member{b.Self()})
 		Eventually(live(b)).Should(Equal(2))
-		b.Find("topic", 1, time.Now(), time.Now())
-		_, changed := b.Confirmed("topic")
+		b.ReportState("topic", 1, time.Now(), time.Now())
+		_, changed := b.LastConfirmed("topic")
 		// Later by more than a datagram is under way: by when it is heard and its age in whole ms,
 		// what b has told could else look newer to a.
-		a.Find("topic", 2, time.Now().Add(500*time.Millisecond), time.Now())
+		a.ReportState("topic", 2, time.Now().Add(500*time.Millisecond), time.Now())
 		Eventually(changed, 2*time.Second).Should(BeClosed())
 	})
 })
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -49,7 +49,7 @@
 // Ask asks the group's home for leave to send a request and waits while the ask is
 // queued. Where no home answers, the request may be sent: the answer is then Granted
 // without an engine and with a zero Leave. When ctx ends, the answer is Refused.
-func (p *Peers) Ask(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
+func (p *Peers) RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
 	ch := make(chan permit.Decision, 1)
 	p.mu.Lock()
 	p.waiting[a.ID] = ch
--- a/internal/quarantine/deployment_test.go
+++ b/internal/quarantine/deployment_test.go
@@ -45,13 +45,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fatal {
-		w.EndBy(fatal, endsAfter, func() { d.fatalEnd(s, w) })
+		w.CrashOn(fatal, endsAfter, func() { d.fatalEnd(s, w) })
 	}
 }
 
 // fatalEnd notes that the fatal request has ended a server.
 func (d *deployment) fatalEnd(s *simfleet.Server, w *worker.Worker) {
-	if d.Running(s) != w {
+	if d.CurrentWorker(s) != w {
 		return // it has ended by itself meanwhile
 	}
 	d.mu.Lock()
@@ -62,9 +62,9 @@
 
 // endServer ends a server without a word; it comes back as another start.
 func (d *deployment) endServer(s *simfleet.Server) {
-	if d.EndServer(s) {
+	if d.KillServer(s) {
 		d.Go(func() {
-			if d.Pause(downFor) {
+			if d.Sleep(downFor) {
 				d.StartServer(s)
 			}
 		})
@@ -77,23 +77,23 @@
 	d.fatal = false
 	d.mu.Unlock()
 	for _, s := range d.Servers {
-		if w := d.Running(s); w != nil {
-			w.EndBy("", 0, nil)
+		if w := d.CurrentWorker(s); w != nil {
+			w.CrashOn("", 0, nil)
 		}
 	}
 }
 
 // askFatal asks for the fatal request at a pace until a time, at gateways drawn at random, and
 // returns what callers got last.
-func (d *deployment) askFatal(kind string, every, until time.Duration) (last simfleet.Reply) {
+func (d *deployment) askFatal(kind string, every, until time.Duration) (last simfleet.Response) {
 	var asked sync.WaitGroup
 	var mu sync.Mutex
 	end := time.Now().Add(until)
 	for i := 0; time.Now().Before(end); i++ {
-		n := d.Nodes[d.Draw(len(d.Nodes))]
+		n := d.Nodes[d.RandIntN(len(d.Nodes))]
 		id := fmt.Sprintf("fatal-%d-%d", d.NextID(), i)
 		asked.Go(func() {
-			r := d.Ask(n, kind, id, fatal)
+			r := d.SendRequest(n, kind, id, fatal)
 			mu.Lock()
 			last = r
 			mu.Unlock()
@@ -113,7 +113,7 @@
 		n := d.Nodes[rnd.IntN(len(d.Nodes))]
 		id := fmt.Sprintf("harmless-%s-%d", kind, d.NextID())
 		asked.Go(func() {
-			r := d.Ask(n, kind, id, fmt.Sprint("question ", i%bodies))
+			r := d.SendRequest(n, kind, id, fmt.Sprint("question ", i%bodies))
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.answers[fmt.Sprint(r.Status, " ", r.Code)]++
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -88,8 +88,8 @@
 
 func (k *Persister) gauge() {
 	list, suspects := k.ledger.List()
-	telemetry.Gauge("merlinpost_quarantined_requests", float64(len(list)))
-	telemetry.Gauge("merlinpost_suspect_requests", float64(suspects))
+	telemetry.SetGauge("merlinpost_quarantined_requests", float64(len(list)))
+	telemetry.SetGauge("merlinpost_suspect_requests", float64(suspects))
 }
 
 // take logs and counts an event, and has the store follow.
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -280,7 +280,7 @@
 
 // Completed takes in that the request was answered by a server: what ended the servers before
 // was something else.
-func (l *Tracker) RecordAnswer(id ID, now time.Time) { l.clear(id, Answered, now) }
+func (l *Tracker) RecordResponse(id ID, now time.Time) { l.clear(id, Answered, now) }
 
 // Lift ends the quarantine of a request on an operator's word; false if it has none.
 func (l *Tracker) Lift(id ID, now time.Time) bool { return l.clear(id, ByOperator, now) }
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -58,7 +58,7 @@
 	harmless := id("harmless")
 	l.RecordCrash(harmless, end("i-1", 1), at(1))
 	l.RecordCrash(harmless, end("i-2", 2), at(2))
-	l.RecordAnswer(harmless, at(2.5))
+	l.RecordResponse(harmless, at(2.5))
 	l.RecordCrash(harmless, end("i-3", 3), at(3))
 	l.RecordCrash(harmless, end("i-0", 2.4), at(3)) // a late word of before
 	g.Expect(judged(l, harmless, 3.1)).To(BeNil())
@@ -97,7 +97,7 @@
 		l.RecordCrash(id(fmt.Sprint(i)), end("i-2", 2), at(2))
 	}
 	for i := range 19 {
-		l.RecordAnswer(id(fmt.Sprint(i)), at(2.5))
+		l.RecordResponse(id(fmt.Sprint(i)), at(2.5))
 	}
 	last := id("19")
 	l.RecordCrash(last, end("i-3", 3), at(3))
@@ -298,7 +298,7 @@
 	word := l.Begin(fatal, 2, due.Add(time.Second))
 	g.Expect(word.Verdict).NotTo(BeNil())
 	g.Expect(word.TrialDue).To(BeFalse())
-	l.RecordAnswer(fatal, due.Add(2*time.Second))
+	l.RecordResponse(fatal, due.Add(2*time.Second))
 	g.Expect(l.Begin(fatal, 3, due.Add(3*time.Second))).To(Equal(Decision{}))
 }
 
--- a/internal/quarantine/property_test.go
+++ b/internal/quarantine/property_test.go
@@ -102,8 +102,8 @@
 func (d day) play() (wrong string) {
 	bubble := func(*testing.T) {
 		s := deploy(d.gateways, d.servers, 1)
-		defer s.End()
-		s.SetPace(d.runs)
+		defer s.Close()
+		s.SetEventInterval(d.runs)
 		start := time.Now()
 		var duties sync.WaitGroup
 		duties.Go(func() { s.askHarmless(d.kind, d.bodies, d.pace, dayLength) })
@@ -135,7 +135,7 @@
 	rnd := rand.New(rand.NewPCG(3, 3))
 	wasCut, wasAway := false, false
 	nextEnd := start.Add(d.endEvery)
-	for time.Since(start) < dayLength && s.Pause(10*time.Millisecond) {
+	for time.Since(start) < dayLength && s.Sleep(10*time.Millisecond) {
 		now := time.Since(start)
 		if cut := d.cut > 0 && now >= d.cut && now < d.cut+d.cutFor; cut != wasCut {
 			wasCut = cut
@@ -144,7 +144,7 @@
 		if away := d.storeAway > 0 && now >= d.storeAway && now < d.storeAway+d.storeAwayFor; away != wasAway {
 			wasAway = away
 			for _, n := range s.Nodes {
-				s.CutStore(n, away)
+				s.PartitionStore(n, away)
 			}
 		}
 		if d.endEvery > 0 && !time.Now().Before(nextEnd) {
@@ -160,7 +160,7 @@
 // killNodes kills gateways and starts them again.
 func (s *deployment) killNodes(d day, start time.Time) {
 	for i, at := range d.kills {
-		if left := at - time.Since(start); left > 0 && !s.Pause(left) {
+		if left := at - time.Since(start); left > 0 && !s.Sleep(left) {
 			return
 		}
 		nodes := s.Nodes[i%len(s.Nodes) : i%len(s.Nodes)+1]
@@ -192,7 +192,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
-		defer d.End()
+		defer d.Close()
 		d.askFatal("again", 500*time.Millisecond, 55*time.Second)
 		g.Expect(d.ended()).To(Equal(3))
 		d.askFatal("again", 500*time.Millisecond, 20*time.Second)
@@ -213,10 +213,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				d := deploy(4, 12, 1)
-				defer d.End()
+				defer d.Close()
 				d.Go(func() {
-					for i := 1; d.Pause(time.Duration(100+d.Draw(500)) * time.Millisecond); i++ {
-						from := d.Draw(len(d.Servers))
+					for i := 1; d.Sleep(time.Duration(100+d.RandIntN(500)) * time.Millisecond); i++ {
+						from := d.RandIntN(len(d.Servers))
 						for j := range 1 + i%4/3*2 {
 							d.endServer(d.Servers[(from+j)%len(d.Servers)])
 						}
--- a/internal/quarantine/system_test.go
+++ b/internal/quarantine/system_test.go
@@ -26,7 +26,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				d := deploy(4, 12, 1)
-				defer d.End()
+				defer d.Close()
 				last := d.askFatal(kind, 150*time.Millisecond, 16*time.Second)
 				g.Expect(d.ended()).To(BeNumerically("<=", mostEnds))
 				g.Expect(last.Status).To(Equal(503))
@@ -46,9 +46,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				d := deploy(4, 6, 1)
-				defer d.End()
+				defer d.Close()
 				for i := range 12 {
-					d.Ask(d.Nodes[i%len(d.Nodes)], kind, fmt.Sprint("fatal-", i), fatal)
+					d.SendRequest(d.Nodes[i%len(d.Nodes)], kind, fmt.Sprint("fatal-", i), fatal)
 					time.Sleep(3 * time.Second)
 				}
 				g.Expect(d.ended()).To(BeNumerically("<=", mostEnds))
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
-		defer d.End()
+		defer d.Close()
 		d.askFatal("stream", 500*time.Millisecond, 10*time.Second)
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(HaveLen(1), n.Name)
@@ -71,7 +71,7 @@
 		d.askFatal("stream", 500*time.Millisecond, 70*time.Second)
 		for i, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
-			g.Expect(d.Ask(n, "stream", fmt.Sprint("again-", i), fatal).Status).To(Equal(200))
+			g.Expect(d.SendRequest(n, "stream", fmt.Sprint("again-", i), fatal).Status).To(Equal(200))
 		}
 		g.Expect(d.ended()).To(Equal(3))
 		for _, n := range d.Nodes { // all forget
@@ -79,7 +79,7 @@
 			d.StartNode(n)
 		}
 		time.Sleep(5 * time.Second)
-		g.Expect(d.Ask(d.Nodes[0], "stream", "later", fatal).Status).To(Equal(200))
+		g.Expect(d.SendRequest(d.Nodes[0], "stream", "later", fatal).Status).To(Equal(200))
 	})
 }
 
@@ -89,10 +89,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
-		defer d.End()
+		defer d.Close()
 		d.cutPeers(true)
 		for i := range 40 { // at one side only
-			d.Ask(d.Nodes[i%2], "once", fmt.Sprint("one-side-", i), fatal)
+			d.SendRequest(d.Nodes[i%2], "once", fmt.Sprint("one-side-", i), fatal)
 			time.Sleep(150 * time.Millisecond)
 		}
 		g.Expect(d.ended()).To(Equal(3))
@@ -112,7 +112,7 @@
 	for i, a := range d.Nodes {
 		for j, b := range d.Nodes {
 			if (i < 2) != (j < 2) {
-				d.CutNodes(a, b, cut)
+				d.PartitionNodes(a, b, cut)
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
-		defer d.End()
+		defer d.Close()
 		d.askFatal("once", 150*time.Millisecond, 40*time.Second)
 		for _, n := range d.Nodes {
 			d.KillNode(n)
@@ -145,11 +145,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 14, 1)
-		defer d.End()
+		defer d.Close()
 		for round := range 5 {
 			var asked sync.WaitGroup
 			for i := range 6 {
-				asked.Go(func() { d.Ask(d.Nodes[i%4], "once", fmt.Sprint("copy-", round, "-", i), fatal) })
+				asked.Go(func() { d.SendRequest(d.Nodes[i%4], "once", fmt.Sprint("copy-", round, "-", i), fatal) })
 			}
 			asked.Wait()
 			time.Sleep(2 * firstKnown)
@@ -163,14 +163,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
-		defer d.End()
+		defer d.Close()
 		for _, n := range d.Nodes {
-			d.CutStore(n, true)
+			d.PartitionStore(n, true)
 		}
 		d.askFatal("once", 150*time.Millisecond, 5*time.Second)
 		g.Expect(d.ended()).To(Equal(3))
 		for _, n := range d.Nodes {
-			d.CutStore(n, false)
+			d.PartitionStore(n, false)
 		}
 		d.askFatal("once", 150*time.Millisecond, 5*time.Second)
 		for _, n := range d.Nodes {
@@ -190,17 +190,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
-		defer d.End()
-		d.Ask(d.Nodes[0], "once", "first", fatal)
+		defer d.Close()
+		d.SendRequest(d.Nodes[0], "once", "first", fatal)
 		time.Sleep(20 * time.Second) // nobody repeats it any more
-		d.Ask(d.Nodes[0], "once", "second", fatal)
+		d.SendRequest(d.Nodes[0], "once", "second", fatal)
 		time.Sleep(20 * time.Second)
 		d.KillNode(d.Nodes[3])
 		d.StartNode(d.Nodes[3])
 		time.Sleep(3 * time.Second)
 		_, suspects := d.Nodes[3].Gateway().Quarantine().List()
 		g.Expect(suspects).To(Equal(1))
-		d.Ask(d.Nodes[3], "once", "third", fatal)
+		d.SendRequest(d.Nodes[3], "once", "third", fatal)
 		time.Sleep(time.Second)
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(HaveLen(1), n.Name)
@@ -214,11 +214,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
-		defer d.End()
-		d.SetPace(50 * time.Millisecond)
+		defer d.Close()
+		d.SetEventInterval(50 * time.Millisecond)
 		for range 3 {
-			asked := make(chan simfleet.Reply, 1)
-			go func() { asked <- d.Ask(d.Nodes[0], "once", fmt.Sprint("harmless-", time.Now().UnixNano()), "question") }()
+			asked := make(chan simfleet.Response, 1)
+			go func() {
+				asked <- d.SendRequest(d.Nodes[0], "once", fmt.Sprint("harmless-", time.Now().UnixNano()), "question")
+			}()
 			time.Sleep(200 * time.Millisecond)
 			busy := d.busy("question")
 			d.endServer(d.Servers[busy])
@@ -239,11 +241,11 @@
 	defer d.mu.Unlock()
 	found, newest := 0, time.Time{}
 	for i, s := range d.Servers {
-		w := d.Running(s)
+		w := d.CurrentWorker(s)
 		if w == nil {
 			continue
 		}
-		for _, r := range w.Runs() {
+		for _, r := range w.Executions() {
 			if r.Body == body && r.At.After(newest) {
 				found, newest = i, r.At
 			}
@@ -257,7 +259,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
-		defer d.End()
+		defer d.Close()
 		d.askFatal("once", 150*time.Millisecond, 5*time.Second)
 		d.heal()
 		list := quarantined(d.Nodes[2])
@@ -266,7 +268,7 @@
 		time.Sleep(time.Second)
 		for i, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
-			g.Expect(d.Ask(n, "once", fmt.Sprint("lifted-", i), fatal).Status).To(Equal(200))
+			g.Expect(d.SendRequest(n, "once", fmt.Sprint("lifted-", i), fatal).Status).To(Equal(200))
 		}
 	})
 }
--- a/internal/retrybudget/days_test.go
+++ b/internal/retrybudget/days_test.go
@@ -239,10 +239,10 @@
 		}
 		d.rule.Slack *= SlackInUse
 		if w := retryrule.Worst(d.rule, requests, repeats); w.Excess() > 1e-6 {
-			t.Fatalf("%d repeats for %d requests in the window at %s, %.1f allowed", w.Repeats, w.Requests, w.Begin.Sub(requests[0]), w.Allowed)
+			t.Fatalf("%d repeats for %d requests in the window at %s, %.1f allowed", w.Retries, w.Requests, w.Start.Sub(requests[0]), w.Allowed)
 		}
 		if w := retryrule.WorstSplit(d.rule, bucketRatio, requests, repeats); w.Excess() > 1e-6 {
-			t.Fatalf("%d repeats in the window at %s, %.1f paid for", w.Repeats, w.Begin.Sub(requests[0]), w.Allowed)
+			t.Fatalf("%d repeats in the window at %s, %.1f paid for", w.Retries, w.Start.Sub(requests[0]), w.Allowed)
 		}
 	})
 }
@@ -260,7 +260,7 @@
 		d := steadyDay(perSecond, 8*time.Second)
 		requests, repeats := d.play()
 		w := retryrule.Worst(d.rule, requests, repeats)
-		g.Expect(float64(w.Repeats)).To(BeNumerically(">=", 0.6*w.Allowed), "%d a second", perSecond)
+		g.Expect(float64(w.Retries)).To(BeNumerically(">=", 0.6*w.Allowed), "%d a second", perSecond)
 		last := 0
 		for _, at := range repeats {
 			if at.After(requests[0].Add(30 * time.Second)) {
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -61,7 +61,7 @@
 	ms := func(from, to int) time.Duration { return time.Duration(from+rnd.IntN(to-from)) * time.Millisecond }
 	d := fleetDay{seed: seed, gateways: 1 + rnd.IntN(5), servers: 4 + rnd.IntN(12), route: pick(rnd, "once", "again", "stream", "resume"),
 		every: ms(20, 100), oneGateway: rnd.IntN(4) == 0}
-	failures := []worker.Behaviour{{Refuse: true}, {Drop: true}, {Events: simfleet.Events, BreakAfter: 3}}
+	failures := []worker.Behaviour{{Reject: true}, {DropConnection: true}, {Events: simfleet.StreamEvents, AbortAfterEvents: 3}}
 	for range 3 + rnd.IntN(5) {
 		d.changes = append(d.changes, change{ms(0, 28000), pick(rnd, 0.2, 1, 1, 2, 4), pick(rnd, 0, 0, 3, 6, 10), pick(rnd, failures...)})
 	}
@@ -99,7 +99,7 @@
 			p.mu.Lock()
 			p.requests = append(p.requests, time.Now())
 			p.mu.Unlock()
-			asked.Go(func() { p.Ask(n, p.route, id, "body of "+id) })
+			asked.Go(func() { p.SendRequest(n, p.route, id, "body of "+id) })
 		}
 		p.mu.Lock()
 		pause := time.Duration(float64(p.every) / p.load)
@@ -110,7 +110,7 @@
 }
 
 // waitUntil waits until the given offset from the start of the day.
-func (p *fleetRun) waitUntil(at time.Duration) { p.Pause(max(0, at-time.Since(p.begin))) }
+func (p *fleetRun) waitUntil(at time.Duration) { p.Sleep(max(0, at-time.Since(p.begin))) }
 
 // applyChanges applies the changes of load and failures when they are due.
 func (p *fleetRun) applyChanges() {
@@ -120,8 +120,8 @@
 		p.load = c.load
 		p.mu.Unlock()
 		for _, s := range p.Servers {
-			if w := p.Running(s); w != nil {
-				w.BehavePartly(c.failing, 10, c.failure)
+			if w := p.CurrentWorker(s); w != nil {
+				w.SetPartialBehaviour(c.failing, 10, c.failure)
 			}
 		}
 	}
@@ -142,34 +142,34 @@
 			for _, n := range p.Nodes {
 				p.KillNode(n)
 				p.StartNode(n)
-				p.Pause(f.lasts / 8)
+				p.Sleep(f.lasts / 8)
 			}
 		case "partition":
 			p.cut(n, true)
 			lasting.Go(func() {
-				p.Pause(f.lasts)
+				p.Sleep(f.lasts)
 				p.cut(n, false)
 			})
 		case "join":
 			p.AddNode(fmt.Sprint("joined-", i))
 		case "leave":
-			p.LeaveNode(n)
-			p.Pause(f.lasts / 2)
+			p.AnnounceNodeStop(n)
+			p.Sleep(f.lasts / 2)
 			p.KillNode(n)
 			p.StartNode(n)
 		case "reload":
 			n.Gateway().SetSettings(gateway.Settings{LogOneIn: uint64(i),
 				Retries: retrybudget.Settings{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack - float64(i%2)}})
 		case "store partition":
-			p.CutStore(n, true)
+			p.PartitionStore(n, true)
 			lasting.Go(func() {
-				p.Pause(f.lasts)
-				p.CutStore(n, false)
+				p.Sleep(f.lasts)
+				p.PartitionStore(n, false)
 			})
 		case "server restart":
 			s := p.Servers[f.node]
-			if p.EndServer(s) {
-				p.Pause(50 * time.Millisecond)
+			if p.KillServer(s) {
+				p.Sleep(50 * time.Millisecond)
 				p.StartServer(s)
 			}
 		}
@@ -180,7 +180,7 @@
 func (p *fleetRun) cut(n *simfleet.Node, cut bool) {
 	for _, other := range p.Nodes {
 		if other != n {
-			p.CutNodes(n, other, cut)
+			p.PartitionNodes(n, other, cut)
 		}
 	}
 }
@@ -190,7 +190,7 @@
 	first := map[string]bool{}
 	var out []time.Time
 	for _, s := range p.Servers {
-		for _, w := range p.Starts(s) {
+		for _, w := range p.Workers(s) {
 			for _, a := range w.Arrivals() {
 				if first[a.ID] {
 					out = append(out, a.At)
@@ -206,7 +206,7 @@
 func (d fleetDay) play() (worst retryrule.Window, repeats int) {
 	synctest.Test(new(testing.T), func(*testing.T) {
 		p := &fleetRun{Fleet: simfleet.New(d.gateways, d.servers, d.seed, nil), fleetDay: d, load: 1}
-		defer p.End()
+		defer p.Close()
 		p.begin = time.Now()
 		var duties sync.WaitGroup
 		duties.Go(p.sendRequests)
@@ -227,7 +227,7 @@
 		d := drawFleetDay(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
 		worst, repeats := d.play()
 		if repeats > 0 && worst.Excess() > 0 {
-			t.Fatalf("%d repeats for %d requests in a window, %.1f allowed\n%+v", worst.Repeats, worst.Requests, worst.Allowed, d)
+			t.Fatalf("%d repeats for %d requests in a window, %.1f allowed\n%+v", worst.Retries, worst.Requests, worst.Allowed, d)
 		}
 	})
 }
@@ -251,25 +251,25 @@
 func runServerEnd(route string, seed uint64) (lost, asked int) {
 	synctest.Test(new(testing.T), func(*testing.T) {
 		f := simfleet.New(4, 3, seed, nil)
-		defer f.End()
+		defer f.Close()
 		if route == "resume" {
-			f.SetPace(300 * time.Millisecond) // about 40 concurrent streams per server
+			f.SetEventInterval(300 * time.Millisecond) // about 40 concurrent streams per server
 		}
 		begin, rnd := time.Now(), rand.New(rand.NewPCG(seed, 6))
 		var mu sync.Mutex
 		var requests sync.WaitGroup
 		for i := 0; time.Since(begin) < dayLength; i++ {
 			if i == 25*50 {
-				f.EndServer(f.Servers[0])
+				f.KillServer(f.Servers[0])
 			}
 			n, at := f.Nodes[rnd.IntN(4)], time.Since(begin)
 			requests.Go(func() {
-				r := f.Ask(n, route, fmt.Sprint(route, "-", i), "body")
+				r := f.SendRequest(n, route, fmt.Sprint(route, "-", i), "body")
 				mu.Lock()
 				defer mu.Unlock()
 				if at >= 20*time.Second {
 					asked++
-					if r.Broken || r.Status != 200 {
+					if r.Aborted || r.Status != 200 {
 						lost++
 					}
 				}
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -115,7 +115,7 @@
 	for {
 		now := time.Now()
 		peers := r.peers()
-		telemetry.Gauge("merlinpost_router_peers", float64(len(peers)))
+		telemetry.SetGauge("merlinpost_router_peers", float64(len(peers)))
 		for name, m := range peers {
 			if now.Sub(told[name]) >= quota.PingInterval {
 				told[name] = now
--- a/internal/simulate/chart/chart.go
+++ b/internal/simulate/chart/chart.go
@@ -15,8 +15,8 @@
 // Series is one variant with the mean share of requests that were on time in each
 // class, in the order of the classes.
 type Series struct {
-	Variant simulate.Variant
-	InTime  []float64
+	Variant      simulate.Variant
+	OnTimeShares []float64
 }
 
 // barLength is the length in characters of a bar for a share of 1.
@@ -28,29 +28,29 @@
 	for i, class := range classes {
 		_, _ = fmt.Fprintf(table, "\n%s: share in time\n", class) // a failure shows at Flush
 		for _, s := range series {
-			share := min(max(s.InTime[i], 0), 1)
-			_, _ = fmt.Fprintf(table, "%s\t%s\t%.3f\n", s.Variant, strings.Repeat("#", int(share*barLength+0.5)), s.InTime[i])
+			share := min(max(s.OnTimeShares[i], 0), 1)
+			_, _ = fmt.Fprintf(table, "%s\t%s\t%.3f\n", s.Variant, strings.Repeat("#", int(share*barLength+0.5)), s.OnTimeShares[i])
 		}
 	}
 	return table.Flush()
 }
 
 // Mean returns the mean of the results of several seeds of one variant.
-func Mean(v simulate.Variant, seeds [][]simulate.ClassResult) Series {
+func MeanSeries(v simulate.Variant, seeds [][]simulate.ClassResult) Series {
 	out := Series{Variant: v}
 	for _, results := range seeds {
-		if out.InTime == nil {
-			out.InTime = make([]float64, len(results))
+		if out.OnTimeShares == nil {
+			out.OnTimeShares = make([]float64, len(results))
 		}
 		for i, r := range results {
-			out.InTime[i] += r.InTime() / float64(len(seeds))
+			out.OnTimeShares[i] += r.OnTimeShare() / float64(len(seeds))
 		}
 	}
 	return out
 }
 
 // Classes returns the names of the classes of a result.
-func Classes(results []simulate.ClassResult) []string {
+func ClassNames(results []simulate.ClassResult) []string {
 	out := make([]string, len(results))
 	for i, r := range results {
 		out[i] = r.Name
--- a/internal/simulate/chart/chart_test.go
+++ b/internal/simulate/chart/chart_test.go
@@ -12,13 +12,13 @@
 func TestAChartIsDrawnOfTheMeanOverSeeds(t *testing.T) {
 	g := NewWithT(t)
 	result := func(onTime int) []simulate.ClassResult {
-		return []simulate.ClassResult{{Name: "report", Asked: 10, OnTime: onTime}, {Name: "advice", Asked: 10, OnTime: 10}}
+		return []simulate.ClassResult{{Name: "report", Requests: 10, OnTime: onTime}, {Name: "advice", Requests: 10, OnTime: 10}}
 	}
-	s := Mean(simulate.Product, [][]simulate.ClassResult{result(4), result(8)})
-	g.Expect(s.InTime[0]).To(BeNumerically("~", 0.6, 1e-9))
-	g.Expect(s.InTime[1]).To(BeNumerically("~", 1, 1e-9))
+	s := MeanSeries(simulate.Product, [][]simulate.ClassResult{result(4), result(8)})
+	g.Expect(s.OnTimeShares[0]).To(BeNumerically("~", 0.6, 1e-9))
+	g.Expect(s.OnTimeShares[1]).To(BeNumerically("~", 1, 1e-9))
 	var text strings.Builder
-	g.Expect(Write(&text, Classes(result(1)), []Series{s})).To(Succeed())
+	g.Expect(Write(&text, ClassNames(result(1)), []Series{s})).To(Succeed())
 	g.Expect(text.String()).To(ContainSubstring("report: share in time\nproduct  " + strings.Repeat("#", 30) + "  0.600\n"))
 	g.Expect(text.String()).To(ContainSubstring("advice: share in time\nproduct  " + strings.Repeat("#", barLength) + "  1.000\n"))
 }
--- a/internal/simulate/engine.go
+++ b/internal/simulate/engine.go
@@ -14,17 +14,17 @@
 
 // EngineModel are the figures of one engine.
 type EngineModel struct {
-	Step        time.Duration // of a batch without prompts to read
-	StepPerRun  time.Duration // more for each running request
-	TokensPerMs float64       // prompt tokens read in a ms
-	Chunk       int           // prompt tokens read in a step at most
+	BaseStep           time.Duration // of a batch without prompts to read
+	StepPerRequest     time.Duration // more for each running request
+	PrefillTokensPerMs float64       // prompt tokens read in a ms
+	PrefillChunk       int           // prompt tokens read in a step at most
 	// PairsMsPerMillion is what attention adds for each million pairs of a prompt token and
 	// a token before it.
-	PairsMsPerMillion float64
-	Slots             int
-	Memory            int // tokens of running requests and cached parts
-	EventTokens       int // generated tokens in an event of a stream
-	FirstLatency      time.Duration
+	AttentionMsPerMillionPairs float64
+	Slots                      int
+	KVCacheTokens              int // tokens of running requests and cached parts
+	EventTokens                int // generated tokens in an event of a stream
+	FirstTokenDelay            time.Duration
 }
 
 // run is a request at an engine.
@@ -82,7 +82,7 @@
 	slices.SortStableFunc(e.waiting, func(a, b *run) int { return a.rank - b.rank })
 	for len(e.waiting) > 0 && len(e.running) < e.model.Slots {
 		r := e.waiting[0]
-		if e.used > 0 && e.used+r.prompt.Tokens > e.model.Memory {
+		if e.used > 0 && e.used+r.prompt.Tokens > e.model.KVCacheTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
@@ -98,8 +98,8 @@
 	if len(e.running) == 0 {
 		return 0
 	}
-	took := e.model.Step
-	chunk := e.model.Chunk
+	took := e.model.BaseStep
+	chunk := e.model.PrefillChunk
 	pairs := 0.0
 	var read []*run
 	for _, r := range e.byRank() {
@@ -113,12 +113,12 @@
 			}
 		}
 	}
-	took += time.Duration(float64(e.model.Chunk-chunk) / e.model.TokensPerMs * float64(time.Millisecond))
-	took += time.Duration(pairs / 1e6 * e.model.PairsMsPerMillion * float64(time.Millisecond))
-	took += time.Duration(len(e.running)) * e.model.StepPerRun
+	took += time.Duration(float64(e.model.PrefillChunk-chunk) / e.model.PrefillTokensPerMs * float64(time.Millisecond))
+	took += time.Duration(pairs / 1e6 * e.model.AttentionMsPerMillionPairs * float64(time.Millisecond))
+	took += time.Duration(len(e.running)) * e.model.StepPerRequest
 	at := now.Add(took)
 	for _, r := range read {
-		first(r.job, at.Add(e.model.FirstLatency))
+		first(r.job, at.Add(e.model.FirstTokenDelay))
 	}
 	e.running = slices.DeleteFunc(e.running, func(r *run) bool {
 		if r.gone {
--- a/internal/simulate/result.go
+++ b/internal/simulate/result.go
@@ -14,16 +14,16 @@
 	out := make([]ClassResult, len(w.Classes))
 	for i := range w.Classes {
 		class := &w.Classes[i]
-		r := ClassResult{Name: class.Name, ReadAgainTokens: again}
+		r := ClassResult{Name: class.Name, PrefixMissTokens: again}
 		var first []time.Duration
 		for _, j := range w.jobs {
 			if j.class == class {
 				first = r.count(j, first)
 			}
 		}
-		r.LargestServed = largestServed(w.jobs, class)
+		r.LongPromptServedShare = largestServed(w.jobs, class)
 		slices.Sort(first)
-		r.FirstTokenP50, r.FirstTokenP95Ms = percentile(first, 0.5), percentile(first, 0.95)
+		r.FirstTokenP50Ms, r.FirstTokenP95Ms = percentile(first, 0.5), percentile(first, 0.95)
 		out[i] = r
 	}
 	return out
@@ -56,12 +56,12 @@
 func (j *job) whole() bool { return !j.done.IsZero() && j.done.Sub(j.arrived) <= j.class.Deadline }
 
 func (r *ClassResult) count(j *job, first []time.Duration) []time.Duration {
-	r.Asked++
+	r.Requests++
 	if !j.first.IsZero() {
 		first = append(first, j.first.Sub(j.arrived))
 	}
 	switch {
-	case j.whole() && j.first.Sub(j.arrived) <= j.class.Target && (j.class.Gap == 0 || j.seen.LongestGap <= j.class.Gap):
+	case j.whole() && j.first.Sub(j.arrived) <= j.class.FirstTokenTarget && (j.class.MaxEventGap == 0 || j.seen.LongestGap <= j.class.MaxEventGap):
 		r.OnTime++
 	case j.whole():
 		r.Late++
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -16,20 +16,20 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name        string
-	PerSecond   float64
-	Rank        int
-	SharedParts int     // different shared parts
-	Shared      int     // tokens of a shared part
-	Own         float64 // mean tokens of a request's own part
-	OwnSpread   float64 // sigma of its logarithm
-	Output      float64 // mean generated tokens
-	Target      time.Duration
-	Gap         time.Duration // longest pause between events that is on time
-	Deadline    time.Duration
+	Name               string
+	PerSecond          float64
+	Rank               int
+	SharedPrefixes     int     // different shared parts
+	SharedPrefixTokens int     // tokens of a shared part
+	UniqueTokens       float64 // mean tokens of a request's own part
+	UniqueTokensSigma  float64 // sigma of its logarithm
+	OutputTokens       float64 // mean generated tokens
+	FirstTokenTarget   time.Duration
+	MaxEventGap        time.Duration // longest pause between events that is on time
+	Deadline           time.Duration
 	// Burst multiplies the rate from BurstAt for BurstFor.
-	Burst             float64
-	BurstAt, BurstFor time.Duration
+	BurstFactor               float64
+	BurstStart, BurstDuration time.Duration
 }
 
 // Variant is a policy.
@@ -39,22 +39,22 @@
 // baseline that sends each request to the engine with the fewest of its own gateway's
 // requests.
 const (
-	Product    Variant = "product"
-	NoPermits  Variant = "no_permits"  // each gateway places by what it knows alone
-	NoHarm     Variant = "no_harm"     // prompts go anywhere, whatever runs there
-	NoPacing   Variant = "no_pacing"   // streams are not left the time to end
-	NoOrder    Variant = "no_order"    // no engine is preferred for a kind of prompt
-	Together   Variant = "together"    // engines are given several prompts at once
-	NoLearning Variant = "no_learning" // start values for all engines
-	NoFetch    Variant = "no_fetch"    // shared parts are read where they lack
-	ByArrival  Variant = "by_arrival"  // late ones are not put behind
-	Patient    Variant = "patient"     // nothing is refused before its limit
-	NoRanks    Variant = "no_ranks"    // all requests are equally urgent
-	Least      Variant = "least_requests"
+	Product       Variant = "product"
+	NoPermits     Variant = "no_permits"  // each gateway places by what it knows alone
+	NoHarm        Variant = "no_harm"     // prompts go anywhere, whatever runs there
+	NoPacing      Variant = "no_pacing"   // streams are not left the time to end
+	NoOrder       Variant = "no_order"    // no engine is preferred for a kind of prompt
+	Together      Variant = "together"    // engines are given several prompts at once
+	NoLearning    Variant = "no_learning" // start values for all engines
+	NoFetch       Variant = "no_fetch"    // shared parts are read where they lack
+	ByArrival     Variant = "by_arrival"  // late ones are not put behind
+	Patient       Variant = "patient"     // nothing is refused before its limit
+	NoRanks       Variant = "no_ranks"    // all requests are equally urgent
+	LeastRequests Variant = "least_requests"
 )
 
 // Variants are all variants.
-var Variants = []Variant{Product, NoPermits, NoHarm, NoPacing, NoOrder, Together, NoLearning, NoFetch, ByArrival, Patient, NoRanks, Least}
+var Variants = []Variant{Product, NoPermits, NoHarm, NoPacing, NoOrder, Together, NoLearning, NoFetch, ByArrival, Patient, NoRanks, LeastRequests}
 
 // policies are the variants of the decisions themselves.
 var policies = map[Variant]permit.Policy{
@@ -67,26 +67,28 @@
 	Engines, Gateways int
 	Engine            EngineModel
 	Classes           []Class
-	Length            time.Duration
+	Duration          time.Duration
 	Seed              uint64
 	Variant           Variant
 }
 
 // ClassResult is what the callers of a class got.
 type ClassResult struct {
-	Name                           string
-	Asked, OnTime, Late, Refused   int
-	Failed                         int // given up or past the deadline
-	ReadAgainTokens                int
-	LargestServed                  float64 // of the tenth with the longest prompts
-	FirstTokenP50, FirstTokenP95Ms float64
+	Name                             string
+	Requests, OnTime, Late, Refused  int
+	Failed                           int // given up or past the deadline
+	PrefixMissTokens                 int
+	LongPromptServedShare            float64 // of the tenth with the longest prompts
+	FirstTokenP50Ms, FirstTokenP95Ms float64
 }
 
 // Served is the share of requests that were answered.
-func (r ClassResult) Served() float64 { return float64(r.OnTime+r.Late) / float64(max(1, r.Asked)) }
+func (r ClassResult) ServedShare() float64 {
+	return float64(r.OnTime+r.Late) / float64(max(1, r.Requests))
+}
 
 // InTime is the share of requests that were answered within their target.
-func (r ClassResult) InTime() float64 { return float64(r.OnTime) / float64(max(1, r.Asked)) }
+func (r ClassResult) OnTimeShare() float64 { return float64(r.OnTime) / float64(max(1, r.Requests)) }
 
 // event is something that happens at a time.
 type event struct {
@@ -177,10 +179,10 @@
 	start := w.now
 	for i := range w.Classes {
 		class := &w.Classes[i]
-		for t := time.Duration(0); t < w.Length; {
+		for t := time.Duration(0); t < w.Duration; {
 			rate := class.PerSecond
-			if t >= class.BurstAt && t < class.BurstAt+class.BurstFor {
-				rate *= class.Burst
+			if t >= class.BurstStart && t < class.BurstStart+class.BurstDuration {
+				rate *= class.BurstFactor
 			}
 			t += time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
 			j := w.draw(class)
@@ -191,7 +193,7 @@
 	var tick func(time.Time)
 	tick = func(now time.Time) {
 		w.tell(w.desk.Poll(now))
-		if now.Sub(start) < w.Length+20*time.Second {
+		if now.Sub(start) < w.Duration+20*time.Second {
 			w.after(20*time.Millisecond, tick)
 		}
 	}
@@ -206,20 +208,20 @@
 	for _, c := range candidates {
 		if placement.GroupOf(c.Server.ID, groups) == group.Index {
 			out = append(out, permit.Engine{ID: c.Server.ID, FailureDomain: c.Server.FailureDomain, Accepting: true, Slots: w.Engine.Slots,
-				KVCacheTokens: w.Engine.Memory, TokensPerEvent: w.Engine.EventTokens})
+				KVCacheTokens: w.Engine.KVCacheTokens, TokensPerEvent: w.Engine.EventTokens})
 		}
 	}
 	return out
 }
 
 func (w *world) draw(class *Class) *job {
-	own := int(class.Own * math.Exp(class.OwnSpread*w.random.NormFloat64()-class.OwnSpread*class.OwnSpread/2))
+	own := int(class.UniqueTokens * math.Exp(class.UniqueTokensSigma*w.random.NormFloat64()-class.UniqueTokensSigma*class.UniqueTokensSigma/2))
 	own = max(own, 16)
 	id := fmt.Sprint("r", len(w.jobs))
-	part := fmt.Sprint(class.Name, w.random.IntN(class.SharedParts))
-	return &job{id: id, class: class, output: max(1, int(class.Output*math.Exp(0.4*w.random.NormFloat64()))),
-		prompt: placement.Prompt{Tokens: class.Shared + own, OutputTokens: int(class.Output),
-			Parts: []placement.Part{{ID: part, Tokens: class.Shared}, {ID: id, Tokens: own}}}}
+	part := fmt.Sprint(class.Name, w.random.IntN(class.SharedPrefixes))
+	return &job{id: id, class: class, output: max(1, int(class.OutputTokens*math.Exp(0.4*w.random.NormFloat64()))),
+		prompt: placement.Prompt{Tokens: class.SharedPrefixTokens + own, OutputTokens: int(class.OutputTokens),
+			Parts: []placement.Part{{ID: part, Tokens: class.SharedPrefixTokens}, {ID: id, Tokens: own}}}}
 }
 
 // arrive places a request at a random gateway.
@@ -230,7 +232,7 @@
 	req := placement.Request{Prompt: j.prompt, Key: j.id, Draw: w.random.Float64()}
 	candidates := w.candidates(g, now)
 	switch w.Variant {
-	case Least:
+	case LeastRequests:
 		w.send(j, g, placement.ChoosePlain(req, candidates), now)
 	case NoPermits:
 		w.send(j, g, placement.ChooseEngine(req, candidates), now)
@@ -255,8 +257,8 @@
 	part, shared := j.prompt.Shared()
 	elapsed := now.Sub(j.arrived)
 	answer := w.desk.Submit(a.group(), permit.Ask{ID: j.id, Priority: w.rank(j), UniqueTokens: j.prompt.Tokens - shared, PrefixID: part, PrefixTokens: shared,
-		OutputTokens: j.prompt.OutputTokens, MaxEventGap: j.class.Gap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.Target - elapsed,
-		FirstTokenTimeout: max(4*j.class.Target-elapsed, 500*time.Millisecond)}, a, now)
+		OutputTokens: j.prompt.OutputTokens, MaxEventGap: j.class.MaxEventGap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.FirstTokenTarget - elapsed,
+		FirstTokenTimeout: max(4*j.class.FirstTokenTarget-elapsed, 500*time.Millisecond)}, a, now)
 	w.settle(a, answer, now)
 }
 
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -10,8 +10,8 @@
 // play runs the Board's load on 12 engines behind 5 gateways.
 func play(v Variant, factor float64, seed uint64) map[string]ClassResult {
 	out := map[string]ClassResult{}
-	for _, r := range Run(Config{Engines: 12, Gateways: 5, Engine: DefaultEngine(), Classes: Board(12, factor),
-		Length: 30 * time.Second, Seed: seed, Variant: v}) {
+	for _, r := range Run(Config{Engines: 12, Gateways: 5, Engine: advisoryEngine(), Classes: advisoryClasses(12, factor),
+		Duration: 30 * time.Second, Seed: seed, Variant: v}) {
 		out[r.Name] = r
 	}
 	return out
@@ -25,7 +25,7 @@
 	g := NewWithT(t)
 	for seed := range uint64(3) {
 		for name, r := range play(Product, 0.6, seed) {
-			g.Expect(r.InTime()).To(BeNumerically(">", 0.97), "%s with seed %d", name, seed)
+			g.Expect(r.OnTimeShare()).To(BeNumerically(">", 0.97), "%s with seed %d", name, seed)
 			g.Expect(r.Refused).To(BeZero())
 		}
 	}
@@ -37,8 +37,8 @@
 	g := NewWithT(t)
 	for seed := range uint64(3) {
 		with, without := play(Product, 1.2, seed)["report"], play(NoPermits, 1.2, seed)["report"]
-		g.Expect(with.InTime()).To(BeNumerically(">", without.InTime()+0.4), "seed %d: %+v, %+v", seed, with, without)
-		g.Expect(with.Served()).To(BeNumerically(">", without.Served()-0.02), "seed %d", seed)
+		g.Expect(with.OnTimeShare()).To(BeNumerically(">", without.OnTimeShare()+0.4), "seed %d: %+v, %+v", seed, with, without)
+		g.Expect(with.ServedShare()).To(BeNumerically(">", without.ServedShare()-0.02), "seed %d", seed)
 	}
 }
 
@@ -48,13 +48,13 @@
 	g := NewWithT(t)
 	for seed := range uint64(3) {
 		all := play(Product, 1.5, seed)
-		g.Expect(all["advice"].InTime()).To(BeNumerically(">", 0.9), "seed %d: %+v", seed, all["advice"])
-		g.Expect(all["tag"].InTime()).To(BeNumerically(">", 0.85), "seed %d: %+v", seed, all["tag"])
+		g.Expect(all["advice"].OnTimeShare()).To(BeNumerically(">", 0.9), "seed %d: %+v", seed, all["advice"])
+		g.Expect(all["tag"].OnTimeShare()).To(BeNumerically(">", 0.85), "seed %d: %+v", seed, all["tag"])
 		report := all["report"]
-		g.Expect(report.Served()).To(BeNumerically(">", 0.3), "seed %d: %+v", seed, report)
-		g.Expect(report.Failed).To(BeNumerically("<", report.Asked/10), "seed %d: %+v", seed, report)
-		baseline := play(Least, 1.5, seed)
-		g.Expect(all["advice"].InTime()).To(BeNumerically(">", baseline["advice"].InTime()), "seed %d", seed)
+		g.Expect(report.ServedShare()).To(BeNumerically(">", 0.3), "seed %d: %+v", seed, report)
+		g.Expect(report.Failed).To(BeNumerically("<", report.Requests/10), "seed %d: %+v", seed, report)
+		baseline := play(LeastRequests, 1.5, seed)
+		g.Expect(all["advice"].OnTimeShare()).To(BeNumerically(">", baseline["advice"].OnTimeShare()), "seed %d", seed)
 		g.Expect(report.OnTime).To(BeNumerically(">", baseline["report"].OnTime), "seed %d", seed)
 	}
 }
@@ -66,11 +66,11 @@
 func TestTheLongestPromptsAreServedAsTheOthersAre(t *testing.T) {
 	g := NewWithT(t)
 	for _, scenario := range []string{"advisory", "routes", "reviews"} {
-		s, _ := Find(scenario)
+		s, _ := FindScenario(scenario)
 		for seed := range uint64(3) {
 			for _, r := range Run(Config{Engines: 12, Gateways: 5, Engine: s.Engine, Classes: s.Classes(12, 1.5),
-				Length: 30 * time.Second, Seed: seed, Variant: Product}) {
-				g.Expect(r.LargestServed).To(BeNumerically(">", 0.7*r.Served()), "%s, seed %d: %+v", scenario, seed, r)
+				Duration: 30 * time.Second, Seed: seed, Variant: Product}) {
+				g.Expect(r.LongPromptServedShare).To(BeNumerically(">", 0.7*r.ServedShare()), "%s, seed %d: %+v", scenario, seed, r)
 			}
 		}
 	}
@@ -80,6 +80,6 @@
 // where each goes to the least loaded.
 func TestHomesSaveReading(t *testing.T) {
 	g := NewWithT(t)
-	homes, least := play(Product, 0.8, 1)["report"], play(Least, 0.8, 1)["report"]
-	g.Expect(homes.ReadAgainTokens).To(BeNumerically("<", 6*least.ReadAgainTokens/10))
+	homes, least := play(Product, 0.8, 1)["report"], play(LeastRequests, 0.8, 1)["report"]
+	g.Expect(homes.PrefixMissTokens).To(BeNumerically("<", 6*least.PrefixMissTokens/10))
 }
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -33,7 +33,7 @@
 
 // Length returns the number of tokens of the answer to a prompt: as the prompt
 // decides, but at least min and, unless max is 0, at most max.
-func Length(prompt string, min, max int) int {
+func AnswerLength(prompt string, min, max int) int {
 	n := shortAnswer + int(xxhash.Sum64String(prompt)%answerSpread)
 	if n < min {
 		n = min
@@ -47,7 +47,7 @@
 // Answer returns the whole answer to a prompt.
 func Answer(prompt string, min, max int) string {
 	var b strings.Builder
-	for i := range Length(prompt, min, max) {
+	for i := range AnswerLength(prompt, min, max) {
 		b.WriteString(Token(prompt, i))
 	}
 	return b.String()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -28,22 +28,22 @@
 	// ReportLag is the age of load reports and cache events.
 	ReportLag time.Duration
 	// EventLoss is the share of cache events that are lost.
-	EventLoss float64
-	Weights   string // address of the weight store; empty: loads take no time
-	Loaded    []string
-	Seed      uint64
+	EventLossRate  float64
+	WeightsAddress string // address of the weight store; empty: loads take no time
+	LoadedModels   []string
+	Seed           uint64
 }
 
 // Faults are the failures that the stand-in acts out.
 type Faults struct {
 	// Slow multiplies the step time; 0 and 1 mean no change.
-	Slow float64 `json:"slow"`
+	StepTimeFactor float64 `json:"slow"`
 	// Frozen stops all steps.
 	Frozen bool `json:"frozen"`
 	// NoReports refuses load reports and cache events.
 	NoReports bool `json:"no_reports"`
 	// FailAfter ends each stream with an error after so many tokens.
-	FailAfter int `json:"fail_after"`
+	FailAfterTokens int `json:"fail_after"`
 }
 
 // sequence is one request in the engine.
@@ -117,7 +117,7 @@
 	e := &Engine{cfg: cfg, cache: newPrefixCache(cfg.CacheBlocks), record: map[string]*Execution{},
 		loaded: map[string]bool{}, role: "mixed", wake: make(chan struct{}, 1),
 		rand: rand.New(rand.NewPCG(cfg.Seed, 1)), exports: map[string][]uint64{}}
-	for _, m := range cfg.Loaded {
+	for _, m := range cfg.LoadedModels {
 		e.loaded[m] = true
 	}
 	return e
@@ -168,7 +168,7 @@
 		if lag := time.Since(next); lag > d {
 			next = time.Now() // the machine was late: do not catch up in a rush
 		}
-		if !standin.Pause(ctx, time.Until(next)) {
+		if !standin.SleepContext(ctx, time.Until(next)) {
 			return
 		}
 		e.endStep()
@@ -211,8 +211,8 @@
 		return 0, false
 	}
 	d := e.cfg.Step + time.Duration(len(e.running))*e.cfg.StepPerSeq + time.Duration(prefill)*e.cfg.PrefillPerBlock
-	if e.faults.Slow > 1 {
-		d = time.Duration(float64(d) * e.faults.Slow)
+	if e.faults.StepTimeFactor > 1 {
+		d = time.Duration(float64(d) * e.faults.StepTimeFactor)
 	}
 	return d, true
 }
@@ -271,7 +271,7 @@
 	still := e.running[:0]
 	for _, s := range e.running {
 		x := e.record[s.id]
-		if e.faults.FailAfter > 0 && x.Tokens >= e.faults.FailAfter {
+		if e.faults.FailAfterTokens > 0 && x.Tokens >= e.faults.FailAfterTokens {
 			s.failed = errInjected
 			close(s.out)
 			continue
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -141,7 +141,7 @@
 func newSequence(req *Request) (*sequence, error) {
 	prompt := req.PromptText()
 	s := &sequence{id: req.RequestID, model: req.Model, seed: xxhash.Sum64String(prompt), priority: req.Priority,
-		total: Length(prompt, req.MinTokens, req.MaxTokens), blocks: blockHashes(prompt), prompt: len(strings.Fields(prompt)),
+		total: AnswerLength(prompt, req.MinTokens, req.MaxTokens), blocks: blockHashes(prompt), prompt: len(strings.Fields(prompt)),
 		done: make(chan struct{})}
 	if req.Resume != nil {
 		var have strings.Builder
@@ -166,11 +166,11 @@
 }
 
 type choice struct {
-	Index   int     `json:"index"`
-	Delta   *delta  `json:"delta,omitempty"`
-	Message *delta  `json:"message,omitempty"`
-	Text    *string `json:"text,omitempty"`
-	Finish  *string `json:"finish_reason"`
+	Index        int     `json:"index"`
+	Delta        *delta  `json:"delta,omitempty"`
+	Message      *delta  `json:"message,omitempty"`
+	Text         *string `json:"text,omitempty"`
+	FinishReason *string `json:"finish_reason"`
 }
 
 type delta struct {
@@ -205,7 +205,7 @@
 		c.Text = &text
 	}
 	if finish != "" {
-		c.Finish = &finish
+		c.FinishReason = &finish
 	}
 	b.Choices = []choice{c}
 	return b
@@ -326,7 +326,7 @@
 	limit := time.Now().Add(-e.cfg.ReportLag)
 	out := []CacheEvent{}
 	for _, ev := range e.events {
-		if ev.Seq >= from && ev.At.Before(limit) && e.rand.Float64() >= e.cfg.EventLoss {
+		if ev.Seq >= from && ev.At.Before(limit) && e.rand.Float64() >= e.cfg.EventLossRate {
 			out = append(out, ev)
 		}
 	}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -27,8 +27,8 @@
 		http.Error(w, text, status)
 		return
 	}
-	if o.Op == "load" && e.cfg.Weights != "" {
-		if err := fetchWeights(r.Context(), e.cfg.Weights, o.Target); err != nil {
+	if o.Op == "load" && e.cfg.WeightsAddress != "" {
+		if err := fetchWeights(r.Context(), e.cfg.WeightsAddress, o.Target); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -23,15 +23,15 @@
 // Faults are the failures that the stand-in acts out.
 type Faults struct {
 	// Down refuses every call with status 503.
-	Down bool `json:"down"`
+	Unavailable bool `json:"down"`
 	// Silent accepts calls and never answers them.
-	Silent bool `json:"silent"`
+	Unresponsive bool `json:"silent"`
 	// LoseAnswers closes the connection after an append took effect.
-	LoseAnswers bool `json:"lose_answers"`
+	DropResponses bool `json:"lose_answers"`
 	// SlowMS delays every answer, milliseconds.
-	SlowMS int `json:"slow_ms"`
+	DelayMS int `json:"slow_ms"`
 	// Keep bounds the records kept of each stream; 0 keeps all.
-	Keep int `json:"keep"`
+	RetainedRecords int `json:"keep"`
 }
 
 type stream struct {
@@ -57,7 +57,7 @@
 	defer s.mu.Unlock()
 	s.faults = f
 	for _, st := range s.streams {
-		st.trim(f.Keep)
+		st.trim(f.RetainedRecords)
 	}
 }
 
@@ -88,7 +88,7 @@
 		return 0, err
 	}
 	st.records = append(st.records, data)
-	st.trim(s.faults.Keep)
+	st.trim(s.faults.RetainedRecords)
 	close(st.grown)
 	st.grown = make(chan struct{})
 	return offset, nil
@@ -132,14 +132,14 @@
 		s.mu.Lock()
 		f := s.faults
 		s.mu.Unlock()
-		if f.Silent {
+		if f.Unresponsive {
 			<-r.Context().Done()
 			return
 		}
-		if !standin.Pause(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
+		if !standin.SleepContext(r.Context(), time.Duration(f.DelayMS)*time.Millisecond) {
 			return
 		}
-		if f.Down {
+		if f.Unavailable {
 			http.Error(w, "log is down", http.StatusServiceUnavailable)
 			return
 		}
@@ -159,7 +159,7 @@
 		return
 	}
 	s.mu.Lock()
-	lose := s.faults.LoseAnswers
+	lose := s.faults.DropResponses
 	s.mu.Unlock()
 	if lose {
 		panic(http.ErrAbortHandler)
--- a/internal/standin/memnet/memnet.go
+++ b/internal/standin/memnet/memnet.go
@@ -26,7 +26,7 @@
 
 	mu        sync.Mutex
 	hosts     []*Host
-	packets   map[netip.AddrPort]*Packets
+	packets   map[netip.AddrPort]*PacketConn
 	listeners map[netip.AddrPort]*listener
 	cuts      map[[2]*Host]bool
 	mended    chan struct{} // closed and replaced when a cut ends
@@ -37,7 +37,7 @@
 // New returns a network without hosts; each message takes delay beside its time on the
 // links.
 func New(delay time.Duration) *Network {
-	return &Network{delay: delay, packets: map[netip.AddrPort]*Packets{}, listeners: map[netip.AddrPort]*listener{},
+	return &Network{delay: delay, packets: map[netip.AddrPort]*PacketConn{}, listeners: map[netip.AddrPort]*listener{},
 		cuts: map[[2]*Host]bool{}, mended: make(chan struct{})}
 }
 
@@ -89,7 +89,7 @@
 
 // Cut cuts the path between two hosts, or mends it. What is on its way in a connection is
 // held up; datagrams are lost.
-func (n *Network) Cut(a, b *Host, cut bool) {
+func (n *Network) SetPartitioned(a, b *Host, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[[2]*Host{a, b}], n.cuts[[2]*Host{b, a}] = cut, cut
@@ -130,7 +130,7 @@
 }
 
 // Packets sends and receives datagrams at an address of a host.
-type Packets struct {
+type PacketConn struct {
 	host   *Host
 	at     netip.AddrPort
 	in     chan packet
@@ -144,8 +144,8 @@
 }
 
 // Packets opens a port of the host for datagrams.
-func (h *Host) Packets(port uint16) *Packets {
-	p := &Packets{host: h, at: h.Address(port), in: make(chan packet, ring), closed: make(chan struct{})}
+func (h *Host) ListenPacket(port uint16) *PacketConn {
+	p := &PacketConn{host: h, at: h.Address(port), in: make(chan packet, ring), closed: make(chan struct{})}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	h.net.packets[p.at] = p
@@ -153,7 +153,7 @@
 }
 
 // ReadFromUDPAddrPort waits for a datagram.
-func (p *Packets) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
+func (p *PacketConn) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	select {
 	case m := <-p.in:
 		return copy(b, m.data), m.from, nil
@@ -163,7 +163,7 @@
 }
 
 // WriteToUDPAddrPort sends a datagram; one to nobody, or over a path that is cut, is lost.
-func (p *Packets) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
+func (p *PacketConn) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
 	n := p.host.net
 	n.mu.Lock()
 	receiver := n.packets[to]
@@ -182,10 +182,10 @@
 }
 
 // LocalAddr returns the address.
-func (p *Packets) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(p.at) }
+func (p *PacketConn) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(p.at) }
 
 // Close ends receiving.
-func (p *Packets) Close() error {
+func (p *PacketConn) Close() error {
 	p.once.Do(func() { close(p.closed) })
 	return nil
 }
--- a/internal/standin/memnet/memnet_test.go
+++ b/internal/standin/memnet/memnet_test.go
@@ -52,9 +52,9 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		far, err := listener.Accept()
 		g.Expect(err).NotTo(HaveOccurred())
-		from, to := a.Packets(81), b.Packets(81)
+		from, to := a.ListenPacket(81), b.ListenPacket(81)
 
-		n.Cut(a, b, true)
+		n.SetPartitioned(a, b, true)
 		_, err = from.WriteToUDPAddrPort([]byte("lost"), b.Address(81))
 		g.Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -62,7 +62,7 @@
 		_, err = a.DialContext(ctx, "tcp", b.Address(80).String())
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
 
-		time.AfterFunc(time.Second, func() { n.Cut(a, b, false) })
+		time.AfterFunc(time.Second, func() { n.SetPartitioned(a, b, false) })
 		start := time.Now()
 		go func() { _, _ = conn.Write([]byte("held up")) }()
 		buf := make([]byte, 7)
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -16,9 +16,9 @@
 // Faults are the failures that the stand-in acts out.
 type Faults struct {
 	// SlowMS delays each call after it took effect, milliseconds.
-	SlowMS int `json:"slow_ms"`
+	DelayMS int `json:"slow_ms"`
 	// LoseAnswers closes the connection after a call took effect.
-	LoseAnswers bool `json:"lose_answers"`
+	DropResponses bool `json:"lose_answers"`
 }
 
 // Service echoes each call with a run number.
@@ -34,7 +34,7 @@
 func New(name string) *Service { return &Service{name: name, runs: map[string]int{}} }
 
 // Reply is the answer to a call.
-type Reply struct {
+type Response struct {
 	Service string `json:"service"`
 	Run     int    `json:"run"` // how often this body was run
 	Echo    string `json:"echo"`
@@ -80,13 +80,13 @@
 	s.total++
 	run, f := s.runs[string(data)], s.faults
 	s.mu.Unlock()
-	if !standin.Pause(r.Context(), time.Duration(f.SlowMS)*time.Millisecond) {
+	if !standin.SleepContext(r.Context(), time.Duration(f.DelayMS)*time.Millisecond) {
 		return
 	}
-	if f.LoseAnswers {
+	if f.DropResponses {
 		panic(http.ErrAbortHandler)
 	}
-	reply, err := json.Marshal(Reply{s.name, run, string(data)})
+	reply, err := json.Marshal(Response{s.name, run, string(data)})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/standin/platformstore/store.go
+++ b/internal/standin/platformstore/store.go
@@ -32,9 +32,9 @@
 
 // The modes.
 const (
-	Up     Mode = iota
-	Busy        // 503 at once
-	Silent      // no answer until the caller gives up
+	ModeAvailable    Mode = iota
+	ModeUnavailable       // 503 at once
+	ModeUnresponsive      // no answer until the caller gives up
 )
 
 type record struct {
@@ -78,7 +78,7 @@
 
 // SetLink has replies cross one link of so many bits a second together; 0 for a link
 // that takes no time.
-func (s *Store) SetLink(bitsPerSecond float64) {
+func (s *Store) SetBandwidth(bitsPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.perPiece = 0
@@ -95,7 +95,7 @@
 }
 
 // SetDelay has each reply begin so much later.
-func (s *Store) SetDelay(delay time.Duration) {
+func (s *Store) SetResponseDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = delay
@@ -106,7 +106,7 @@
 	s.mu.Lock()
 	perPiece, chunked, delay := s.perPiece, s.chunked, s.delay
 	s.mu.Unlock()
-	if !standin.Pause(r.Context(), delay) {
+	if !standin.SleepContext(r.Context(), delay) {
 		return
 	}
 	if !chunked {
@@ -118,7 +118,7 @@
 		if perPiece > 0 {
 			n = min(n, pieceBytes)
 			s.link.Lock()
-			alive := standin.Pause(r.Context(), perPiece*time.Duration(n)/pieceBytes)
+			alive := standin.SleepContext(r.Context(), perPiece*time.Duration(n)/pieceBytes)
 			s.link.Unlock()
 			if !alive {
 				return
@@ -163,13 +163,13 @@
 }
 
 // Copy is the store's contents at a moment.
-type Copy struct{ topics map[string]*topic }
+type Snapshot struct{ topics map[string]*topic }
 
 // Copy returns the contents as they are now.
-func (s *Store) Copy() Copy {
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{copyTopics(s.topics)}
+	return Snapshot{copyTopics(s.topics)}
 }
 
 func copyTopics(topics map[string]*topic) map[string]*topic {
@@ -182,7 +182,7 @@
 
 // Restore has the store come back from a copy: what was written since is gone, offsets are given out
 // again, and the era rises.
-func (s *Store) Restore(c Copy) {
+func (s *Store) Restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics = copyTopics(c.topics)
@@ -202,7 +202,7 @@
 }
 
 // Reads returns the number of calls so far.
-func (s *Store) Reads() int {
+func (s *Store) RequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads
@@ -247,7 +247,7 @@
 }
 
 // Forget deletes the records of a topic; the newest of each key stays.
-func (s *Store) Forget(name string) {
+func (s *Store) Truncate(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
@@ -263,10 +263,10 @@
 	mode := s.mode
 	s.mu.Unlock()
 	switch mode {
-	case Busy:
+	case ModeUnavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return false
-	case Silent:
+	case ModeUnresponsive:
 		<-r.Context().Done()
 		return false
 	}
--- a/internal/standin/retryrule/retryrule.go
+++ b/internal/standin/retryrule/retryrule.go
@@ -19,15 +19,15 @@
 
 // Window holds the counts of one window.
 type Window struct {
-	Begin    time.Time
-	Repeats  int
+	Start    time.Time
+	Retries  int
 	Requests int // the largest count of the three windows that the rule considers
 	// Allowed is the number of repeats that the rule permits.
 	Allowed float64
 }
 
 // Excess returns the number of repeats above the allowed number; it is negative below it.
-func (w Window) Excess() float64 { return float64(w.Repeats) - w.Allowed }
+func (w Window) Excess() float64 { return float64(w.Retries) - w.Allowed }
 
 // startsPerWindow is the number of evenly spaced window starts that are checked per window length, in addition
 // to those at which the number of repeats changes.
@@ -65,7 +65,7 @@
 
 // window counts the window that starts at begin.
 func (r Rule) window(begin time.Time, requests, repeats []time.Time) Window {
-	w := Window{Begin: begin, Repeats: between(repeats, begin, r.Window)}
+	w := Window{Start: begin, Retries: between(repeats, begin, r.Window)}
 	for _, earlier := range []time.Duration{0, r.Window / 2, r.Window} {
 		w.Requests = max(w.Requests, between(requests, begin.Add(-earlier), r.Window))
 	}
@@ -79,7 +79,7 @@
 	requests, repeats = sorted(requests), sorted(repeats)
 	var worst Window
 	for i, begin := range starts(rule, repeats) {
-		w := Window{Begin: begin, Repeats: between(repeats, begin, rule.Window)}
+		w := Window{Start: begin, Retries: between(repeats, begin, rule.Window)}
 		weighted := current*float64(between(requests, begin, rule.Window)) + (1-current)*float64(between(requests, begin.Add(-rule.Window), rule.Window))
 		w.Allowed = rule.Ratio*weighted + rule.Slack
 		if i == 0 || w.Excess() > worst.Excess() {
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -35,7 +35,7 @@
 	// service is the only service.
 	service = "s"
 	// Events is the length of a stream.
-	Events = 8
+	StreamEvents = 8
 	// RetryRatio, RetryWindow and RetrySlack are the settings of the retry budget.
 	RetryRatio, RetryWindow, RetrySlack = 0.2, 10 * time.Second, 12
 	// DrainWithin and ApplyWithin are the times in which the list and the configuration must be in force.
@@ -47,7 +47,7 @@
 // Node is an entry host. Its gateway can be killed and started again.
 type Node struct {
 	Name string
-	Link *memnet.Host
+	Host *memnet.Host
 	at   atomic.Pointer[process]
 }
 
@@ -148,7 +148,7 @@
 
 // AddNode starts a further gateway on a host of its own.
 func (f *Fleet) AddNode(name string) *Node {
-	n := &Node{Name: name, Link: f.net.Host(0)}
+	n := &Node{Name: name, Host: f.net.Host(0)}
 	f.mu.Lock()
 	f.nodes = append(f.nodes, n)
 	f.mu.Unlock()
@@ -157,7 +157,7 @@
 }
 
 // End ends everything.
-func (f *Fleet) End() {
+func (f *Fleet) Close() {
 	for _, n := range f.nodes {
 		f.KillNode(n)
 	}
@@ -183,17 +183,17 @@
 	servers := registry.New()
 	p.gateway = gateway.New(gateway.Settings{Retries: retrybudget.Settings{Ratio: RetryRatio, Window: RetryWindow, Slack: RetrySlack}},
 		platform.Dialect{}, servers, quiet())
-	p.gateway.UseNetwork(n.Link.DialContext)
-	others := peers.New(n.Name, n.Link.Packets(peerPort), peers.Capacity{Cores: 0.3}, p.gateway, quiet())
+	p.gateway.UseNetwork(n.Host.DialContext)
+	others := peers.New(n.Name, n.Host.ListenPacket(peerPort), peers.Capacity{Cores: 0.3}, p.gateway, quiet())
 	p.gateway.UsePeers(others)
 	p.peers = others
-	share := configshare.New(n.Link.DialContext, 0, quiet())
-	follower := follow.New(follow.Dependencies{Connect: func(address string) follow.Store { return platform.NewStoreOver(n.Link.DialContext, address, quiet()) },
+	share := configshare.New(n.Host.DialContext, 0, quiet())
+	follower := follow.New(follow.Dependencies{Connect: func(address string) follow.Store { return platform.NewStoreOver(n.Host.DialContext, address, quiet()) },
 		Topics: platform.Topics, Decoder: platform.Decoder{}, Gateway: p.gateway, Servers: servers, Peers: others, Share: share, Logger: quiet()},
 		follow.Settings{Address: f.storeAt.Address(storePort).String(), DrainWithin: DrainWithin, ApplyWithin: ApplyWithin})
 	keeper := quarantine.NewPersister(p.gateway.Quarantine(), follower.Quarantine(), n.Name, quiet())
 	p.gateway.UseTrials(keeper)
-	asks := n.Link.Listen(peerPort)
+	asks := n.Host.Listen(peerPort)
 	for _, duty := range []func(){func() { keeper.Run(p.up) }, func() { share.Serve(p.up, asks) }, func() { follower.Run(p.up) }, func() { others.Run(p.up) }} {
 		p.duties.Go(duty)
 	}
@@ -208,7 +208,7 @@
 }
 
 // LeaveNode has a gateway announce that it is about to stop. It keeps serving until it is killed.
-func (f *Fleet) LeaveNode(n *Node) { n.at.Load().peers.AnnounceLeave() }
+func (f *Fleet) AnnounceNodeStop(n *Node) { n.at.Load().peers.AnnounceLeave() }
 
 // StartServer starts a server as another start under its ID, at another address, and lists it.
 func (f *Fleet) StartServer(s *Server) {
@@ -220,7 +220,7 @@
 	s.start++
 	s.port++
 	w := worker.StartOn(s.ID, s.link.Listen(s.port))
-	w.Behave(f.behaviour())
+	w.SetBehaviour(f.behaviour())
 	s.at = w
 	s.all = append(s.all, w)
 	f.started(s, w)
@@ -228,7 +228,7 @@
 }
 
 // List writes a server's entry with another state.
-func (f *Fleet) List(s *Server, state string) {
+func (f *Fleet) SetServerState(s *Server, state string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list(s, state)
@@ -236,11 +236,11 @@
 
 func (f *Fleet) list(s *Server, state string) {
 	f.Store.PutJSON(platformstore.TopicServers, s.ID, map[string]any{"service": service, "address": s.at.Address(), "zone": "z", "slots": 64,
-		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": s.start, "born": s.at.Born})
+		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": s.start, "born": s.at.StartedMS})
 }
 
 // EndServer ends a server without a word; false if it is away.
-func (f *Fleet) EndServer(s *Server) bool {
+func (f *Fleet) KillServer(s *Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s.at == nil {
@@ -252,14 +252,14 @@
 }
 
 // Running returns the start of a server that runs, nil for none.
-func (f *Fleet) Running(s *Server) *worker.Worker {
+func (f *Fleet) CurrentWorker(s *Server) *worker.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.at
 }
 
 // Starts returns all starts of a server so far.
-func (f *Fleet) Starts(s *Server) []*worker.Worker {
+func (f *Fleet) Workers(s *Server) []*worker.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*worker.Worker(nil), s.all...)
@@ -269,7 +269,7 @@
 func (f *Fleet) Go(duty func()) { f.running.Go(duty) }
 
 // Pause waits; false when the fleet has ended.
-func (f *Fleet) Pause(t time.Duration) bool {
+func (f *Fleet) Sleep(t time.Duration) bool {
 	select {
 	case <-time.After(t):
 		return true
@@ -279,7 +279,7 @@
 }
 
 // Draw returns a random number below n.
-func (f *Fleet) Draw(n int) int {
+func (f *Fleet) RandIntN(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rnd.IntN(n)
@@ -289,39 +289,39 @@
 func (f *Fleet) NextID() int64 { return f.nextID.Add(1) }
 
 // CutNodes ends or restores the links between two gateways' hosts.
-func (f *Fleet) CutNodes(a, b *Node, cut bool) { f.net.Cut(a.Link, b.Link, cut) }
+func (f *Fleet) PartitionNodes(a, b *Node, cut bool) { f.net.SetPartitioned(a.Host, b.Host, cut) }
 
 // CutStore ends or restores the link from a gateway's host to the store.
-func (f *Fleet) CutStore(n *Node, cut bool) { f.net.Cut(n.Link, f.storeAt, cut) }
+func (f *Fleet) PartitionStore(n *Node, cut bool) { f.net.SetPartitioned(n.Host, f.storeAt, cut) }
 
 // SetPace sets the pause between the events of streams.
-func (f *Fleet) SetPace(pace time.Duration) {
+func (f *Fleet) SetEventInterval(pace time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pace = pace
 	for _, s := range f.Servers {
 		if s.at != nil {
-			s.at.Behave(f.behaviour())
+			s.at.SetBehaviour(f.behaviour())
 		}
 	}
 }
 
 // behaviour is what servers do.
 func (f *Fleet) behaviour() worker.Behaviour {
-	return worker.Behaviour{Events: Events, BreakAfter: -1, Pace: f.pace}
+	return worker.Behaviour{Events: StreamEvents, AbortAfterEvents: -1, EventInterval: f.pace}
 }
 
 // Reply is what a caller got.
-type Reply struct {
+type Response struct {
 	Status     int
 	Code       string // of the gateway's own answers
 	RetryAfter string
-	Broken     bool // the answer was not whole
-	Took       time.Duration
+	Aborted    bool // the answer was not whole
+	Elapsed    time.Duration
 }
 
 // Ask sends a request to a gateway and waits for what comes of it.
-func (f *Fleet) Ask(n *Node, route, id, body string) (r Reply) {
+func (f *Fleet) SendRequest(n *Node, route, id, body string) (r Response) {
 	p, begin := n.at.Load(), time.Now()
 	req := httptest.NewRequestWithContext(p.up, http.MethodPost, "/"+route+"/x", strings.NewReader(body))
 	req.Host = "a.example"
@@ -338,11 +338,11 @@
 		if e := recover(); e != nil && e != http.ErrAbortHandler {
 			panic(e)
 		} else if e != nil {
-			r = Reply{Status: w.Code, Broken: true, Took: time.Since(begin)}
+			r = Response{Status: w.Code, Aborted: true, Elapsed: time.Since(begin)}
 		}
 	}()
 	p.gateway.ServeHTTP(w, req)
-	r = Reply{Status: w.Code, RetryAfter: w.Header().Get("Retry-After"), Took: time.Since(begin)}
+	r = Response{Status: w.Code, RetryAfter: w.Header().Get("Retry-After"), Elapsed: time.Since(begin)}
 	var doc struct {
 		Error struct{ Code string }
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -32,7 +32,7 @@
 }
 
 // Pause waits for d and reports whether the context is still alive.
-func Pause(ctx context.Context, d time.Duration) bool {
+func SleepContext(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -17,15 +17,15 @@
 )
 
 // Run is one request that the worker has begun to work on.
-type Run struct {
+type Execution struct {
 	ID     string
 	Method string
 	Target string
 	Body   string
 	Header http.Header
 	// From is the number of the first event of a stream.
-	From int
-	At   time.Time
+	LastEventID int
+	At          time.Time
 }
 
 // Arrival is a request that has come, whether it ran or was refused.
@@ -37,7 +37,7 @@
 // Behaviour says what the worker does with the next requests.
 type Behaviour struct {
 	// Refuse answers 503 without having run the request.
-	Refuse bool
+	Reject bool
 	// RetryAfter is when a refused caller may come back, in seconds; empty says nothing.
 	RetryAfter string
 	// Status is the status of the answer; 0 is 200.
@@ -46,29 +46,29 @@
 	Events int
 	// BreakAfter ends the connection in the middle of the event behind so many;
 	// -1 never.
-	BreakAfter int
+	AbortAfterEvents int
 	// Hang gives no answer until the caller leaves.
 	Hang bool
 	// Drop closes the connection without an answer.
-	Drop bool
+	DropConnection bool
 	// Unframed answers have no length and end with the connection.
-	Unframed bool
+	CloseDelimited bool
 	// ExtraBefore sends an answer to another request first.
-	ExtraBefore bool
+	ForeignResponseFirst bool
 	// NoSeal leaves out the proof.
-	NoSeal bool
+	OmitSeal bool
 	// Early answers 413 before the body is read, and reads it then.
-	Early bool
+	RejectBeforeBody bool
 	// Pace is the pause between events.
-	Pace time.Duration
+	EventInterval time.Duration
 }
 
 // Worker is the stand-in. It is safe for concurrent use.
 type Worker struct {
 	ID string
 	// Born is when the process started, Unix ms.
-	Born     int64
-	listener net.Listener
+	StartedMS int64
+	listener  net.Listener
 
 	mu        sync.Mutex
 	behaviour Behaviour
@@ -76,7 +76,7 @@
 	partial   Behaviour   // for partialN of every partialOf requests
 	partialN  int
 	partialOf int
-	runs      []Run
+	runs      []Execution
 	left      int // callers that closed their connection while a request ran
 	conns     map[net.Conn]bool
 	opened    int
@@ -106,7 +106,7 @@
 
 // StartOn is Start on a listener, which the worker owns.
 func StartOn(id string, l net.Listener) *Worker {
-	w := &Worker{ID: id, Born: time.Now().UnixMilli(), listener: l, behaviour: Behaviour{BreakAfter: -1}, conns: map[net.Conn]bool{}}
+	w := &Worker{ID: id, StartedMS: time.Now().UnixMilli(), listener: l, behaviour: Behaviour{AbortAfterEvents: -1}, conns: map[net.Conn]bool{}}
 	go w.accept()
 	return w
 }
@@ -130,21 +130,21 @@
 }
 
 // Behave sets what the worker does from now on.
-func (w *Worker) Behave(b Behaviour) {
+func (w *Worker) SetBehaviour(b Behaviour) {
 	w.mu.Lock()
 	w.behaviour = b
 	w.mu.Unlock()
 }
 
 // Next sets what the worker does with the next request only.
-func (w *Worker) Next(b ...Behaviour) {
+func (w *Worker) QueueBehaviours(b ...Behaviour) {
 	w.mu.Lock()
 	w.once = append(w.once, b...)
 	w.mu.Unlock()
 }
 
 // BehavePartly sets what the worker does with n out of every "of" requests from now on.
-func (w *Worker) BehavePartly(n, of int, b Behaviour) {
+func (w *Worker) SetPartialBehaviour(n, of int, b Behaviour) {
 	w.mu.Lock()
 	w.partial, w.partialN, w.partialOf = b, n, of
 	w.mu.Unlock()
@@ -152,7 +152,7 @@
 
 // EndBy has the worker end when it has run a request with this body for a while. It calls
 // ended then.
-func (w *Worker) EndBy(body string, after time.Duration, ended func()) {
+func (w *Worker) CrashOn(body string, after time.Duration, ended func()) {
 	w.mu.Lock()
 	w.fatal = fatality{body, after, ended}
 	w.mu.Unlock()
@@ -160,7 +160,7 @@
 
 // Say has the worker say these header lines of itself in all its answers from now on, such as
 // "Server-Limit: 1".
-func (w *Worker) Say(lines ...string) {
+func (w *Worker) SetHeaders(lines ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.notices = ""
@@ -177,28 +177,28 @@
 }
 
 // Runs returns what has run so far.
-func (w *Worker) Runs() []Run {
+func (w *Worker) Executions() []Execution {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Run(nil), w.runs...)
+	return append([]Execution(nil), w.runs...)
 }
 
 // Left returns how many callers left while their request ran.
-func (w *Worker) Left() int {
+func (w *Worker) Disconnects() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.left
 }
 
 // Opened returns the number of connections so far.
-func (w *Worker) Opened() int {
+func (w *Worker) ConnectionCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.opened
 }
 
 // Asked returns how many requests have come, refused ones included.
-func (w *Worker) Asked() int {
+func (w *Worker) RequestCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.arrivals)
@@ -269,7 +269,7 @@
 		return w.plain(c, id, http.StatusMisdirectedRequest, "X-Instance-Id: "+w.ID+"\r\n", "")
 	}
 	b := w.next(id)
-	if b.Early {
+	if b.RejectBeforeBody {
 		ok := w.plain(c, id, http.StatusRequestEntityTooLarge, w.seal(id), "too long")
 		_, err := io.Copy(io.Discard, req.Body)
 		return ok && err == nil
@@ -278,7 +278,7 @@
 	if err != nil {
 		return false
 	}
-	if b.Refuse {
+	if b.Reject {
 		headers := "X-Not-Executed: 1\r\n"
 		if b.RetryAfter != "" {
 			headers += "Retry-After: " + b.RetryAfter + "\r\n"
@@ -287,38 +287,38 @@
 	}
 	from, _ := strconv.Atoi(req.Header.Get("Last-Event-Id")) // none is 0
 	w.mu.Lock()
-	w.runs = append(w.runs, Run{ID: id, Method: req.Method, Target: req.RequestURI, Body: string(body), Header: req.Header, From: from, At: time.Now()})
+	w.runs = append(w.runs, Execution{ID: id, Method: req.Method, Target: req.RequestURI, Body: string(body), Header: req.Header, LastEventID: from, At: time.Now()})
 	fatal := w.fatal
 	w.mu.Unlock()
 	if fatal.ended != nil && string(body) == fatal.body {
 		return w.endBy(c, id, fatal, b.Events > 0)
 	}
 	switch {
-	case b.Drop:
+	case b.DropConnection:
 		return false
 	case b.Hang:
 		w.hang(r)
 		return false
 	}
-	if b.ExtraBefore && !w.plain(c, "foreign", http.StatusOK, w.seal("foreign"), "for somebody else") {
+	if b.ForeignResponseFirst && !w.plain(c, "foreign", http.StatusOK, w.seal("foreign"), "for somebody else") {
 		return false
 	}
 	if b.Events > 0 {
 		return w.stream(c, r, id, from, b)
 	}
 	seal := w.seal(id)
-	if b.NoSeal {
+	if b.OmitSeal {
 		seal = ""
 	}
 	status := b.Status
 	if status == 0 {
 		status = http.StatusOK
 	}
-	if b.Unframed {
-		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d OK\r\nX-Attempt-Id: %s\r\n%s%sConnection: close\r\n\r\n%s", status, id, seal, w.says(), Answer(id))
+	if b.CloseDelimited {
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d OK\r\nX-Attempt-Id: %s\r\n%s%sConnection: close\r\n\r\n%s", status, id, seal, w.says(), ResponseBody(id))
 		return false
 	}
-	return w.plain(c, id, status, seal, Answer(id))
+	return w.plain(c, id, status, seal, ResponseBody(id))
 }
 
 // endBy runs a request that ends the worker, with the head of a stream where one is asked for.
@@ -333,13 +333,13 @@
 }
 
 // Answer is the body of the plain answer to a request.
-func Answer(id string) string { return "answer to " + id }
+func ResponseBody(id string) string { return "answer to " + id }
 
 // Event is an event of a stream.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s part %d\n\n", n, id, n) }
 
 // Stream is a whole stream of n events.
-func Stream(id string, n int) string {
+func StreamBody(id string, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		b.WriteString(Event(id, i))
@@ -373,7 +373,7 @@
 
 func (w *Worker) stream(c net.Conn, r *bufio.Reader, id string, from int, b Behaviour) bool {
 	gone := make(chan struct{})
-	if b.Pace > 0 {
+	if b.EventInterval > 0 {
 		go func() { w.hang(r); close(gone) }()
 	}
 	if err := w.streamHead(c, id); err != nil {
@@ -381,7 +381,7 @@
 	}
 	for n := from + 1; n <= b.Events; n++ {
 		event := Event(id, n)
-		if b.BreakAfter >= 0 && n > b.BreakAfter {
+		if b.AbortAfterEvents >= 0 && n > b.AbortAfterEvents {
 			half := event[:len(event)/2]
 			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(half), half)
 			return false
@@ -389,14 +389,14 @@
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event); err != nil {
 			return false
 		}
-		if b.Pace > 0 {
+		if b.EventInterval > 0 {
 			select {
 			case <-gone:
 				return false
-			case <-time.After(b.Pace):
+			case <-time.After(b.EventInterval):
 			}
 		}
 	}
 	_, err := io.WriteString(c, "0\r\n\r\n")
-	return err == nil && b.Pace == 0
+	return err == nil && b.EventInterval == 0
 }
--- a/internal/telemetry/request.go
+++ b/internal/telemetry/request.go
@@ -9,7 +9,7 @@
 
 // Requests holds the metrics of one team in one class. Looking it up once a
 // request keeps the name building off the path of each token.
-type Requests struct {
+type RequestMetrics struct {
 	firstToken, betweenTokens, whole *metrics.Histogram
 	class                            string
 	team                             string
@@ -18,27 +18,27 @@
 var requests sync.Map // of "team\x00class" to *Requests
 
 // RequestsOf returns the metrics of a team in a class.
-func RequestsOf(team, class string) *Requests {
+func RequestMetricsFor(team, class string) *RequestMetrics {
 	key := team + "\x00" + class
 	if r, ok := requests.Load(key); ok {
-		return r.(*Requests)
+		return r.(*RequestMetrics)
 	}
 	labels := []string{"team", team, "class", class}
-	r := &Requests{class: class, team: team,
+	r := &RequestMetrics{class: class, team: team,
 		firstToken:    metrics.GetOrCreateHistogram(name("merlinpost_first_token_seconds", labels)),
 		betweenTokens: metrics.GetOrCreateHistogram(name("merlinpost_between_tokens_seconds", labels)),
 		whole:         metrics.GetOrCreateHistogram(name("merlinpost_request_seconds", labels))}
 	actual, _ := requests.LoadOrStore(key, r)
-	return actual.(*Requests)
+	return actual.(*RequestMetrics)
 }
 
 // Targets are the latency targets of a class; 0 means none.
-type Targets struct{ FirstToken, BetweenTokens, Whole time.Duration }
+type LatencyTargets struct{ FirstToken, BetweenTokens, Total time.Duration }
 
 // Observation follows one request's timing. It belongs to one goroutine.
 type Observation struct {
-	metrics  *Requests
-	targets  Targets
+	metrics  *RequestMetrics
+	targets  LatencyTargets
 	start    time.Time
 	last     time.Time
 	tokens   int
@@ -47,7 +47,7 @@
 }
 
 // Observe starts the observation of a request.
-func (r *Requests) Observe(start time.Time, targets Targets) *Observation {
+func (r *RequestMetrics) Observe(start time.Time, targets LatencyTargets) *Observation {
 	return &Observation{metrics: r, targets: targets, start: start}
 }
 
@@ -93,6 +93,6 @@
 
 func (o *Observation) met(whole time.Duration) bool {
 	t := o.targets
-	return (t.FirstToken == 0 || o.first <= t.FirstToken) && (t.Whole == 0 || whole <= t.Whole) &&
+	return (t.FirstToken == 0 || o.first <= t.FirstToken) && (t.Total == 0 || whole <= t.Total) &&
 		float64(o.slowGaps) <= slowGapShare*float64(max(0, o.tokens-1))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -49,12 +49,12 @@
 }
 
 // Gauge sets a gauge.
-func Gauge(metric string, value float64, labels ...string) {
+func SetGauge(metric string, value float64, labels ...string) {
 	metrics.GetOrCreateGauge(name(metric, labels), nil).Set(value)
 }
 
 // Seconds records a duration in a histogram.
-func Seconds(metric string, d time.Duration, labels ...string) {
+func ObserveDuration(metric string, d time.Duration, labels ...string) {
 	metrics.GetOrCreateHistogram(name(metric, labels)).Update(d.Seconds())
 }
 
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -18,7 +18,7 @@
 	g := NewWithT(t)
 	start := time.Unix(0, 0)
 	observe := func(slow int) *Observation {
-		o := RequestsOf("t", "c").Observe(start, Targets{FirstToken: time.Second, BetweenTokens: 50 * time.Millisecond})
+		o := RequestMetricsFor("t", "c").Observe(start, LatencyTargets{FirstToken: time.Second, BetweenTokens: 50 * time.Millisecond})
 		now := start
 		for i := range 101 {
 			gap := 10 * time.Millisecond
@@ -44,7 +44,7 @@
 	for b.Loop() {
 		for i := range 2500 {
 			for _, class := range []string{"x", "y"} {
-				o := RequestsOf(fmt.Sprint("team", rounds, "-", i), class).Observe(time.Unix(0, 0), Targets{})
+				o := RequestMetricsFor(fmt.Sprint("team", rounds, "-", i), class).Observe(time.Unix(0, 0), LatencyTargets{})
 				now := time.Unix(0, 0)
 				for range 50 {
 					now = now.Add(time.Duration(rand.IntN(1_000_000_000)))
