--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -174,9 +174,9 @@
 	for code, n := range l.core.TakeRefusedOffers() {
 		telemetry.Add("merlinpost_agent_refused_total", int(n), "code", string(code))
 	}
-	telemetry.Gauge("merlinpost_agent_held", float64(l.core.AttemptCount()))
-	telemetry.Gauge("merlinpost_agent_tombstones", float64(l.core.TombstoneCount()))
-	telemetry.Gauge("merlinpost_agent_keys", float64(l.core.Keys().Len()))
+	telemetry.SetGauge("merlinpost_agent_held", float64(l.core.AttemptCount()))
+	telemetry.SetGauge("merlinpost_agent_tombstones", float64(l.core.TombstoneCount()))
+	telemetry.SetGauge("merlinpost_agent_keys", float64(l.core.Keys().Len()))
 }
 
 // Send implements execution.Effects.
@@ -241,12 +241,12 @@
 	})
 }
 
-// decideClaim decides, from the witness's answer, whether a keyed call may start.
+// decideClaim decides, from the witness's reply, whether a keyed call may start.
 // moved reports whether another agent was the key's home within its window.
-func (l *coreLoop) decideClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer, answer receipt.WitnessReply, moved bool) {
+func (l *coreLoop) decideClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer, reply receipt.WitnessReply, moved bool) {
 	l.post(ctx, func(now time.Time) {
 		window := time.Duration(o.KeyRetentionMS) * time.Millisecond
-		decision := l.core.Keys().Decide(now, window, answer, moved)
+		decision := l.core.Keys().Decide(now, window, reply, moved)
 		if decision == receipt.RunAfterLogging {
 			go l.agent.logClaim(ctx, k, o)
 			return
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -69,7 +69,7 @@
 // New returns a follower, which is started with Run.
 func New(deps Dependencies, s Settings) *Follower {
 	f := &Follower{Dependencies: deps, configLag: lagMonitor{logger: deps.Logger}, entryDigests: map[string]uint64{}}
-	f.Peers.Versioned(f.Topics.Configuration)
+	f.Peers.SetVersioned(f.Topics.Configuration)
 	f.SetSettings(s)
 	return f
 }
@@ -104,11 +104,11 @@
 	}
 }
 
-// waitUntilDue waits until the topic has to be read, or a peer announces a newer state.
+// waitUntilDue waits until the topic has to be read, or a peer reports a newer state.
 func (f *Follower) waitUntilDue(ctx context.Context, t topic, primary bool, r *readState) {
 	sleep(ctx, minReadInterval)
 	for ctx.Err() == nil {
-		confirmed, changed := f.Peers.Confirmed(t.name)
+		confirmed, changed := f.Peers.LastConfirmed(t.name)
 		maxAge := t.interval
 		if !primary {
 			maxAge = t.timing.MaxAge(t.slowestTransfer) + f.readDelay(t)
@@ -135,21 +135,21 @@
 // reads, so that gateways do not all read at once.
 func (f *Follower) readDelay(t topic) time.Duration {
 	delay := min(time.Duration(f.Peers.Rank(t.name))*readStagger, maxReadStagger)
-	if small, _ := f.Peers.Small(); small && t.sharedByPeers {
+	if small, _ := f.Peers.SmallHosts(); small && t.sharedByPeers {
 		delay += smallHostDelay
 	}
 	return delay
 }
 
 // waitBeforeRetry waits before a failed call is retried. It returns early when a call for another
-// topic succeeds, which shows that the store is back, or when a peer announces a newer state. A
+// topic succeeds, which shows that the store is back, or when a peer reports a newer state. A
 // gateway that is not ready retries as often as the primary reader.
 func (f *Follower) waitBeforeRetry(ctx context.Context, t topic) {
 	delay := retryDelay
 	if f.Gateway.Ready() {
 		delay = min(retryDelay*time.Duration(1+f.Peers.Rank(t.name)), maxRetryDelay)
 	}
-	_, changed := f.Peers.Confirmed(t.name)
+	_, changed := f.Peers.LastConfirmed(t.name)
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -25,44 +25,44 @@
 // UseTrials sets the coordinator of trials. It must be called before Serve.
 func (g *Gateway) UseTrials(t Trials) { g.trials = t }
 
-// Quarantine returns the ledger of requests that are suspected of crashing servers.
-func (g *Gateway) Quarantine() *quarantine.Tracker { return g.ledger }
+// Quarantine returns the tracker of requests that are suspected of crashing servers.
+func (g *Gateway) Quarantine() *quarantine.Tracker { return g.quarantine }
 
-// turn is the ledger's permission for one run of a request. The zero turn is used while the
-// ledger watches no requests.
+// turn is the quarantine tracker's permission for one run of a request. The zero turn is used while
+// the tracker has no entries.
 type turn struct {
 	key      uint64
 	isolated bool // the request must not share a server with another suspect
 }
 
-// awaitTurn waits until the ledger allows the request to be sent. An error is the final result of
+// awaitTurn waits until the quarantine tracker allows the request to be sent. An error is the final result of
 // the request. Without this check, each retry of a caller would be sent to another server, through
 // any gateway, and a single request could crash all servers of a service.
 func (g *Gateway) awaitTurn(ctx context.Context, q *request, ran bool) (turn, error) {
-	if !g.ledger.HasEntries() {
+	if !g.quarantine.HasEntries() {
 		return turn{}, nil
 	}
 	t := turn{key: max(rand.Uint64(), 1)}
 	for {
-		ledgerTurn := g.ledger.Begin(q.quarantineID(), t.key, g.now())
-		if ledgerTurn.ConfirmAfter > 0 {
-			if err := g.waitForChange(ctx, q, ran, nil, ledgerTurn.ConfirmAfter); err != nil {
-				g.ledger.Done(q.quarantineID(), t.key, g.now())
+		decision := g.quarantine.Begin(q.quarantineID(), t.key, g.now())
+		if decision.ConfirmAfter > 0 {
+			if err := g.waitForChange(ctx, q, ran, nil, decision.ConfirmAfter); err != nil {
+				g.quarantine.Done(q.quarantineID(), t.key, g.now())
 				return t, err
 			}
-			ledgerTurn = g.ledger.Confirm(q.quarantineID(), t.key, g.now())
+			decision = g.quarantine.Confirm(q.quarantineID(), t.key, g.now())
 		}
-		t.isolated = ledgerTurn.Isolate
+		t.isolated = decision.Isolate
 		switch {
-		case ledgerTurn.TrialDue:
+		case decision.TrialDue:
 			t.isolated = true
 			return t, g.claimTrial(ctx, q, t, ran)
-		case ledgerTurn.Verdict != nil:
-			return t, g.quarantinedError(q, ledgerTurn.Verdict, ran)
-		case ledgerTurn.Changed == nil:
+		case decision.Verdict != nil:
+			return t, g.quarantinedError(q, decision.Verdict, ran)
+		case decision.Changed == nil:
 			return t, nil
 		}
-		if err := g.waitForChange(ctx, q, ran, ledgerTurn.Changed, ledgerTurn.Wait); err != nil {
+		if err := g.waitForChange(ctx, q, ran, decision.Changed, decision.Wait); err != nil {
 			return t, err
 		}
 	}
@@ -87,8 +87,8 @@
 // claimTrial claims the trial of a request whose quarantine period has ended.
 func (g *Gateway) claimTrial(ctx context.Context, q *request, t turn, ran bool) error {
 	if g.trials == nil {
-		if v := g.ledger.Verdict(q.quarantineID()); v != nil {
-			g.ledger.BeginTrial(q.quarantineID(), t.key, v.WithTrial(g.now()), g.now())
+		if v := g.quarantine.Verdict(q.quarantineID()); v != nil {
+			g.quarantine.BeginTrial(q.quarantineID(), t.key, v.WithTrial(g.now()), g.now())
 		}
 		return nil
 	}
@@ -97,7 +97,7 @@
 		return withOutcome(fault.New(fault.Quarantined, "servers have ended that ran this request: %w", err).WithRetryAfter(trialRetryAfter), ran)
 	}
 	if v != nil {
-		g.ledger.BeginTrial(q.quarantineID(), t.key, *v, g.now())
+		g.quarantine.BeginTrial(q.quarantineID(), t.key, *v, g.now())
 	}
 	return nil
 }
@@ -122,11 +122,11 @@
 // checkQuarantine checks again, after a server has been chosen, that the request is not quarantined,
 // because waiting for a permit may take seconds.
 func (g *Gateway) checkQuarantine(q *request, t turn, ran bool) error {
-	if !g.ledger.HasEntries() {
+	if !g.quarantine.HasEntries() {
 		return nil
 	}
-	if ledgerTurn := g.ledger.Check(q.quarantineID(), t.key); ledgerTurn.Verdict != nil {
-		return g.quarantinedError(q, ledgerTurn.Verdict, ran)
+	if decision := g.quarantine.Check(q.quarantineID(), t.key); decision.Verdict != nil {
+		return g.quarantinedError(q, decision.Verdict, ran)
 	}
 	return nil
 }
@@ -138,9 +138,9 @@
 	if !t.isolated {
 		return tried
 	}
-	out := g.ledger.OccupiedServers(t.key, g.now())
-	for start := range tried {
-		out[start] = true
+	out := g.quarantine.OccupiedServers(t.key, g.now())
+	for instance := range tried {
+		out[instance] = true
 	}
 	for _, c := range g.candidates(q.service, out) {
 		if usable(c) {
--- a/internal/gateway/server_exits.go
+++ b/internal/gateway/server_exits.go
@@ -16,10 +16,10 @@
 // reset, a malformed response or a truncated stream is no proof, because a live server may cause
 // them too. Requests that are interrupted at a server at about the same time share a check.
 type exitTracker struct {
-	mu      sync.Mutex
-	byStart map[string]*exitCheck
+	mu         sync.Mutex
+	byInstance map[string]*exitCheck
 	// pending are the interrupted runs for which it is not known yet whether the server has
-	// exited, keyed by the server's start.
+	// exited, keyed by the server's instance ID.
 	pending map[string][]interruptedRun
 	// lastProbe is the time of the most recent call of probeServers that probed.
 	lastProbe time.Time
@@ -27,8 +27,8 @@
 
 // interruptedRun is a run of a request whose connection to the server broke.
 type interruptedRun struct {
-	id  quarantine.ID
-	end quarantine.Crash
+	id    quarantine.ID
+	crash quarantine.Crash
 }
 
 const (
@@ -42,28 +42,28 @@
 
 // runInterrupted records that the connection to a server broke while it ran the request, and
 // reports whether the server is known to have exited.
-func (g *Gateway) runInterrupted(q *request, server registry.Server, end quarantine.Crash) bool {
+func (g *Gateway) runInterrupted(q *request, server registry.Server, crash quarantine.Crash) bool {
 	if g.notices.Draining(server.InstanceID()) {
 		return false // a planned shutdown
 	}
 	check := g.checkExit(server)
 	<-check.done
 	if check.exited {
-		g.recordExit(interruptedRun{q.quarantineID(), end})
+		g.recordExit(interruptedRun{q.quarantineID(), crash})
 	} else {
-		g.exits.addPending(interruptedRun{q.quarantineID(), end})
+		g.exits.addPending(interruptedRun{q.quarantineID(), crash})
 	}
 	return check.exited
 }
 
-// recordExit records in the quarantine ledger that a server exited while it ran a request. If this
+// recordExit records in the quarantine tracker that a server exited while it ran a request. If this
 // makes the request a strong suspect, listed servers are probed in the background.
 func (g *Gateway) recordExit(r interruptedRun) {
-	g.ledger.SetServerCount(g.servers.Reachable(g.now()))
-	if g.ledger.RecordCrash(r.id, r.end, g.now()) {
+	g.quarantine.SetServerCount(g.servers.Reachable(g.now()))
+	if g.quarantine.RecordCrash(r.id, r.crash, g.now()) {
 		go func() {
 			g.probeServers()
-			g.ledger.Rebroadcast(r.id, g.now())
+			g.quarantine.Rebroadcast(r.id, g.now())
 		}()
 	}
 }
@@ -90,10 +90,10 @@
 		return
 	}
 	var probes sync.WaitGroup
-	for _, server := range g.servers.Sample(maxProbes, g.random, func(s registry.Server) bool { return !g.ledger.KnownCrashed(s.InstanceID()) }) {
+	for _, server := range g.servers.Sample(maxProbes, g.random, func(s registry.Server) bool { return !g.quarantine.KnownCrashed(s.InstanceID()) }) {
 		probes.Go(func() {
 			if g.pool.Refused(context.Background(), server.Address) {
-				g.ledger.RecordServerCrash(server.InstanceID(), g.now())
+				g.quarantine.RecordServerCrash(server.InstanceID(), g.now())
 			}
 		})
 	}
@@ -104,38 +104,38 @@
 func (t *exitTracker) addPending(r interruptedRun) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for start, runs := range t.pending {
-		if r.end.At.Sub(runs[len(runs)-1].end.At) > exitReportTimeout {
-			delete(t.pending, start)
+	for instance, runs := range t.pending {
+		if r.crash.At.Sub(runs[len(runs)-1].crash.At) > exitReportTimeout {
+			delete(t.pending, instance)
 		}
 	}
-	runs := t.pending[r.end.Server]
+	runs := t.pending[r.crash.Server]
 	if len(runs) < maxPendingRuns && (runs != nil || len(t.pending) < maxPendingServers) {
-		t.pending[r.end.Server] = append(runs, r)
+		t.pending[r.crash.Server] = append(runs, r)
 	}
 }
 
-// serverExited handles a report that a start of a server has exited, from the server list or from
+// serverExited handles a report that a server instance has exited, from the server list or from
 // another server at the same address. It covers exits that checkExit does not detect: if the host
 // fails along with the server, connections are not refused.
-func (g *Gateway) serverExited(start string) {
-	if g.notices.Draining(start) {
+func (g *Gateway) serverExited(instance string) {
+	if g.notices.Draining(instance) {
 		return // a planned shutdown, even if the list does not show it as draining
 	}
 	now := g.now()
-	g.ledger.RecordServerCrash(start, now)
+	g.quarantine.RecordServerCrash(instance, now)
 	g.exits.mu.Lock()
-	runs := g.exits.pending[start]
-	delete(g.exits.pending, start)
+	runs := g.exits.pending[instance]
+	delete(g.exits.pending, instance)
 	g.exits.mu.Unlock()
 	for _, r := range runs {
-		if now.Sub(r.end.At) <= exitReportTimeout {
-			g.ledger.RecordCrash(r.id, r.end, now)
+		if now.Sub(r.crash.At) <= exitReportTimeout {
+			g.quarantine.RecordCrash(r.id, r.crash, now)
 		}
 	}
 }
 
-// exitCheck is a check whether one start of a server has exited.
+// exitCheck is a check whether one server instance has exited.
 type exitCheck struct {
 	startedAt time.Time
 	done      chan struct{} // closed when exited is set
@@ -150,17 +150,17 @@
 func (g *Gateway) checkExit(server registry.Server) *exitCheck {
 	g.exits.mu.Lock()
 	defer g.exits.mu.Unlock()
-	now, start := g.now(), server.InstanceID()
-	if c := g.exits.byStart[start]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
+	now, instance := g.now(), server.InstanceID()
+	if c := g.exits.byInstance[instance]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
 		return c
 	}
-	for other, c := range g.exits.byStart {
+	for other, c := range g.exits.byInstance {
 		if now.Sub(c.startedAt) >= exitCheckTTL {
-			delete(g.exits.byStart, other)
+			delete(g.exits.byInstance, other)
 		}
 	}
 	c := &exitCheck{startedAt: now, done: make(chan struct{})}
-	g.exits.byStart[start] = c
+	g.exits.byInstance[instance] = c
 	go g.probe(server, c)
 	return c
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
 // Package peers connects the gateways of a deployment. It tracks which gateways are up and which
-// gateway decides where and when prompts are read by a group of engines (the group's home). It also
-// distributes measured engine figures, notices of backend servers, suspected requests, shares of
+// gateway schedules the requests to a group of engines (the group's home). It also
+// distributes estimates of engine performance, notices of backend servers, suspected requests, shares of
 // limits and budgets, and the states that gateways have read from the platform's store, so that not
 // all of them need to read it.
 //
@@ -32,11 +32,11 @@
 
 // message is one datagram. Exactly one field is set.
 type message struct {
-	Heartbeat     *heartbeat       `msgpack:"b,omitempty"`
-	PermitRequest *permitRequest   `msgpack:"a,omitempty"`
-	PermitAnswer  *permit.Decision `msgpack:"v,omitempty"`
-	FirstToken    *firstToken      `msgpack:"f,omitempty"`
-	End           *requestEnd      `msgpack:"e,omitempty"`
+	Heartbeat      *heartbeat       `msgpack:"b,omitempty"`
+	PermitRequest  *permitRequest   `msgpack:"a,omitempty"`
+	PermitDecision *permit.Decision `msgpack:"v,omitempty"`
+	FirstToken     *firstToken      `msgpack:"f,omitempty"`
+	End            *requestEnd      `msgpack:"e,omitempty"`
 	// Suspects are requests that may crash servers, as known to the sender.
 	Suspects []quarantine.Update `msgpack:"q,omitempty"`
 	// Notices are the servers' statements about themselves, as known to the sender.
@@ -57,8 +57,8 @@
 	// and notices.
 	Starting bool          `msgpack:"n,omitempty"`
 	States   []stateReport `msgpack:"f,omitempty"`
-	// Learnt are the figures of the engines for which the sender decides.
-	Learnt []engineFigures `msgpack:"e,omitempty"`
+	// Estimates are those for the engines whose requests the sender schedules.
+	Estimates []engineEstimates `msgpack:"e,omitempty"`
 }
 
 // permitRequest asks for permission to send a request to an engine of a group.
@@ -67,7 +67,7 @@
 	permit.Ask
 }
 
-// firstToken reports that an engine has read a request's prompt.
+// firstToken reports that an engine has completed a request's prefill.
 type firstToken struct {
 	Group permit.Group  `msgpack:"g"`
 	ID    string        `msgpack:"i"`
@@ -85,21 +85,21 @@
 type LocalGateway interface {
 	// Engines returns the engines of a group.
 	Engines(permit.Group) []permit.Engine
-	// Quarantine returns the gateway's records of requests that may crash servers.
+	// Quarantine returns the tracker of requests that may crash servers.
 	Quarantine() *quarantine.Tracker
-	// Notices returns the gateway's records of the servers' statements about themselves.
+	// Notices returns the registry of the servers' statements about themselves.
 	Notices() *notice.Registry
-	// Limited returns the servers that state a rate limit, by group.
-	Limited() map[permit.Group][]string
+	// RateLimitedServers returns the servers that state a rate limit, by group.
+	RateLimitedServers() map[permit.Group][]string
 	// SetGateways sets the number of gateways, including this one, that share the slack of the retry
 	// budgets; 0 while this gateway has no share.
 	SetGateways(n int)
 	// LendRepeat grants another gateway a repeated send to a service from this gateway's retry budget, and reports
 	// whether the budget permitted it.
 	LendRepeat(service string) bool
-	// Stalled tells the gateway that the process was stalled since one time and is expected to process the
-	// backlog until the other.
-	Stalled(since, until time.Time)
+	// RecordStall records that the process was stalled since the given time and is expected to process
+	// the backlog until the other.
+	RecordStall(since, until time.Time)
 }
 
 // received is a message with its sender.
@@ -110,23 +110,23 @@
 
 // Peers connects this gateway to the others. It is safe for concurrent use.
 type Peers struct {
-	socket  *datagram.Socket[message]
-	self    netip.AddrPort
-	logger  *slog.Logger
-	inbox   chan received
-	desk    *permit.Scheduler[netip.AddrPort] // used only by Run's goroutine
-	local   LocalGateway
-	ledger  *quarantine.Tracker
-	notices *notice.Registry
-	loans   loanState // used only by Run's goroutine
-	start   time.Time
+	socket     *datagram.Socket[message]
+	self       netip.AddrPort
+	logger     *slog.Logger
+	inbox      chan received
+	scheduler  *permit.Scheduler[netip.AddrPort] // used only by Run's goroutine
+	local      LocalGateway
+	quarantine *quarantine.Tracker
+	notices    *notice.Registry
+	loans      loanState // used only by Run's goroutine
+	start      time.Time
 
 	mu             sync.Mutex
 	members        *members
 	states         topicStates
-	learnt         []engineFigures                 // by this gateway, as sent in heartbeats
+	estimates      []engineEstimates               // by this gateway, as sent in heartbeats
 	pendingPermits map[string]chan permit.Decision // by request ID
-	pendingRepeats map[uint64]chan bool            // unanswered repeatRequests by ID
+	pendingRepeats map[uint64]chan bool            // waiting for a repeatResponse, by ID
 	lastRepeatID   uint64                          // ID of the newest repeatRequest
 	leaving        bool
 	heartbeatAt    time.Time
@@ -154,9 +154,9 @@
 func newPeers(host string, socket *datagram.Socket[message], capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
 	self := socket.Address()
 	now := time.Now()
-	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, ledger: local.Quarantine(), notices: local.Notices(), start: now,
+	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, quarantine: local.Quarantine(), notices: local.Notices(), start: now,
 		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRepeats: map[uint64]chan bool{}}
-	p.desk = permit.NewScheduler[netip.AddrPort](local.Engines, p.learntByPeers, p.notices.Limits(), permit.Policy{})
+	p.scheduler = permit.NewScheduler[netip.AddrPort](local.Engines, p.peerEstimates, p.notices.Limits(), permit.Policy{})
 	return p
 }
 
@@ -176,18 +176,18 @@
 	})
 	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
-	learntLogged := time.Now()
+	estimatesLogged := time.Now()
 	for {
 		var r received
 		select {
 		case <-ctx.Done():
 			return
 		case r = <-p.inbox:
-		case <-p.ledger.UpdatesReady():
+		case <-p.quarantine.UpdatesReady():
 		case <-p.notices.Pending():
 		case <-timer.C:
 			next := idleInterval
-			if p.desk.QueuedCount() > 0 {
+			if p.scheduler.QueuedCount() > 0 {
 				next = busyInterval
 			}
 			timer.Reset(next)
@@ -195,29 +195,29 @@
 		now := time.Now()
 		p.checkStall(now)
 		p.handle(r, now)
-		for _, due := range p.desk.Poll(now) {
-			p.sendAnswer(due.Decision, due.To)
+		for _, due := range p.scheduler.Poll(now) {
+			p.sendDecision(due.Decision, due.To)
 		}
 		p.updateSlackShare(now)
 		p.sendHeartbeatIfDue(now)
 		p.sendSuspects(now)
 		p.sendNotices(now)
 		p.lendRateShares(now)
-		if now.Sub(learntLogged) >= learntLogInterval {
-			learntLogged = now
-			p.logLearnt()
+		if now.Sub(estimatesLogged) >= estimatesLogInterval {
+			estimatesLogged = now
+			p.logEstimates()
 		}
 	}
 }
 
-// learntLogInterval is the interval at which the learnt engine figures are logged.
-const learntLogInterval = 5 * time.Second
+// estimatesLogInterval is the interval at which the engine estimates are logged.
+const estimatesLogInterval = 5 * time.Second
 
-// logLearnt logs the engine figures on which this gateway's decisions are based.
-func (p *Peers) logLearnt() {
-	for _, l := range p.desk.Stats() {
-		p.logger.Info("engines learnt", "service", l.Service, "read_1000", l.PrefillPer1000Tokens, "pairs", l.AttentionPerMillionPairs, "latency", l.FirstEventLatency, "token", l.TokenTime,
-			"longest_pause", l.MaxEventGap, "observed", l.Observations, "waiting", l.Queued, "engines", l.AvailableEngines, "reading", l.PrefillingEngines, "running", l.Running)
+// logEstimates logs the engine estimates on which this gateway's decisions are based.
+func (p *Peers) logEstimates() {
+	for _, s := range p.scheduler.Stats() {
+		p.logger.Info("engines learnt", "service", s.Service, "read_1000", s.PrefillPer1000Tokens, "pairs", s.AttentionPerMillionPairs, "latency", s.FirstEventLatency, "token", s.TokenTime,
+			"longest_pause", s.MaxEventGap, "observed", s.Observations, "waiting", s.Queued, "engines", s.AvailableEngines, "reading", s.PrefillingEngines, "running", s.Running)
 	}
 }
 
@@ -246,15 +246,15 @@
 	case r.Heartbeat != nil:
 		p.handleHeartbeat(*r.Heartbeat, r.from, now)
 	case r.PermitRequest != nil:
-		p.sendAnswer(p.desk.Submit(r.PermitRequest.Group, r.PermitRequest.Ask, r.from, now), r.from)
-	case r.PermitAnswer != nil:
-		p.deliverAnswer(*r.PermitAnswer)
+		p.sendDecision(p.scheduler.Submit(r.PermitRequest.Group, r.PermitRequest.Ask, r.from, now), r.from)
+	case r.PermitDecision != nil:
+		p.deliverDecision(*r.PermitDecision)
 	case r.FirstToken != nil:
-		p.desk.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
+		p.scheduler.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
 	case r.End != nil:
-		p.desk.Finish(r.End.Group, r.End.ID, r.End.StreamStats, now)
+		p.scheduler.Finish(r.End.Group, r.End.ID, r.End.StreamStats, now)
 	case r.Suspects != nil:
-		p.ledger.Merge(r.Suspects, r.from.String(), now)
+		p.quarantine.Merge(r.Suspects, r.from.String(), now)
 	case r.Notices != nil:
 		p.handleNotices(r.Notices, r.from, now)
 	case r.Loans != nil:
@@ -266,26 +266,26 @@
 	}
 }
 
-// sendAnswer sends the answer to a permit request.
-func (p *Peers) sendAnswer(a permit.Decision, to netip.AddrPort) {
-	telemetry.Count("merlinpost_permit_answers_total", "verdict", a.Verdict.String())
+// sendDecision sends the decision on a permit request.
+func (p *Peers) sendDecision(d permit.Decision, to netip.AddrPort) {
+	telemetry.Count("merlinpost_permit_answers_total", "verdict", d.Verdict.String())
 	if to == p.self {
-		p.deliverAnswer(a)
+		p.deliverDecision(d)
 		return
 	}
-	p.send(message{PermitAnswer: &a}, to)
+	p.send(message{PermitDecision: &d}, to)
 }
 
-// deliverAnswer passes an answer to the Ask call that waits for it.
-func (p *Peers) deliverAnswer(a permit.Decision) {
+// deliverDecision passes a decision to the RequestPermit call that waits for it.
+func (p *Peers) deliverDecision(d permit.Decision) {
 	p.mu.Lock()
-	ch := p.pendingPermits[a.ID]
+	ch := p.pendingPermits[d.ID]
 	p.mu.Unlock()
 	if ch == nil {
 		return
 	}
 	select {
-	case ch <- a:
-	default: // the previous answer has not been received yet; Ask repeats its request
+	case ch <- d:
+	default: // the previous decision has not been received yet; RequestPermit repeats its request
 	}
 }
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -21,12 +21,12 @@
 
 // sendSuspects sends changes of suspected requests to the other gateways.
 func (p *Peers) sendSuspects(now time.Time) {
-	for _, batch := range suspectBatches(p.ledger.DueUpdates(now)) {
+	for _, batch := range suspectBatches(p.quarantine.DueUpdates(now)) {
 		p.sendAll(message{Suspects: batch})
 	}
 }
 
-// greet sends a gateway that has just started this gateway's engine figures, so that it need not wait
+// greet sends a gateway that has just started this gateway's engine estimates, so that it need not wait
 // for the next heartbeat. Only maxGreeters gateways also send suspects and notices.
 func (p *Peers) greet(host string, at netip.AddrPort, now time.Time) {
 	p.mu.Lock()
@@ -40,7 +40,7 @@
 	if position < 0 || position >= maxGreeters {
 		return
 	}
-	for _, batch := range suspectBatches(p.ledger.Snapshot(now)) {
+	for _, batch := range suspectBatches(p.quarantine.Snapshot(now)) {
 		p.send(message{Suspects: batch}, at)
 	}
 	for batch := range slices.Chunk(p.notices.All(now), noticesPerDatagram) {
