--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -58,10 +58,10 @@
 		return c.explain(ctx, out, desired, fault.From(err))
 	}
 	if accepted.DryRun {
-		_, err = fmt.Fprintln(out, "valid; nothing was changed (dry run)")
+		_, err = fmt.Fprintln(out, "valid; nothing was changed")
 		return err
 	}
-	_, err = fmt.Fprintf(out, "applied: revision %d, operation %s\n", accepted.Revision, accepted.Operation)
+	_, err = fmt.Fprintf(out, "in force: revision %d, operation %s\n", accepted.Revision, accepted.Operation)
 	return err
 }
 
