--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/merlinpost/merlinpost/internal/notice"
 	"github.com/merlinpost/merlinpost/internal/permit"
+	"github.com/merlinpost/merlinpost/internal/ratelimit"
 	"github.com/merlinpost/merlinpost/internal/registry"
 	"github.com/merlinpost/merlinpost/internal/standin/worker"
 )
@@ -24,6 +25,15 @@
 		return out
 	}
 
+	// startLimited starts a harness in which the token bucket of a server that states a rate limit is empty
+	// at first, so that at 0.2 requests a second the next request is allowed after 5 s. At a random level,
+	// as in production, it could be allowed at any time.
+	startLimited := func(workers int) *harness {
+		r := startHarness(workers)
+		r.gateway.UseRateLimiter(ratelimit.New(func() float64 { return 0 }))
+		return r
+	}
+
 	DescribeTable("gets no more than that, and all requests succeed if another server has capacity", func(path string) {
 		r := startHarness(2)
 		r.workers[0].SetHeaders("Server-Limit: 0.2")
@@ -44,7 +54,7 @@
 	})
 
 	It("makes the gateway respond with 429 and Retry-After if it is the only server", func() {
-		r := startHarness(1)
+		r := startLimited(1)
 		r.workers[0].SetHeaders("Server-Limit: 0.2")
 		Expect(r.post("/once/", "a").status).To(Equal(200))
 		refused := r.post("/once/", "b")
@@ -81,7 +91,7 @@
 	})
 
 	It("is limited to the gateway's own share if no gateway can grant permits", func() {
-		r := startHarness(1)
+		r := startLimited(1)
 		r.gateway.UsePeers(&fakePeers{decisions: []permit.Decision{{Verdict: permit.Granted}}})
 		r.gateway.SetGateways(1)
 		r.workers[0].SetHeaders("Server-Limit: 0.2")
@@ -90,7 +100,7 @@
 	})
 
 	It("is logged with the rate limit, its age and the server", func() {
-		r := startHarness(2)
+		r := startLimited(2)
 		r.workers[0].SetHeaders("Server-Limit: 0.2")
 		r.workers[1].SetHeaders("Server-Limit: 0.2")
 		Expect(ask(r, "/once/", 3)).To(Equal(map[int]int{200: 2, 429: 1}))
@@ -100,7 +110,7 @@
 	})
 
 	It("keeps the previous rate limit if the new one is malformed", func() {
-		r := startHarness(1)
+		r := startLimited(1)
 		r.workers[0].SetHeaders("Server-Limit: 0.2")
 		Expect(r.post("/once/", "a").status).To(Equal(200))
 		r.workers[0].SetHeaders("Server-Limit: many")
