--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -234,7 +234,7 @@
 	if paused {
 		return false
 	}
-	if g.peers.BorrowRepeat(ctx, q.service, q.info.ID) {
+	if g.peers.BorrowRetry(ctx, q.service, q.info.ID) {
 		return true
 	}
 	g.mu.Lock()
@@ -300,7 +300,7 @@
 	b := choice.Candidate.Backend
 	server := choice.Candidate.Server
 	sentAt := g.now()
-	_, shared := q.info.Prompt.Shared()
+	_, shared := q.info.Prompt.SharedPrefix()
 	uniqueTokens := q.info.Prompt.Tokens - shared
 	b.BeginRequest(uniqueTokens)
 	recordFirstToken := sync.OnceFunc(func() { b.RecordFirstToken(uniqueTokens) })
@@ -316,7 +316,7 @@
 	defer cancel()
 	resp, err := g.pool.Do(ctx, server.Address, g.outgoingRequest(q, server, choice.FetchFrom, rel))
 	var result sendResult
-	var notices *notice.Statement
+	var notices *notice.ResponseNotices
 	if err != nil {
 		result, err = g.exchangeError(ctx, b, err)
 	} else {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -96,7 +96,7 @@
 	}
 	g.notices = notice.NewRegistry(ratelimit.New(g.random), g.logNoticeChange)
 	servers.OnRestart(g.pool.CloseIdle)
-	servers.OnEnd(g.serverExited)
+	servers.OnUnexpectedExit(g.serverExited)
 	g.settings.Store(&set)
 	g.shutdownCtx, g.abortRequests = context.WithCancel(context.Background())
 	return g
@@ -139,7 +139,7 @@
 
 // LendRepeat grants another gateway one retry to a service from this gateway's retry budget, and reports whether the
 // budget permitted it.
-func (g *Gateway) LendRepeat(service string) bool { return g.budget(service).Lend(g.now()) }
+func (g *Gateway) LendRetry(service string) bool { return g.budget(service).Lend(g.now()) }
 
 // RecordStall records that the process was stalled from since until now, and is expected to process the backlog by
 // until. The backlog may contain requests that arrived long ago, so requests counted before until do not add to the
@@ -148,7 +148,7 @@
 	g.mu.Lock()
 	g.stalledUntil = until
 	g.mu.Unlock()
-	g.forEachBudget(func(b *retrybudget.Budget) { b.Stalled(since, until, g.now()) })
+	g.forEachBudget(func(b *retrybudget.Budget) { b.RecordStall(since, until, g.now()) })
 }
 
 func (g *Gateway) forEachBudget(f func(*retrybudget.Budget)) {
@@ -210,7 +210,7 @@
 	return getOrCreate(g, g.budgets, service, func() *retrybudget.Budget {
 		now := g.now()
 		b := retrybudget.New(g.settings.Load().Retries, g.slackShare, now)
-		b.Stalled(now, g.stalledUntil, now)
+		b.RecordStall(now, g.stalledUntil, now)
 		return b
 	})
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -46,7 +46,7 @@
 	RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a retry to a service from their retry budgets and reports whether
 	// one of them did. The key determines which gateways are asked.
-	BorrowRepeat(ctx context.Context, service, key string) bool
+	BorrowRetry(ctx context.Context, service, key string) bool
 }
 
 // UsePeers sets the interface to the other gateways. It must be called before Serve.
@@ -62,9 +62,9 @@
 // because other gateways may be able to reach them. Each gateway excludes the engines that it can't use in
 // its permit requests.
 func (g *Gateway) Engines(group permit.Group) []permit.Engine {
-	var spec routing.Engine
+	var spec routing.EngineSettings
 	if t := g.table.Load(); t != nil {
-		spec = t.Engine(group.Service)
+		spec = t.EngineSettings(group.Service)
 	}
 	groups := g.groupCount(group.Service)
 	var out []permit.Engine
@@ -198,7 +198,7 @@
 // permitRequest returns a permit request whose ID and ExcludedEngines are not set.
 func (g *Gateway) permitRequest(q *request, rel *relay) permit.Ask {
 	prompt := q.info.Prompt
-	prefixID, prefixTokens := prompt.Shared()
+	prefixID, prefixTokens := prompt.SharedPrefix()
 	ask := permit.Ask{Plain: !q.route.PrefixAffinity, UniqueTokens: prompt.Tokens - prefixTokens, PrefixID: prefixID, PrefixTokens: prefixTokens, OutputTokens: prompt.OutputTokens, MaxEventGap: q.route.TargetGap,
 		FailureDomain: g.settings.Load().FailureDomain}
 	now := g.now()
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -40,7 +40,7 @@
 	return decision, peers.Permit{}
 }
 
-func (p *fakePeers) BorrowRepeat(context.Context, string, string) bool { return false }
+func (p *fakePeers) BorrowRetry(context.Context, string, string) bool { return false }
 
 // requests returns the permit requests received so far.
 func (p *fakePeers) requests() []permit.Ask {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -79,7 +79,7 @@
 	// ServerExited is set if the connection broke because the server process exited.
 	ServerExited bool `json:"ended,omitempty"`
 	// Notices are the notices in the response headers, or nil if there are none.
-	Notices *notice.Statement `json:"said,omitempty"`
+	Notices *notice.ResponseNotices `json:"said,omitempty"`
 	// RetryDecision is the retry budget's decision on a retry after this send, or nil if the budget was not asked.
 	RetryDecision *retrybudget.Decision `json:"repeat,omitempty"`
 }
@@ -102,7 +102,7 @@
 
 // sharedPrefix returns the ID of the shared prompt prefix, which determines placement.
 func (q *request) sharedPrefix() string {
-	id, _ := q.info.Prompt.Shared()
+	id, _ := q.info.Prompt.SharedPrefix()
 	return id
 }
 
@@ -183,12 +183,12 @@
 	if q.team != nil && q.team.Priority != nil {
 		q.priority = *q.team.Priority
 	}
-	q.service = q.route.Service(xxhash.Sum64String(info.ID))
+	q.service = q.route.PickService(xxhash.Sum64String(info.ID))
 }
 
 // serve sends the request to backend servers, relays the response to the caller and logs the result.
 func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, q *request) {
-	g.budget(q.service).Request(g.now())
+	g.budget(q.service).RecordRequest(g.now())
 	rel := &relay{w: w}
 	err := g.runAttempts(ctx, q, rel)
 	switch {
--- a/internal/gateway/server_exits.go
+++ b/internal/gateway/server_exits.go
@@ -59,7 +59,7 @@
 // recordExit records in the quarantine tracker that a server exited while it ran a request. If this
 // makes the request a strong suspect, listed servers are probed in the background.
 func (g *Gateway) recordExit(r interruptedRun) {
-	g.quarantine.SetServerCount(g.servers.Reachable(g.now()))
+	g.quarantine.SetServerCount(g.servers.ReachableCount(g.now()))
 	if g.quarantine.RecordCrash(r.id, r.crash, g.now()) {
 		go func() {
 			g.probeServers()
@@ -92,7 +92,7 @@
 	var probes sync.WaitGroup
 	for _, server := range g.servers.Sample(maxProbes, g.random, func(s registry.Server) bool { return !g.quarantine.KnownCrashed(s.InstanceID()) }) {
 		probes.Go(func() {
-			if g.pool.Refused(context.Background(), server.Address) {
+			if g.pool.RefusesConnections(context.Background(), server.Address) {
 				g.quarantine.RecordServerCrash(server.InstanceID(), g.now())
 			}
 		})
@@ -168,7 +168,7 @@
 // runExitCheck completes a check. A server has exited if its address refuses connections.
 func (g *Gateway) runExitCheck(server registry.Server, c *exitCheck) {
 	defer close(c.done)
-	c.exited = g.pool.Refused(context.Background(), server.Address)
+	c.exited = g.pool.RefusesConnections(context.Background(), server.Address)
 	if c.exited {
 		telemetry.Count("merlinpost_backend_servers_ended_total", "service", server.Service)
 		g.logger.Warn("backend server ended", slog.String("server", server.InstanceID()), slog.String("service", server.Service),
