--- a/internal/permit/load.go
+++ b/internal/permit/load.go
@@ -5,42 +5,45 @@
 	"time"
 )
 
-// loadTimeConstant is the time constant over which the offered load is averaged: short compared
+// loadTimeConstant is the time constant of the moving average of the offered load: short compared
 // with bursts of 5 to 10 s, and long enough to cover some tens of prompts.
 const loadTimeConstant = 2 * time.Second
 
-// priorities is the number of priorities whose load is measured separately.
-const priorities = 10
+// priorityLevels is the number of priorities whose load is measured separately. Less urgent ones count
+// as the last.
+const priorityLevels = 10
 
-// loads is the offered load by priority.
-type loads [priorities]load
+// loadByPriority is the offered load of each priority.
+type loadByPriority [priorityLevels]load
 
-func (l *loads) add(rank int, work time.Duration, now time.Time) {
-	l[min(max(rank, 0), priorities-1)].add(work, now)
+// add records the arrival of a request that takes the given engine time.
+func (l *loadByPriority) add(priority int, engineTime time.Duration, now time.Time) {
+	l[min(max(priority, 0), priorityLevels-1)].add(engineTime, now)
 }
 
-// enginesNeededUpTo returns how many engines the load of a priority and all more urgent ones keeps busy.
-func (l *loads) enginesNeededUpTo(rank int, now time.Time) (sum float64) {
-	for i := range l[:min(max(rank+1, 0), priorities)] {
+// enginesNeededUpTo returns how many engines are kept busy by the load of the given priority and of all
+// more urgent ones.
+func (l *loadByPriority) enginesNeededUpTo(priority int, now time.Time) (sum float64) {
+	for i := range l[:min(max(priority+1, 0), priorityLevels)] {
 		sum += l[i].enginesNeeded(now)
 	}
 	return sum
 }
 
-// load measures the offered prefill time as a number of engines.
+// load measures the engine time of arriving requests as the number of engines that it keeps busy.
 type load struct {
-	work      float64 // seconds of prefill, exponentially decayed
-	updatedAt time.Time
+	engineSeconds float64 // offered engine time in seconds, exponentially decayed
+	updatedAt     time.Time
 }
 
-func (l *load) add(reading time.Duration, now time.Time) {
+func (l *load) add(engineTime time.Duration, now time.Time) {
 	l.decay(now)
-	l.work += reading.Seconds()
+	l.engineSeconds += engineTime.Seconds()
 }
 
 func (l *load) decay(now time.Time) {
 	if elapsed := now.Sub(l.updatedAt); elapsed > 0 {
-		l.work *= math.Exp(-float64(elapsed) / float64(loadTimeConstant))
+		l.engineSeconds *= math.Exp(-float64(elapsed) / float64(loadTimeConstant))
 		l.updatedAt = now
 	}
 }
@@ -48,5 +51,5 @@
 // enginesNeeded returns how many engines the load keeps busy.
 func (l *load) enginesNeeded(now time.Time) float64 {
 	l.decay(now)
-	return l.work / loadTimeConstant.Seconds()
+	return l.engineSeconds / loadTimeConstant.Seconds()
 }
--- a/internal/permit/prefixes.go
+++ b/internal/permit/prefixes.go
@@ -5,18 +5,19 @@
 )
 
 const (
-	// prefixTTL is how long an engine is assumed to cache a prefix after using it. If the prefix
-	// is already gone, the cost is a failed fetch or a prefill. A late first event is not taken
-	// as a sign of that: under load first events are late for other reasons.
+	// prefixTTL is how long an engine is assumed to cache a prefix after using it. If the
+	// engine has evicted the prefix earlier, this costs a failed fetch or a prefill. A late first
+	// event is not taken as a sign of eviction: under load first events are late for other
+	// reasons.
 	prefixTTL = 20 * time.Second
-	// pruneInterval is the time between two sweeps for expired prefixes.
+	// pruneInterval is the minimum time between two removals of expired prefixes.
 	pruneInterval = 5 * time.Second
 )
 
-// prefixIndex tracks which engines of the group cache which shared prefixes, based on granted
-// requests. It does not need cache events, which are late and incomplete.
+// prefixIndex tracks which engines of the group cache which shared prefixes. It infers this from granted
+// requests instead of the engines' cache events, which are late and incomplete.
 type prefixIndex struct {
-	lastUse  map[string]map[string]time.Time // by prefix and engine
+	lastUse  map[string]map[string]time.Time // by prefix ID and engine ID
 	prunedAt time.Time
 }
 
@@ -35,37 +36,37 @@
 
 // holds reports whether an engine is assumed to cache a prefix.
 func (p *prefixIndex) holds(prefix, engine string, now time.Time) bool {
-	at, ok := p.lastUse[prefix][engine]
-	return ok && now.Sub(at) <= prefixTTL
+	usedAt, ok := p.lastUse[prefix][engine]
+	return ok && now.Sub(usedAt) <= prefixTTL
 }
 
-// source returns the engine that used a prefix most recently among those that mayGive accepts;
-// empty for none.
-func (p *prefixIndex) source(prefix string, mayGive func(engine string) bool, now time.Time) string {
+// source returns the eligible engine that used a prefix most recently, or the empty string if there is
+// none.
+func (p *prefixIndex) source(prefix string, eligible func(engine string) bool, now time.Time) string {
 	var (
-		best string
-		last time.Time
+		best       string
+		bestUsedAt time.Time
 	)
-	for engine, at := range p.lastUse[prefix] {
-		if now.Sub(at) > prefixTTL || !mayGive(engine) {
+	for engine, usedAt := range p.lastUse[prefix] {
+		if now.Sub(usedAt) > prefixTTL || !eligible(engine) {
 			continue
 		}
-		if best == "" || at.After(last) || (at.Equal(last) && engine < best) {
-			best, last = engine, at
+		if best == "" || usedAt.After(bestUsedAt) || (usedAt.Equal(bestUsedAt) && engine < best) {
+			best, bestUsedAt = engine, usedAt
 		}
 	}
 	return best
 }
 
-// prune deletes expired entries.
+// prune removes expired prefixes, at most once per pruneInterval.
 func (p *prefixIndex) prune(now time.Time) {
 	if now.Sub(p.prunedAt) < pruneInterval {
 		return
 	}
 	p.prunedAt = now
 	for prefix, engines := range p.lastUse {
-		for engine, at := range engines {
-			if now.Sub(at) > prefixTTL {
+		for engine, usedAt := range engines {
+			if now.Sub(usedAt) > prefixTTL {
 				delete(engines, engine)
 			}
 		}
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -3,14 +3,14 @@
 // requesting gateway sends the request to the engine itself, so that responses in progress do not
 // depend on the scheduling gateway. The package uses no clock and no network.
 //
-// It is designed for prompts of widely differing lengths on shared engines that interleave
-// prefills with the generation of other responses, and for more prompts than the engines can
-// process. Without scheduling engines accept all prompts: a long prompt delays the first and following tokens
-// of all other requests on the engine, memory fills up, and every response is late. A single
-// queue for a group of engines keeps none idle while prompts wait for another, tracks the
-// prefills and streams of each engine, and knows where a shared prefix is cached. The effect of a
-// prompt on other requests is computed from learned estimates (package enginemodel), so that
-// kinds of requests do not have to be declared in advance.
+// It is designed for prompts of widely differing lengths on shared engines that interleave prefills
+// with the generation of other responses, and for more prompts than the engines can process. Engines
+// accept all prompts that they are sent: a long prompt delays the first and the following tokens of
+// all other requests on the engine, memory fills up, and every response is late. With one queue for a
+// group of engines, no engine is idle while prompts wait for another. The queue tracks the prefills
+// and streams of each engine and the engines that cache each shared prefix. It predicts the effect of
+// a prompt on other requests from learned estimates (package enginemodel), so that kinds of requests
+// do not have to be declared in advance.
 package permit
 
 import (
@@ -26,64 +26,66 @@
 const (
 	// minRetryAfter and maxRetryAfter bound the retry time given to refused callers.
 	minRetryAfter, maxRetryAfter = 500 * time.Millisecond, 5 * time.Second
-	// A granted request without a report is treated as prefilled after prefillTimeoutFactor
-	// times its expected time plus prefillTimeoutMargin: its gateway is gone, the report was
-	// lost, or the engine is not responding and gets nothing for a while.
+	// A granted request whose first token is not reported within prefillTimeoutFactor times its
+	// expected time plus prefillTimeoutMargin counts as prefilled, and as a failure of the engine:
+	// its gateway is gone, the report was lost, or the engine does not respond.
 	prefillTimeoutFactor, prefillTimeoutMargin = 3, 150 * time.Millisecond
-	// repeatTimeout is how long a request waits without being repeated; its gateway is then gone.
-	repeatTimeout = 3500 * time.Millisecond
-	// sweepInterval is the time between two sweeps of all waiting and granted requests for
-	// those that are lost or can't be served in time.
+	// resubmitTimeout is how long a request is kept waiting since its gateway last submitted it.
+	// A gateway that stops submitting is gone.
+	resubmitTimeout = 3500 * time.Millisecond
+	// sweepInterval is the time between two checks of all waiting and granted requests for those
+	// that have expired or can't be served in time.
 	sweepInterval = 50 * time.Millisecond
-	// grantTTL exceeds the longest duration of a request. The end of a request that was granted
-	// longer ago was not reported.
+	// grantTTL is how long a granted request is kept if its end is not reported. It exceeds the
+	// longest duration of a request.
 	grantTTL = 2 * time.Minute
-	// responseTimeoutGrace is the time after a request's timeout for the report of its end to arrive.
+	// responseTimeoutGrace is the time after a request's response timeout in which the report of its
+	// end may still arrive.
 	responseTimeoutGrace = 2 * time.Second
-	// maxPlacementAttempts bounds how many waiting requests are tried when earlier ones can't
-	// be placed, such as a very long prompt among streams that tolerate no such gap.
+	// maxPlacementAttempts bounds how many waiting requests are tried if those ahead of them can't
+	// be placed, for example a very long prompt while all streams only tolerate shorter gaps.
 	maxPlacementAttempts = 16
 )
 
 // entry is a waiting or granted request.
 type entry struct {
-	ask             Ask
+	request         Ask
 	arrivedAt       time.Time
-	lastHeardAt     time.Time // time of the last repeat
-	sequence        uint64    // in the order of arrival
-	prefillDeadline time.Time // when the prefill is assumed complete without a report
+	lastSubmittedAt time.Time // by its gateway
+	sequence        uint64    // increases in the order of arrival
+	prefillDeadline time.Time // when the prefill is assumed to have completed without a report
 	grantedAt       time.Time
 	engine          *engine // of a granted request
 	fetchFrom       string  // engine from which to fetch the shared prefix
 	prefillTokens   int     // tokens that the engine was expected to prefill
-	cachedTokens    int     // tokens before these that were cached
+	cachedTokens    int     // prompt tokens before these that were expected to be cached
 	expectedPrefill time.Duration
-	exclusive       bool // no other prefill was running when it was granted
+	exclusive       bool // no other prefill was pending on the engine when it was granted
 	prefillDone     bool
 	firstTokenAt    time.Time
-	// prefillTotalAtFirstToken is its engine's prefillTotal at its first token.
+	// prefillTotalAtFirstToken is the prefillTotal of the engine at the request's first token.
 	prefillTotalAtFirstToken time.Duration
 }
 
 // Queue schedules requests for one group of engines. It is not safe for concurrent use.
 type Queue struct {
-	policy       Policy
-	model        *enginemodel.ServiceModel
-	limiter      *ratelimit.Limiter
-	engines      map[string]*engine
-	ordered      []*engine // by ID
-	prefixes     prefixIndex
-	waiting      []*entry
-	waitingByID  map[string]*entry
-	granted      map[string]*entry
-	lastSequence uint64        // of the last request
-	prefillsDone int           // prefills completed so far
-	minGap       time.Duration // the shortest event gap that a request tolerates, recorded at minGapAt
-	minGapAt     time.Time
-	load         loads
-	lastSweep    time.Time // when waiting and granted requests were last swept
-	candidateBuf []candidate
-	capacityBuf  capacity // reused buffer
+	policy            Policy
+	model             *enginemodel.ServiceModel
+	limiter           *ratelimit.Limiter
+	engines           map[string]*engine
+	ordered           []*engine // by ID
+	prefixes          prefixIndex
+	waiting           []*entry
+	waitingByID       map[string]*entry
+	granted           map[string]*entry
+	lastSequence      uint64        // of the last request
+	prefillsDone      int           // prefills completed so far
+	minToleratedGap   time.Duration // the shortest event gap that a request tolerates, recorded at minGapAt
+	minToleratedGapAt time.Time
+	load              loadByPriority
+	lastSweep         time.Time // when waiting and granted requests were last checked for expiry
+	candidateBuf      []candidate
+	capacityBuf       capacity // reused buffer
 }
 
 // NewQueue returns an empty queue without engines.
@@ -91,20 +93,20 @@
 	return &Queue{policy: policy, model: model, limiter: limiter, engines: map[string]*engine{}, prefixes: newPrefixIndex(), waitingByID: map[string]*entry{}, granted: map[string]*entry{}}
 }
 
-// SetEngines updates the engines of the group.
-func (q *Queue) SetEngines(list []Engine) {
-	changed := len(list) != len(q.ordered)
-	listed := make(map[string]bool, len(list))
-	for _, l := range list {
-		listed[l.ID] = true
-		e := q.engines[l.ID]
+// SetEngines replaces the list of engines of the group and keeps the state of those that remain.
+func (q *Queue) SetEngines(configs []Engine) {
+	changed := len(configs) != len(q.ordered)
+	listed := make(map[string]bool, len(configs))
+	for _, config := range configs {
+		listed[config.ID] = true
+		e := q.engines[config.ID]
 		if e == nil {
-			e = newEngine(l, q.model)
-			q.engines[l.ID] = e
+			e = newEngine(config, q.model)
+			q.engines[config.ID] = e
 			q.ordered = append(q.ordered, e)
 			changed = true
 		}
-		e.Engine = l
+		e.Engine = config
 	}
 	if !changed {
 		return
@@ -117,42 +119,43 @@
 		return !listed[e.ID]
 	})
 	slices.SortFunc(q.ordered, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
-	q.setPositions()
+	q.setPreferences()
 }
 
-// setPositions sets the order of preference for short prompts. The order alternates between
-// failure domains and is the same on every gateway.
-func (q *Queue) setPositions() {
+// setPreferences sets the order of preference for short prompts. The order alternates between failure
+// domains and is the same on every gateway.
+func (q *Queue) setPreferences() {
 	ids := make([]string, len(q.ordered))
 	for i, e := range q.ordered {
 		ids[i] = e.ID
 	}
 	domain := func(id string) string { return q.engines[id].FailureDomain }
 	for i, id := range rendezvous.Spread("positions", ids, domain, len(ids)) {
-		q.engines[id].position = float64(i) / float64(len(ids))
+		q.engines[id].preference = float64(i) / float64(len(ids))
 	}
 }
 
-// Submit schedules a request. Submitting a waiting or granted request again repeats the decision.
-func (q *Queue) Submit(a Ask, now time.Time) Decision {
-	if e := q.granted[a.ID]; e != nil {
+// Submit schedules a request. Submitting a waiting or granted request again returns the same verdict and
+// tells the queue that the requesting gateway still waits.
+func (q *Queue) Submit(req Ask, now time.Time) Decision {
+	if e := q.granted[req.ID]; e != nil {
 		return q.grantDecision(e, now)
 	}
-	if e := q.waitingByID[a.ID]; e != nil {
-		e.lastHeardAt = now
-		return Decision{ID: a.ID, Verdict: Queued}
+	if e := q.waitingByID[req.ID]; e != nil {
+		e.lastSubmittedAt = now
+		return Decision{ID: req.ID, Verdict: Queued}
 	}
 	q.lastSequence++
-	e := &entry{ask: a, arrivedAt: now, lastHeardAt: now, sequence: q.lastSequence}
+	e := &entry{request: req, arrivedAt: now, lastSubmittedAt: now, sequence: q.lastSequence}
 	if len(q.ordered) == 0 {
-		// This gateway has not read the list of engines yet, or has an older one. The requesting
-		// gateway chooses from its own list.
-		return Decision{ID: a.ID, Verdict: Granted}
+		// This gateway has not read the list of engines yet, or has an outdated one. The requesting
+		// gateway chooses an engine from its own list.
+		return Decision{ID: req.ID, Verdict: Granted}
 	}
-	q.recordGap(a.MaxEventGap, now)
-	q.load.add(a.Priority, q.work(a), now)
-	if !q.anyEligible(a, now) {
-		return q.newDecision(a.ID, NoEngine, minRetryAfter, now)
+	q.recordToleratedGap(req.MaxEventGap, now)
+	q.load.add(req.Priority, q.engineTime(req), now)
+	if !q.anyEligible(req, now) {
+		return q.newDecision(req.ID, NoEngine, minRetryAfter, now)
 	}
 	first := !slices.ContainsFunc(q.waiting, func(other *entry) bool { return q.precedes(other, e, now) })
 	if first && q.place(e, now) {
@@ -160,15 +163,15 @@
 	}
 	wait, engines := q.expectedWait(e, now)
 	if q.unservable(e, wait, engines, now) {
-		return q.newDecision(a.ID, Refused, q.retryAfter(wait, a, engines, now), now)
+		return q.newDecision(req.ID, Refused, q.retryAfter(wait, req, engines, now), now)
 	}
 	q.waiting = append(q.waiting, e)
-	q.waitingByID[a.ID] = e
-	return q.newDecision(a.ID, Queued, wait, now)
+	q.waitingByID[req.ID] = e
+	return q.newDecision(req.ID, Queued, wait, now)
 }
 
-// RecordFirstToken records that the engine has completed the request's prefill, and how long it
-// took as measured by the requesting gateway.
+// RecordFirstToken records that the engine has completed the request's prefill, and how long this took
+// according to the requesting gateway.
 func (q *Queue) RecordFirstToken(id string, took time.Duration, now time.Time) {
 	e := q.granted[id]
 	if e == nil || e.prefillDone {
@@ -178,23 +181,23 @@
 		e.engine.model.ObservePrefill(e.prefillTokens, e.cachedTokens, took, now)
 	}
 	q.prefillsDone++
-	e.engine.succeeded(now)
-	q.prefixes.recordUse(e.ask.PrefixID, e.engine.ID, now)
+	e.engine.recordSuccess(now)
+	q.prefixes.recordUse(e.request.PrefixID, e.engine.ID, now)
 	e.engine.finishPrefill(e, now)
 }
 
-// Finish records that the request has ended or was cancelled, and what its gateway observed.
-func (q *Queue) Finish(id string, s StreamStats, now time.Time) {
+// Finish records that the request has ended or was cancelled, with the statistics of its response.
+func (q *Queue) Finish(id string, stats StreamStats, now time.Time) {
 	if e := q.granted[id]; e != nil {
 		if e.prefillDone && !q.policy.NoLearning {
-			e.engine.observeStream(q.model, e, s)
+			e.engine.observeStream(q.model, e, stats)
 		}
 		e.engine.remove(e, now)
 		switch {
-		case e.ask.Plain: // the requesting gateway lists unreachable servers itself
-			e.engine.failureRate.Add(now, s.EngineFailed)
-		case s.EngineFailed:
-			e.engine.failed(now)
+		case e.request.Plain: // no backoff: the requesting gateway itself excludes servers that it can't reach
+			e.engine.failureRate.Add(now, stats.EngineFailed)
+		case stats.EngineFailed:
+			e.engine.recordFailure(now)
 		}
 		delete(q.granted, id)
 	}
@@ -205,12 +208,12 @@
 
 // removeWaiting removes the waiting request with the given index.
 func (q *Queue) removeWaiting(i int) {
-	delete(q.waitingByID, q.waiting[i].ask.ID)
+	delete(q.waitingByID, q.waiting[i].request.ID)
 	q.waiting = slices.Delete(q.waiting, i, i+1)
 }
 
-// Poll returns the decisions that have become due: grants, and refusals of requests that can no
-// longer be served in time.
+// Poll returns new decisions on waiting requests: grants, and refusals of requests that can no longer be
+// served in time.
 func (q *Queue) Poll(now time.Time) []Decision {
 	sweep := now.Sub(q.lastSweep) >= sweepInterval
 	if sweep {
@@ -247,73 +250,76 @@
 // Idle reports whether the queue has no waiting or granted requests.
 func (q *Queue) Idle() bool { return len(q.waiting) == 0 && len(q.granted) == 0 }
 
-// expire handles granted requests whose reports are missing, and drops waiting requests that are
-// no longer repeated.
+// expire ends granted requests whose reports are missing, and drops waiting requests that their gateways
+// no longer submit.
 func (q *Queue) expire(now time.Time) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
-		silent := now.Sub(e.lastHeardAt) > repeatTimeout
-		if silent {
-			delete(q.waitingByID, e.ask.ID)
+		expired := now.Sub(e.lastSubmittedAt) > resubmitTimeout
+		if expired {
+			delete(q.waitingByID, e.request.ID)
 		}
-		return silent
+		return expired
 	})
 	for id, e := range q.granted {
 		if !e.prefillDone && now.After(e.prefillDeadline) {
 			e.engine.finishPrefill(e, now)
-			e.engine.failed(now)
+			e.engine.recordFailure(now)
 		}
-		if now.Sub(e.grantedAt) > grantTTL || e.ask.ResponseTimeout > 0 && now.Sub(e.arrivedAt) > e.ask.ResponseTimeout+responseTimeoutGrace {
+		if now.Sub(e.grantedAt) > grantTTL || e.request.ResponseTimeout > 0 && now.Sub(e.arrivedAt) > e.request.ResponseTimeout+responseTimeoutGrace {
 			e.engine.remove(e, now)
 			delete(q.granted, id)
 		}
 	}
 }
 
-// homeEngine returns the engine for a prefix of unknown location. It is the same on every gateway,
-// so that the prefix is likely to be cached there after another gateway takes over the scheduling.
+// homeEngine returns the engine on which to prefill a prefix that is not known to be cached. It is the
+// same on every gateway, so that the prefix is likely to be cached there when another gateway takes over
+// the scheduling.
 func (q *Queue) homeEngine(prefixID string) string {
 	if prefixID == "" {
 		return ""
 	}
 	ids := make([]string, 0, len(q.ordered))
-	for _, en := range q.ordered {
-		ids = append(ids, en.ID)
+	for _, e := range q.ordered {
+		ids = append(ids, e.ID)
 	}
 	return rendezvous.First(prefixID, ids)
 }
 
-// anyCapacity reports whether an idle engine can take a prompt, or one that is running a prefill
-// could take a short one.
+// anyCapacity reports whether any engine without a prefill can take a prompt, or one whose prefill is
+// nearly complete can take a short one.
 func (q *Queue) anyCapacity(now time.Time) bool {
-	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestGap(now)))
+	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestToleratedGap(now)))
 	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
 		return e.usable(now) && e.prefillWait(now) < concurrentLimit && !q.rateExhausted(e, now)
 	})
 }
 
-// anyEligible reports whether any engine may take the request, now or after its backoff.
-func (q *Queue) anyEligible(a Ask, now time.Time) bool {
+// anyEligible reports whether any engine may take the request now, or after a backoff that ends within
+// the request's first-token timeout.
+func (q *Queue) anyEligible(req Ask, now time.Time) bool {
 	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
-		return e.Accepting && e.backoffUntil.Sub(now) <= a.FirstTokenTimeout && !slices.Contains(a.ExcludedEngines, e.ID)
+		return e.Accepting && e.backoffUntil.Sub(now) <= req.FirstTokenTimeout && !slices.Contains(req.ExcludedEngines, e.ID)
 	})
 }
 
 func (q *Queue) grantDecision(e *entry, now time.Time) Decision {
-	a := q.newDecision(e.ask.ID, Granted, 0, now)
-	a.Engine, a.FetchFrom, a.ExpectedPrefill = e.engine.ID, e.fetchFrom, e.expectedPrefill
-	return a
+	d := q.newDecision(e.request.ID, Granted, 0, now)
+	d.Engine, d.FetchFrom, d.ExpectedPrefill = e.engine.ID, e.fetchFrom, e.expectedPrefill
+	return d
 }
 
+// newDecision returns a decision that includes the state of the group.
 func (q *Queue) newDecision(id string, verdict Verdict, wait time.Duration, now time.Time) Decision {
-	backlog, limited, all := 0, 0, q.allRateLimited(now)
-	for _, en := range q.ordered {
-		backlog += en.pendingTokens
-		if b := q.limiter.Budget(en.ID, now); b.Wait > 0 || all && b.Limited {
+	backlog, limited, allLimited := 0, 0, q.allRateLimited(now)
+	for _, e := range q.ordered {
+		backlog += e.pendingPrefillTokens
+		if b := q.limiter.Budget(e.ID, now); b.Wait > 0 || allLimited && b.Limited {
 			limited++
 		}
 	}
-	for _, e := range q.waiting {
-		backlog += e.ask.UniqueTokens
+	for _, waiting := range q.waiting {
+		backlog += waiting.request.UniqueTokens
 	}
 	return Decision{ID: id, Verdict: verdict, Wait: wait, BacklogTokens: backlog, RateLimitedEngines: limited}
 }
--- a/internal/permit/queue_test.go
+++ b/internal/permit/queue_test.go
@@ -13,14 +13,15 @@
 	"github.com/merlinpost/merlinpost/internal/ratelimit"
 )
 
-func reportRequest(id string, own int) Ask {
-	return Ask{ID: id, Priority: 6, UniqueTokens: own, FirstTokenTarget: 2500 * time.Millisecond, FirstTokenTimeout: 10 * time.Second}
+// backgroundRequest returns a request with low priority, long timeouts and no limit on event gaps.
+func backgroundRequest(id string, uniqueTokens int) Ask {
+	return Ask{ID: id, Priority: 6, UniqueTokens: uniqueTokens, FirstTokenTarget: 2500 * time.Millisecond, FirstTokenTimeout: 10 * time.Second}
 }
 
 // sharedPrefixRequest returns a request with a shared prefix of 5,000 tokens.
-func sharedPrefixRequest(id, part string, own int) Ask {
-	a := reportRequest(id, own)
-	a.PrefixID, a.PrefixTokens = part, 5000
+func sharedPrefixRequest(id, prefixID string, uniqueTokens int) Ask {
+	a := backgroundRequest(id, uniqueTokens)
+	a.PrefixID, a.PrefixTokens = prefixID, 5000
 	return a
 }
 
@@ -33,44 +34,45 @@
 	return out
 }
 
+// newQueue returns a queue with the given number of engines and calibrated estimates, and a time for it.
 func newQueue(engines int) (*Queue, time.Time) {
-	f := enginemodel.NewServiceModel().Estimates()
-	f.Observations = 100 // another gateway has confirmed the initial estimates
-	q := NewQueue(enginemodel.NewServiceModelFrom(f), ratelimit.New(rand.Float64), Policy{})
+	estimates := enginemodel.NewServiceModel().Estimates()
+	estimates.Observations = 100 // calibrated by another gateway, which confirmed the initial estimates
+	q := NewQueue(enginemodel.NewServiceModelFrom(estimates), ratelimit.New(rand.Float64), Policy{})
 	q.SetEngines(acceptingEngines(engines))
 	return q, time.Unix(100, 0)
 }
 
 // Guards against refusals based on initial estimates: a gateway that had started 0.1 s before, without
-// peers and observations, overestimated the time for 85,000 tokens tenfold and answered an
-// interactive request with 429, as for overload, 0.2 ms after its arrival.
+// peers and observations, overestimated the time for 85,000 tokens tenfold and refused an interactive
+// request with status 429, as for overload, 0.2 ms after its arrival.
 func TestNoRefusalByInitialEstimates(t *testing.T) {
 	g := NewWithT(t)
 	q := NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{})
 	q.SetEngines(acceptingEngines(1))
 	now := time.Unix(100, 0)
-	refused := func(name string, asks int) (n int) {
-		for i := range asks {
-			if q.Submit(reportRequest(fmt.Sprint(name, i), 10000), now).Verdict == Refused {
+	countRefused := func(name string, requests int) (n int) {
+		for i := range requests {
+			if q.Submit(backgroundRequest(fmt.Sprint(name, i), 10000), now).Verdict == Refused {
 				n++
 			}
 		}
 		return n
 	}
-	g.Expect(refused("early-", 100)).To(BeZero())
+	g.Expect(countRefused("early-", 100)).To(BeZero())
 
-	now = now.Add(10 * time.Second) // nor later, while few prefills are completed
+	now = now.Add(10 * time.Second) // nor later, while few prefills have completed
 	q = NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{NoLearning: true})
 	q.SetEngines(acceptingEngines(1))
-	for i := range minPrefills {
-		g.Expect(refused(fmt.Sprint("few-", i, "-"), 1)).To(BeZero())
+	for i := range minCalibrationPrefills {
+		g.Expect(countRefused(fmt.Sprint("few-", i, "-"), 1)).To(BeZero())
 		for id := range q.granted {
 			q.RecordFirstToken(id, time.Millisecond, now)
 			q.Finish(id, StreamStats{}, now)
 		}
 		q.Poll(now)
 	}
-	g.Expect(refused("late-", 100)).To(BeNumerically(">", 0), "from then on the estimates are used")
+	g.Expect(countRefused("late-", 100)).To(BeNumerically(">", 0), "from then on the estimates are used")
 }
 
 // longPromptTokens takes 225 ms to prefill by the initial estimates.
@@ -79,34 +81,34 @@
 func TestLongPrefillsRunOneAtATime(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	first := q.Submit(reportRequest("a", 6000), now)
+	first := q.Submit(backgroundRequest("a", 6000), now)
 	g.Expect(first.Verdict).To(Equal(Granted))
 	g.Expect(first.Engine).To(Equal("e0"))
 	g.Expect(first.ExpectedPrefill).To(BeNumerically("~", 165*time.Millisecond, time.Millisecond))
-	g.Expect(q.Submit(reportRequest("b", 6000), now).Verdict).To(Equal(Queued))
-	g.Expect(q.Submit(reportRequest("b", 6000), now).Verdict).To(Equal(Queued)) // submitted again
+	g.Expect(q.Submit(backgroundRequest("b", 6000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(backgroundRequest("b", 6000), now).Verdict).To(Equal(Queued)) // submitted again
 	g.Expect(q.Poll(now)).To(BeEmpty())
 	now = now.Add(150 * time.Millisecond)
 	q.RecordFirstToken("a", 150*time.Millisecond, now)
-	due := q.Poll(now)
-	g.Expect(due).To(HaveLen(1))
-	g.Expect(due[0].ID).To(Equal("b"))
-	g.Expect(due[0].Verdict).To(Equal(Granted))
-	g.Expect(q.Submit(reportRequest("b", 6000), now).Verdict).To(Equal(Granted)) // the grant was lost
+	decisions := q.Poll(now)
+	g.Expect(decisions).To(HaveLen(1))
+	g.Expect(decisions[0].ID).To(Equal("b"))
+	g.Expect(decisions[0].Verdict).To(Equal(Granted))
+	g.Expect(q.Submit(backgroundRequest("b", 6000), now).Verdict).To(Equal(Granted)) // the grant was lost
 	q.Finish("a", StreamStats{}, now)
 	q.Finish("b", StreamStats{}, now)
 	g.Expect(q.Idle()).To(BeTrue())
 }
 
-// Short prompts are prefilled together with a prefill that is almost complete: they cause no
+// Short prompts are prefilled together with a prefill that is almost complete, as this causes no
 // noticeable delay.
 func TestShortPrefillsRunTogether(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for i := range 4 {
-		g.Expect(q.Submit(reportRequest(fmt.Sprint(i), 200), now).Verdict).To(Equal(Granted)) // 20 ms each
+		g.Expect(q.Submit(backgroundRequest(fmt.Sprint(i), 200), now).Verdict).To(Equal(Granted)) // 20 ms each
 	}
-	g.Expect(q.Submit(reportRequest("more", 2000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(backgroundRequest("more", 2000), now).Verdict).To(Equal(Queued))
 }
 
 func TestExcessLoadIsRefusedImmediately(t *testing.T) {
@@ -115,15 +117,15 @@
 		q, now := newQueue(engines)
 		refused := 0
 		for i := range 100 * engines {
-			a := q.Submit(reportRequest(fmt.Sprint(i), 10000), now)
+			a := q.Submit(backgroundRequest(fmt.Sprint(i), 10000), now)
 			if a.Verdict == Refused {
 				refused++
 				g.Expect(a.Wait).To(BeNumerically(">=", minRetryAfter))
 				g.Expect(a.Wait).To(BeNumerically("<=", maxRetryAfter))
 			}
 		}
-		// 10,000 tokens take 265 ms. During overload only requests that can be on time wait: nine per
-		// engine start within the target of 2.5 s.
+		// 10,000 tokens take 265 ms. During overload only requests that can be on time are queued:
+		// nine per engine can start within the target of 2.5 s.
 		g.Expect(100*engines - refused).To(BeNumerically("~", 9*engines, 2*engines))
 	}
 }
@@ -131,41 +133,40 @@
 func TestMoreUrgentRequestsGoFirst(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("running", longPromptTokens), now)
-	q.Submit(reportRequest("early", 1000), now)
-	urgent := reportRequest("urgent", 1000)
+	q.Submit(backgroundRequest("running", longPromptTokens), now)
+	q.Submit(backgroundRequest("early", 1000), now)
+	urgent := backgroundRequest("urgent", 1000)
 	urgent.Priority = 0
 	q.Submit(urgent, now.Add(time.Millisecond))
 	q.RecordFirstToken("running", 100*time.Millisecond, now.Add(100*time.Millisecond))
-	due := q.Poll(now.Add(100 * time.Millisecond))
-	g.Expect(due[0].ID).To(Equal("urgent"))
+	decisions := q.Poll(now.Add(100 * time.Millisecond))
+	g.Expect(decisions[0].ID).To(Equal("urgent"))
 }
 
 func TestOnTimeRequestsPrecedeLateOnes(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("running", longPromptTokens), now)
-	q.Submit(reportRequest("late", 3000), now)
+	q.Submit(backgroundRequest("running", longPromptTokens), now)
+	q.Submit(backgroundRequest("late", 3000), now)
 	now = now.Add(2300 * time.Millisecond)
 	q.granted["running"].prefillDeadline = now.Add(time.Second)
-	q.Submit(reportRequest("timely", 3000), now)
+	q.Submit(backgroundRequest("timely", 3000), now)
 	q.RecordFirstToken("running", 100*time.Millisecond, now)
-	due := q.Poll(now)
-	g.Expect(due[0].ID).To(Equal("timely"))
+	decisions := q.Poll(now)
+	g.Expect(decisions[0].ID).To(Equal("timely"))
 }
 
-// A lost report or gateway blocks an engine for three times the expected prefill plus a margin, not
-// for seconds. Before this limit, the loss of 3 of 21 gateways blocked a seventh of the engines
-// for 3 s.
+// A lost report or gateway blocks an engine for three times the expected prefill time plus a margin, not
+// for seconds. Without this limit, the loss of 3 of 21 gateways blocked a seventh of the engines for 3 s.
 func TestLostReportDoesNotBlockEngine(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("lost", 3000), now) // 90 ms
-	q.Submit(reportRequest("next", 3000), now)
+	q.Submit(backgroundRequest("lost", 3000), now) // 90 ms
+	q.Submit(backgroundRequest("next", 3000), now)
 	g.Expect(q.Poll(now.Add(300 * time.Millisecond))).To(BeEmpty())
-	g.Expect(q.Poll(now.Add(430 * time.Millisecond))).To(BeEmpty()) // assumed complete, but the engine may not be responding
-	due := q.Poll(now.Add(430*time.Millisecond + initialBackoff + sweepInterval))
-	g.Expect(due).To(HaveLen(1))
+	g.Expect(q.Poll(now.Add(430 * time.Millisecond))).To(BeEmpty()) // counts as prefilled, but the engine is in backoff as it may not respond
+	decisions := q.Poll(now.Add(430*time.Millisecond + initialBackoff + sweepInterval))
+	g.Expect(decisions).To(HaveLen(1))
 	q.Finish("next", StreamStats{}, now)
 	g.Expect(q.Idle()).To(BeFalse())
 	q.Poll(now.Add(grantTTL + time.Millisecond)) // the end of "lost" was never reported
@@ -173,32 +174,32 @@
 	g.Expect(q.ordered[0].requests).To(BeEmpty())
 }
 
-// A request that is not repeated no longer has a gateway.
+// A waiting request that its gateway no longer submits is dropped, as the gateway is gone.
 func TestUnrepeatedRequestIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("running", longPromptTokens), now)
-	q.Submit(reportRequest("gone", longPromptTokens), now)
-	q.Submit(reportRequest("kept", longPromptTokens), now)
+	q.Submit(backgroundRequest("running", longPromptTokens), now)
+	q.Submit(backgroundRequest("gone", longPromptTokens), now)
+	q.Submit(backgroundRequest("kept", longPromptTokens), now)
 	q.granted["running"].prefillDeadline = now.Add(time.Minute)
 	for range 4 {
 		now = now.Add(time.Second)
-		g.Expect(q.Submit(reportRequest("kept", longPromptTokens), now).Verdict).To(Equal(Queued))
+		g.Expect(q.Submit(backgroundRequest("kept", longPromptTokens), now).Verdict).To(Equal(Queued))
 		q.Poll(now)
 	}
 	g.Expect(q.waitingByID).To(HaveKey("kept"))
 	g.Expect(q.waitingByID).NotTo(HaveKey("gone"))
 }
 
-// Prefill rates are learned from observations, so that expected waits follow the engines' actual speed.
+// Prefill times are learned from observations, so that expected waits follow the engines' actual speed.
 func TestPrefillRateIsLearned(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for i := range 400 {
 		id := fmt.Sprint(i)
-		own := 2000 + 100*(i%60)
-		g.Expect(q.Submit(reportRequest(id, own), now).Verdict).To(Equal(Granted))
-		took := time.Duration(own) * 50 * time.Microsecond // 20 tokens a ms
+		uniqueTokens := 2000 + 100*(i%60)
+		g.Expect(q.Submit(backgroundRequest(id, uniqueTokens), now).Verdict).To(Equal(Granted))
+		took := time.Duration(uniqueTokens) * 50 * time.Microsecond // 20 tokens per ms
 		now = now.Add(took)
 		q.RecordFirstToken(id, took, now)
 		q.Finish(id, StreamStats{}, now)
@@ -210,13 +211,13 @@
 func TestNoEngineIsIdleWhilePromptsWait(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(3)
-	used := map[string]int{}
+	granted := map[string]int{}
 	for i := range 6 {
-		if a := q.Submit(sharedPrefixRequest(fmt.Sprint(i), "same", 6000), now); a.Verdict == Granted {
-			used[a.Engine]++
+		if d := q.Submit(sharedPrefixRequest(fmt.Sprint(i), "same", 6000), now); d.Verdict == Granted {
+			granted[d.Engine]++
 		}
 	}
-	g.Expect(used).To(Equal(map[string]int{"e0": 1, "e1": 1, "e2": 1}))
+	g.Expect(granted).To(Equal(map[string]int{"e0": 1, "e1": 1, "e2": 1}))
 	g.Expect(q.waiting).To(HaveLen(3))
 }
 
@@ -262,30 +263,30 @@
 	g.Expect(q.Submit(sharedPrefixRequest("sixth", "x", 2000), now).FetchFrom).To(BeEmpty())
 }
 
-// A gateway that takes over the scheduling does not know where prefixes are cached. Every gateway
-// chooses the same engine for a prefix, so that prefixes prefilled earlier are found again.
-func TestAPartOfWhichNothingIsKnownGoesToItsHome(t *testing.T) {
+// A gateway that takes over the scheduling does not know where prefixes are cached. Every gateway chooses
+// the same home engine for a prefix, so that it is likely to be cached there already.
+func TestPrefixOfUnknownLocationGoesToItsHomeEngine(t *testing.T) {
 	g := NewWithT(t)
 	before, now := newQueue(5)
 	homes := map[string]bool{}
 	for i := range 40 {
 		after, _ := newQueue(5)
-		part := fmt.Sprint("part", i)
-		first := before.Submit(sharedPrefixRequest(part, part, 1000), now)
-		before.Finish(part, StreamStats{}, now)
-		second := after.Submit(sharedPrefixRequest("x", part, 1000), now)
+		prefix := fmt.Sprint("prefix", i)
+		first := before.Submit(sharedPrefixRequest(prefix, prefix, 1000), now)
+		before.Finish(prefix, StreamStats{}, now)
+		second := after.Submit(sharedPrefixRequest("x", prefix, 1000), now)
 		g.Expect(second.Engine).To(Equal(first.Engine))
 		g.Expect(second.FetchFrom).To(BeEmpty())
 		homes[second.Engine] = true
 		// While the home engine is busy, the prefix is still fetched from there.
-		after.Submit(reportRequest("y", longPromptTokens), now)
+		after.Submit(backgroundRequest("y", longPromptTokens), now)
 		busy, _ := newQueue(5)
 		for _, e := range busy.ordered {
 			if e.ID == first.Engine {
-				busy.grant(&entry{ask: reportRequest("busy", longPromptTokens)}, candidate{engine: e, prefillTokens: longPromptTokens, prefill: time.Second}, now)
+				busy.grant(&entry{request: backgroundRequest("busy", longPromptTokens)}, candidate{engine: e, prefillTokens: longPromptTokens, prefill: time.Second}, now)
 			}
 		}
-		g.Expect(busy.Submit(sharedPrefixRequest("z", part, 1000), now).FetchFrom).To(Equal(first.Engine))
+		g.Expect(busy.Submit(sharedPrefixRequest("z", prefix, 1000), now).FetchFrom).To(Equal(first.Engine))
 	}
 	g.Expect(len(homes)).To(BeNumerically(">", 2))
 }
@@ -293,11 +294,11 @@
 func TestRequestThatCannotStartInTimeIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("running", 5*longPromptTokens), now) // 1.1 s
-	tight := reportRequest("tight", 1000)
+	q.Submit(backgroundRequest("running", 5*longPromptTokens), now) // 1.1 s
+	tight := backgroundRequest("tight", 1000)
 	tight.FirstTokenTimeout = 500 * time.Millisecond
 	g.Expect(q.Submit(tight, now).Verdict).To(Equal(Refused))
-	g.Expect(q.Submit(reportRequest("other", 1000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(backgroundRequest("other", 1000), now).Verdict).To(Equal(Queued))
 }
 
 func TestPrefixesExpire(t *testing.T) {
@@ -310,56 +311,56 @@
 	g.Expect(q.prefixes.lastUse).To(BeEmpty())
 }
 
-// An engine that fails requests immediately always has capacity; it must not attract all waiting
+// An engine that fails requests immediately always has capacity, but must not attract all waiting
 // requests.
 func TestFailingEngineDoesNotAttractRequests(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(4)
-	at := map[string]int{}
+	granted := map[string]int{}
 	for i := range 400 {
 		id := fmt.Sprint(i)
-		a := q.Submit(reportRequest(id, 5000), now)
+		a := q.Submit(backgroundRequest(id, 5000), now)
 		if a.Verdict == Granted {
-			at[a.Engine]++
+			granted[a.Engine]++
 			if a.Engine == "e0" {
 				q.Finish(id, StreamStats{EngineFailed: true}, now)
 			}
 		}
 		now = now.Add(20 * time.Millisecond)
-		for granted, e := range q.granted {
+		for id, e := range q.granted {
 			if now.Sub(e.grantedAt) >= 125*time.Millisecond {
-				q.RecordFirstToken(granted, 100*time.Millisecond, now)
-				q.Finish(granted, StreamStats{}, now)
+				q.RecordFirstToken(id, 100*time.Millisecond, now)
+				q.Finish(id, StreamStats{}, now)
 			}
 		}
-		for _, due := range q.Poll(now) {
-			if due.Verdict == Granted && due.Engine == "e0" {
-				at["e0"]++
-				q.Finish(due.ID, StreamStats{EngineFailed: true}, now)
+		for _, d := range q.Poll(now) {
+			if d.Verdict == Granted && d.Engine == "e0" {
+				granted["e0"]++
+				q.Finish(d.ID, StreamStats{EngineFailed: true}, now)
 			}
 		}
 	}
-	g.Expect(at["e0"]).To(BeNumerically(">", 0))
-	g.Expect(at["e0"]).To(BeNumerically("<", 12)) // 8 s with backoffs of up to 2 s
+	g.Expect(granted["e0"]).To(BeNumerically(">", 0))
+	g.Expect(granted["e0"]).To(BeNumerically("<", 12)) // 8 s with backoffs of up to 2 s
 }
 
 func TestExcludedEnginesAreNotUsed(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(2)
-	a := reportRequest("a", 2000)
+	a := backgroundRequest("a", 2000)
 	a.ExcludedEngines = []string{"e0"}
 	g.Expect(q.Submit(a, now).Engine).To(Equal("e1"))
-	b := reportRequest("b", 2000)
+	b := backgroundRequest("b", 2000)
 	b.ExcludedEngines = []string{"e0", "e1"}
-	g.Expect(q.Submit(b, now).Verdict).To(Equal(NoEngine)) // regardless of the load
+	g.Expect(q.Submit(b, now).Verdict).To(Equal(NoEngine)) // not Refused, as it is no overload
 }
 
-// A gateway that has not read the list of engines yet, for example one that started while the store
-// was unavailable, must not refuse requests that others could serve.
+// A gateway that has not read the list of engines yet, for example one that started while the store was
+// unavailable, must not refuse requests that other gateways could serve.
 func TestUnknownGroupIsGrantedWithoutEngine(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(0)
-	a := q.Submit(reportRequest("a", 2000), now)
+	a := q.Submit(backgroundRequest("a", 2000), now)
 	g.Expect(a.Verdict).To(Equal(Granted))
 	g.Expect(a.Engine).To(BeEmpty())
 	g.Expect(q.Idle()).To(BeTrue())
@@ -370,36 +371,36 @@
 func TestEachRequestGetsOneDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, now := newQueue(rapid.IntRange(1, 4).Draw(t, "engines"))
-		open, granted := map[string]bool{}, map[string]int{}
-		settle := func(a Decision) {
+		queued, granted := map[string]bool{}, map[string]int{}
+		record := func(a Decision) {
 			switch a.Verdict {
 			case Queued:
-				open[a.ID] = true
+				queued[a.ID] = true
 				return
 			case Granted:
 				if (a.Engine == "") != (len(q.ordered) == 0) || a.Engine != "" && a.Engine == a.FetchFrom {
-					t.Fatalf("granted %q of %d engines with the prefix from %q", a.Engine, len(q.ordered), a.FetchFrom)
+					t.Fatalf("granted engine %q of %d, prefix fetched from %q", a.Engine, len(q.ordered), a.FetchFrom)
 				}
 				granted[a.ID] = 1
 			}
-			delete(open, a.ID)
+			delete(queued, a.ID)
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			for _, a := range q.Poll(now) {
-				if !open[a.ID] {
-					t.Fatalf("a second decision for %s", a.ID)
+				if !queued[a.ID] {
+					t.Fatalf("request %s: second final decision", a.ID)
 				}
-				settle(a)
+				record(a)
 			}
 			id := fmt.Sprint("r", rapid.IntRange(0, i).Draw(t, "id"))
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
-				if a := fmt.Sprint("r", i); !open[a] {
-					settle(q.Submit(Ask{ID: a, Priority: rapid.IntRange(0, 8).Draw(t, "rank"), UniqueTokens: rapid.IntRange(1, 30000).Draw(t, "own"),
-						PrefixID: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "part"), PrefixTokens: rapid.IntRange(0, 6000).Draw(t, "shared"),
+				if a := fmt.Sprint("r", i); !queued[a] {
+					record(q.Submit(Ask{ID: a, Priority: rapid.IntRange(0, 8).Draw(t, "priority"), UniqueTokens: rapid.IntRange(1, 30000).Draw(t, "unique tokens"),
+						PrefixID: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "prefix"), PrefixTokens: rapid.IntRange(0, 6000).Draw(t, "prefix tokens"),
 						FirstTokenTarget:  time.Duration(rapid.IntRange(1, 3000).Draw(t, "target")) * time.Millisecond,
-						FirstTokenTimeout: time.Duration(rapid.IntRange(1, 10000).Draw(t, "limit")) * time.Millisecond}, now))
+						FirstTokenTimeout: time.Duration(rapid.IntRange(1, 10000).Draw(t, "timeout")) * time.Millisecond}, now))
 				}
 			case 2:
 				q.RecordFirstToken(id, 100*time.Millisecond, now)
@@ -407,122 +408,122 @@
 				q.SetEngines(acceptingEngines(rapid.IntRange(0, 4).Draw(t, "engines")))
 			default:
 				q.Finish(id, StreamStats{EngineFailed: rapid.Bool().Draw(t, "failed"), Events: rapid.IntRange(0, 90).Draw(t, "events"),
-					Duration: time.Duration(rapid.IntRange(0, 9000).Draw(t, "took")) * time.Millisecond, LongestGap: time.Duration(rapid.IntRange(0, 900).Draw(t, "longest")) * time.Millisecond}, now)
-				delete(open, id)
+					Duration: time.Duration(rapid.IntRange(0, 9000).Draw(t, "duration")) * time.Millisecond, LongestGap: time.Duration(rapid.IntRange(0, 900).Draw(t, "longest gap")) * time.Millisecond}, now)
+				delete(queued, id)
 				delete(granted, id)
 			}
 			checkAccounting(t, q)
 		}
-		for id := range open {
+		for id := range queued {
 			q.Finish(id, StreamStats{}, now)
 		}
 		for id := range granted {
 			q.Finish(id, StreamStats{}, now)
 		}
 		for _, e := range q.ordered {
-			if e.pendingTokens != 0 || e.pendingPrefills != 0 || len(e.requests) != 0 || e.reservedTokens != 0 {
-				t.Fatalf("state remains at %s: %d tokens, %d requests", e.ID, e.pendingTokens, len(e.requests))
+			if e.pendingPrefillTokens != 0 || e.pendingPrefills != 0 || len(e.requests) != 0 || e.reservedTokens != 0 {
+				t.Fatalf("engine %s is not empty: %d pending tokens, %d requests", e.ID, e.pendingPrefillTokens, len(e.requests))
 			}
 		}
 		if len(q.waiting) != 0 || len(q.waitingByID) != 0 || len(q.granted) != 0 {
-			t.Fatalf("state remains: %d waiting, %d granted", len(q.waiting), len(q.granted))
+			t.Fatalf("queue is not empty: %d waiting, %d granted", len(q.waiting), len(q.granted))
 		}
 	})
 }
 
 // checkAccounting compares each engine's accounting with the requests granted to it.
 func checkAccounting(t *rapid.T, q *Queue) {
-	reading, prompts := map[*engine]int{}, map[*engine]int{}
+	tokens, prefills := map[*engine]int{}, map[*engine]int{}
 	for _, e := range q.granted {
 		if !e.prefillDone {
-			reading[e.engine] += e.prefillTokens
-			prompts[e.engine]++
+			tokens[e.engine] += e.prefillTokens
+			prefills[e.engine]++
 		}
 	}
 	for _, e := range q.ordered {
-		if reading[e] != e.pendingTokens || prompts[e] != e.pendingPrefills {
-			t.Fatalf("%s has %d pending tokens of %d prompts, accounted %d of %d", e.ID, reading[e], prompts[e], e.pendingTokens, e.pendingPrefills)
+		if tokens[e] != e.pendingPrefillTokens || prefills[e] != e.pendingPrefills {
+			t.Fatalf("engine %s: %d pending tokens of %d prefills, accounted for %d of %d", e.ID, tokens[e], prefills[e], e.pendingPrefillTokens, e.pendingPrefills)
 		}
 	}
 	if len(q.waitingByID) != len(q.waiting) {
-		t.Fatalf("%d waiting, %d by ID", len(q.waiting), len(q.waitingByID))
+		t.Fatalf("%d waiting requests, %d by ID", len(q.waiting), len(q.waitingByID))
 	}
 }
 
 func TestSchedulerSeparatesGroups(t *testing.T) {
 	g := NewWithT(t)
-	lists := 0
-	told := func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false }
-	d := NewScheduler[string](func(Group) []Engine { lists++; return acceptingEngines(1) }, told, ratelimit.New(rand.Float64), Policy{})
+	listCalls := 0
+	noEstimates := func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false }
+	scheduler := NewScheduler[string](func(Group) []Engine { listCalls++; return acceptingEngines(1) }, noEstimates, ratelimit.New(rand.Float64), Policy{})
 	now := time.Unix(100, 0)
 	one, two := Group{Service: "s"}, Group{Service: "s", Index: 1}
-	g.Expect(d.Submit(one, reportRequest("a", longPromptTokens), "gw1", now).Verdict).To(Equal(Granted))
-	g.Expect(d.Submit(one, reportRequest("b", longPromptTokens), "gw2", now).Verdict).To(Equal(Queued))
-	g.Expect(d.Submit(two, reportRequest("c", longPromptTokens), "gw2", now).Verdict).To(Equal(Granted))
-	g.Expect(lists).To(Equal(2))
-	g.Expect(d.QueuedCount()).To(Equal(1))
-	d.RecordFirstToken(one, "a", 100*time.Millisecond, now)
-	due := d.Poll(now)
-	g.Expect(due).To(HaveLen(1))
-	g.Expect(due[0].To).To(Equal("gw2"))
-	d.Finish(one, "a", StreamStats{}, now)
-	d.Finish(one, "b", StreamStats{}, now)
-	d.Finish(two, "c", StreamStats{}, now)
-	d.Poll(now.Add(idleQueueTTL + time.Second))
-	g.Expect(d.queues).To(BeEmpty())
+	g.Expect(scheduler.Submit(one, backgroundRequest("a", longPromptTokens), "gw1", now).Verdict).To(Equal(Granted))
+	g.Expect(scheduler.Submit(one, backgroundRequest("b", longPromptTokens), "gw2", now).Verdict).To(Equal(Queued))
+	g.Expect(scheduler.Submit(two, backgroundRequest("c", longPromptTokens), "gw2", now).Verdict).To(Equal(Granted))
+	g.Expect(listCalls).To(Equal(2))
+	g.Expect(scheduler.QueuedCount()).To(Equal(1))
+	scheduler.RecordFirstToken(one, "a", 100*time.Millisecond, now)
+	decisions := scheduler.Poll(now)
+	g.Expect(decisions).To(HaveLen(1))
+	g.Expect(decisions[0].To).To(Equal("gw2"))
+	scheduler.Finish(one, "a", StreamStats{}, now)
+	scheduler.Finish(one, "b", StreamStats{}, now)
+	scheduler.Finish(two, "c", StreamStats{}, now)
+	scheduler.Poll(now.Add(idleQueueTTL + time.Second))
+	g.Expect(scheduler.queues).To(BeEmpty())
 }
 
-// BenchmarkAsk measures one submission, first token and end in a queue of 400 requests for 64 engines
-// with 30 streams each. A short prompt on engines without a backlog takes a third of that time.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkSubmit measures submitting, polling and finishing one request in a queue of 400 requests for 64
+// engines with 30 streams each. A short prompt on engines without a backlog takes a third of that time.
+func BenchmarkSubmit(b *testing.B) {
 	q, now := newQueue(64)
 	for i := range 64 * 30 {
 		id := fmt.Sprint("stream", i)
-		q.Submit(reportRequest(id, 100), now)
+		q.Submit(backgroundRequest(id, 100), now)
 		q.RecordFirstToken(id, time.Millisecond, now)
 	}
 	for i := range 64 {
-		q.Submit(reportRequest(fmt.Sprint("running", i), longPromptTokens), now)
+		q.Submit(backgroundRequest(fmt.Sprint("running", i), longPromptTokens), now)
 	}
 	for i := range 400 {
-		q.Submit(reportRequest(fmt.Sprint("w", i), 100), now)
+		q.Submit(backgroundRequest(fmt.Sprint("w", i), 100), now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		a := reportRequest("x", 100)
+		a := backgroundRequest("x", 100)
 		q.Submit(a, now)
 		q.Poll(now)
 		q.Finish("x", StreamStats{}, now)
 	}
 }
 
-// Guards against refusing bursts of interactive requests while reports are still granted, which
-// happened because reports expected to arrive meanwhile were counted as if they went first.
-func TestABurstOfUrgentRequestsIsNotRefusedForTheSakeOfOthers(t *testing.T) {
+// Guards against refusing bursts of urgent requests while background requests are granted, which happened
+// because background requests that were expected to arrive meanwhile were counted as if they went first.
+func TestUrgentBurstIsNotRefusedInFavorOfBackgroundRequests(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	sent, refused := map[int]int{}, map[int]int{}
-	rank, ends := map[string]int{}, map[string]time.Time{}
-	take := func(a Decision) {
-		switch a.Verdict {
+	granted, refused := map[int]int{}, map[int]int{} // by priority
+	priority, ends := map[string]int{}, map[string]time.Time{}
+	record := func(d Decision) {
+		switch d.Verdict {
 		case Granted:
-			sent[rank[a.ID]]++
-			ends[a.ID] = now.Add(a.ExpectedPrefill)
+			granted[priority[d.ID]]++
+			ends[d.ID] = now.Add(d.ExpectedPrefill)
 		case Refused:
-			refused[rank[a.ID]]++
+			refused[priority[d.ID]]++
 		}
 	}
-	ask := func(a Ask) {
-		rank[a.ID] = a.Priority
-		take(q.Submit(a, now))
+	submit := func(a Ask) {
+		priority[a.ID] = a.Priority
+		record(q.Submit(a, now))
 	}
 	for i := range 1000 { // 20 s
 		if i%10 == 0 {
-			ask(reportRequest(fmt.Sprint("report-", i), 8000))
+			submit(backgroundRequest(fmt.Sprint("background-", i), 8000))
 		}
-		if i%100 < 8 { // a burst every 2 s, together half of the engine's time
-			urgent := Ask{ID: fmt.Sprint("question-", i), UniqueTokens: 3500, FirstTokenTarget: 300 * time.Millisecond, FirstTokenTimeout: 2 * time.Second}
-			ask(urgent)
+		if i%100 < 8 { // a burst every 2 s takes half of the engine's time
+			urgent := Ask{ID: fmt.Sprint("urgent-", i), UniqueTokens: 3500, FirstTokenTarget: 300 * time.Millisecond, FirstTokenTimeout: 2 * time.Second}
+			submit(urgent)
 		}
 		now = now.Add(20 * time.Millisecond)
 		for id, end := range ends {
@@ -532,11 +533,11 @@
 				delete(ends, id)
 			}
 		}
-		for _, a := range q.Poll(now) {
-			take(a)
+		for _, d := range q.Poll(now) {
+			record(d)
 		}
 	}
-	t.Logf("sent %v, refused %v", sent, refused)
+	t.Logf("granted %v, refused %v (by priority)", granted, refused)
 	g.Expect(refused[0]).To(BeZero())
-	g.Expect(sent[6]).To(BeNumerically(">", 10))
+	g.Expect(granted[6]).To(BeNumerically(">", 10))
 }
--- a/internal/permit/scheduler.go
+++ b/internal/permit/scheduler.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// idleQueueTTL is how long a queue is kept without requests.
+	// idleQueueTTL is how long a queue without requests is kept after the last submission.
 	idleQueueTTL = 30 * time.Second
 	// engineListTTL is how long a group's list of engines is cached. It is short compared with
-	// the 660 ms in which changes of the list are read.
+	// the 660 ms within which this process learns of changes to the list.
 	engineListTTL = 50 * time.Millisecond
 )
 
-// Scheduler holds the queues of the groups that this process schedules. From is the type of a
-// requesting gateway's address. It is not safe for concurrent use.
-type Scheduler[From any] struct {
+// Scheduler holds the queues of the groups that this process schedules. Requester is the type of a
+// requesting gateway's address. A scheduler is not safe for concurrent use.
+type Scheduler[Requester any] struct {
 	listEngines   func(Group) []Engine
 	peerEstimates func(service string) (enginemodel.Estimates, bool)
 	limiter       *ratelimit.Limiter
 	policy        Policy
 	models        map[string]*enginemodel.ServiceModel
 	queues        map[Group]*groupQueue
-	requesters    map[string]From // by ID of the waiting request
+	requesters    map[string]Requester // by ID of the waiting request
 }
 
 type groupQueue struct {
@@ -34,41 +34,42 @@
 }
 
 // Notification is a decision on a queued request, with the gateway to send it to.
-type Notification[From any] struct {
-	To From
+type Notification[Requester any] struct {
+	To Requester
 	Decision
 }
 
-// NewScheduler returns a scheduler without queues. listEngines returns the members of a group;
-// peerEstimates returns estimates that other gateways have made for a service's engines, if any;
-// limiter holds the rates that engines state.
-func NewScheduler[From any](listEngines func(Group) []Engine, peerEstimates func(service string) (enginemodel.Estimates, bool), limiter *ratelimit.Limiter,
-	policy Policy) *Scheduler[From] {
-	return &Scheduler[From]{listEngines: listEngines, peerEstimates: peerEstimates, limiter: limiter, policy: policy, models: map[string]*enginemodel.ServiceModel{}, queues: map[Group]*groupQueue{}, requesters: map[string]From{}}
+// NewScheduler returns a scheduler without queues. listEngines returns the engines of a group;
+// peerEstimates returns another gateway's estimates for a service's engines, if there are any; limiter
+// holds the rates that engines state.
+func NewScheduler[Requester any](listEngines func(Group) []Engine, peerEstimates func(service string) (enginemodel.Estimates, bool), limiter *ratelimit.Limiter,
+	policy Policy) *Scheduler[Requester] {
+	return &Scheduler[Requester]{listEngines: listEngines, peerEstimates: peerEstimates, limiter: limiter, policy: policy, models: map[string]*enginemodel.ServiceModel{}, queues: map[Group]*groupQueue{}, requesters: map[string]Requester{}}
 }
 
-// Submit schedules a request for an engine of a group.
-func (s *Scheduler[From]) Submit(group Group, a Ask, from From, now time.Time) Decision {
-	k := s.queues[group]
-	if k == nil {
-		k = &groupQueue{Queue: NewQueue(s.serviceModel(group.Service), s.limiter, s.policy)}
-		s.queues[group] = k
+// Submit schedules a request for an engine of a group. If the verdict is Queued, Poll returns the final
+// decision for the requester later.
+func (s *Scheduler[Requester]) Submit(group Group, req Ask, requester Requester, now time.Time) Decision {
+	queue := s.queues[group]
+	if queue == nil {
+		queue = &groupQueue{Queue: NewQueue(s.serviceModel(group.Service), s.limiter, s.policy)}
+		s.queues[group] = queue
 	}
-	k.lastUsed = now
-	s.refreshEngines(group, k, now)
-	decision := k.Submit(a, now)
+	queue.lastUsed = now
+	s.refreshEngines(group, queue, now)
+	decision := queue.Submit(req, now)
 	if decision.Verdict == Queued {
-		s.requesters[a.ID] = from
+		s.requesters[req.ID] = requester
 	}
 	return decision
 }
 
 // serviceModel returns the performance model of a service's engines.
-func (s *Scheduler[From]) serviceModel(service string) *enginemodel.ServiceModel {
+func (s *Scheduler[Requester]) serviceModel(service string) *enginemodel.ServiceModel {
 	m := s.models[service]
 	if m == nil {
-		if f, ok := s.peerEstimates(service); ok {
-			m = enginemodel.NewServiceModelFrom(f)
+		if estimates, ok := s.peerEstimates(service); ok {
+			m = enginemodel.NewServiceModelFrom(estimates)
 		} else {
 			m = enginemodel.NewServiceModel()
 		}
@@ -77,76 +78,77 @@
 	return m
 }
 
-// ServiceStats describes the engines of a service and their load.
+// ServiceStats describes the load of a service's engines and their estimated performance.
 type ServiceStats struct {
 	Service string
 	enginemodel.Estimates
-	// Queued counts waiting requests, AvailableEngines those that accept requests,
-	// PrefillingEngines those with prefills in progress, and Running the granted requests.
+	// Queued is the number of waiting requests and Running that of granted ones. AvailableEngines
+	// is the number of engines that accept requests, and PrefillingEngines that of engines with
+	// prefills in progress.
 	Queued, AvailableEngines, PrefillingEngines, Running int
 }
 
 // Stats returns the statistics of each service that this process schedules.
-func (s *Scheduler[From]) Stats() []ServiceStats {
+func (s *Scheduler[Requester]) Stats() []ServiceStats {
 	var out []ServiceStats
 	for service, m := range s.models {
-		l := ServiceStats{Service: service, Estimates: m.Estimates()}
-		for group, k := range s.queues {
+		stats := ServiceStats{Service: service, Estimates: m.Estimates()}
+		for group, queue := range s.queues {
 			if group.Service == service {
-				l.Queued += len(k.waiting)
-				l.Running += len(k.granted)
-				for _, e := range k.ordered {
+				stats.Queued += len(queue.waiting)
+				stats.Running += len(queue.granted)
+				for _, e := range queue.ordered {
 					if e.Accepting {
-						l.AvailableEngines++
+						stats.AvailableEngines++
 					}
 					if e.pendingPrefills > 0 {
-						l.PrefillingEngines++
+						stats.PrefillingEngines++
 					}
 				}
 			}
 		}
-		out = append(out, l)
+		out = append(out, stats)
 	}
 	return out
 }
 
-func (s *Scheduler[From]) refreshEngines(group Group, k *groupQueue, now time.Time) {
-	if now.Sub(k.enginesListedAt) >= engineListTTL {
-		k.enginesListedAt = now
-		k.SetEngines(s.listEngines(group))
+// refreshEngines updates the queue's engines if the cached list has expired.
+func (s *Scheduler[Requester]) refreshEngines(group Group, queue *groupQueue, now time.Time) {
+	if now.Sub(queue.enginesListedAt) >= engineListTTL {
+		queue.enginesListedAt = now
+		queue.SetEngines(s.listEngines(group))
 	}
 }
 
 // RecordFirstToken records that an engine has completed a request's prefill, and how long it took.
-func (s *Scheduler[From]) RecordFirstToken(group Group, id string, took time.Duration, now time.Time) {
-	if k := s.queues[group]; k != nil {
-		k.RecordFirstToken(id, took, now)
+func (s *Scheduler[Requester]) RecordFirstToken(group Group, id string, took time.Duration, now time.Time) {
+	if queue := s.queues[group]; queue != nil {
+		queue.RecordFirstToken(id, took, now)
 	}
 }
 
-// Finish records that a request has ended or was cancelled, and what was observed of its
-// response.
-func (s *Scheduler[From]) Finish(group Group, id string, stats StreamStats, now time.Time) {
-	if k := s.queues[group]; k != nil {
-		k.Finish(id, stats, now)
+// Finish records that a request has ended or was cancelled, with the statistics of its response.
+func (s *Scheduler[Requester]) Finish(group Group, id string, stats StreamStats, now time.Time) {
+	if queue := s.queues[group]; queue != nil {
+		queue.Finish(id, stats, now)
 	}
 	delete(s.requesters, id)
 }
 
-// Poll returns the decisions that have become due.
-func (s *Scheduler[From]) Poll(now time.Time) []Notification[From] {
-	var out []Notification[From]
-	for group, k := range s.queues {
-		if len(k.waiting) > 0 {
-			s.refreshEngines(group, k, now)
+// Poll returns new decisions on queued requests, and removes queues that are no longer used.
+func (s *Scheduler[Requester]) Poll(now time.Time) []Notification[Requester] {
+	var out []Notification[Requester]
+	for group, queue := range s.queues {
+		if len(queue.waiting) > 0 {
+			s.refreshEngines(group, queue, now)
 		}
-		for _, a := range k.Poll(now) {
-			if to, ok := s.requesters[a.ID]; ok {
-				delete(s.requesters, a.ID)
-				out = append(out, Notification[From]{to, a})
+		for _, decision := range queue.Poll(now) {
+			if to, ok := s.requesters[decision.ID]; ok {
+				delete(s.requesters, decision.ID)
+				out = append(out, Notification[Requester]{to, decision})
 			}
 		}
-		if k.Idle() && now.Sub(k.lastUsed) > idleQueueTTL {
+		if queue.Idle() && now.Sub(queue.lastUsed) > idleQueueTTL {
 			delete(s.queues, group)
 		}
 	}
@@ -154,4 +156,4 @@
 }
 
 // QueuedCount returns the number of waiting requests.
-func (s *Scheduler[From]) QueuedCount() int { return len(s.requesters) }
+func (s *Scheduler[Requester]) QueuedCount() int { return len(s.requesters) }
--- a/internal/permit/types.go
+++ b/internal/permit/types.go
@@ -31,8 +31,8 @@
 	TokensPerEvent int
 }
 
-// Ask is a request for permission to send a prompt to an engine of a group. Its name is part of the
-// messages between gateways, as package peers encodes it as an embedded field.
+// Ask is a request for permission to send a prompt to an engine of a group. The type's name is part of
+// the messages between gateways, as package peers embeds it and the encoding uses the name as a key.
 type Ask struct {
 	ID string `msgpack:"i"`
 	// Priority is the request's priority at the engine; 0 is the most urgent.
@@ -45,21 +45,24 @@
 	PrefixTokens int    `msgpack:"s,omitempty"`
 	// OutputTokens is the expected number of generated tokens.
 	OutputTokens int `msgpack:"u,omitempty"`
-	// FirstTokenTarget is the remaining time within which a first token is on time.
+	// FirstTokenTarget is the remaining time within which the first token is on time.
 	FirstTokenTarget time.Duration `msgpack:"t"`
-	// MaxEventGap is the longest gap between events with which the response is on time, 0 if any.
+	// MaxEventGap is the longest gap between two events with which the response is on time; 0 if
+	// gaps of any length are.
 	MaxEventGap time.Duration `msgpack:"g,omitempty"`
-	// FirstTokenTimeout is the remaining time after which a first token is of no use.
+	// FirstTokenTimeout is the remaining time after which the first token is of no use.
 	FirstTokenTimeout time.Duration `msgpack:"l"`
 	// ResponseTimeout is the remaining time for the complete response.
 	ResponseTimeout time.Duration `msgpack:"d,omitempty"`
 	// FailureDomain is the failure domain of the requesting gateway.
 	FailureDomain string `msgpack:"z,omitempty"`
-	// Resumed requests already have part of their response; the engine that produced it is gone.
+	// Resumed requests already have part of their response, but the engine that generated it has
+	// failed.
 	Resumed bool `msgpack:"b,omitempty"`
 	// Plain requests have no prompt to prefill; their servers process them concurrently.
 	Plain bool `msgpack:"n,omitempty"`
-	// ExcludedEngines have failed the request or are unreachable from its gateway.
+	// ExcludedEngines are the IDs of engines that have failed the request or are unreachable from
+	// its gateway.
 	ExcludedEngines []string `msgpack:"a,omitempty"`
 }
 
@@ -71,8 +74,9 @@
 	Granted Verdict = iota + 1
 	Queued
 	Refused
-	// NoEngine: no engine of the group can serve the request in time because all of them are
-	// failing or unreachable from its gateway. It does not indicate overload.
+	// NoEngine means that no engine of the group can serve the request in time because all of
+	// them are failing, shutting down or unreachable from its gateway. It does not indicate
+	// overload.
 	NoEngine
 )
 
@@ -91,16 +95,18 @@
 	return "none"
 }
 
-// Decision is the scheduler's reply to one request.
+// Decision is the scheduler's answer to one request.
 type Decision struct {
 	ID      string  `msgpack:"i"`
 	Verdict Verdict `msgpack:"v"`
-	// Engine is where to send a granted request; empty if the scheduler knows no engines.
+	// Engine is the ID of the engine to send a granted request to; empty if the scheduler knows no
+	// engines.
 	Engine string `msgpack:"e,omitempty"`
-	// FetchFrom is an engine that holds the shared prefix, if Engine does not.
+	// FetchFrom is the ID of an engine from which to fetch the shared prefix; empty to fetch
+	// nothing.
 	FetchFrom string `msgpack:"f,omitempty"`
-	// Wait is the expected time until an engine starts the prefill or, for a refused request,
-	// the time after which to retry.
+	// Wait is the expected time until an engine starts a queued request or, for a request that is
+	// not served, the time after which to retry.
 	Wait time.Duration `msgpack:"w,omitempty"`
 	// ExpectedPrefill is the expected time from the start of the prefill to the first event.
 	ExpectedPrefill time.Duration `msgpack:"r,omitempty"`
@@ -108,11 +114,11 @@
 	// not yet prefilled.
 	BacklogTokens int `msgpack:"b,omitempty"`
 	// RateLimitedEngines is the number of engines that accept nothing now because of their stated
-	// rates or, if all engines state a rate, the number of engines.
+	// rates. If all engines state a rate, it is the number of engines.
 	RateLimitedEngines int `msgpack:"l,omitempty"`
 }
 
-// StreamStats is what a gateway observed of the response to a granted request.
+// StreamStats are the statistics of the response to a granted request, as observed by its gateway.
 type StreamStats struct {
 	Events int `msgpack:"n,omitempty"`
 	// TimeToFirstEvent is measured from sending the request.
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// refusalShare is the share of a request's timeout above which an expected wait leads to
-	// immediate refusal. It is close to 1 because a late response is worth more to the caller
-	// than a refusal, and expected waits are about right.
-	refusalShare = 0.85
-	// onTimeShare is the share of its target after which a waiting request counts as late. The
-	// rest is for its prefill. The expected prefill time itself is not considered, so that long
-	// prompts are not delayed or refused sooner than short ones.
-	onTimeShare = 0.75
-	// minCapacityShare is the lower bound of the share of engine time that is assumed to be left
+	// earlyRefusalShare is the share of a request's first-token timeout above which its expected
+	// wait leads to immediate refusal. It is close to 1 because a late response is worth more to
+	// the caller than a refusal, and expected waits are about right.
+	earlyRefusalShare = 0.85
+	// onTimeWaitShare is the share of its target after which a waiting request counts as late.
+	// The rest is for its prefill. The expected prefill time of the request is not considered, so
+	// that long prompts are not delayed or refused sooner than short ones.
+	onTimeWaitShare = 0.75
+	// minLateCapacityShare is the minimum share of the engines' time that is assumed to be left
 	// for late requests.
-	minCapacityShare = 0.1
+	minLateCapacityShare = 0.1
 )
 
-// trueFirst returns the comparison result for two items of which only one has a property: the one
-// that has it comes first.
+// trueFirst returns the comparison result for two items of which exactly one has a property; a tells
+// whether it is the first. The one that has the property sorts first.
 func trueFirst(a bool) int {
 	if a {
 		return -1
@@ -29,14 +29,14 @@
 	return 1
 }
 
-// compare orders waiting requests by priority, then those with a partial response, then those that
-// can still be on time, then by arrival.
+// compare orders waiting requests by priority, then resumed requests first, then those first that can
+// still be on time, then by arrival.
 func (q *Queue) compare(a, b *entry, now time.Time) int {
-	if c := cmp.Compare(a.ask.Priority, b.ask.Priority); c != 0 {
+	if c := cmp.Compare(a.request.Priority, b.request.Priority); c != 0 {
 		return c
 	}
-	if a.ask.Resumed != b.ask.Resumed {
-		return trueFirst(a.ask.Resumed)
+	if a.request.Resumed != b.request.Resumed {
+		return trueFirst(a.request.Resumed)
 	}
 	if x, y := q.onTime(a, now), q.onTime(b, now); x != y && !q.policy.IgnoreLateness {
 		return trueFirst(x)
@@ -44,159 +44,162 @@
 	return cmp.Compare(a.sequence, b.sequence)
 }
 
+// precedes reports whether request a is placed before request b.
 func (q *Queue) precedes(a, b *entry, now time.Time) bool { return q.compare(a, b, now) < 0 }
 
-// onTime reports whether the request can be on time if granted now.
+// onTime reports whether the request's first token can be on time if it is granted now.
 func (q *Queue) onTime(e *entry, now time.Time) bool {
-	return now.Sub(e.arrivedAt) <= time.Duration(onTimeShare*float64(e.ask.FirstTokenTarget))
+	return now.Sub(e.arrivedAt) <= time.Duration(onTimeWaitShare*float64(e.request.FirstTokenTarget))
 }
 
-// expectedWait returns the expected time until an engine starts the request, assuming that
-// requests ahead of it go to whichever engine is free first. It also returns the capacity in
-// engines.
+// expectedWait returns the expected time until an engine starts the request, if each request ahead of it
+// goes to the engine that is free first, and the total capacity as a number of engines.
 func (q *Queue) expectedWait(e *entry, now time.Time) (wait time.Duration, engines float64) {
 	var ahead time.Duration
 	count := 0
 	for _, other := range q.waiting {
 		if other != e && q.precedes(other, e, now) {
-			ahead += q.work(other.ask)
+			ahead += q.engineTime(other.request)
 			count++
 		}
 	}
-	c := q.capacity(meanOr(ahead, count, q.work(e.ask)), now)
-	return c.nextFree(ahead), c.total()
+	capacity := q.capacity(meanOrDefault(ahead, count, q.engineTime(e.request)), now)
+	return capacity.nextFree(ahead), capacity.total()
 }
 
-// plainWork is the engine time of a plain request; plain servers run many concurrently.
-const plainWork = time.Millisecond
+// plainEngineTime is the engine time of a plain request. It is short as plain servers run many requests
+// concurrently.
+const plainEngineTime = time.Millisecond
 
-// work returns the engine time that a request takes.
-func (q *Queue) work(a Ask) time.Duration {
-	if a.Plain {
-		return plainWork
+// engineTime returns how long the request occupies an engine: the expected time of its prefill.
+func (q *Queue) engineTime(req Ask) time.Duration {
+	if req.Plain {
+		return plainEngineTime
 	}
-	return q.model.PrefillTime(a.UniqueTokens, a.PrefixTokens)
+	return q.model.PrefillTime(req.UniqueTokens, req.PrefixTokens)
 }
 
-func meanOr(sum time.Duration, count int, fallback time.Duration) time.Duration {
+// meanOrDefault returns sum/count, or fallback if count is 0.
+func meanOrDefault(sum time.Duration, count int, fallback time.Duration) time.Duration {
 	if count == 0 {
 		return fallback
 	}
 	return sum / time.Duration(count)
 }
 
-// engineCapacity is when a usable engine can take its next request, and the share of its time that
-// its stated rate lets it spend on requests.
+// engineCapacity is the capacity of a usable engine.
 type engineCapacity struct {
-	wait  time.Duration
-	speed float64
+	wait           time.Duration // until it can take its next request
+	availableShare float64       // share of its time that its stated rate lets it spend on requests
 }
 
-// capacity lists the usable engines, ordered by when they can take their next request.
+// capacity is the capacity of all usable engines, ordered by wait.
 type capacity []engineCapacity
 
-// capacity returns the capacity for requests that each take the given engine time.
+// capacity returns the capacity for requests that each take the given engine time. The result is valid
+// until the next call.
 func (q *Queue) capacity(perRequest time.Duration, now time.Time) capacity {
 	out := q.capacityBuf[:0]
-	for _, en := range q.ordered {
-		if !en.usable(now) {
+	for _, e := range q.ordered {
+		if !e.usable(now) {
 			continue
 		}
-		s := engineCapacity{en.prefillWait(now), 1}
-		if b := q.limiter.Budget(en.ID, now); b.Limited {
-			s.wait, s.speed = max(s.wait, b.Wait), min(1, b.Rate*perRequest.Seconds())
+		c := engineCapacity{e.prefillWait(now), 1}
+		if b := q.limiter.Budget(e.ID, now); b.Limited {
+			c.wait, c.availableShare = max(c.wait, b.Wait), min(1, b.Rate*perRequest.Seconds())
 		}
-		out = append(out, s)
+		out = append(out, c)
 	}
 	slices.SortFunc(out, func(a, b engineCapacity) int { return cmp.Compare(a.wait, b.wait) })
 	q.capacityBuf = out
 	return out
 }
 
-// total returns the capacity in engines.
-func (c capacity) total() (sum float64) {
-	for _, s := range c {
-		sum += s.speed
+// total returns the number of fully available engines with the same capacity.
+func (c capacity) total() (engines float64) {
+	for _, e := range c {
+		engines += e.availableShare
 	}
-	return sum
+	return engines
 }
 
-// nextFree returns when an engine can take another request after the given work has been
-// distributed over the engines as they become free.
-func (c capacity) nextFree(ahead time.Duration) time.Duration {
-	at, speed := time.Duration(0), 0.0
-	for _, s := range c {
-		// Until this engine becomes free, the earlier ones process the work.
-		work := time.Duration(speed * float64(s.wait-at))
-		if speed > 0 && work >= ahead {
+// nextFree returns the time until an engine can take another request, if a backlog with the given engine
+// time goes first and is distributed over the engines as they become free.
+func (c capacity) nextFree(backlog time.Duration) time.Duration {
+	elapsed, engines := time.Duration(0), 0.0
+	for _, e := range c {
+		// Until this engine is free, the earlier ones process the backlog.
+		processed := time.Duration(engines * float64(e.wait-elapsed))
+		if engines > 0 && processed >= backlog {
 			break
 		}
-		ahead -= work
-		at, speed = s.wait, speed+s.speed
-		if ahead <= 0 {
-			return at
+		backlog -= processed
+		elapsed, engines = e.wait, engines+e.availableShare
+		if backlog <= 0 {
+			return elapsed
 		}
 	}
-	if speed == 0 {
-		return at + ahead
+	if engines == 0 {
+		return elapsed + backlog
 	}
-	return at + time.Duration(float64(ahead)/speed)
+	return elapsed + time.Duration(float64(backlog)/engines)
 }
 
-// refuseUnservable refuses waiting requests, which must be sorted, that can no longer be served in
-// time.
+// refuseUnservable removes the waiting requests that can no longer be served in time, and returns their
+// refusals. The waiting requests must be sorted.
 func (q *Queue) refuseUnservable(now time.Time) []Decision {
 	var out []Decision
-	var all time.Duration
+	var backlog time.Duration
 	for _, e := range q.waiting {
-		all += q.work(e.ask)
+		backlog += q.engineTime(e.request)
 	}
-	engines := q.capacity(meanOr(all, len(q.waiting), 0), now)
+	capacity := q.capacity(meanOrDefault(backlog, len(q.waiting), 0), now)
 	verdict, ahead := Refused, time.Duration(0)
-	if len(engines) == 0 {
+	if len(capacity) == 0 {
 		verdict = NoEngine
 	}
 	noneAccepting := !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting })
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
-		wait := engines.nextFree(ahead)
-		if !noneAccepting && !q.unservable(e, wait, engines.total(), now) {
-			ahead += q.work(e.ask)
+		wait := capacity.nextFree(ahead)
+		if !noneAccepting && !q.unservable(e, wait, capacity.total(), now) {
+			ahead += q.engineTime(e.request)
 			return false
 		}
-		delete(q.waitingByID, e.ask.ID)
-		out = append(out, q.newDecision(e.ask.ID, verdict, q.retryAfter(wait, e.ask, engines.total(), now), now))
+		delete(q.waitingByID, e.request.ID)
+		out = append(out, q.newDecision(e.request.ID, verdict, q.retryAfter(wait, e.request, capacity.total(), now), now))
 		return true
 	})
 	return out
 }
 
-// unservable reports whether a request can't be served in time given its expected wait. Late
-// requests only get the capacity that requests that can still be on time leave over; if there
-// is none, waiting would be in vain.
+// unservable reports whether a request can't be served in time given its expected wait and the capacity
+// in engines. Late requests only get the capacity that is left by requests that can still be on time; if
+// none is left, they would wait until their timeout.
 func (q *Queue) unservable(e *entry, wait time.Duration, engines float64, now time.Time) bool {
 	age := now.Sub(e.arrivedAt)
-	if age > e.ask.FirstTokenTimeout || q.policy.NoEarlyRefusal || q.uncalibrated(now) {
-		return age > e.ask.FirstTokenTimeout
+	if age > e.request.FirstTokenTimeout || q.policy.NoEarlyRefusal || q.uncalibrated(now) {
+		return age > e.request.FirstTokenTimeout
 	}
-	if age+wait > time.Duration(onTimeShare*float64(e.ask.FirstTokenTarget)) {
-		wait = q.waitWithArrivals(wait, e.ask.Priority, engines, now)
+	if age+wait > time.Duration(onTimeWaitShare*float64(e.request.FirstTokenTarget)) {
+		wait = q.waitWithArrivals(wait, e.request.Priority, engines, now)
 	}
-	return age+wait > time.Duration(refusalShare*float64(e.ask.FirstTokenTimeout))
+	return age+wait > time.Duration(earlyRefusalShare*float64(e.request.FirstTokenTimeout))
 }
 
-// minPrefills is the number of completed prefills after which the estimates are trusted without
-// calibration. Short prompts are prefilled together, which yields few observations, so that for
-// some services few prompts are ever observed alone.
-const minPrefills = 100
+// minCalibrationPrefills is the number of completed prefills after which the estimates are used even if
+// the model is not calibrated. The model only observes prompts that are prefilled alone, which is rare
+// in services with short prompts.
+const minCalibrationPrefills = 100
 
-// uncalibrated reports whether the estimates are mostly initial values, in which case no request is
-// refused early. Otherwise a gateway that has just started, or schedules few requests, would
-// overestimate the time for a backlog tenfold and refuse interactive requests at once.
+// uncalibrated reports whether the estimates are mostly initial values. No request is refused early then,
+// as a gateway that has just started, or schedules few requests, could overestimate the time for a
+// backlog tenfold and refuse interactive requests at once.
 func (q *Queue) uncalibrated(now time.Time) bool {
-	return q.prefillsDone < minPrefills && !q.model.Calibrated() && !q.allRateLimited(now)
+	return q.prefillsDone < minCalibrationPrefills && !q.model.Calibrated() && !q.allRateLimited(now)
 }
 
-// allRateLimited reports whether every engine states a rate. Waits then follow from the rates alone.
+// allRateLimited reports whether every accepting engine states a rate. Waits then follow from the rates
+// alone.
 func (q *Queue) allRateLimited(now time.Time) bool {
 	return !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting && !q.limiter.Budget(e.ID, now).Limited })
 }
@@ -206,23 +209,24 @@
 	return q.limiter.Budget(e.ID, now).Wait > 0
 }
 
-// waitWithArrivals extends an expected wait by the requests that arrive meanwhile and go first.
+// waitWithArrivals extends an expected wait by the time for the requests that are expected to arrive
+// meanwhile and go first.
 func (q *Queue) waitWithArrivals(wait time.Duration, priority int, engines float64, now time.Time) time.Duration {
 	if engines == 0 {
 		engines = 1
 	}
-	left := minCapacityShare
+	availableShare := minLateCapacityShare
 	if q.load.enginesNeededUpTo(priority, now) < engines {
-		// Requests of equal priority that arrive meanwhile leave capacity over, so only more urgent
-		// ones are counted. Counting equals as well refused urgent requests in a burst while less
-		// urgent ones were served after it.
-		left = 1 - q.load.enginesNeededUpTo(priority-1, now)/engines
+		// The engines can process all requests of this and more urgent priorities, so only more
+		// urgent ones are counted. Counting equal priorities too refused urgent requests in a burst
+		// while less urgent ones were served after it.
+		availableShare = 1 - q.load.enginesNeededUpTo(priority-1, now)/engines
 	}
-	return time.Duration(float64(wait) / max(left, minCapacityShare))
+	return time.Duration(float64(wait) / max(availableShare, minLateCapacityShare))
 }
 
-// retryAfter returns when a refused caller should retry: when the backlog has shrunk to what the
-// request's target tolerates, taking new arrivals into account.
-func (q *Queue) retryAfter(wait time.Duration, a Ask, engines float64, now time.Time) time.Duration {
-	return min(max(q.waitWithArrivals(wait, a.Priority, engines, now)-a.FirstTokenTarget/2, minRetryAfter), maxRetryAfter)
+// retryAfter returns the time after which a refused caller should retry: when the expected wait,
+// including new arrivals, has decreased to half of the request's target.
+func (q *Queue) retryAfter(wait time.Duration, req Ask, engines float64, now time.Time) time.Duration {
+	return min(max(q.waitWithArrivals(wait, req.Priority, engines, now)-req.FirstTokenTarget/2, minRetryAfter), maxRetryAfter)
 }
