--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -299,7 +299,7 @@
 	b := choice.Candidate.Backend
 	server := choice.Candidate.Server
 	sentAt := g.now()
-	_, shared := q.info.Prompt.Shared()
+	_, shared := q.info.Prompt.SharedPrefix()
 	unread := q.info.Prompt.Tokens - shared
 	b.BeginRequest(unread)
 	promptRead := sync.OnceFunc(func() { b.RecordFirstToken(unread) })
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -91,7 +91,7 @@
 	if !slices.ContainsFunc(candidates, usable) {
 		return placement.Choice{}, peers.Permit{}, g.unavailableError(q, candidates)
 	}
-	part, _ := q.info.Prompt.Shared()
+	part, _ := q.info.Prompt.SharedPrefix()
 	if part == "" {
 		part = q.info.ID
 	}
@@ -198,7 +198,7 @@
 // permitRequest returns a permit request, without ID and unusable engines.
 func (g *Gateway) permitRequest(q *request, rel *relay) permit.Ask {
 	prompt := q.info.Prompt
-	part, shared := prompt.Shared()
+	part, shared := prompt.SharedPrefix()
 	a := permit.Ask{Plain: !q.route.PrefixAffinity, UniqueTokens: prompt.Tokens - shared, PrefixID: part, PrefixTokens: shared, OutputTokens: prompt.OutputTokens, MaxEventGap: q.route.TargetGap,
 		FailureDomain: g.settings.Load().FailureDomain}
 	now := g.now()
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -102,7 +102,7 @@
 
 // sharedPrefix returns the ID of the shared prompt part that determines placement.
 func (q *request) sharedPrefix() string {
-	id, _ := q.info.Prompt.Shared()
+	id, _ := q.info.Prompt.SharedPrefix()
 	return id
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,7 +1,8 @@
-// Package placement chooses the backend server for a request from the state known to one gateway: the
-// server that caches the prompt's shared prefix, unless others are clearly less loaded. It places
-// requests of plain services, and those of model services if no gateway schedules the group (package
-// permit). The package keeps no state and uses no clock and no network.
+// Package placement chooses the backend server for a request from the state known to one gateway. Prompts
+// go to the server that caches their shared prefix unless other servers are clearly less loaded. The
+// package places requests to plain services, and those to model services if no gateway schedules the
+// engine's group (package permit). A choice depends only on its arguments; the package uses no clock and no
+// network.
 package placement
 
 import (
@@ -17,17 +18,17 @@
 	Tokens int
 }
 
-// Prompt describes what a model engine has to read and may generate.
+// Prompt describes the work of a model engine for a request.
 type Prompt struct {
 	Model        string
-	Tokens       int // to prefill, all parts together
-	OutputTokens int // expected upper bound
+	Tokens       int // to prefill, in all parts
+	OutputTokens int // expected upper bound of the generated tokens
 	Parts        []Part
 }
 
-// Shared returns the ID of the last part that other requests may share, and the number of tokens up
-// to its end. The last part of a prompt is not shared.
-func (p Prompt) Shared() (id string, tokens int) {
+// SharedPrefix returns the ID of the last part that other requests may share, and the number of tokens up
+// to its end. The last part of a prompt is not shared. Prompts without a shared part have an empty ID.
+func (p Prompt) SharedPrefix() (id string, tokens int) {
 	if len(p.Parts) < 2 {
 		return "", 0
 	}
@@ -38,33 +39,33 @@
 	return id, tokens
 }
 
-// Candidate is a backend server with its state.
+// Candidate is a backend server with its state as known to this gateway.
 type Candidate struct {
 	Backend *registry.Backend
 	Server  registry.Server
 	View    registry.View
 	// Tried reports whether the server has already failed this request.
 	Tried bool
-	// RetryAfter is how long the server has asked this gateway to send nothing.
+	// RetryAfter is the remaining time for which the server has asked this gateway to send nothing.
 	RetryAfter time.Duration
 }
 
-// Request contains the inputs of a choice.
+// Request contains the properties of a request on which the choice depends.
 type Request struct {
 	Prompt Prompt
-	// Key distributes requests without shared parts.
+	// Key is the hash key for requests without shared parts.
 	Key string
 	// FailureDomain is the gateway's failure domain.
 	FailureDomain string
-	// Draw is a uniform random number in [0, 1) for breaking ties.
+	// Draw is a uniformly distributed random number in [0, 1) that breaks ties.
 	Draw float64
 }
 
 // Choice is the chosen server.
 type Choice struct {
 	Candidate *Candidate
-	// FetchFrom is the address of a server that caches shared parts which the chosen one may
-	// lack; empty for none.
+	// FetchFrom is the address of the server to fetch the shared prefix from, if the chosen one may
+	// not cache it; empty for none.
 	FetchFrom string
 	Reason    string // Home, Spread, Least or Decided
 	// ExpectedPrefill is the expected time to the first event, 0 if unknown.
@@ -73,73 +74,74 @@
 
 // Reasons for a choice.
 const (
-	Home   = "home"   // the server is the home of the prompt's shared parts
-	Spread = "spread" // the home is overloaded; another server was chosen
-	Least  = "least"  // the prompt shares nothing; the server has the lowest cost
-	// Decided: the gateway that schedules the engine's group chose it.
+	Home   = "home"   // the server is the home of the prompt's shared prefix: the first by rendezvous hashing
+	Spread = "spread" // the home is overloaded or failing; another server was chosen
+	Least  = "least"  // there is no shared prefix; the server has the lowest cost
+	// Decided means that the gateway that schedules the engine's group chose the server.
 	Decided = "decided"
 )
 
 const (
-	// prefillTokensPerMs is an approximate prefill rate. It only weighs pending prompts against
+	// prefillTokensPerMs is an approximate prefill rate. It only weighs unread tokens against
 	// running requests, so its exact value matters little.
 	prefillTokensPerMs = 57
-	// runningRequestMs is what a running request adds to the wait of a new one: its share of a
-	// step, multiplied by the tokens of an event.
-	runningRequestMs = 3.0
-	// reportedRequestMs is the same for a request in the load that the server itself reports. With
-	// many gateways the requests of one of them say little about a server's load, and the home of a
-	// popular part would never be considered overloaded.
-	reportedRequestMs = 3.0
-	// maxFallbacks is the number of servers that are tried instead of an overloaded home.
+	// runningRequestCostMs is what a running request adds to the wait of a new one: its share of
+	// a generation step, multiplied by the number of tokens in an event.
+	runningRequestCostMs = 3.0
+	// reportedRequestCostMs is the same for a request in the load that the server itself reports.
+	// With many gateways the requests of a single one say little about a server's load; without the
+	// reports the home of a popular prefix would never count as overloaded.
+	reportedRequestCostMs = 3.0
+	// maxFallbacks is the number of servers that are considered, in a fixed order, instead of an
+	// overloaded home.
 	maxFallbacks = 3
-	// homeSlackMs is how much longer the wait at the home may be before the request goes to another
-	// server, which fetches the shared parts (about 5 ms for 5,000 tokens, plus the connection
-	// between engines).
-	homeSlackMs = 60.0
-	// minFetchTokens is the number of shared tokens from which a fetch is worth its round trip;
-	// fewer are prefilled in 4 ms.
+	// maxExtraHomeWaitMs is how much longer the wait at the home may be than at the best server.
+	// Beyond it the request goes to another server, which fetches the shared prefix (in about 5 ms
+	// for 5,000 tokens, plus the time to connect the engines).
+	maxExtraHomeWaitMs = 60.0
+	// minFetchTokens is the minimum length of a shared prefix for which a fetch is worth its round
+	// trip; shorter ones are prefilled within 4 ms.
 	minFetchTokens = 256
-	// errorShareMs is the cost of a server that fails all requests. A server that fails 30% of
-	// them costs more than a full queue.
-	errorShareMs = 2000.0
-	// unreachableMs ranks servers that could not be reached after all others.
-	unreachableMs = 1e6
-	// alreadyTriedMs ranks servers that have failed this request after unreachable ones.
-	alreadyTriedMs = 1e7
-	// crossDomainMs is the cost of another failure domain: the round trip and the price of
-	// traffic between domains.
-	crossDomainMs = 4.0
+	// errorRateCostMs is the cost of a server that fails all requests; it is multiplied by the error
+	// rate. A server that fails 30% of its requests costs more than a full queue.
+	errorRateCostMs = 2000.0
+	// unreachableCostMs ranks servers that could not be reached after all others.
+	unreachableCostMs = 1e6
+	// triedCostMs ranks servers that have already failed this request after unreachable ones.
+	triedCostMs = 1e7
+	// crossDomainCostMs is the cost of a server in another failure domain: the round trip and the
+	// price of traffic between domains.
+	crossDomainCostMs = 4.0
 )
 
-// ChooseEngine chooses among the servers of a model service without a scheduling gateway, from the
-// state known to this gateway alone.
+// ChooseEngine chooses among the servers of a model service while no gateway schedules them, from the
+// state known to this gateway alone. It sets the load of candidates without a recent load report.
 func ChooseEngine(req Request, candidates []Candidate) Choice {
 	if len(candidates) == 0 {
 		return Choice{}
 	}
 	servers := pointersTo(candidates)
 	assumeMeanLoad(servers)
-	return chooseHome(req, servers, leastCost(servers, req, loadCost), loadCost)
+	return chooseByPrefixAffinity(req, servers, leastCost(servers, req, loadCost), loadCost)
 }
 
-// chooseHome chooses the home of the request's shared part, or a fallback, if it costs hardly more than
-// the best server, and otherwise the best server.
-func chooseHome(req Request, servers []*Candidate, best *Candidate, cost costFunc) Choice {
-	shared, tokens := req.Prompt.Shared()
-	if shared == "" {
+// chooseByPrefixAffinity chooses the home of the request's shared prefix, or else the first fallback, that
+// costs at most maxExtraHomeWaitMs more than the best server, and otherwise the best server.
+func chooseByPrefixAffinity(req Request, servers []*Candidate, best *Candidate, cost costFunc) Choice {
+	prefixID, tokens := req.Prompt.SharedPrefix()
+	if prefixID == "" {
 		return Choice{Candidate: best, Reason: Least}
 	}
-	homes := rankHomes(shared, servers)
-	bound := cost(best, req) + homeSlackMs
-	if cost(homes[0], req) <= bound {
+	homes := rankHomes(prefixID, servers)
+	maxCost := cost(best, req) + maxExtraHomeWaitMs
+	if cost(homes[0], req) <= maxCost {
 		return Choice{Candidate: homes[0], Reason: Home}
 	}
-	// Fallbacks have a fixed order: if every gateway picked the least loaded server, all would
-	// pick the same one at a time and prefill the shared parts on every server.
-	for _, next := range homes[1:min(len(homes), 1+maxFallbacks)] {
-		if cost(next, req) <= bound {
-			best = next
+	// Fallbacks have a fixed order: if every gateway chose the least loaded server, all would choose
+	// the same one at a time, and the shared prefix would be prefilled on one server after another.
+	for _, fallback := range homes[1:min(len(homes), 1+maxFallbacks)] {
+		if cost(fallback, req) <= maxCost {
+			best = fallback
 			break
 		}
 	}
@@ -147,7 +149,7 @@
 }
 
 // assumeMeanLoad gives servers without a recent load report the mean load of the others, so that they
-// appear neither idle nor busy.
+// count as neither idle nor busy.
 func assumeMeanLoad(servers []*Candidate) {
 	known, running := 0, 0
 	for _, c := range servers {
@@ -163,7 +165,8 @@
 	}
 }
 
-// addFetchSource adds the server that the shared parts can be fetched from.
+// addFetchSource sets the server from which to fetch a shared prefix of the given length, unless the server
+// was chosen or is unreachable.
 func addFetchSource(c Choice, source *Candidate, tokens int) Choice {
 	if tokens >= minFetchTokens && source != c.Candidate && !source.View.Avoided {
 		c.FetchFrom = source.Server.Address
@@ -171,12 +174,12 @@
 	return c
 }
 
-// ChoosePlain chooses among the servers of a plain service.
+// ChoosePlain chooses the server with the lowest cost among those of a plain service.
 func ChoosePlain(req Request, candidates []Candidate) Choice {
 	if len(candidates) == 0 {
 		return Choice{}
 	}
-	return Choice{Candidate: leastCost(pointersTo(candidates), req, cost), Reason: Least}
+	return Choice{Candidate: leastCost(pointersTo(candidates), req, localCost), Reason: Least}
 }
 
 func pointersTo(candidates []Candidate) []*Candidate {
@@ -187,8 +190,8 @@
 	return out
 }
 
-// rankHomes ranks the servers for a shared part, the home first.
-func rankHomes(key string, servers []*Candidate) []*Candidate {
+// rankHomes ranks the servers for a shared prefix by rendezvous hashing, the home first.
+func rankHomes(prefixID string, servers []*Candidate) []*Candidate {
 	ids := make([]string, len(servers))
 	byID := make(map[string]*Candidate, len(servers))
 	for i, c := range servers {
@@ -196,50 +199,50 @@
 		byID[c.Server.ID] = c
 	}
 	out := make([]*Candidate, len(servers))
-	for i, id := range rendezvous.Rank(key, ids) {
+	for i, id := range rendezvous.Rank(prefixID, ids) {
 		out[i] = byID[id]
 	}
 	return out
 }
 
-// leastCost returns the candidate with the lowest cost; req.Draw breaks ties.
+// leastCost returns the server with the lowest cost; req.Draw breaks ties.
 func leastCost(servers []*Candidate, req Request, cost costFunc) *Candidate {
 	start := int(req.Draw * float64(len(servers)))
 	var (
-		best *Candidate
-		low  float64
+		best       *Candidate
+		lowestCost float64
 	)
 	for i := range servers {
 		c := servers[(start+i)%len(servers)]
-		if k := cost(c, req); best == nil || k < low {
-			best, low = c, k
+		if v := cost(c, req); best == nil || v < lowestCost {
+			best, lowestCost = c, v
 		}
 	}
 	return best
 }
 
-// costFunc returns the wait in ms that a request would have at a server.
+// costFunc returns the expected wait of a request at a server in milliseconds, including penalties that
+// rank failing servers last.
 type costFunc func(*Candidate, Request) float64
 
-// loadCost includes the load that the server reports. It is comparable only among the servers of one
-// choice, as other servers may report a different kind of load.
+// loadCost returns the cost including the load that the server reports. It is comparable only among the
+// servers of one choice, as other servers may report a different kind of load.
 func loadCost(c *Candidate, req Request) float64 {
-	return cost(c, req) + reportedRequestMs*float64(c.View.Load.Running+c.View.Load.Waiting)
+	return localCost(c, req) + reportedRequestCostMs*float64(c.View.Load.Running+c.View.Load.Waiting)
 }
 
-// cost returns the wait in ms that the request would have at the server, as far as this gateway can
-// tell.
-func cost(c *Candidate, req Request) float64 {
+// localCost returns the cost according to the requests and failures of this gateway alone.
+func localCost(c *Candidate, req Request) float64 {
 	v := c.View
-	ms := float64(v.UnreadTokens)/prefillTokensPerMs + runningRequestMs*float64(v.InFlight) + errorShareMs*v.ErrorRate
+	ms := float64(v.UnreadTokens)/prefillTokensPerMs + runningRequestCostMs*float64(v.InFlight) + errorRateCostMs*v.ErrorRate
 	if c.Server.FailureDomain != req.FailureDomain {
-		ms += crossDomainMs
+		ms += crossDomainCostMs
 	}
 	if v.Avoided {
-		ms += unreachableMs
+		ms += unreachableCostMs
 	}
 	if c.Tried {
-		ms += alreadyTriedMs
+		ms += triedCostMs
 	}
 	return ms
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,16 +20,17 @@
 	return out
 }
 
-func sharedPrompt(shared string) Prompt {
-	return Prompt{Tokens: 12000, OutputTokens: 300, Parts: []Part{{ID: "all", Tokens: 500}, {ID: shared, Tokens: 4500}, {ID: "own", Tokens: 7000}}}
+// sharedPrompt returns a prompt with a shared prefix of 5,000 tokens.
+func sharedPrompt(prefixID string) Prompt {
+	return Prompt{Tokens: 12000, OutputTokens: 300, Parts: []Part{{ID: "all", Tokens: 500}, {ID: prefixID, Tokens: 4500}, {ID: "own", Tokens: 7000}}}
 }
 
-func TestSharedPartIsNextToLast(t *testing.T) {
+func TestSharedPrefixEndsBeforeLastPart(t *testing.T) {
 	g := NewWithT(t)
-	id, tokens := sharedPrompt("x").Shared()
+	id, tokens := sharedPrompt("x").SharedPrefix()
 	g.Expect(id).To(Equal("x"))
 	g.Expect(tokens).To(Equal(5000))
-	id, tokens = Prompt{Parts: []Part{{ID: "own", Tokens: 7}}}.Shared()
+	id, tokens = Prompt{Parts: []Part{{ID: "own", Tokens: 7}}}.SharedPrefix()
 	g.Expect(id).To(BeEmpty())
 	g.Expect(tokens).To(BeZero())
 }
@@ -49,9 +50,9 @@
 	g.Expect(ChooseEngine(req, all).FetchFrom).To(BeEmpty())
 }
 
-// The home of a popular part can be overloaded although each gateway sends it few requests. Based on
-// the load that the home reports, gateways use the fallbacks instead, all in the same order.
-func TestHomeWithHighReportedLoadIsLeft(t *testing.T) {
+// The home of a popular prefix can be overloaded although each gateway sends it few requests. The load that
+// the home reports makes gateways use the fallbacks instead, all in the same order.
+func TestHomeWithHighReportedLoadIsNotChosen(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(12)
 	req := Request{Prompt: sharedPrompt("x")}
@@ -61,15 +62,15 @@
 	}
 	home := ChooseEngine(req, all)
 	g.Expect(home.Reason).To(Equal(Home))
-	home.Candidate.View.Load.Running = 10 + homeSlackMs/reportedRequestMs
+	home.Candidate.View.Load.Running = 10 + maxExtraHomeWaitMs/reportedRequestCostMs
 	g.Expect(ChooseEngine(req, all).Reason).To(Equal(Home))
 	home.Candidate.View.Load.Running++
-	next := ChooseEngine(req, all)
-	g.Expect(next.Reason).To(Equal(Spread))
-	g.Expect(next.FetchFrom).To(Equal(home.Candidate.Server.Address))
+	fallback := ChooseEngine(req, all)
+	g.Expect(fallback.Reason).To(Equal(Spread))
+	g.Expect(fallback.FetchFrom).To(Equal(home.Candidate.Server.Address))
 	for draw := range 10 {
 		req.Draw = float64(draw) / 10
-		g.Expect(ChooseEngine(req, all).Candidate).To(BeIdenticalTo(next.Candidate))
+		g.Expect(ChooseEngine(req, all).Candidate).To(BeIdenticalTo(fallback.Candidate))
 	}
 	// A server without a load report is assumed to have the mean load.
 	home.Candidate.View.Load = registry.Load{}
@@ -96,7 +97,7 @@
 
 func TestGroupsAreEvenAndStable(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect([]int{GroupCount(0), GroupCount(1), GroupCount(groupSize), GroupCount(groupSize + 1)}).To(Equal([]int{1, 1, 1, 2}))
+	g.Expect([]int{GroupCount(0), GroupCount(1), GroupCount(enginesPerGroup), GroupCount(enginesPerGroup + 1)}).To(Equal([]int{1, 1, 1, 2}))
 	groups := GroupCount(650)
 	size := make([]int, groups)
 	for i := range 650 {
@@ -119,8 +120,8 @@
 	}
 }
 
-// BenchmarkEngine measures one choice among the 50 engines of a deployment.
-func BenchmarkEngine(b *testing.B) {
+// BenchmarkChooseEngine measures one choice among 50 engines, the size of a deployment.
+func BenchmarkChooseEngine(b *testing.B) {
 	all := engines(50)
 	req := Request{Prompt: sharedPrompt("x")}
 	b.ReportAllocs()
--- a/internal/placement/responsetime.go
+++ b/internal/placement/responsetime.go
@@ -6,41 +6,44 @@
 )
 
 const (
-	// initialTokenTime is the time per generated token before the first observation: between the
-	// 5 ms of an engine without prefills and the 25 ms or more of one that prefills continuously.
+	// initialTokenTime is the assumed time per generated token before the first observation. It is
+	// between the 5 ms of an engine without prefills and the 25 ms or more of one that prefills
+	// continuously.
 	initialTokenTime = 18 * time.Millisecond
-	// observationWeight is the weight of one observation in the moving average.
+	// observationWeight is the weight of a new observation in the exponential moving average.
 	observationWeight = 0.1
 )
 
-// ResponseTimeEstimator estimates the response time of a route from the response length that its
-// callers expect. Expected lengths are often wrong but about right on average, and engines
-// generate three times as fast while they have few prefills. It is safe for concurrent use.
+// ResponseTimeEstimator estimates the response times of a route from the response lengths that its callers
+// expect. It learns the time per expected token, as expected lengths are often wrong but about right on
+// average, and engines generate three times as fast while they have few prefills. It is safe for
+// concurrent use.
 type ResponseTimeEstimator struct {
 	mu       sync.Mutex
 	perToken time.Duration // 0 before the first observation
 }
 
-// Observe records the time from the first event of a response to its end.
-func (a *ResponseTimeEstimator) Observe(took time.Duration, expectedTokens int) {
+// Observe records the time from the first event of a response to its end. Responses without an expected
+// length are ignored.
+func (e *ResponseTimeEstimator) Observe(took time.Duration, expectedTokens int) {
 	if expectedTokens <= 0 {
 		return
 	}
 	perToken := took / time.Duration(expectedTokens)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.perToken == 0 {
-		a.perToken = initialTokenTime
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.perToken == 0 {
+		e.perToken = initialTokenTime
 	}
-	a.perToken += time.Duration(observationWeight * float64(perToken-a.perToken))
+	e.perToken += time.Duration(observationWeight * float64(perToken-e.perToken))
 }
 
-// Estimate returns how long a response of the expected length takes.
-func (a *ResponseTimeEstimator) Estimate(expectedTokens int) time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.perToken == 0 {
+// Estimate returns the expected time from the first event of a response to its end.
+func (e *ResponseTimeEstimator) Estimate(expectedTokens int) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.perToken == 0 {
 		return initialTokenTime * time.Duration(expectedTokens)
 	}
-	return a.perToken * time.Duration(expectedTokens)
+	return e.perToken * time.Duration(expectedTokens)
 }
