--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,11 +1,11 @@
-// Package ratelimit enforces the request rates that backend servers accept from all gateways together.
-// It uses no clock and no network.
+// Package ratelimit enforces the request rates that backend servers accept from all gateways together. It
+// uses no clock and no network.
 //
 // Each gateway owns an equal share of each rate. While it can reach the gateway that schedules requests
 // for the server, it lends its share to that gateway for a short time and requests permits from it, so
-// that the whole rate can be used regardless of where callers connect. A share is used by one gateway
-// at a time, even during network partitions: a lent share returns only when the loan has expired, and is
-// not lent to another gateway before.
+// that the whole rate can be used regardless of which gateways callers connect to. Only one gateway uses
+// a share at a time, even during network partitions: the owner neither uses a lent share nor lends it to
+// another gateway before the loan has expired.
 package ratelimit
 
 import (
@@ -16,65 +16,68 @@
 )
 
 const (
-	// shareSurplus is the sum of all shares relative to the rate. No gateway uses more than the rate;
-	// the surplus makes up for the shares of gateways that are down or are changing their borrower.
-	shareSurplus = 1.25
-	// burstWindow is the time whose requests may be sent at once, in addition to one request, as
-	// requests do not arrive evenly.
+	// shareOversubscription is the sum of all shares relative to the rate. The surplus replaces the
+	// shares of gateways that are down or are changing their borrower. No gateway uses more than
+	// the rate.
+	shareOversubscription = 1.25
+	// burstWindow is the time whose requests may be sent at once, in addition to one request. It
+	// allows for requests that do not arrive evenly.
 	burstWindow = 250 * time.Millisecond
-	// minRate is the lower bound of any stated rate, in requests a second: a server that gets no
-	// requests has no response in which to lift its limit.
+	// minRate is the lower bound of any rate, in requests per second: a server that gets no requests
+	// sends no response in which it could lift its limit.
 	minRate = 0.2
-	// minLoan is the minimum duration of a loan, extended by loanPerGateway for each gateway: the
-	// borrower must hear from each gateway several times during a loan.
-	minLoan        = 2500 * time.Millisecond
-	loanPerGateway = 25 * time.Millisecond
-	// renewalsPerLoan is how often a loan is renewed during its time, so that a lost renewal has no
-	// effect.
+	// minLoanDuration is the minimum duration of a loan. With many gateways a loan takes
+	// loanDurationPerGateway for each of them, as the borrower must hear from each gateway several
+	// times during a loan.
+	minLoanDuration        = 2500 * time.Millisecond
+	loanDurationPerGateway = 25 * time.Millisecond
+	// renewalsPerLoan is the number of renewals during a loan's duration. A single lost renewal has
+	// no effect.
 	renewalsPerLoan = 2.5
 )
 
-// Budget is what a server accepts now.
+// Budget is what a server accepts from this gateway now.
 type Budget struct {
-	// Limited reports whether the server states a rate; the other fields are zero if not.
+	// Limited reports whether the server states a rate. If not, the other fields are zero.
 	Limited bool
 	// Wait is the time until this gateway may send the next request.
 	Wait time.Duration
-	// Rate is the rate that this gateway may use, in requests a second.
+	// Rate is the rate that this gateway may use, in requests per second.
 	Rate float64
 }
 
 // Limiter holds the rate limits known to a gateway. It is safe for concurrent use.
 type Limiter struct {
 	random      func() float64 // uniform in [0, 1)
-	bucketCount atomic.Int32   // lets calls skip the lock while no server states a rate
+	bucketCount atomic.Int32   // len(buckets); calls skip the lock while it is 0
 
 	mu       sync.Mutex
 	buckets  map[string]*bucket
 	gateways int
 }
 
-// bucket is the token bucket of one run of a server.
+// bucket is the token bucket of one server process.
 type bucket struct {
-	rate       float64 // as stated by the server
+	rate       float64 // in requests per second, as stated by the server but at least minRate
 	tokens     float64 // at refilledAt
 	refilledAt time.Time
-	// borrowed maps other gateways that have lent their share to the expiry of the loan.
-	borrowed   map[string]time.Time
-	nextExpiry time.Time // no loan expires earlier
-	// borrower holds this gateway's own share until lentUntil.
+	// borrowed maps each gateway that has lent its share to the expiry of the loan.
+	borrowed       map[string]time.Time
+	nextLoanExpiry time.Time // no borrowed share expires earlier
+	// borrower is the gateway that holds this gateway's share until lentUntil.
 	borrower  string
 	lentUntil time.Time
 }
 
-// New returns the limiter of a gateway without peers. random returns uniform numbers in [0, 1).
+// New returns a limiter for a single gateway; see SetGateways. random returns uniformly distributed numbers
+// in [0, 1).
 func New(random func() float64) *Limiter {
 	return &Limiter{random: random, buckets: map[string]*bucket{}, gateways: 1}
 }
 
-// SetRate sets the rate of a server. The requests that the server received earlier are unknown, so the
-// first request is allowed after a random part of the time for one; this keeps gateways that learn of
-// the rate together from all sending at once.
+// SetRate sets the rate of a server. As the number of requests that the server received before is unknown,
+// the first request is allowed after a random part of the time for one. This keeps gateways that learn of
+// the rate at the same time from all sending at once.
 func (l *Limiter) SetRate(server string, rate float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +92,7 @@
 	b.tokens = min(b.tokens, l.burst(b, now))
 }
 
-// Remove removes the rate of a server.
+// Remove removes the rate limit of a server.
 func (l *Limiter) Remove(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +132,7 @@
 	l.gateways = max(n, 1)
 }
 
-// Budget returns what a server accepts now.
+// Budget returns what a server accepts from this gateway now.
 func (l *Limiter) Budget(server string, now time.Time) Budget {
 	if l.bucketCount.Load() == 0 {
 		return Budget{}
@@ -141,22 +144,22 @@
 		return Budget{}
 	}
 	l.refill(b, now)
-	out := Budget{Limited: true, Rate: l.usableRate(b, now)}
+	budget := Budget{Limited: true, Rate: l.usableRate(b, now)}
 	switch {
 	case b.tokens >= 1:
-	case out.Rate == 0:
-		out.Wait = maxWait
+	case budget.Rate == 0:
+		budget.Wait = maxWait
 	default:
-		out.Wait = min(maxWait, time.Duration((1-b.tokens)/out.Rate*float64(time.Second))+time.Nanosecond)
+		budget.Wait = min(maxWait, time.Duration((1-b.tokens)/budget.Rate*float64(time.Second))+time.Nanosecond)
 	}
-	return out
+	return budget
 }
 
-// maxWait is the longest wait returned, also if this gateway has no share at all.
+// maxWait is the upper bound of Budget.Wait, and its value if this gateway has no share at all.
 const maxWait = 10 * time.Second
 
-// Allow consumes a token for one request and reports whether it may be sent now. Requests to servers
-// without a rate are always allowed.
+// Allow reports whether a request may be sent now, and consumes a token if so. Requests to servers without a
+// rate are always allowed.
 func (l *Limiter) Allow(server string, now time.Time) bool {
 	if l.bucketCount.Load() == 0 {
 		return true
@@ -175,15 +178,15 @@
 	return true
 }
 
-// RenewalInterval returns the time between two renewals of a loan.
+// RenewalInterval returns the interval at which loans are to be renewed.
 func (l *Limiter) RenewalInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(float64(l.loanDuration()) / renewalsPerLoan)
 }
 
-// Lend lends this gateway's share of a server's rate to another gateway, or renews the loan. It
-// returns false while a different gateway holds the share.
+// Lend lends this gateway's share of a server's rate to another gateway, or renews the loan. It returns
+// false if the server has no rate or a different gateway holds the share.
 func (l *Limiter) Lend(server, to string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,12 +197,12 @@
 	l.refill(b, now)
 	b.borrower, b.lentUntil = to, now.Add(l.loanDuration())
 	if l.usableRate(b, now) == 0 {
-		b.tokens = l.random() // accumulated tokens go with the share; start again without them
+		b.tokens = l.random() // accumulated tokens go with the share; the bucket starts again as in SetRate
 	}
 	return true
 }
 
-// Borrow adds the share that another gateway lends.
+// Borrow adds or renews the share that another gateway lends.
 func (l *Limiter) Borrow(server, from string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,13 +213,13 @@
 	l.refill(b, now)
 	until := now.Add(l.loanDuration())
 	b.borrowed[from] = until
-	if until.Before(b.nextExpiry) {
-		b.nextExpiry = until
+	if until.Before(b.nextLoanExpiry) {
+		b.nextLoanExpiry = until
 	}
 }
 
-// DropBorrowed discards all borrowed shares. It is called after this process was stalled, when it can't
-// tell how old the messages are that it receives next.
+// DropBorrowed discards all borrowed shares. It is to be called after this process was stalled, as the age
+// of the messages that it receives next is unknown.
 func (l *Limiter) DropBorrowed(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -226,12 +229,12 @@
 	}
 }
 
-// loanDuration returns how long a share is lent.
+// loanDuration returns the duration of a loan from its last renewal.
 func (l *Limiter) loanDuration() time.Duration {
-	return max(minLoan, time.Duration(l.gateways)*loanPerGateway)
+	return max(minLoanDuration, time.Duration(l.gateways)*loanDurationPerGateway)
 }
 
-// usableRate returns the rate that this gateway may use.
+// usableRate returns the rate that this gateway may use now, with its own share unless it is lent.
 func (l *Limiter) usableRate(b *bucket, now time.Time) float64 {
 	shares := l.borrowedShares(b, now)
 	if !now.Before(b.lentUntil) {
@@ -240,34 +243,34 @@
 	return l.shareRate(b, shares)
 }
 
-// borrowedShares returns the number of shares that other gateways have lent.
+// borrowedShares returns the number of shares that other gateways have lent, and removes expired ones.
 func (l *Limiter) borrowedShares(b *bucket, now time.Time) int {
-	if now.Before(b.nextExpiry) {
+	if now.Before(b.nextLoanExpiry) {
 		return len(b.borrowed)
 	}
-	b.nextExpiry = now.Add(l.loanDuration())
+	b.nextLoanExpiry = now.Add(l.loanDuration())
 	for from, until := range b.borrowed {
 		if !now.Before(until) {
 			delete(b.borrowed, from)
-		} else if until.Before(b.nextExpiry) {
-			b.nextExpiry = until
+		} else if until.Before(b.nextLoanExpiry) {
+			b.nextLoanExpiry = until
 		}
 	}
 	return len(b.borrowed)
 }
 
-// shareRate returns the rate of the given number of shares.
+// shareRate returns the rate of the given number of shares, at most the whole rate.
 func (l *Limiter) shareRate(b *bucket, shares int) float64 {
-	return b.rate * min(1, shareSurplus*float64(shares)/float64(l.gateways))
+	return b.rate * min(1, shareOversubscription*float64(shares)/float64(l.gateways))
 }
 
-// burst returns the number of requests that may be sent at once.
+// burst returns the capacity of the bucket: the number of requests that may be sent at once.
 func (l *Limiter) burst(b *bucket, now time.Time) float64 {
 	return 1 + l.usableRate(b, now)*burstWindow.Seconds()
 }
 
 // refill adds the tokens accumulated since the last call. Only shares that were held for the whole time
-// count: a loan that has expired meanwhile, in either direction, adds nothing.
+// count: the shares of loans that have expired meanwhile, in either direction, add nothing.
 func (l *Limiter) refill(b *bucket, now time.Time) {
 	elapsed := now.Sub(b.refilledAt)
 	if elapsed <= 0 {
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -17,7 +17,7 @@
 
 func at(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 
-// countAllowed returns how many requests are allowed if one arrives at every step of an interval.
+// countAllowed returns how many requests are allowed between two times if one arrives at every step.
 func countAllowed(l *Limiter, from, to, step time.Duration) (n int) {
 	for t := from; t < to; t += step {
 		if l.Allow(server, at(t)) {
@@ -53,7 +53,8 @@
 	}
 }
 
-// A server that accepts nothing still gets occasional requests, as it could not lift its limit otherwise.
+// A server that states a rate of zero still gets occasional requests, as it can lift its limit only in a
+// response.
 func TestServerWithZeroRateStillGetsRequests(t *testing.T) {
 	g := NewWithT(t)
 	l := New(fixedRandom)
@@ -68,21 +69,21 @@
 		l.SetGateways(4)
 		l.SetRate(server, 100, at(0))
 	}
-	g.Expect(a.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
+	g.Expect(a.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
 	g.Expect(a.Lend(server, "b", at(0))).To(BeTrue())
 	b.Borrow(server, "a", at(0))
 	g.Expect(a.Budget(server, at(0)).Rate).To(BeZero())
 	g.Expect(a.Allow(server, at(time.Second))).To(BeFalse())
-	g.Expect(b.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareSurplus/2, 0.01))
+	g.Expect(b.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareOversubscription/2, 0.01))
 	g.Expect(a.Lend(server, "c", at(time.Second))).To(BeFalse(), "b holds the share")
 	g.Expect(a.Lend(server, "b", at(time.Second))).To(BeTrue(), "renewed")
-	lapsed := time.Second + minLoan
-	g.Expect(a.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
-	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
-	g.Expect(a.Lend(server, "c", at(lapsed))).To(BeTrue())
-	b.Borrow(server, "a", at(lapsed))
-	b.DropBorrowed(at(lapsed))
-	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
+	expired := time.Second + minLoanDuration
+	g.Expect(a.Budget(server, at(expired)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
+	g.Expect(b.Budget(server, at(expired)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
+	g.Expect(a.Lend(server, "c", at(expired))).To(BeTrue())
+	b.Borrow(server, "a", at(expired))
+	b.DropBorrowed(at(expired))
+	g.Expect(b.Budget(server, at(expired)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
 }
 
 func TestChangedRateAppliesImmediately(t *testing.T) {
@@ -95,39 +96,39 @@
 	g.Expect(countAllowed(l, 14*time.Second, 18*time.Second, time.Millisecond)).To(BeNumerically(">=", 230))
 }
 
-// simulation consists of gateways that share the rate of one server during partitions, stalls and
-// restarts. Time advances in steps.
+// simulation simulates gateways that share the rate of one server during partitions, stalls and restarts.
+// Time advances in steps.
 type simulation struct {
 	random      *rand.Rand
 	now         time.Duration
 	rate        float64
 	gateways    []*gateway
-	partitioned [][]bool // by sender and receiver
-	sent        []time.Duration
+	partitioned [][]bool        // whether datagrams are dropped, by sender and receiver
+	sent        []time.Duration // when the server got requests
 	inFlight    []datagram
 }
 
 // gateway is a simulated gateway.
 type gateway struct {
 	limiter      *Limiter
-	stalledUntil time.Duration // it does nothing until then
-	// lastHeard is the time of the last datagram from each other gateway.
-	lastHeard []time.Duration
-	lentAt    time.Duration
-	backlog   []datagram // received while stalled
+	stalledUntil time.Duration // it processes nothing until then
+	// lastHeard is the time of the last datagram from each gateway.
+	lastHeard     []time.Duration
+	lastRenewalAt time.Duration
+	backlog       []datagram // received while stalled
 }
 
-// datagram is a loan or a heartbeat.
+// datagram is a simulated message: a loan or a heartbeat.
 type datagram struct {
 	from, to  int
-	loan      bool // heartbeat otherwise
+	loan      bool // or else a heartbeat
 	arrivesAt time.Duration
 }
 
 const (
 	stepDuration = 20 * time.Millisecond
 	networkDelay = 5 * time.Millisecond
-	// failureTimeout is the time without a datagram after which a gateway counts as failed.
+	// failureTimeout is the time without a datagram after which a gateway counts as unreachable.
 	failureTimeout = 3 * time.Second
 )
 
@@ -143,7 +144,7 @@
 	return s
 }
 
-// restart replaces a gateway by a new one that knows the rate.
+// restart replaces a gateway by a new one that knows the rate and counts all others as reachable.
 func (s *simulation) restart(i int) {
 	g := s.gateways[i]
 	g.limiter = New(s.random.Float64)
@@ -155,8 +156,9 @@
 	g.backlog = nil
 }
 
-// home returns the scheduling gateway from a gateway's point of view: the first that it has heard from.
-func (s *simulation) home(i int) int {
+// schedulingGateway returns the scheduling gateway from a gateway's point of view: the first that it counts
+// as reachable.
+func (s *simulation) schedulingGateway(i int) int {
 	for j := range s.gateways {
 		if j == i || s.now-s.gateways[i].lastHeard[j] <= failureTimeout {
 			return j
@@ -165,31 +167,32 @@
 	return i
 }
 
+// send sends a datagram, of which 2% are lost.
 func (s *simulation) send(from, to int, loan bool) {
 	if !s.partitioned[from][to] && s.random.Float64() > 0.02 {
 		s.inFlight = append(s.inFlight, datagram{from, to, loan, s.now + networkDelay})
 	}
 }
 
-func (s *simulation) deliver(l datagram) {
-	g := s.gateways[l.to]
-	g.lastHeard[l.from] = s.now
-	if l.loan {
-		g.limiter.Borrow(server, fmt.Sprint(l.from), at(s.now))
+func (s *simulation) deliver(d datagram) {
+	g := s.gateways[d.to]
+	g.lastHeard[d.from] = s.now
+	if d.loan {
+		g.limiter.Borrow(server, fmt.Sprint(d.from), at(s.now))
 	}
 }
 
-// advance runs one step with the given number of requests, each at a random gateway.
+// advance simulates one step with the given number of requests, each at a random gateway.
 func (s *simulation) advance(requests int) {
 	s.now += stepDuration
-	s.inFlight = slices.DeleteFunc(s.inFlight, func(l datagram) bool {
-		if l.arrivesAt > s.now {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(d datagram) bool {
+		if d.arrivesAt > s.now {
 			return false
 		}
-		if g := s.gateways[l.to]; s.now < g.stalledUntil {
-			g.backlog = append(g.backlog, l)
+		if g := s.gateways[d.to]; s.now < g.stalledUntil {
+			g.backlog = append(g.backlog, d)
 		} else {
-			s.deliver(l)
+			s.deliver(d)
 		}
 		return true
 	})
@@ -197,22 +200,22 @@
 		switch {
 		case s.now < g.stalledUntil:
 			continue
-		case s.now-g.stalledUntil < stepDuration && g.stalledUntil > 0: // it resumes
-			for _, l := range g.backlog {
-				s.deliver(l)
+		case s.now-g.stalledUntil < stepDuration && g.stalledUntil > 0: // it has resumed
+			for _, d := range g.backlog {
+				s.deliver(d)
 			}
 			g.backlog = nil
 			g.limiter.DropBorrowed(at(s.now))
 		}
-		if s.now-g.lentAt >= g.limiter.RenewalInterval() {
-			g.lentAt = s.now
+		if s.now-g.lastRenewalAt >= g.limiter.RenewalInterval() {
+			g.lastRenewalAt = s.now
 			for j := range s.gateways {
 				if j != i {
 					s.send(i, j, false)
 				}
 			}
-			if home := s.home(i); home != i && g.limiter.Lend(server, fmt.Sprint(home), at(s.now)) {
-				s.send(i, home, true)
+			if scheduler := s.schedulingGateway(i); scheduler != i && g.limiter.Lend(server, fmt.Sprint(scheduler), at(s.now)) {
+				s.send(i, scheduler, true)
 			}
 		}
 	}
@@ -221,15 +224,15 @@
 	}
 }
 
-// request sends a request through a gateway, which asks the scheduling gateway or, if that does not
-// respond, uses its own share.
+// request sends a request through a gateway, which requests a permit from the scheduling gateway or, if that
+// does not respond, uses its own share.
 func (s *simulation) request(i int) {
 	if s.now < s.gateways[i].stalledUntil {
 		return
 	}
-	home := s.home(i)
-	g := s.gateways[home]
-	if home != i && (s.partitioned[i][home] || s.partitioned[home][i] || s.now < g.stalledUntil) {
+	scheduler := s.schedulingGateway(i)
+	g := s.gateways[scheduler]
+	if scheduler != i && (s.partitioned[i][scheduler] || s.partitioned[scheduler][i] || s.now < g.stalledUntil) {
 		g = s.gateways[i]
 	}
 	if g.limiter.Allow(server, at(s.now)) {
@@ -262,9 +265,9 @@
 	}
 }
 
-// maxSent returns the largest number of requests that were sent within 4 s.
+// maxSent returns the largest number of requests that were sent within any 4 s that begin after a time.
 func (s *simulation) maxSent(from time.Duration) int {
-	most := 0
+	maxCount := 0
 	for i, begin := range s.sent {
 		n := 0
 		for _, t := range s.sent[i:] {
@@ -274,28 +277,28 @@
 			n++
 		}
 		if begin >= from {
-			most = max(most, n)
+			maxCount = max(maxCount, n)
 		}
 	}
-	return most
+	return maxCount
 }
 
-// For any partitions, stalls and restarts a server gets at most 1.5 times its limit plus five requests
-// within any 4 s. Without faults it gets at least 0.7 times its limit.
-func TestALimitIsKeptWhateverHappens(t *testing.T) {
+// For any partitions, stalls and restarts, a server gets at most 1.5 times its rate limit plus five requests
+// within any 4 s. Without faults it gets at least 0.7 times the requests that its limit allows.
+func TestRateLimitHoldsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{0.2, 1, 4, 60}).Draw(t, "rate")
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "gateways"), rate)
-		requests := rapid.IntRange(1, 4).Draw(t, "requests in a step")
-		every := rapid.IntRange(20, 400).Draw(t, "steps between disturbances")
+		requests := rapid.IntRange(1, 4).Draw(t, "requests per step")
+		faultInterval := rapid.IntRange(20, 400).Draw(t, "steps between faults")
 		for i := range 3000 {
-			if i%every == every-1 {
+			if i%faultInterval == faultInterval-1 {
 				s.injectFault()
 			}
 			s.advance(requests)
 		}
 		if n, allowed := s.maxSent(3*time.Second), 1.5*rate*4+5; float64(n) > allowed {
-			t.Fatalf("%d requests sent in 4 s, allowed %v", n, allowed)
+			t.Fatalf("%d requests sent within 4 s, at most %v allowed", n, allowed)
 		}
 		for a := range s.gateways {
 			clear(s.partitioned[a])
@@ -305,14 +308,14 @@
 			s.advance(requests)
 		}
 		before := len(s.sent)
-		const calm = 1000
-		for range calm {
+		const faultFreeSteps = 1000
+		for range faultFreeSteps {
 			s.advance(requests)
 		}
-		seconds := calm * stepDuration.Seconds()
+		seconds := faultFreeSteps * stepDuration.Seconds()
 		possible := min(rate, float64(requests)/stepDuration.Seconds()) * seconds
 		if used := float64(len(s.sent) - before); used < 0.7*possible-1 {
-			t.Fatalf("%v of %v possible requests sent", used, possible)
+			t.Fatalf("%v of %v possible requests sent without faults", used, possible)
 		}
 	})
 }
