--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous implements rendezvous (highest random weight) hashing: it ranks names for a key, so
-// that every process computes the same order without communication, and adding or removing a name moves
-// only the keys that rank it first.
+// Package rendezvous implements rendezvous (highest random weight) hashing: it ranks names for a key. Every
+// process computes the same order without communication. Adding or removing a name only moves the keys
+// that rank it first.
 package rendezvous
 
 import (
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// weight returns the weight of a name for a key's hash.
-func weight(key uint64, name string) uint64 {
-	x := xxhash.Sum64String(name) ^ key
+// weight returns the weight of a name for the hash of a key.
+func weight(keyHash uint64, name string) uint64 {
+	x := xxhash.Sum64String(name) ^ keyHash
 	// SplitMix64 finalizer; XOR alone would preserve the order of the names' hashes.
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -20,27 +20,27 @@
 	return x ^ x>>31
 }
 
-// First returns the highest ranked name, or the empty string if there are no names.
+// First returns the name that ranks highest for the key, or the empty string if there are no names.
 func First(key string, names []string) string {
-	h, best, bestWeight := xxhash.Sum64String(key), "", uint64(0)
-	for _, n := range names {
-		if w := weight(h, n); best == "" || w > bestWeight || (w == bestWeight && n < best) {
-			best, bestWeight = n, w
+	keyHash, best, bestWeight := xxhash.Sum64String(key), "", uint64(0)
+	for _, name := range names {
+		if w := weight(keyHash, name); best == "" || w > bestWeight || (w == bestWeight && name < best) {
+			best, bestWeight = name, w
 		}
 	}
 	return best
 }
 
-// Rank returns the names ordered from highest to lowest rank.
+// Rank returns the names in their order for the key, the highest ranked first.
 func Rank(key string, names []string) []string {
-	h := xxhash.Sum64String(key)
+	keyHash := xxhash.Sum64String(key)
 	type ranked struct {
 		name   string
 		weight uint64
 	}
 	list := make([]ranked, len(names))
-	for i, n := range names {
-		list[i] = ranked{n, weight(h, n)}
+	for i, name := range names {
+		list[i] = ranked{name, weight(keyHash, name)}
 	}
 	sort.Slice(list, func(i, j int) bool {
 		return list[i].weight > list[j].weight || (list[i].weight == list[j].weight && list[i].name < list[j].name)
@@ -52,8 +52,8 @@
 	return out
 }
 
-// Spread returns the n highest ranked names, taking one of each group in turn, so that the selection
-// covers as many groups as possible.
+// Spread returns n names in their order for the key, or all if there are fewer, taking one of each group in
+// turn, so that the selection covers as many groups as possible.
 func Spread(key string, names []string, group func(string) string, n int) []string {
 	byGroup, order := map[string][]string{}, []string{}
 	for _, name := range Rank(key, names) {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -20,19 +20,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := names(rapid.IntRange(2, 30).Draw(t, "servers"))
 		key := rapid.String().Draw(t, "key")
-		removed := rapid.SampledFrom(all).Draw(t, "gone")
-		var rest []string
+		removed := rapid.SampledFrom(all).Draw(t, "removed")
+		var remaining []string
 		for _, n := range all {
 			if n != removed {
-				rest = append(rest, n)
+				remaining = append(remaining, n)
 			}
 		}
 		ranked := Rank(key, all)
 		want := ranked[0]
 		if want == removed {
-			want = ranked[1] // the second name takes over
+			want = ranked[1] // the second name takes its place
 		}
-		NewWithT(t).Expect(First(key, rest)).To(Equal(want))
+		NewWithT(t).Expect(First(key, remaining)).To(Equal(want))
 	})
 }
 
