--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkIdentify measures the cost per request while there are suspects: 6 us for 8 KB on a quiet machine.
+// BenchmarkIdentify measures the cost that is added to each request while there are suspects: 6 us for
+// a body of 8 KB on an idle machine.
 func BenchmarkIdentify(b *testing.B) {
 	body := make([]byte, 8<<10)
 	for b.Loop() {
@@ -14,18 +15,19 @@
 	}
 }
 
-// BenchmarkFlood measures one more server crash under a new request with a full tracker: 0.6 ms on a
-// quiet machine, 1.3 ms when the other crashed servers were looked up for each suspect.
-func BenchmarkFlood(b *testing.B) {
+// BenchmarkRecordCrashFullTracker measures recording a crash under a new request when the tracker is
+// full: 0.6 ms on an idle machine. Looking up the other crashed servers for every suspect, instead of
+// only for strong ones, makes it 1.3 ms.
+func BenchmarkRecordCrashFullTracker(b *testing.B) {
 	tracker := newObservedTracker(12)
 	for i := range maxEntries {
-		tracker.RecordCrash(id(fmt.Sprint("flood-", i)), crashAt(fmt.Sprint("o-", i%100), 4), at(4))
+		tracker.RecordCrash(id(fmt.Sprint("fill-", i)), crashAt(fmt.Sprint("other-", i%100), 4), at(4))
 	}
 	i := 0
 	for b.Loop() {
 		now := at(5).Add(time.Duration(i) * time.Millisecond)
 		i++
-		tracker.RecordCrash(id(fmt.Sprint("more-", i)), Crash{Server: fmt.Sprint("m-", i), SentAt: now.Add(-time.Second), At: now}, now)
+		tracker.RecordCrash(id(fmt.Sprint("new-", i)), Crash{Server: fmt.Sprint("new-", i), SentAt: now.Add(-time.Second), At: now}, now)
 		tracker.DueUpdates(now)
 	}
 }
--- a/internal/quarantine/deployment_test.go
+++ b/internal/quarantine/deployment_test.go
@@ -14,45 +14,46 @@
 )
 
 const (
-	// fatal is the body of a request that crashes the server which runs it, after crashDelay.
-	fatal      = "a prompt that ends every engine"
+	// fatalBody is the body of a request that crashes the server which runs it, after crashDelay.
+	fatalBody  = "a prompt that crashes every engine"
 	crashDelay = 60 * time.Millisecond
 	// restartDelay is how long a server is down after a crash.
 	restartDelay = 2500 * time.Millisecond
-	// detectionDelay is how long it takes until all gateways know of a crash.
+	// detectionDelay is the time from a crash until all gateways know of it.
 	detectionDelay = 10 * time.Millisecond
 )
 
-// deployment is a fleet whose servers are crashed by a fatal request. It runs in a synctest bubble.
+// deployment is a simulated fleet whose servers crash when they run the fatal request. It must be used
+// in a synctest bubble.
 type deployment struct {
 	*simfleet.Fleet
 
-	mu          sync.Mutex
-	fatalActive bool        // the fatal request still crashes servers
-	crashTimes  []time.Time // of crashes by the fatal request
-	answers     map[string]int
-	refused     []string // IDs of harmless requests that were refused as quarantined
+	mu             sync.Mutex
+	fatalEnabled   bool           // whether the fatal request crashes servers
+	crashTimes     []time.Time    // times of the crashes caused by the fatal request
+	responseCounts map[string]int // responses to harmless requests, by status and error code
+	refusedIDs     []string       // IDs of harmless requests that were refused as quarantined
 }
 
 func deploy(gateways, servers int, seed uint64) *deployment {
-	d := &deployment{fatalActive: true, answers: map[string]int{}}
-	d.Fleet = simfleet.New(gateways, servers, seed, d.armFatal)
+	d := &deployment{fatalEnabled: true, responseCounts: map[string]int{}}
+	d.Fleet = simfleet.New(gateways, servers, seed, d.enableFatal)
 	return d
 }
 
-// armFatal makes a server instance crash on the fatal request.
-func (d *deployment) armFatal(s *simfleet.Server, w *worker.Worker) {
+// enableFatal makes a server instance crash when it runs the fatal request.
+func (d *deployment) enableFatal(s *simfleet.Server, w *worker.Worker) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fatalActive {
-		w.CrashOn(fatal, crashDelay, func() { d.recordFatalCrash(s, w) })
+	if d.fatalEnabled {
+		w.CrashOn(fatalBody, crashDelay, func() { d.recordFatalCrash(s, w) })
 	}
 }
 
-// recordFatalCrash counts a crash by the fatal request.
+// recordFatalCrash records a crash caused by the fatal request and crashes the server.
 func (d *deployment) recordFatalCrash(s *simfleet.Server, w *worker.Worker) {
 	if d.CurrentWorker(s) != w {
-		return // the instance has stopped for another reason meanwhile
+		return // the instance has stopped for another reason in the meantime
 	}
 	d.mu.Lock()
 	d.crashTimes = append(d.crashTimes, time.Now())
@@ -60,7 +61,7 @@
 	d.crashServer(s)
 }
 
-// crashServer stops a server without notice and restarts it as a new instance.
+// crashServer kills a server and restarts it as a new instance after restartDelay.
 func (d *deployment) crashServer(s *simfleet.Server) {
 	if d.KillServer(s) {
 		d.Go(func() {
@@ -71,10 +72,10 @@
 	}
 }
 
-// heal makes the fatal request harmless.
-func (d *deployment) heal() {
+// disableFatal makes the fatal request harmless on all servers.
+func (d *deployment) disableFatal() {
 	d.mu.Lock()
-	d.fatalActive = false
+	d.fatalEnabled = false
 	d.mu.Unlock()
 	for _, s := range d.Servers {
 		if w := d.CurrentWorker(s); w != nil {
@@ -83,56 +84,57 @@
 	}
 }
 
-// sendFatal sends the fatal request to random gateways at an interval, for a duration, and returns the
-// reply that came last.
-func (d *deployment) sendFatal(kind string, every, until time.Duration) (last simfleet.Response) {
-	var asked sync.WaitGroup
+// sendFatal sends the fatal request to random gateways at an interval for a duration. It returns the
+// response that arrived last.
+func (d *deployment) sendFatal(route string, interval, duration time.Duration) (last simfleet.Response) {
+	var pending sync.WaitGroup
 	var mu sync.Mutex
-	end := time.Now().Add(until)
+	end := time.Now().Add(duration)
 	for i := 0; time.Now().Before(end); i++ {
 		n := d.Nodes[d.RandIntN(len(d.Nodes))]
 		id := fmt.Sprintf("fatal-%d-%d", d.NextID(), i)
-		asked.Go(func() {
-			r := d.SendRequest(n, kind, id, fatal)
+		pending.Go(func() {
+			r := d.SendRequest(n, route, id, fatalBody)
 			mu.Lock()
 			last = r
 			mu.Unlock()
 		})
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
-	asked.Wait()
+	pending.Wait()
 	return last
 }
 
-// sendHarmless sends harmless requests with a number of different bodies at an interval, for a duration.
-func (d *deployment) sendHarmless(kind string, bodies int, every, until time.Duration) {
-	var asked sync.WaitGroup
+// sendHarmless sends harmless requests to random gateways at an interval for a duration, cycling
+// through the given number of different bodies.
+func (d *deployment) sendHarmless(route string, bodies int, interval, duration time.Duration) {
+	var pending sync.WaitGroup
 	rnd := rand.New(rand.NewPCG(7, uint64(bodies)))
-	end := time.Now().Add(until)
+	end := time.Now().Add(duration)
 	for i := 0; time.Now().Before(end); i++ {
 		n := d.Nodes[rnd.IntN(len(d.Nodes))]
-		id := fmt.Sprintf("harmless-%s-%d", kind, d.NextID())
-		asked.Go(func() {
-			r := d.SendRequest(n, kind, id, fmt.Sprint("question ", i%bodies))
+		id := fmt.Sprintf("harmless-%s-%d", route, d.NextID())
+		pending.Go(func() {
+			r := d.SendRequest(n, route, id, fmt.Sprint("question ", i%bodies))
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.answers[fmt.Sprint(r.Status, " ", r.Code)]++
+			d.responseCounts[fmt.Sprint(r.Status, " ", r.Code)]++
 			if r.Code == "quarantined" {
-				d.refused = append(d.refused, id)
+				d.refusedIDs = append(d.refusedIDs, id)
 			}
 		})
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
-	asked.Wait()
+	pending.Wait()
 }
 
-// quarantined returns the quarantined requests that a gateway knows.
+// quarantined returns the requests that are quarantined at a gateway.
 func quarantined(n *simfleet.Node) []quarantine.QuarantinedRequest {
 	list, _ := n.Gateway().Quarantine().List()
 	return list
 }
 
-// crashCount returns the number of crashes by the fatal request.
+// crashCount returns the number of crashes caused by the fatal request.
 func (d *deployment) crashCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/quarantine/encoding.go
+++ b/internal/quarantine/encoding.go
@@ -13,16 +13,16 @@
 	Until   int64    `json:"until"` // Unix ms
 	Trials  int      `json:"trials"`
 	Servers []string `json:"servers"`
-	By      string   `json:"by"` // the host that wrote it
+	By      string   `json:"by"` // host of the gateway that wrote the verdict
 }
 
-// encodeVerdict returns the stored form of a verdict, written by the host by.
-func encodeVerdict(v Verdict, by string) ([]byte, error) {
-	return json.Marshal(verdictDoc{v.Since.UnixMilli(), v.Until.UnixMilli(), v.Trials, v.Servers, by})
+// encodeVerdict returns the stored form of a verdict. The host is that of the writing gateway.
+func encodeVerdict(v Verdict, host string) ([]byte, error) {
+	return json.Marshal(verdictDoc{v.Since.UnixMilli(), v.Until.UnixMilli(), v.Trials, v.Servers, host})
 }
 
-// decodeVerdict parses a stored value. A clock that differs from the writer's never makes a refusal
-// longer than its period. Errors have code BadFrame and name the field.
+// decodeVerdict parses a stored verdict. The remaining refusal time is capped at the refusal period,
+// in case the clock differs from the writer's. Errors have code BadFrame and name the field.
 func decodeVerdict(value []byte, now time.Time) (Verdict, error) {
 	var doc verdictDoc
 	if err := json.Unmarshal(value, &doc); err != nil {
@@ -31,8 +31,9 @@
 	if doc.Trials < 0 || doc.Until < doc.Since {
 		return Verdict{}, fault.New(fault.BadFrame, "invalid number of trials or times: %d trials, from %d until %d", doc.Trials, doc.Since, doc.Until).WithField("verdict")
 	}
-	left := min(time.UnixMilli(doc.Until).Sub(now), refusalPeriod(doc.Trials))
-	// Since is not later than now on this host's clock, so that a later clear here takes precedence.
+	remaining := min(time.UnixMilli(doc.Until).Sub(now), refusalPeriod(doc.Trials))
+	// Since is capped at the current time of this host, so that clearing the request afterwards
+	// always removes the verdict.
 	since := now.Add(min(0, time.UnixMilli(doc.Since).Sub(now)))
-	return Verdict{Since: since, Until: now.Add(left), Trials: doc.Trials, Servers: doc.Servers}, nil
+	return Verdict{Since: since, Until: now.Add(remaining), Trials: doc.Trials, Servers: doc.Servers}, nil
 }
--- a/internal/quarantine/events.go
+++ b/internal/quarantine/events.go
@@ -1,45 +1,45 @@
 package quarantine
 
-// Kind is the type of a change in what is known about a request.
-type Kind int
+// EventKind is the type of an Event.
+type EventKind int
 
 // The event kinds.
 const (
-	Suspected Kind = iota // a server crashed while running the request for this gateway
-	Reached               // this gateway quarantined the request
-	Learnt                // a verdict was received from another gateway or read from the store
-	Renewed               // a trial of a quarantined request began
-	Lifted                // the quarantine ended
-	Dropped               // the entry was evicted because the tracker is full
+	EventSuspected       EventKind = iota // a server crashed while running the request for this gateway
+	EventQuarantined                      // this gateway quarantined the request
+	EventVerdictReceived                  // a verdict was received from another gateway or read from the store
+	EventTrialStarted                     // this gateway started a trial of a quarantined request
+	EventLifted                           // the quarantine ended
+	EventEvicted                          // the entry was evicted because the tracker was full
 )
 
-var kindNames = map[Kind]string{Suspected: "suspected", Reached: "reached", Learnt: "learnt", Renewed: "renewed", Lifted: "lifted", Dropped: "dropped"}
+var eventKindNames = map[EventKind]string{EventSuspected: "suspected", EventQuarantined: "reached", EventVerdictReceived: "learnt", EventTrialStarted: "renewed", EventLifted: "lifted", EventEvicted: "dropped"}
 
 // String returns the kind as it appears in logs and metrics.
-func (k Kind) String() string { return kindNames[k] }
+func (k EventKind) String() string { return eventKindNames[k] }
 
-// Cause is the reason why a quarantine ended.
-type Cause string
+// LiftCause is the reason why a quarantine ended, as it appears in logs.
+type LiftCause string
 
-// The causes.
+// The causes of EventLifted.
 const (
-	Answered   Cause = "answered"    // a server answered the request
-	ByOperator Cause = "by_operator" // an operator lifted it
-	Forgotten  Cause = "forgotten"   // it expired: no trial within verdictTTL
-	Explained  Cause = "explained"   // another request accounts for all of its crashes, and more
-	Elsewhere  Cause = "elsewhere"   // another gateway lifted it
+	CauseAnswered     LiftCause = "answered"    // a server responded to the request
+	CauseOperator     LiftCause = "by_operator" // an operator lifted the quarantine
+	CauseExpired      LiftCause = "forgotten"   // no trial started within verdictTTL
+	CauseExplained    LiftCause = "explained"   // another quarantined request ran on all of its crashed servers and more
+	CauseOtherGateway LiftCause = "elsewhere"   // another gateway lifted the quarantine
 )
 
-// Event is a change in what is known about a request.
+// Event is a change in the state of a tracked request.
 type Event struct {
-	Kind    Kind
+	Kind    EventKind
 	ID      ID
 	Crashes []Crash
 	Verdict *Verdict
-	Cause   Cause // set for Lifted
+	Cause   LiftCause // set for EventLifted
 }
 
-// maxEvents bounds the queue of undelivered events. Further events are discarded.
+// maxEvents limits the queue of undelivered events. Further events are discarded.
 const maxEvents = 1024
 
 func (t *Tracker) emit(e Event) {
@@ -49,10 +49,10 @@
 	signal(t.eventsReady)
 }
 
-// EventsReady is signalled when DrainEvents has events to return. The channel holds one signal.
+// EventsReady returns a channel that is signalled when DrainEvents has events to return.
 func (t *Tracker) EventsReady() <-chan struct{} { return t.eventsReady }
 
-// UpdatesReady is signalled when DueUpdates has updates to send at once. The channel holds one signal.
+// UpdatesReady returns a channel that is signalled when DueUpdates has updates to send immediately.
 func (t *Tracker) UpdatesReady() <-chan struct{} { return t.updatesReady }
 
 // DrainEvents returns the events since the previous call.
--- a/internal/quarantine/id.go
+++ b/internal/quarantine/id.go
@@ -11,14 +11,15 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// ID identifies a request across retries: two attempts with the same ID are the same request. It is
-// half of a SHA-256 digest, because with a fast hash a caller who chooses bodies could construct a
-// collision and have another caller's request refused.
+// ID identifies a request across retries: attempts with the same ID are the same request. It is a
+// SHA-256 digest truncated to 128 bits. With a non-cryptographic hash, a caller could construct a
+// body that collides with another caller's request and have that request refused.
 type ID [16]byte
 
-// Identify returns the ID of a request from its caller, address and content. Headers differ between
-// attempts and are left out, and so is the service: a route that moves to another service would
-// otherwise let the same request crash as many servers there. The query counts only without a body.
+// Identify computes the ID of a request from its team, method, host, target and body. Headers are
+// excluded because they differ between attempts. The service is excluded so that a request which was
+// quarantined stays so when its route moves to another service. The query is included only if the
+// body is empty.
 func Identify(team, method, host, target string, body []byte) ID {
 	path, query, _ := strings.Cut(target, "?")
 	if len(body) > 0 {
@@ -37,7 +38,7 @@
 	return id
 }
 
-// String returns the ID in hexadecimal, as used in logs, metrics and the store.
+// String returns the ID in hexadecimal, as it appears in logs and as the key in the store.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
 // ParseID parses the output of String. Errors have code BadRequest and name the field.
--- a/internal/quarantine/id_test.go
+++ b/internal/quarantine/id_test.go
@@ -15,7 +15,7 @@
 	}
 	first := id("team", "a.example", "/ask/x?try=1", "body")
 	g.Expect(id("team", "A.example", "/ask/x?try=2", "body")).To(Equal(first), "another attempt")
-	for what, other := range map[string]ID{
+	for difference, other := range map[string]ID{
 		"another team":           id("other", "a.example", "/ask/x", "body"),
 		"another host":           id("team", "b.example", "/ask/x", "body"),
 		"another path":           id("team", "a.example", "/ask/y", "body"),
@@ -23,7 +23,7 @@
 		"no body":                id("team", "a.example", "/ask/x", ""),
 		"shifted field boundary": id("teama.example", "", "/ask/x", "body"),
 	} {
-		g.Expect(other).NotTo(Equal(first), what)
+		g.Expect(other).NotTo(Equal(first), difference)
 	}
 	g.Expect(Identify("team", "PUT", "a.example", "/ask/x", []byte("body"))).NotTo(Equal(first))
 	g.Expect(id("team", "a.example", "/ask/x?of=1", "")).NotTo(Equal(id("team", "a.example", "/ask/x?of=2", "")),
--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -13,31 +13,31 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// Store persists verdicts by request ID. Without it, a restart of all gateways would lose the verdicts
-// and let each fatal request crash three more servers.
+// Store persists verdicts by request ID in a topic. Without it, a restart of all gateways would lose
+// the verdicts, and each fatal request would crash three more servers.
 type Store interface {
-	// Newest returns the stored values and the end position of the topic.
+	// Newest returns the newest value of each key and the end position of the topic.
 	Newest(ctx context.Context) (values map[string][]byte, end logposition.Position, err error)
-	// Put writes a value, nil to delete it. If at is set, the write succeeds only while the topic still
-	// ends there; otherwise the error has code RevisionConflict, or LogRestored after a restore
-	// from a backup.
+	// Put writes a value, or deletes the key if the value is nil. If at is not nil, the write succeeds
+	// only if the topic still ends at that position. Otherwise the error has code RevisionConflict, or
+	// LogRestored after a restore from a backup.
 	Put(ctx context.Context, key string, value []byte, at *logposition.Position) error
 }
 
 const (
-	// sweepInterval is how often expired entries are removed and failed writes retried.
+	// sweepInterval is how often expired entries are removed and failed writes are retried.
 	sweepInterval = time.Second
-	// minReadInterval bounds how often the store is read for verdicts of gateways that are out of
-	// reach: a few calls a minute when servers crash.
+	// minReadInterval is the minimum time between reads of the store. The store is read after server
+	// crashes, a few times a minute, to learn verdicts of gateways that can't be reached.
 	minReadInterval = 2 * time.Second
-	// maxClaimAttempts bounds the attempts to claim a trial while other verdicts are being written.
+	// maxClaimAttempts limits the attempts to claim a trial when concurrent writes conflict with it.
 	maxClaimAttempts = 3
-	// writeQueueSize bounds the queue of verdicts to write.
+	// writeQueueSize is the capacity of the queue of verdicts to write.
 	writeQueueSize = 256
 )
 
-// Persister connects a tracker to the store, logs and metrics: it writes the tracker's verdicts, reads
-// those of other gateways, and logs and counts events.
+// Persister connects a tracker to the store, the log and the metrics. It writes the tracker's verdicts
+// to the store, reads those of other gateways, and logs and counts events.
 type Persister struct {
 	tracker *Tracker
 	store   Store
@@ -45,27 +45,29 @@
 	logger  *slog.Logger
 	now     func() time.Time
 
-	logLimiter    decisionlog.Limiter
-	loaded        atomic.Bool
-	writes        chan ID
-	readRequested chan struct{} // holds one request
+	logLimiter   decisionlog.Limiter
+	loaded       atomic.Bool
+	writes       chan ID
+	readRequests chan struct{} // capacity 1
 
 	mu        sync.Mutex
-	claiming  map[ID]bool
+	claiming  map[ID]bool // requests whose trial is being claimed
 	unwritten map[ID]bool // verdicts that are not in the store yet
 }
 
-// NewPersister returns a persister for the tracker of a host. Run starts it.
+// NewPersister returns a persister for the tracker of the gateway on a host. Run must be called to
+// start it.
 func NewPersister(tracker *Tracker, store Store, host string, logger *slog.Logger) *Persister {
 	return &Persister{tracker: tracker, store: store, host: host, logger: logger, now: time.Now,
-		writes: make(chan ID, writeQueueSize), readRequested: make(chan struct{}, 1), claiming: map[ID]bool{}, unwritten: map[ID]bool{}}
+		writes: make(chan ID, writeQueueSize), readRequests: make(chan struct{}, 1), claiming: map[ID]bool{}, unwritten: map[ID]bool{}}
 }
 
-// Loaded reports whether the store has been read once, so that a gateway which starts does not send
-// requests that are already quarantined. A failed read also counts, as it is retried in the background.
+// Loaded reports whether the first read of the store has finished. A gateway that starts waits for it,
+// so that it doesn't send requests that are already quarantined. A failed read counts as finished; it
+// is retried in the background.
 func (p *Persister) Loaded() bool { return p.loaded.Load() }
 
-// Run processes events until ctx ends. A second goroutine makes the store calls.
+// Run processes events until ctx is done. Store calls are made in a second goroutine.
 func (p *Persister) Run(ctx context.Context) {
 	var storeLoop sync.WaitGroup
 	defer storeLoop.Wait()
@@ -78,7 +80,7 @@
 			return
 		case <-p.tracker.EventsReady():
 			for _, e := range p.tracker.DrainEvents() {
-				p.handle(e)
+				p.handleEvent(e)
 			}
 		case <-tick.C:
 			p.tracker.Sweep(p.now())
@@ -93,32 +95,32 @@
 	telemetry.SetGauge("merlinpost_suspect_requests", float64(suspects))
 }
 
-// handle logs and counts an event, and updates the store.
-func (p *Persister) handle(e Event) {
+// handleEvent counts and logs an event, and queues the store access that it requires.
+func (p *Persister) handleEvent(e Event) {
 	telemetry.Count("merlinpost_quarantine_events_total", "event", e.Kind.String())
 	if p.logLimiter.Allow(e.Kind.String(), p.now()) {
-		p.log(e)
+		p.logEvent(e)
 	}
 	switch e.Kind {
-	case Suspected:
-		signal(p.readRequested)
-	case Reached:
+	case EventSuspected:
+		signal(p.readRequests)
+	case EventQuarantined:
 		p.queueWrite(e.ID)
-	case Lifted:
-		if e.Cause != Elsewhere {
+	case EventLifted:
+		if e.Cause != CauseOtherGateway {
 			p.queueWrite(e.ID)
 		}
 	}
 }
 
-// messages are the log messages of the events.
-var messages = map[Kind]string{
-	Suspected: "a server has ended that ran the request", Reached: "request quarantined", Learnt: "request quarantined by another gateway",
-	Renewed: "quarantined request on trial", Lifted: "quarantine ended", Dropped: "suspect evicted: tracker is full",
+// eventMessages are the log messages for the events.
+var eventMessages = map[EventKind]string{
+	EventSuspected: "a server has ended that ran the request", EventQuarantined: "request quarantined", EventVerdictReceived: "request quarantined by another gateway",
+	EventTrialStarted: "quarantined request on trial", EventLifted: "quarantine ended", EventEvicted: "suspect evicted: tracker is full",
 }
 
-func (p *Persister) log(e Event) {
-	fields := []any{slog.String("request", e.ID.String()), slog.Any("servers", crashedServers(e.Crashes)), slog.Int("independent", len(independent(e.Crashes)))}
+func (p *Persister) logEvent(e Event) {
+	fields := []any{slog.String("request", e.ID.String()), slog.Any("servers", serversOf(e.Crashes)), slog.Int("independent", len(independentCrashes(e.Crashes)))}
 	if v := e.Verdict; v != nil {
 		fields = append(fields, slog.Duration("refused_for", v.Until.Sub(p.now())), slog.Int("trials", v.Trials), slog.Any("verdict_servers", v.Servers))
 	}
@@ -126,28 +128,29 @@
 		fields = append(fields, slog.String("cause", string(e.Cause)))
 	}
 	level := slog.LevelInfo
-	if e.Kind == Reached || e.Kind == Dropped {
+	if e.Kind == EventQuarantined || e.Kind == EventEvicted {
 		level = slog.LevelWarn
 	}
-	p.logger.Log(context.Background(), level, messages[e.Kind], fields...)
+	p.logger.Log(context.Background(), level, eventMessages[e.Kind], fields...)
 }
 
-// queueWrite marks a request's verdict for writing to the store.
+// queueWrite queues the verdict on a request for writing to the store.
 func (p *Persister) queueWrite(id ID) {
 	p.mu.Lock()
 	p.unwritten[id] = true
 	p.mu.Unlock()
 	select {
 	case p.writes <- id:
-	default: // retryWrites writes it
+	default: // the queue is full: retryWrites writes the verdict
 	}
 }
 
-// runStore reads verdicts at the start and after server crashes, and writes those that are queued.
+// runStore reads the store at the start and after server crashes, and writes the queued verdicts, until
+// ctx is done.
 func (p *Persister) runStore(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
-	read := p.read(ctx)
+	readOK := p.readStore(ctx)
 	p.loaded.Store(true)
 	lastRead := p.now()
 	for {
@@ -156,14 +159,14 @@
 			return
 		case id := <-p.writes:
 			p.writeVerdict(ctx, id)
-		case <-p.readRequested:
+		case <-p.readRequests:
 			if p.now().Sub(lastRead) >= minReadInterval {
-				read = p.read(ctx)
+				readOK = p.readStore(ctx)
 				lastRead = p.now()
 			}
 		case <-tick.C:
-			if !read {
-				read = p.read(ctx)
+			if !readOK {
+				readOK = p.readStore(ctx)
 				lastRead = p.now()
 			}
 			p.retryWrites(ctx)
@@ -171,12 +174,12 @@
 	}
 }
 
-// read adopts the verdicts in the store; false if the store can't be read.
-func (p *Persister) read(ctx context.Context) bool {
+// readStore adopts the verdicts in the store. It reports whether the store could be read.
+func (p *Persister) readStore(ctx context.Context) bool {
 	values, _, err := p.store.Newest(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
-			p.logger.Warn("cannot read quarantine from store; will retry", "error", err)
+			p.logger.Warn("cannot read quarantine verdicts from store; will retry", "error", err)
 		}
 		return false
 	}
@@ -184,7 +187,7 @@
 	for key, value := range values {
 		id, v, err := decodeEntry(key, value, now)
 		if err != nil {
-			p.logger.Error("invalid quarantine entry in store ignored", "key", key, "error", err)
+			p.logger.Error("ignoring invalid quarantine verdict in store", "key", key, "error", err)
 			continue
 		}
 		if now.Sub(v.Until) <= verdictTTL {
@@ -215,20 +218,21 @@
 	}
 }
 
-// writeVerdict writes the tracker's verdict on a request to the store, or deletes it there.
+// writeVerdict writes the tracker's verdict on a request to the store. If there is no verdict, it
+// deletes the stored one.
 func (p *Persister) writeVerdict(ctx context.Context, id ID) {
 	var value []byte
 	if v := p.tracker.Verdict(id); v != nil {
 		var err error
 		if value, err = encodeVerdict(*v, p.host); err != nil {
-			p.logger.Error("cannot encode verdict", "request", id.String(), "error", err)
+			p.logger.Error("cannot encode quarantine verdict", "request", id.String(), "error", err)
 			return
 		}
 	}
 	if err := p.store.Put(ctx, id.String(), value, nil); err != nil {
 		if ctx.Err() == nil {
 			telemetry.Count("merlinpost_quarantine_writes_failed_total")
-			p.logger.Warn("cannot write verdict to store; will retry", "request", id.String(), "error", err)
+			p.logger.Warn("cannot write quarantine verdict to store; will retry", "request", id.String(), "error", err)
 		}
 		return
 	}
@@ -237,7 +241,8 @@
 	p.mu.Unlock()
 }
 
-// beginClaim marks the trial of a request as being claimed by this gateway; ok is false if it already is.
+// beginClaim marks the trial of a request as being claimed by this gateway. ok is false if a claim is
+// already in progress; unwritten reports whether the verdict is not in the store yet.
 func (p *Persister) beginClaim(id ID) (unwritten, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -248,9 +253,10 @@
 	return p.unwritten[id], true
 }
 
-// Claim claims the next trial of a quarantined request for this gateway. A conditional write gives it to
-// exactly one gateway, also while gateways can't reach each other. The verdict is nil if the quarantine
-// was lifted meanwhile. Errors have code Quarantined if another gateway has the trial.
+// Claim claims the next trial of a quarantined request for this gateway and returns the verdict that
+// applies during the trial, or nil if the quarantine was lifted in the meantime. A conditional write
+// ensures that only one gateway succeeds, even if the gateways can't reach each other. The error has
+// code Quarantined if the trial is already claimed.
 func (p *Persister) Claim(ctx context.Context, id ID) (*Verdict, error) {
 	unwritten, ok := p.beginClaim(id)
 	if !ok {
@@ -272,10 +278,11 @@
 }
 
 func errTrialTaken(id ID) error {
-	return fault.New(fault.Quarantined, "the trial of request %s is already claimed", id).WithOutcome(fault.NotRun)
+	return fault.New(fault.Quarantined, "trial of request %s is already claimed", id).WithOutcome(fault.NotRun)
 }
 
-// tryClaim makes one attempt to claim the trial.
+// tryClaim makes one attempt to claim the trial. The error has code RevisionConflict if another write
+// came first.
 func (p *Persister) tryClaim(ctx context.Context, id ID, unwritten bool) (*Verdict, error) {
 	values, end, err := p.store.Newest(ctx)
 	if err != nil {
@@ -288,7 +295,7 @@
 	}
 	value, found := values[id.String()]
 	if !found && !unwritten {
-		p.tracker.clear(id, Elsewhere, now)
+		p.tracker.clear(id, CauseOtherGateway, now)
 		return nil, nil
 	}
 	if found {
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -20,7 +20,8 @@
 	mu     sync.Mutex
 	values map[string][]byte
 	end    int64
-	// concurrentReads, if set, makes reads wait for each other, so that all return the same state.
+	// concurrentReads, if set, blocks reads until all expected reads have begun, so that they return
+	// the same state.
 	concurrentReads *sync.WaitGroup
 }
 
@@ -44,38 +45,39 @@
 	defer s.mu.Unlock()
 	s.concurrentReads = nil
 	if at != nil && at.Offset != s.end {
-		return fault.New(fault.RevisionConflict, "it ends at %d", s.end)
+		return fault.New(fault.RevisionConflict, "topic ends at %d", s.end)
 	}
 	s.end++
 	s.values[key] = value
 	return nil
 }
 
-// Two gateways that can't reach each other and have both read that a trial is due: one gets it.
-func TestOneGatewayGetsATrial(t *testing.T) {
+// If two gateways that can't reach each other both read that a trial is due before either writes its
+// claim, only one of the claims succeeds.
+func TestATrialIsClaimedByOneGateway(t *testing.T) {
 	g := NewWithT(t)
 	store, fatal, now := &memoryStore{values: map[string][]byte{}}, id("fatal"), time.Now()
 	v := Verdict{Since: now.Add(-time.Minute), Until: now, Servers: []string{"i-1", "i-2", "i-3"}}
 	value, err := encodeVerdict(v, "edge-0")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(store.Put(context.Background(), fatal.String(), value, nil)).To(Succeed())
-	var both, claims sync.WaitGroup
-	both.Add(2)
-	store.concurrentReads = &both
-	won := make(chan *Verdict, 2)
+	var reads, claims sync.WaitGroup
+	reads.Add(2)
+	store.concurrentReads = &reads
+	granted := make(chan *Verdict, 2)
 	for i := range 2 {
 		tracker := newObservedTracker(12)
 		tracker.AdoptVerdict(fatal, v, now)
 		persister := NewPersister(tracker, store, fmt.Sprint("edge-", i), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		claims.Go(func() {
 			if claimed, err := persister.Claim(context.Background(), fatal); err == nil {
-				won <- claimed
+				granted <- claimed
 			} else if !fault.Is(err, fault.Quarantined) {
-				t.Errorf("claim failed with something else than quarantined: %v", err)
+				t.Errorf("claim failed with an unexpected error: %v", err)
 			}
 		})
 	}
 	claims.Wait()
-	g.Expect(won).To(HaveLen(1))
-	g.Expect((<-won).Trials).To(Equal(1))
+	g.Expect(granted).To(HaveLen(1))
+	g.Expect((<-granted).Trials).To(Equal(1))
 }
--- a/internal/quarantine/replication.go
+++ b/internal/quarantine/replication.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Update is the state of one request that a gateway sends to the others. Times are sent as an age in
-// ms, as the clocks of hosts differ. Merging is idempotent and commutative, so updates may be lost,
-// repeated or reordered.
+// Update is the state of one request as a gateway sends it to the others. Times are sent relative to
+// the present in ms, because the clocks of hosts differ. Merging is idempotent and commutative, so
+// updates may be lost, repeated or reordered.
 type Update struct {
-	ID           []byte        `msgpack:"i"`
-	Crashes      []CrashRecord `msgpack:"e,omitempty"`
-	ClearedAgoMS *int64        `msgpack:"c,omitempty"` // nil if the request was not cleared
-	Verdict      *VerdictTerms `msgpack:"v,omitempty"`
-	// Runs are all ongoing runs of the request at the sending gateway.
+	ID           []byte         `msgpack:"i"`
+	Crashes      []CrashRecord  `msgpack:"e,omitempty"`
+	ClearedAgoMS *int64         `msgpack:"c,omitempty"` // nil if the request was not cleared
+	Verdict      *VerdictRecord `msgpack:"v,omitempty"`
+	// Runs are the ongoing runs of the request at the sender.
 	Runs []RunRecord `msgpack:"r,omitempty"`
-	// OtherServers are servers that crashed recently without running the request, as far as is known.
+	// OtherServers are server instances that crashed recently without running the request, as far as
+	// the sender knows.
 	OtherServers []string `msgpack:"n,omitempty"`
-	// ObservedMS is for how long the sender has observed crash rates, up to recentWindow.
+	// ObservedMS is how long the sender has observed crash rates, at most recentCrashWindow.
 	ObservedMS int64 `msgpack:"o,omitempty"`
 }
 
@@ -26,12 +27,13 @@
 	Server    string `msgpack:"s"`
 	SentAgoMS int64  `msgpack:"b"`
 	AgoMS     int64  `msgpack:"a"`
-	// Rate is the crash rate around that time: crashes per second of run time.
+	// Rate is the crash rate around the time of the crash, in crashes per second of run time.
 	Rate float32 `msgpack:"r"`
 }
 
-// VerdictTerms is the encoded form of a Verdict. Its servers are those of the crashes or of earlier updates.
-type VerdictTerms struct {
+// VerdictRecord is the encoded form of a Verdict. The receiver takes the verdict's servers from the
+// crashes in this and earlier updates.
+type VerdictRecord struct {
 	SinceAgoMS  int64 `msgpack:"s"`
 	RemainingMS int64 `msgpack:"l"`
 	Trials      int   `msgpack:"t,omitempty"`
@@ -45,23 +47,24 @@
 	Confirmed    bool   `msgpack:"d,omitempty"`
 }
 
-// resendDelays are the delays after which a change is sent again in case a datagram was lost. At 1 %
-// loss, all four datagrams are lost once in 100 million.
+// resendDelays are the delays after which a change is sent again, each counted from the previous
+// datagram. With a packet loss of 1 %, all four datagrams are lost with a probability of 1e-8.
 var resendDelays = []time.Duration{100 * time.Millisecond, 400 * time.Millisecond, time.Second}
 
 const (
-	// runRefreshInterval is how often an ongoing run is announced again.
+	// runRefreshInterval is how often an update about an ongoing run is sent again.
 	runRefreshInterval = time.Second
-	// maxUpdatesPerBatch bounds one batch; further updates wait for the next one.
+	// maxUpdatesPerBatch limits the updates returned by one call of DueUpdates.
 	maxUpdatesPerBatch = 64
-	// maxOtherServers bounds OtherServers. It exceeds maxExtraCrashes because some of the servers may
-	// turn out to have run the request.
+	// maxOtherServers limits Update.OtherServers. It exceeds maxExtraCrashes because the receiver may
+	// know that some of the servers did run the request.
 	maxOtherServers = 2 * maxExtraCrashes
-	// maxSnapshotUpdates bounds what is sent to a gateway that has just started: 100 KB.
+	// maxSnapshotUpdates limits a snapshot to about 100 KB.
 	maxSnapshotUpdates = 1000
 )
 
-// DueUpdates returns the updates to send to the other gateways now, the strongest suspects first.
+// DueUpdates evaluates the entries that are due and returns the updates to send to the other gateways
+// now, those with the strongest evidence first.
 func (t *Tracker) DueUpdates(now time.Time) []Update {
 	if !t.HasEntries() {
 		return nil
@@ -83,7 +86,7 @@
 			due = append(due, id)
 		}
 	}
-	slices.SortFunc(due, func(a, b ID) int { return t.compareStrength(a, b) })
+	slices.SortFunc(due, func(a, b ID) int { return t.compareForSending(a, b) })
 	var out []Update
 	for _, id := range due[:min(len(due), maxUpdatesPerBatch)] {
 		e := t.entries[id]
@@ -98,15 +101,15 @@
 	return out
 }
 
-// compareStrength orders entries by descending strength.
-func (t *Tracker) compareStrength(a, b ID) int {
-	if weaker(t.entries[a], t.entries[b]) {
+// compareForSending orders entries by descending strength of evidence, the reverse of the eviction order.
+func (t *Tracker) compareForSending(a, b ID) int {
+	if evictedBefore(t.entries[a], t.entries[b]) {
 		return 1
 	}
 	return -1
 }
 
-// scheduleNextSend sets when the next update about the entry is sent.
+// scheduleNextSend sets nextSendAt after an update about the entry was sent.
 func (e *entry) scheduleNextSend(now time.Time) {
 	e.nextSendAt = time.Time{}
 	if e.sendCount < len(resendDelays) {
@@ -117,7 +120,8 @@
 	}
 }
 
-// Snapshot returns the updates for a gateway that has just started, the strongest first.
+// Snapshot returns updates about all requests, up to maxSnapshotUpdates, for a gateway that has just
+// started. Those with the strongest evidence are first.
 func (t *Tracker) Snapshot(now time.Time) []Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,7 +129,7 @@
 	for id := range t.entries {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(a, b ID) int { return t.compareStrength(a, b) })
+	slices.SortFunc(ids, func(a, b ID) int { return t.compareForSending(a, b) })
 	var out []Update
 	for _, id := range ids[:min(len(ids), maxSnapshotUpdates)] {
 		out = append(out, t.update(id, t.entries[id], now))
@@ -135,8 +139,8 @@
 
 func (t *Tracker) update(id ID, e *entry, now time.Time) Update {
 	u := Update{ID: id[:], ObservedMS: t.observedFor(now).Milliseconds()}
-	if len(e.crashes) >= strongCrashes {
-		others := t.otherCrashes(now, recentWindow, t.ownOrExplained(e))
+	if len(e.crashes) >= strongSuspectCrashes {
+		others := t.otherCrashes(now, recentCrashWindow, t.ownOrExplained(e))
 		u.OtherServers = others[:min(len(others), maxOtherServers)]
 	}
 	ago := func(at time.Time) int64 { return now.Sub(at).Milliseconds() }
@@ -148,7 +152,7 @@
 		u.ClearedAgoMS = &cleared
 	}
 	if e.verdict != nil {
-		u.Verdict = &VerdictTerms{ago(e.verdict.Since), -ago(e.verdict.Until), e.verdict.Trials}
+		u.Verdict = &VerdictRecord{ago(e.verdict.Since), -ago(e.verdict.Until), e.verdict.Trials}
 	}
 	for _, r := range e.localRuns {
 		u.Runs = append(u.Runs, RunRecord{r.key, r.server, ago(r.startedAt), r.confirmed})
@@ -156,7 +160,7 @@
 	return u
 }
 
-// Merge applies the updates of another gateway.
+// Merge applies updates received from another gateway. Updates with an invalid ID are ignored.
 func (t *Tracker) Merge(updates []Update, from string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,55 +176,55 @@
 func (t *Tracker) merge(id ID, u Update, from string, now time.Time) {
 	at := func(ago int64) time.Time { return now.Add(-time.Duration(ago) * time.Millisecond) }
 	if time.Duration(u.ObservedMS)*time.Millisecond > t.observedFor(now)+observationMargin {
-		t.longerObserverAt = now
+		t.longerObserverSeenAt = now
 	}
 	e := t.entry(id)
 	if u.ClearedAgoMS != nil {
 		t.mergeCleared(id, e, at(*u.ClearedAgoMS))
 	}
 	if u.Verdict != nil {
-		t.adoptVerdict(id, e, Verdict{Since: at(u.Verdict.SinceAgoMS), Until: at(-u.Verdict.RemainingMS), Trials: u.Verdict.Trials, Servers: e.serversWith(u.Crashes)})
+		t.adoptVerdict(id, e, Verdict{Since: at(u.Verdict.SinceAgoMS), Until: at(-u.Verdict.RemainingMS), Trials: u.Verdict.Trials, Servers: e.crashedServersWith(u.Crashes)})
 	}
 	for _, crash := range u.Crashes {
 		t.addCrash(id, e, Crash{Server: crash.Server, SentAt: at(crash.SentAgoMS), At: at(crash.AgoMS), rate: float64(crash.Rate)}, now)
 	}
 	for _, instance := range u.OtherServers {
-		t.recordFirst(t.crashed, instance, now)
+		t.recordFirst(t.crashedServers, instance, now)
 	}
 	delete(e.remoteRuns, from)
 	for _, r := range u.Runs {
-		e.remoteRuns[from] = append(e.remoteRuns[from], run{key: r.Key, server: r.Server, startedAt: at(r.StartedAgoMS), confirmed: r.Confirmed, heardAt: now})
+		e.remoteRuns[from] = append(e.remoteRuns[from], run{key: r.Key, server: r.Server, startedAt: at(r.StartedAgoMS), confirmed: r.Confirmed, updatedAt: now})
 	}
 	if e.verdict != nil {
 		t.explainAll(id, e, now)
 	}
-	t.changed(e, false, now)
+	t.notifyChange(e, false, now)
 	if e.verdict == nil && len(e.remoteRuns) == 0 {
 		t.removeIfEmpty(id, e)
 	}
 }
 
-// mergeCleared applies another gateway's knowledge that the request is harmless.
+// mergeCleared clears a request that another gateway cleared at the given time.
 func (t *Tracker) mergeCleared(id ID, e *entry, at time.Time) {
-	had := cloneVerdict(e.verdict)
+	previous := cloneVerdict(e.verdict)
 	e.clear(at)
-	if had != nil && e.verdict == nil {
-		t.emit(Event{Kind: Lifted, ID: id, Cause: Elsewhere, Verdict: had})
+	if previous != nil && e.verdict == nil {
+		t.emit(Event{Kind: EventLifted, ID: id, Cause: CauseOtherGateway, Verdict: previous})
 	}
 }
 
-// adoptVerdict applies a verdict of another gateway or from the store, if it supersedes the known one.
+// adoptVerdict applies a verdict from another gateway or the store if it supersedes the current one.
 func (t *Tracker) adoptVerdict(id ID, e *entry, v Verdict) {
 	if !v.Since.After(e.clearedAt) || !v.supersedes(e.verdict) {
 		return
 	}
 	e.verdict = &v
-	t.emit(Event{Kind: Learnt, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(&v)})
+	t.emit(Event{Kind: EventVerdictReceived, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(&v)})
 }
 
-// serversWith returns the entry's crashed servers together with those of further crashes.
-func (e *entry) serversWith(records []CrashRecord) []string {
-	out := crashedServers(e.crashes)
+// crashedServersWith returns the servers crashed by the request, together with those of the given records.
+func (e *entry) crashedServersWith(records []CrashRecord) []string {
+	out := serversOf(e.crashes)
 	if e.verdict != nil {
 		out = slices.Clone(e.verdict.Servers)
 	}
@@ -241,11 +245,11 @@
 	if e.verdict != nil {
 		t.explainAll(id, e, now)
 	}
-	t.changed(e, false, now)
+	t.notifyChange(e, false, now)
 	t.removeIfEmpty(id, e)
 }
 
-// Verdict returns the verdict on a request, nil for none.
+// Verdict returns the verdict on a request, or nil if the request is not quarantined.
 func (t *Tracker) Verdict(id ID) *Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -255,7 +259,7 @@
 	return nil
 }
 
-// Encoded sizes of the parts of an Update in bytes, rounded up, without strings.
+// Encoded sizes in bytes of the parts of an Update, rounded up and without strings.
 const (
 	updateHeaderSize, crashRecordSize, runRecordSize, otherServerSize = 70, 33, 30, 3
 )
--- a/internal/quarantine/scheduling.go
+++ b/internal/quarantine/scheduling.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// Decision says whether a request may be sent now. The zero value permits it.
+// Decision tells whether a request may be sent now. The zero value permits it.
 type Decision struct {
 	// Verdict is set if the request is refused.
 	Verdict *Verdict
-	// TrialDue is set if the refusal period is over: the gateway that claims the trial may send the request.
+	// TrialDue is set if the refusal period is over and the gateway that claims the trial may send the
+	// request.
 	TrialDue bool
-	// Changed is set if the request has to wait: call Begin again when it is closed, or after Wait.
+	// Changed is set if the request has to wait. Begin must be called again when the channel is closed
+	// or after Wait, whichever is first.
 	Changed <-chan struct{}
 	Wait    time.Duration
-	// ConfirmAfter, if above 0, is how long to wait before calling Confirm; otherwise no confirmation is needed.
+	// ConfirmAfter, if positive, is the delay after which Confirm must be called before the request is sent.
 	ConfirmAfter time.Duration
-	// Isolate is set for a strong suspect: it is sent to a server that runs no other suspect, so that
-	// the next crash identifies one request, and gets no precedence over other requests.
+	// Isolate is set for a strong suspect. It must be sent to a server that runs no other suspect, so
+	// that the next crash implicates only one of them, and has no priority over other requests.
 	Isolate bool
 }
 
-// Begin asks for permission to send the request, under a random key. If it is permitted, Done must be
-// called. Runs of the same suspect are serialized.
+// Begin requests permission to send a request. The caller identifies the run by a random key and must
+// call Done if the run is permitted. Runs of the same suspect are serialized.
 func (t *Tracker) Begin(id ID, key uint64, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,43 +42,44 @@
 	if !e.suspect() {
 		return Decision{}
 	}
-	strong := len(e.crashes) >= strongCrashes
-	if wait := e.waitFor(key, strong, now); wait > 0 {
+	strong := len(e.crashes) >= strongSuspectCrashes
+	if wait := e.waitForRuns(key, strong, now); wait > 0 {
 		return Decision{Changed: e.changed, Wait: wait, Isolate: strong}
 	}
 	e.localRuns[key] = &run{key: key, startedAt: now, confirmed: !strong}
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 	if strong {
 		return Decision{ConfirmAfter: confirmDelay, Isolate: true}
 	}
 	return Decision{}
 }
 
-// waitFor returns how long a run has to wait for other runs of the same request.
-func (e *entry) waitFor(key uint64, strong bool, now time.Time) time.Duration {
+// waitForRuns returns how long a run has to wait for other runs of the same request. The run may start
+// if the result is not positive.
+func (e *entry) waitForRuns(key uint64, strong bool, now time.Time) time.Duration {
 	var wait time.Duration
-	for _, r := range e.runs(now) {
+	for _, r := range e.activeRuns(now) {
 		if r.key == key {
 			continue
 		}
-		left := remoteRunTTL
+		remaining := remoteRunTTL
 		if !strong {
-			left = r.startedAt.Add(weakSuspectWait).Sub(now)
+			remaining = r.startedAt.Add(weakSuspectWait).Sub(now)
 		}
-		wait = max(wait, left)
+		wait = max(wait, remaining)
 	}
 	return wait
 }
 
-// runs returns the ongoing runs at this and the other gateways.
-func (e *entry) runs(now time.Time) []run {
+// activeRuns returns the ongoing runs of the request at all gateways.
+func (e *entry) activeRuns(now time.Time) []run {
 	var out []run
 	for _, r := range e.localRuns {
 		out = append(out, *r)
 	}
 	for _, list := range e.remoteRuns {
 		for _, r := range list {
-			if now.Sub(r.heardAt) <= remoteRunTTL {
+			if now.Sub(r.updatedAt) <= remoteRunTTL {
 				out = append(out, r)
 			}
 		}
@@ -84,8 +87,8 @@
 	return out
 }
 
-// Confirm asks again for permission after ConfirmAfter. Of two runs that began at the same time the
-// one with the lower key continues and the other waits.
+// Confirm requests permission again after Decision.ConfirmAfter. If two gateways started runs at the
+// same time, the run with the lower key continues and the other one waits.
 func (t *Tracker) Confirm(id ID, key uint64, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,8 +100,8 @@
 		t.endRun(id, e, key, now)
 		return Decision{Verdict: cloneVerdict(e.verdict)}
 	}
-	before := func(r run) bool { return r.key != key && (r.confirmed || r.key < key) }
-	if slices.ContainsFunc(e.runs(now), before) {
+	hasPrecedence := func(r run) bool { return r.key != key && (r.confirmed || r.key < key) }
+	if slices.ContainsFunc(e.activeRuns(now), hasPrecedence) {
 		t.endRun(id, e, key, now)
 		return Decision{Changed: e.changed, Wait: remoteRunTTL, Isolate: true}
 	}
@@ -107,23 +110,26 @@
 		return Decision{Changed: e.changed, Wait: confirmDelay, Isolate: true}
 	}
 	e.localRuns[key].confirmed = true
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 	return Decision{Isolate: true}
 }
 
-// awaitingServer reports whether another suspect with a lower key has no server yet. Otherwise suspects
-// that are woken by the same crash would be sent to the same server.
+// awaitingServer reports whether a run of another suspect with a lower key has no server yet. Waiting
+// for it prevents suspects that are released by the same crash from being sent to the same server.
 func (t *Tracker) awaitingServer(id ID, key uint64, now time.Time) bool {
-	first := func(r run) bool { return r.server == "" && r.key < key && now.Sub(r.startedAt) < placementTimeout }
-	for other, e := range t.entries {
-		if other != id && slices.ContainsFunc(e.runs(now), first) {
+	unplaced := func(r run) bool {
+		return r.server == "" && r.key < key && now.Sub(r.startedAt) < placementTimeout
+	}
+	for otherID, e := range t.entries {
+		if otherID != id && slices.ContainsFunc(e.activeRuns(now), unplaced) {
 			return true
 		}
 	}
 	return false
 }
 
-// Check reports whether a request that was permitted, or needed no permission, may still be sent.
+// Check reports whether a request may still be sent. It is called just before sending, after Begin
+// permitted the request or when no permission was needed.
 func (t *Tracker) Check(id ID, key uint64) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,28 +140,29 @@
 	return Decision{Verdict: cloneVerdict(e.verdict)}
 }
 
-// BeginTrial starts a trial under a key; v is the verdict of the claim.
+// BeginTrial starts a trial run that is identified by key. The verdict is the one returned by
+// Persister.Claim.
 func (t *Tracker) BeginTrial(id ID, key uint64, v Verdict, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entry(id)
 	e.verdict = &v
 	e.localRuns[key] = &run{key: key, startedAt: now, confirmed: true}
-	t.emit(Event{Kind: Renewed, ID: id, Verdict: cloneVerdict(&v), Crashes: slices.Clone(e.crashes)})
-	t.changed(e, true, now)
+	t.emit(Event{Kind: EventTrialStarted, ID: id, Verdict: cloneVerdict(&v), Crashes: slices.Clone(e.crashes)})
+	t.notifyChange(e, true, now)
 }
 
-// SetServer sets the server on which a run is executed.
+// SetServer records the server to which a run is sent.
 func (t *Tracker) SetServer(id ID, key uint64, server string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil && e.localRuns[key] != nil {
 		e.localRuns[key].server = server
-		t.changed(e, true, now)
+		t.notifyChange(e, true, now)
 	}
 }
 
-// Done ends a run. The caller records a crash or a response first.
+// Done ends a run. If the run crashed its server or got a response, that must be recorded first.
 func (t *Tracker) Done(id ID, key uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,17 +173,17 @@
 
 func (t *Tracker) endRun(id ID, e *entry, key uint64, now time.Time) {
 	delete(e.localRuns, key)
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 	t.removeIfEmpty(id, e)
 }
 
-// OccupiedServers returns the servers that run suspects, except for the run with the given key.
+// OccupiedServers returns the servers that run suspects, without the run that has the given key.
 func (t *Tracker) OccupiedServers(key uint64, now time.Time) map[string]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]bool{}
 	for _, e := range t.entries {
-		for _, r := range e.runs(now) {
+		for _, r := range e.activeRuns(now) {
 			if r.key != key && r.server != "" {
 				out[r.server] = true
 			}
--- a/internal/quarantine/system_test.go
+++ b/internal/quarantine/system_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// Fleets in simulated time run without the race detector: with the many short-lived goroutines, its own
-// runtime fails in some runs (CHECK failed in tsan_rtl.cpp, or a segmentation violation).
+// Simulated fleets run without the race detector, because its runtime sometimes fails with their many
+// short-lived goroutines ("CHECK failed" in tsan_rtl.cpp, or a segmentation violation).
 
 package quarantine_test
 
@@ -17,17 +17,17 @@
 	"github.com/merlinpost/merlinpost/internal/standin/simfleet"
 )
 
-// maxCrashes is how many servers a fatal request may crash: three until the verdict, and one in a trial.
+// maxCrashes is how many servers a fatal request may crash: three until the verdict and one in a trial.
 const maxCrashes = 4
 
 func TestEachKindOfRequestIsQuarantined(t *testing.T) {
-	for kind := range simfleet.Routes {
-		t.Run(kind, func(t *testing.T) {
+	for route := range simfleet.Routes {
+		t.Run(route, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				d := deploy(4, 12, 1)
 				defer d.Close()
-				last := d.sendFatal(kind, 150*time.Millisecond, 16*time.Second)
+				last := d.sendFatal(route, 150*time.Millisecond, 16*time.Second)
 				g.Expect(d.crashCount()).To(BeNumerically("<=", maxCrashes))
 				g.Expect(last.Status).To(Equal(503))
 				g.Expect(last.Code).To(Equal("quarantined"))
@@ -39,16 +39,16 @@
 	}
 }
 
-// The same request arrives once every 3 s, at each gateway in turn, with only six servers.
-func TestASlowRequestIsQuarantined(t *testing.T) {
-	for kind := range simfleet.Routes {
-		t.Run(kind, func(t *testing.T) {
+// A fatal request that arrives only every 3 s, at a different gateway each time, is still quarantined.
+func TestAnInfrequentRequestIsQuarantined(t *testing.T) {
+	for route := range simfleet.Routes {
+		t.Run(route, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				d := deploy(4, 6, 1)
 				defer d.Close()
 				for i := range 12 {
-					d.SendRequest(d.Nodes[i%len(d.Nodes)], kind, fmt.Sprint("fatal-", i), fatal)
+					d.SendRequest(d.Nodes[i%len(d.Nodes)], route, fmt.Sprint("fatal-", i), fatalBody)
 					time.Sleep(3 * time.Second)
 				}
 				g.Expect(d.crashCount()).To(BeNumerically("<=", maxCrashes))
@@ -57,7 +57,8 @@
 	}
 }
 
-// Once the cause is removed, an answered trial ends the quarantine at all gateways and in the store.
+// Once the cause is fixed, a trial that gets a response ends the quarantine at all gateways and in the
+// store.
 func TestAnAnsweredTrialEndsTheQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -67,47 +68,47 @@
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(HaveLen(1), n.Name)
 		}
-		d.heal()
+		d.disableFatal()
 		d.sendFatal("stream", 500*time.Millisecond, 70*time.Second)
 		for i, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
-			g.Expect(d.SendRequest(n, "stream", fmt.Sprint("again-", i), fatal).Status).To(Equal(200))
+			g.Expect(d.SendRequest(n, "stream", fmt.Sprint("again-", i), fatalBody).Status).To(Equal(200))
 		}
 		g.Expect(d.crashCount()).To(Equal(3))
-		for _, n := range d.Nodes { // all lose their memory
+		for _, n := range d.Nodes { // all lose their in-memory state
 			d.KillNode(n)
 			d.StartNode(n)
 		}
 		time.Sleep(5 * time.Second)
-		g.Expect(d.SendRequest(d.Nodes[0], "stream", "later", fatal).Status).To(Equal(200))
+		g.Expect(d.SendRequest(d.Nodes[0], "stream", "later", fatalBody).Status).To(Equal(200))
 	})
 }
 
-// Gateways that can't reach each other but can reach the store share one trial, and learn the verdict
-// when the first server crashes on their side.
+// Gateways that can reach the store but not each other read the verdict from the store after the first
+// server crash on their side, and share a single trial.
 func TestSidesOfAPartitionLearnFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
 		defer d.Close()
 		d.partitionPeers(true)
-		for i := range 40 { // on one side only
-			d.SendRequest(d.Nodes[i%2], "once", fmt.Sprint("one-side-", i), fatal)
+		for i := range 40 { // on one side of the partition only
+			d.SendRequest(d.Nodes[i%2], "once", fmt.Sprint("one-side-", i), fatalBody)
 			time.Sleep(150 * time.Millisecond)
 		}
 		g.Expect(d.crashCount()).To(Equal(3))
 		d.sendFatal("once", 150*time.Millisecond, 30*time.Second)
-		g.Expect(d.crashCount()).To(Equal(4), "one crash makes the other side read the store")
+		g.Expect(d.crashCount()).To(Equal(4), "the other side reads the store after one crash")
 		before := d.crashCount()
 		d.sendFatal("once", 150*time.Millisecond, 60*time.Second)
-		g.Expect(d.crashCount()).To(BeNumerically("<=", before+1), "one trial for both sides")
+		g.Expect(d.crashCount()).To(BeNumerically("<=", before+1), "one trial for both sides together")
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(HaveLen(1), n.Name)
 		}
 	})
 }
 
-// partitionPeers separates the first two gateways from the others, or reconnects them.
+// partitionPeers partitions the network between the first two gateways and the others, or repairs it.
 func (d *deployment) partitionPeers(partitioned bool) {
 	for i, a := range d.Nodes {
 		for j, b := range d.Nodes {
@@ -118,7 +119,7 @@
 	}
 }
 
-// A restart of all gateways does not restart the refusal period.
+// The refusal period continues after a restart of all gateways: the trial is due at the original time.
 func TestARestartDoesNotRestartTheRefusalPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -131,7 +132,7 @@
 		for _, n := range d.Nodes {
 			d.StartNode(n)
 		}
-		d.heal()
+		d.disableFatal()
 		d.sendFatal("once", 150*time.Millisecond, 30*time.Second)
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
@@ -140,25 +141,26 @@
 	})
 }
 
-// Many copies of a request arrive together, repeatedly. Runs of a suspect must be serialized.
+// Runs of a suspect are serialized, so copies of a fatal request that arrive concurrently, several times
+// in a row, don't each crash a server.
 func TestConcurrentCopiesAreSerialized(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 14, 1)
 		defer d.Close()
 		for round := range 5 {
-			var asked sync.WaitGroup
+			var pending sync.WaitGroup
 			for i := range 6 {
-				asked.Go(func() { d.SendRequest(d.Nodes[i%4], "once", fmt.Sprint("copy-", round, "-", i), fatal) })
+				pending.Go(func() { d.SendRequest(d.Nodes[i%4], "once", fmt.Sprint("copy-", round, "-", i), fatalBody) })
 			}
-			asked.Wait()
+			pending.Wait()
 			time.Sleep(2 * detectionDelay)
 		}
 		g.Expect(d.crashCount()).To(BeNumerically("<=", 6-1+maxCrashes))
 	})
 }
 
-// A verdict that was reached while the store was unreachable is written when the store is back.
+// A verdict that was reached while the store was unreachable is written once the store can be reached.
 func TestAVerdictIsWrittenWhenTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -185,22 +187,22 @@
 	})
 }
 
-// A gateway that starts receives the evidence of the others, even before there is a verdict.
+// A gateway that starts receives evidence from the others even if there is no verdict yet.
 func TestEvidenceIsSentToAGatewayThatStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
 		defer d.Close()
-		d.SendRequest(d.Nodes[0], "once", "first", fatal)
-		time.Sleep(20 * time.Second) // longer than updates are resent
-		d.SendRequest(d.Nodes[0], "once", "second", fatal)
+		d.SendRequest(d.Nodes[0], "once", "first", fatalBody)
+		time.Sleep(20 * time.Second) // updates are no longer resent
+		d.SendRequest(d.Nodes[0], "once", "second", fatalBody)
 		time.Sleep(20 * time.Second)
 		d.KillNode(d.Nodes[3])
 		d.StartNode(d.Nodes[3])
 		time.Sleep(3 * time.Second)
 		_, suspects := d.Nodes[3].Gateway().Quarantine().List()
 		g.Expect(suspects).To(Equal(1))
-		d.SendRequest(d.Nodes[3], "once", "third", fatal)
+		d.SendRequest(d.Nodes[3], "once", "third", fatalBody)
 		time.Sleep(time.Second)
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(HaveLen(1), n.Name)
@@ -208,8 +210,8 @@
 	})
 }
 
-// A harmless request that loses its server three times in a row, while idle servers crash as well, is
-// not quarantined: the gateway checks which servers are still up.
+// A harmless request whose server crashes three times in a row is not quarantined if idle servers crash
+// at the same time: the gateway probes which servers are still up.
 func TestCrashesOfIdleServersAreDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -217,16 +219,16 @@
 		defer d.Close()
 		d.SetEventInterval(50 * time.Millisecond)
 		for range 3 {
-			asked := make(chan simfleet.Response, 1)
+			response := make(chan simfleet.Response, 1)
 			go func() {
-				asked <- d.SendRequest(d.Nodes[0], "once", fmt.Sprint("harmless-", time.Now().UnixNano()), "question")
+				response <- d.SendRequest(d.Nodes[0], "once", fmt.Sprint("harmless-", time.Now().UnixNano()), "question")
 			}()
 			time.Sleep(200 * time.Millisecond)
 			index := d.lastServerOf("question")
 			d.crashServer(d.Servers[index])
 			d.crashServer(d.Servers[(index+1)%12])
 			d.crashServer(d.Servers[(index+2)%12])
-			<-asked
+			<-response
 		}
 		time.Sleep(time.Second)
 		for _, n := range d.Nodes {
@@ -235,7 +237,7 @@
 	})
 }
 
-// lastServerOf returns the server that ran a body last.
+// lastServerOf returns the index of the server that most recently ran a request with the given body.
 func (d *deployment) lastServerOf(body string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -261,14 +263,14 @@
 		d := deploy(4, 12, 1)
 		defer d.Close()
 		d.sendFatal("once", 150*time.Millisecond, 5*time.Second)
-		d.heal()
+		d.disableFatal()
 		list := quarantined(d.Nodes[2])
 		g.Expect(list).To(HaveLen(1))
 		g.Expect(d.Nodes[2].Gateway().Quarantine().Lift(list[0].ID, time.Now())).To(BeTrue())
 		time.Sleep(time.Second)
 		for i, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
-			g.Expect(d.SendRequest(n, "once", fmt.Sprint("lifted-", i), fatal).Status).To(Equal(200))
+			g.Expect(d.SendRequest(n, "once", fmt.Sprint("lifted-", i), fatalBody).Status).To(Equal(200))
 		}
 	})
 }
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -11,97 +11,96 @@
 	// evidenceTTL is how long a crash counts as evidence. It is long enough to detect a request that
 	// arrives every three minutes and crashes a server each time.
 	evidenceTTL = 10 * time.Minute
-	// maxCrashes bounds the crashes that are kept for a request. More than three matter only while
-	// servers crash all the time, and an update with this many fits in a datagram.
+	// maxCrashes limits the crashes stored per request. More than three are needed only while the
+	// crash rate is high, and an update with this many crashes fits in a datagram.
 	maxCrashes = 12
-	// maxEntries bounds the tracked requests, about 0.5 KB each. Each server crash adds the requests
-	// that ran on the server: 20 when 650 engines run 13,000 requests.
+	// maxEntries limits the tracked requests, which take about 0.5 KB each. Each server crash adds the
+	// requests that ran on the server: 20 if 650 engines run 13,000 requests.
 	maxEntries = 4096
-	// maxServers bounds each set of crashed servers: the explained ones, and all of them, which are
-	// kept for the crash rate.
-	maxServers = 1024
-	// maxRequestsPerCrash bounds the request IDs kept for a crashed server, 16 bytes each: 0.5 MB in all.
+	// maxCrashedServers limits the size of each set of crashed server instances.
+	maxCrashedServers = 1024
+	// maxRequestsPerCrash limits the request IDs stored per crashed server: 16 bytes each, 0.5 MB in all.
 	maxRequestsPerCrash = 32
-	// strongCrashes is the number of crashes that makes a request a strong suspect. One crash is
-	// common: every request on the crashed server has it.
-	strongCrashes = 2
+	// strongSuspectCrashes is the number of crashes that makes a request a strong suspect. A single
+	// crash is weak evidence, as it counts against every request on the crashed server.
+	strongSuspectCrashes = 2
 	// weakSuspectWait is how long a suspect with one crash waits for another run of the same request.
-	// It is longer than fatal requests took to crash a server (0.06 to 0.44 s including the engine's
-	// queue) and short enough for a popular harmless request.
+	// Fatal requests crash a server within 0.06 to 0.44 s, including the time in the engine's queue.
+	// The limit keeps frequent harmless requests from being delayed for long.
 	weakSuspectWait = time.Second
-	// remoteRunTTL is how long a run at another gateway counts without an update about it.
+	// remoteRunTTL is how long a run at another gateway is considered ongoing without an update.
 	remoteRunTTL = 2500 * time.Millisecond
-	// confirmDelay is how long a strong suspect waits after its run was announced, so that of two
-	// gateways that begin at the same time one backs off. It is several times the latency between
-	// gateways. Evaluation waits as long for the reports of other gateways.
+	// confirmDelay is the time between announcing a run of a strong suspect and confirming it. If two
+	// gateways announce runs at the same time, one of them backs off. The delay is several times the
+	// latency between gateways. Evaluation waits as long for reports of other gateways.
 	confirmDelay = 15 * time.Millisecond
-	// observationMargin is how much longer another gateway must have observed servers to take precedence.
+	// observationMargin is how much longer another gateway must have observed crash rates for this one
+	// to leave the evaluation to it.
 	observationMargin = time.Second
-	// placementTimeout bounds how long a suspect waits for another suspect that has no server yet.
+	// placementTimeout limits how long a suspect waits for another suspect that has no server yet.
 	placementTimeout = 100 * time.Millisecond
 )
 
 // run is an ongoing run of a suspect.
 type run struct {
-	key       uint64 // random, chosen by the gateway
+	key       uint64 // random, chosen by the gateway that started the run
 	server    string // empty until a server is chosen
 	startedAt time.Time
-	// confirmed runs were announced for at least confirmDelay and don't back off.
-	confirmed bool
-	heardAt   time.Time // last update, for a run at another gateway
+	confirmed bool      // the run was announced for confirmDelay and no longer backs off
+	updatedAt time.Time // time of the last update; set for runs at other gateways
 }
 
-// entry holds what is known about one request.
+// entry is the state of one tracked request.
 type entry struct {
 	crashes    []Crash
-	clearedAt  time.Time // latest evidence that the request is harmless
-	verdict    *Verdict
-	evaluateAt time.Time // when the crashes are to be evaluated; zero if they have been
+	clearedAt  time.Time // latest time at which the request was found harmless; zero if never
+	verdict    *Verdict  // nil if the request is not quarantined
+	evaluateAt time.Time // when to evaluate the crashes; zero if no evaluation is pending
 	localRuns  map[uint64]*run
 	remoteRuns map[string][]run // by gateway
 	changed    chan struct{}    // closed and replaced on each change
 
-	sendCount  int       // updates sent about the latest change
-	nextSendAt time.Time // of the next update; zero for none
+	sendCount  int       // number of resends scheduled for the latest change
+	nextSendAt time.Time // when to send the next update; zero if none is pending
 }
 
 func (e *entry) suspect() bool { return len(e.crashes) > 0 }
 
-// Tracker collects evidence about requests that may crash servers, from this gateway and the others.
-// It is empty while no servers crash. It has no clock: the current time is passed to each method.
-// It is safe for concurrent use.
+// Tracker collects evidence from all gateways about requests that may crash servers. It is empty while
+// no servers crash. The current time is passed to each method. A Tracker is safe for concurrent use.
 type Tracker struct {
 	entryCount atomic.Int64 // len(entries), readable without the lock
 
 	mu      sync.Mutex
 	entries map[ID]*entry
-	// explained are the crashed server instances whose cause is quarantined, crashed are all of them,
-	// each with the time when this became known.
-	explained, crashed        map[string]time.Time
-	runningAtCrash            map[string][]ID // the requests that ran on a server when it crashed
-	serverCount               int             // reachable servers, as last reported
-	hazard                    hazardEstimator
-	longerObserverAt          time.Time // last update from a gateway that has observed servers for longer
-	nextDue                   time.Time // when the next update or evaluation is due; zero for never
-	events                    []Event
-	eventsReady, updatesReady chan struct{} // hold one signal each
+	// crashedServers maps each crashed server instance to the time when its crash became known. It
+	// serves to compute the crash rate. explainedCrashes holds those whose crash is attributed to a
+	// quarantined request.
+	explainedCrashes, crashedServers map[string]time.Time
+	requestsAtCrash                  map[string][]ID // requests that ran on a server when it crashed
+	serverCount                      int             // number of reachable servers
+	hazard                           hazardEstimator
+	longerObserverSeenAt             time.Time // time of the last update from a gateway that has observed crash rates for longer
+	nextDue                          time.Time // when the next update or evaluation is due; zero if none is pending
+	events                           []Event
+	eventsReady, updatesReady        chan struct{} // capacity 1
 }
 
 // New returns an empty tracker.
 func New() *Tracker {
-	return &Tracker{entries: map[ID]*entry{}, explained: map[string]time.Time{}, crashed: map[string]time.Time{},
-		runningAtCrash: map[string][]ID{}, eventsReady: make(chan struct{}, 1), updatesReady: make(chan struct{}, 1)}
+	return &Tracker{entries: map[ID]*entry{}, explainedCrashes: map[string]time.Time{}, crashedServers: map[string]time.Time{},
+		requestsAtCrash: map[string][]ID{}, eventsReady: make(chan struct{}, 1), updatesReady: make(chan struct{}, 1)}
 }
 
-// HasEntries reports whether any request is tracked. It takes no lock.
+// HasEntries reports whether any request is tracked. It is lock-free, as it is called for every request.
 func (t *Tracker) HasEntries() bool { return t.entryCount.Load() > 0 }
 
-// entry returns the entry of a request, creating it if needed.
+// entry returns the entry of a request. It creates the entry if there is none.
 func (t *Tracker) entry(id ID) *entry {
 	e := t.entries[id]
 	if e == nil {
 		if len(t.entries) >= maxEntries {
-			t.evictWeakest()
+			t.evictOne()
 		}
 		e = &entry{localRuns: map[uint64]*run{}, remoteRuns: map[string][]run{}, changed: make(chan struct{})}
 		t.entries[id] = e
@@ -110,22 +109,24 @@
 	return e
 }
 
-// evictWeakest removes the suspect with the fewest crashes, the oldest among equals. Quarantined requests go last.
-func (t *Tracker) evictWeakest() {
+// evictOne removes the entry that is first in eviction order.
+func (t *Tracker) evictOne() {
 	var (
-		least   ID
-		weakest *entry
+		victimID ID
+		victim   *entry
 	)
 	for id, e := range t.entries {
-		if weakest == nil || weaker(e, weakest) {
-			least, weakest = id, e
+		if victim == nil || evictedBefore(e, victim) {
+			victimID, victim = id, e
 		}
 	}
-	t.emit(Event{Kind: Dropped, ID: least, Crashes: weakest.crashes})
-	t.remove(least)
+	t.emit(Event{Kind: EventEvicted, ID: victimID, Crashes: victim.crashes})
+	t.remove(victimID)
 }
 
-func weaker(a, b *entry) bool {
+// evictedBefore reports whether a is evicted before b: suspects before quarantined requests, then those
+// with fewer crashes, then those whose last activity is longer ago.
+func evictedBefore(a, b *entry) bool {
 	if (a.verdict == nil) != (b.verdict == nil) {
 		return a.verdict == nil
 	}
@@ -152,14 +153,15 @@
 func (t *Tracker) remove(id ID) {
 	if e := t.entries[id]; e != nil {
 		close(e.changed)
-		e.changed = make(chan struct{}) // a caller that still holds the entry may close it again
+		e.changed = make(chan struct{}) // callers that still hold the entry may close the channel again
 		delete(t.entries, id)
 		t.entryCount.Store(int64(len(t.entries)))
 	}
 }
 
-// changed wakes requests that wait on the entry. With broadcast, the change is also sent to the other gateways.
-func (t *Tracker) changed(e *entry, broadcast bool, now time.Time) {
+// notifyChange wakes the requests that wait for a change of the entry. If broadcast is set, it also
+// schedules an update to the other gateways.
+func (t *Tracker) notifyChange(e *entry, broadcast bool, now time.Time) {
 	close(e.changed)
 	e.changed = make(chan struct{})
 	if broadcast {
@@ -169,22 +171,22 @@
 	}
 }
 
-// scheduleBy makes DueUpdates examine the entries at the given time at the latest.
+// scheduleBy makes DueUpdates process the entries no later than at the given time.
 func (t *Tracker) scheduleBy(at time.Time) {
 	if t.nextDue.IsZero() || at.Before(t.nextDue) {
 		t.nextDue = at
 	}
 }
 
-// signal sends a signal on a channel of capacity one without blocking.
-func signal(to chan<- struct{}) {
+// signal sends on a channel of capacity 1 without blocking.
+func signal(ch chan<- struct{}) {
 	select {
-	case to <- struct{}{}:
+	case ch <- struct{}{}:
 	default: // a signal is already pending
 	}
 }
 
-// RecordRun counts a completed run of any request.
+// RecordRun records a completed run of any request for the crash rate.
 func (t *Tracker) RecordRun(d time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,26 +200,28 @@
 	t.serverCount = n
 }
 
-// RecordServerCrash records the crash of a server, whatever it ran.
+// RecordServerCrash records the crash of a server instance, regardless of the requests it ran.
 func (t *Tracker) RecordServerCrash(instance string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.recordFirst(t.crashed, instance, now)
+	t.recordFirst(t.crashedServers, instance, now)
 }
 
-// recordFirst records when a server was first known to have crashed.
-func (t *Tracker) recordFirst(in map[string]time.Time, instance string, at time.Time) {
-	if _, known := in[instance]; !known && len(in) < maxServers {
-		in[instance] = at
+// recordFirst adds a server instance to a set with the time of its crash, unless the set is full. An
+// earlier record is kept.
+func (t *Tracker) recordFirst(set map[string]time.Time, instance string, at time.Time) {
+	if _, known := set[instance]; !known && len(set) < maxCrashedServers {
+		set[instance] = at
 	}
 }
 
-// Rebroadcast sends the update about a request again, after a check for crashed servers.
+// Rebroadcast schedules another update about a request. It is called after a check for crashed servers,
+// whose result is part of the update.
 func (t *Tracker) Rebroadcast(id ID, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil {
-		t.changed(e, true, now)
+		t.notifyChange(e, true, now)
 	}
 }
 
@@ -225,11 +229,11 @@
 func (t *Tracker) KnownCrashed(instance string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, known := t.crashed[instance]
+	_, known := t.crashedServers[instance]
 	return known
 }
 
-// RecordCrash records that a server crashed while running the request for this gateway, and reports
+// RecordCrash records that a server crashed while running the request for this gateway. It reports
 // whether the request is now a strong suspect.
 func (t *Tracker) RecordCrash(id ID, crash Crash, now time.Time) (strong bool) {
 	t.mu.Lock()
@@ -237,32 +241,32 @@
 	t.hazard.addCrash(crash.Server, now)
 	e := t.entry(id)
 	if t.addCrash(id, e, crash, now) {
-		t.emit(Event{Kind: Suspected, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
-		t.changed(e, true, now)
+		t.emit(Event{Kind: EventSuspected, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
+		t.notifyChange(e, true, now)
 	}
 	t.removeIfEmpty(id, e)
-	return len(e.crashes) >= strongCrashes && e.verdict == nil
+	return len(e.crashes) >= strongSuspectCrashes && e.verdict == nil
 }
 
-// addCrash adds a crash to the evidence; false if it adds nothing.
+// addCrash adds a crash to the evidence against a request. It reports whether the evidence changed.
 func (t *Tracker) addCrash(id ID, e *entry, crash Crash, now time.Time) bool {
-	t.recordFirst(t.crashed, crash.Server, crash.At)
-	_, explained := t.explained[crash.Server]
+	t.recordFirst(t.crashedServers, crash.Server, crash.At)
+	_, explained := t.explainedCrashes[crash.Server]
 	if e.verdict != nil {
-		// The verdict explains the crash for all other requests on that server.
+		// The crash no longer counts against other requests on that server.
 		t.explain(id, crash.Server, now)
 	}
 	known := slices.ContainsFunc(e.crashes, func(c Crash) bool { return c.Server == crash.Server })
 	if known || (explained && e.verdict == nil) || !crash.At.After(e.clearedAt) || now.Sub(crash.At) > evidenceTTL {
 		return false
 	}
-	crash.rate = max(crash.rate, minHazardRate)
+	crash.rate = max(crash.rate, minCrashRate)
 	e.crashes = append(e.crashes, crash)
 	if len(e.crashes) > maxCrashes {
 		e.crashes = withoutWeakest(e.crashes)
 	}
-	if ids := t.runningAtCrash[crash.Server]; len(ids) < maxRequestsPerCrash && (ids != nil || len(t.runningAtCrash) < maxServers) {
-		t.runningAtCrash[crash.Server] = append(ids, id)
+	if ids := t.requestsAtCrash[crash.Server]; len(ids) < maxRequestsPerCrash && (ids != nil || len(t.requestsAtCrash) < maxCrashedServers) {
+		t.requestsAtCrash[crash.Server] = append(ids, id)
 	}
 	if len(e.crashes) >= minCrashes {
 		e.evaluateAt = now.Add(confirmDelay)
@@ -272,21 +276,24 @@
 	return true
 }
 
-// removeIfEmpty removes an entry that holds no information.
+// removeIfEmpty removes an entry that has no evidence, verdict, time of clearing or local runs.
 func (t *Tracker) removeIfEmpty(id ID, e *entry) {
 	if !e.suspect() && e.verdict == nil && e.clearedAt.IsZero() && len(e.localRuns) == 0 {
 		t.remove(id)
 	}
 }
 
-// RecordResponse records that a server answered the request, which clears it: the earlier crashes had
-// another cause.
-func (t *Tracker) RecordResponse(id ID, now time.Time) { t.clear(id, Answered, now) }
+// RecordResponse records that a server responded to the request. This clears the request, as the
+// earlier crashes must have had another cause.
+func (t *Tracker) RecordResponse(id ID, now time.Time) { t.clear(id, CauseAnswered, now) }
 
-// Lift ends the quarantine of a request for an operator; false if it is not quarantined.
-func (t *Tracker) Lift(id ID, now time.Time) bool { return t.clear(id, ByOperator, now) }
+// Lift ends the quarantine of a request on behalf of an operator. It reports whether the request was
+// quarantined.
+func (t *Tracker) Lift(id ID, now time.Time) bool { return t.clear(id, CauseOperator, now) }
 
-func (t *Tracker) clear(id ID, why Cause, now time.Time) bool {
+// clear removes the evidence against a request and its verdict. It reports whether the request was
+// quarantined.
+func (t *Tracker) clear(id ID, cause LiftCause, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -295,14 +302,14 @@
 	}
 	lifted := e.verdict != nil
 	if lifted {
-		t.emit(Event{Kind: Lifted, ID: id, Cause: why, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
+		t.emit(Event{Kind: EventLifted, ID: id, Cause: cause, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
 	}
 	e.clear(now)
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 	return lifted
 }
 
-// clear drops evidence and verdicts up to a time.
+// clear removes the evidence and the verdict that are not newer than at.
 func (e *entry) clear(at time.Time) {
 	if at.After(e.clearedAt) {
 		e.clearedAt = at
@@ -313,31 +320,31 @@
 	}
 }
 
-// clearedTTL is how long it is remembered that a request was cleared, so that late updates from other
-// gateways don't make it a suspect again.
+// clearedTTL is how long clearedAt is kept, so that late updates from other gateways don't make the
+// request a suspect again.
 const clearedTTL = 30 * time.Second
 
-// Sweep removes expired entries. It is to be called about once a second.
+// Sweep removes expired state. It must be called about once per second.
 func (t *Tracker) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, known := range []map[string]time.Time{t.explained, t.crashed} {
-		for instance, at := range known {
+	for _, set := range []map[string]time.Time{t.explainedCrashes, t.crashedServers} {
+		for instance, at := range set {
 			if now.Sub(at) > evidenceTTL {
-				delete(known, instance)
+				delete(set, instance)
 			}
 		}
 	}
-	for instance := range t.runningAtCrash {
-		if _, known := t.crashed[instance]; !known {
-			delete(t.runningAtCrash, instance)
+	for instance := range t.requestsAtCrash {
+		if _, known := t.crashedServers[instance]; !known {
+			delete(t.requestsAtCrash, instance)
 		}
 	}
 	for id, e := range t.entries {
 		e.crashes = slices.DeleteFunc(e.crashes, func(crash Crash) bool { return e.verdict == nil && now.Sub(crash.At) > evidenceTTL })
 		t.evaluate(id, e, now)
 		if e.verdict != nil && now.Sub(e.verdict.Until) > verdictTTL {
-			t.emit(Event{Kind: Lifted, ID: id, Cause: Forgotten, Verdict: cloneVerdict(e.verdict)})
+			t.emit(Event{Kind: EventLifted, ID: id, Cause: CauseExpired, Verdict: cloneVerdict(e.verdict)})
 			e.verdict = nil
 			e.crashes = nil
 		}
@@ -345,7 +352,7 @@
 			e.clearedAt = time.Time{}
 		}
 		for gateway, runs := range e.remoteRuns {
-			if runs = slices.DeleteFunc(runs, func(r run) bool { return now.Sub(r.heardAt) > remoteRunTTL }); len(runs) == 0 {
+			if runs = slices.DeleteFunc(runs, func(r run) bool { return now.Sub(r.updatedAt) > remoteRunTTL }); len(runs) == 0 {
 				delete(e.remoteRuns, gateway)
 			} else {
 				e.remoteRuns[gateway] = runs
@@ -355,7 +362,7 @@
 	}
 }
 
-// QuarantinedRequest describes a quarantined request to operators.
+// QuarantinedRequest describes a quarantined request for operators.
 type QuarantinedRequest struct {
 	ID      ID
 	Verdict Verdict
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -9,19 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-// at returns a time on the tests' clock.
+// at returns the time at an offset in seconds from the tests' reference time.
 func at(seconds float64) time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// crashAt returns a crash after a run of 60 ms.
+// crashAt returns a crash at an offset in seconds, after a run of 60 ms.
 func crashAt(server string, seconds float64) Crash {
 	return Crash{Server: server, SentAt: at(seconds - 0.06), At: at(seconds)}
 }
 
 func id(name string) ID { return Identify("team", "POST", "a.example", "/"+name, nil) }
 
-// newObservedTracker returns a tracker that has observed 20 s without crashes.
+// newObservedTracker returns a tracker that has observed crash rates for 20 s, without crashes.
 func newObservedTracker(servers int) *Tracker {
 	tracker := New()
 	tracker.RecordRun(time.Second, at(-20))
@@ -29,10 +29,10 @@
 	return tracker
 }
 
-// verdictAt returns the verdict on a request at a time.
-func verdictAt(tracker *Tracker, of ID, seconds float64) *Verdict {
+// evaluateVerdict runs due evaluations at a time and returns the verdict on a request.
+func evaluateVerdict(tracker *Tracker, id ID, seconds float64) *Verdict {
 	tracker.DueUpdates(at(seconds))
-	return tracker.Verdict(of)
+	return tracker.Verdict(id)
 }
 
 func TestThreeConsecutiveCrashesGiveAVerdict(t *testing.T) {
@@ -42,9 +42,9 @@
 	tracker.RecordCrash(fatal, crashAt("i-1", 1), at(1))
 	tracker.RecordCrash(fatal, crashAt("i-1", 1), at(1)) // reported twice
 	tracker.RecordCrash(fatal, crashAt("i-2", 2), at(2))
-	g.Expect(verdictAt(tracker, fatal, 2.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 2.1)).To(BeNil())
 	tracker.RecordCrash(fatal, crashAt("i-3", 3), at(3))
-	v := verdictAt(tracker, fatal, 3.1)
+	v := evaluateVerdict(tracker, fatal, 3.1)
 	g.Expect(v).NotTo(BeNil())
 	g.Expect(v.Servers).To(ConsistOf("i-1", "i-2", "i-3"))
 	g.Expect(v.Until).To(Equal(at(3.1).Add(refusalPeriod(0))))
@@ -61,7 +61,7 @@
 	tracker.RecordResponse(harmless, at(2.5))
 	tracker.RecordCrash(harmless, crashAt("i-3", 3), at(3))
 	tracker.RecordCrash(harmless, crashAt("i-0", 2.4), at(3)) // a late report of an earlier crash
-	g.Expect(verdictAt(tracker, harmless, 3.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, harmless, 3.1)).To(BeNil())
 }
 
 func TestCrashesOfOverlappingRunsCountOnce(t *testing.T) {
@@ -71,8 +71,8 @@
 	for i := range 5 { // servers of one rack
 		tracker.RecordCrash(popular, Crash{Server: fmt.Sprint("i-", i), SentAt: at(0.8), At: at(1 + float64(i)/100)}, at(1.1))
 	}
-	g.Expect(verdictAt(tracker, popular, 1.2)).To(BeNil())
-	g.Expect(independent(tracker.entries[popular].crashes)).To(HaveLen(1))
+	g.Expect(evaluateVerdict(tracker, popular, 1.2)).To(BeNil())
+	g.Expect(independentCrashes(tracker.entries[popular].crashes)).To(HaveLen(1))
 }
 
 func TestMoreCrashesAreNeededWhenOtherServersCrash(t *testing.T) {
@@ -83,12 +83,13 @@
 	for i := 1; i <= 3; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(tracker, fatal, 3.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 3.1)).To(BeNil())
 	tracker.RecordCrash(fatal, crashAt("i-4", 4), at(4))
-	g.Expect(verdictAt(tracker, fatal, 4.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 4.1)).NotTo(BeNil())
 }
 
-// Of many requests that ran together on two crashing servers in a row, one is on the next by chance.
+// If many requests ran together on two crashing servers in a row, one of them is on the next crashing
+// server by chance, so three crashes are not sufficient.
 func TestMoreCrashesAreNeededAfterCoRunners(t *testing.T) {
 	g := NewWithT(t)
 	tracker := newObservedTracker(12)
@@ -101,15 +102,15 @@
 	}
 	last := id("19")
 	tracker.RecordCrash(last, crashAt("i-3", 3), at(3))
-	g.Expect(verdictAt(tracker, last, 3.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, last, 3.1)).To(BeNil())
 	tracker.RecordCrash(last, crashAt("i-4", 4), at(4))
-	g.Expect(verdictAt(tracker, last, 4.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, last, 4.1)).NotTo(BeNil())
 }
 
 func TestLongRunsNeedMoreCrashesAtAHighCrashRate(t *testing.T) {
 	g := NewWithT(t)
 	tracker := newObservedTracker(12)
-	for i := range 20 { // runs of 0.5 s, half of which are lost in a crash
+	for i := range 20 { // two runs of 0.5 s complete for each one lost in a crash
 		now := at(float64(i) / 2)
 		tracker.RecordRun(500*time.Millisecond, now)
 		tracker.RecordRun(500*time.Millisecond, now)
@@ -120,27 +121,27 @@
 		s := 9 + float64(i)*0.6
 		tracker.RecordCrash(harmless, Crash{Server: fmt.Sprint("i-", i), SentAt: at(s - 0.5), At: at(s)}, at(s))
 	}
-	g.Expect(verdictAt(tracker, harmless, 13)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, harmless, 13)).To(BeNil())
 }
 
-// A gateway that has just started does not know the crash rate and leaves the verdict to gateways that
-// have observed longer, if there are any.
+// A gateway that has just started does not know the crash rate. It leaves the verdict to gateways that
+// have observed crash rates for longer, if there are any.
 func TestANewGatewayLeavesTheVerdictToLongerObservers(t *testing.T) {
 	g := NewWithT(t)
 	for _, others := range []bool{true, false} {
 		tracker := New()
 		if others {
-			bystander := id("beside")
-			tracker.Merge([]Update{{ID: bystander[:], ObservedMS: recentWindow.Milliseconds()}}, "other", at(0))
+			bystander := id("bystander")
+			tracker.Merge([]Update{{ID: bystander[:], ObservedMS: recentCrashWindow.Milliseconds()}}, "other", at(0))
 		}
 		fatal := id("fatal")
 		for i := 1; i <= 3; i++ {
 			tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 		}
 		if others {
-			g.Expect(verdictAt(tracker, fatal, 3.1)).To(BeNil())
+			g.Expect(evaluateVerdict(tracker, fatal, 3.1)).To(BeNil())
 		} else {
-			g.Expect(verdictAt(tracker, fatal, 3.1)).NotTo(BeNil())
+			g.Expect(evaluateVerdict(tracker, fatal, 3.1)).NotTo(BeNil())
 		}
 	}
 }
@@ -148,19 +149,20 @@
 func TestAVerdictClearsOtherRequestsOnTheSameServers(t *testing.T) {
 	g := NewWithT(t)
 	tracker := newObservedTracker(12)
-	fatal, bystander := id("fatal"), id("beside")
+	fatal, bystander := id("fatal"), id("bystander")
 	for i := 1; i <= 2; i++ {
 		tracker.RecordCrash(bystander, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	for i := 1; i <= 4; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(tracker, fatal, 4.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 4.1)).NotTo(BeNil())
 	tracker.RecordCrash(bystander, crashAt("i-3", 3), at(4.2)) // a late report
-	g.Expect(tracker.Begin(bystander, 1, at(5))).To(Equal(Decision{}), "nothing is left against it")
+	g.Expect(tracker.Begin(bystander, 1, at(5))).To(Equal(Decision{}), "no evidence against it remains")
 }
 
-// Either of two requests that ran on the same servers may be the cause; the next crash decides.
+// If two suspects ran on the same crashed servers, either may be the cause. Neither is quarantined until
+// another crash distinguishes them.
 func TestTwoSuspectsOnTheSameServersWaitForTheNextCrash(t *testing.T) {
 	g := NewWithT(t)
 	tracker := newObservedTracker(12)
@@ -169,10 +171,10 @@
 		tracker.RecordCrash(a, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 		tracker.RecordCrash(b, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(tracker, a, 4.1)).To(BeNil())
-	g.Expect(verdictAt(tracker, b, 4.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, a, 4.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, b, 4.1)).To(BeNil())
 	tracker.RecordCrash(a, crashAt("i-5", 5), at(5))
-	g.Expect(verdictAt(tracker, a, 5.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, a, 5.1)).NotTo(BeNil())
 	g.Expect(tracker.Begin(b, 1, at(6))).To(Equal(Decision{}))
 }
 
@@ -183,7 +185,7 @@
 	tracker.RecordCrash(suspect, crashAt("i-1", 1), at(1))
 	g.Expect(tracker.Begin(suspect, 1, at(1.1))).To(Equal(Decision{}))
 	g.Expect(tracker.Begin(suspect, 2, at(1.2)).Changed).NotTo(BeNil())
-	g.Expect(tracker.Begin(suspect, 2, at(2.2))).To(Equal(Decision{}), "one crash is common: no long wait")
+	g.Expect(tracker.Begin(suspect, 2, at(2.2))).To(Equal(Decision{}), "a suspect with one crash waits only for weakSuspectWait")
 	tracker.Done(suspect, 1, at(2.3))
 	tracker.Done(suspect, 2, at(2.3))
 
@@ -194,7 +196,7 @@
 	tracker.Merge([]Update{{ID: suspect[:], Runs: []RunRecord{{Key: 4}}}}, "other", at(3.112))
 	g.Expect(tracker.Confirm(suspect, 9, at(3.12)).Changed).NotTo(BeNil(), "the other gateway's run has the lower key")
 	g.Expect(tracker.Begin(suspect, 9, at(3.2)).Changed).NotTo(BeNil())
-	g.Expect(tracker.Begin(suspect, 9, at(6)).ConfirmAfter).To(BeNumerically(">", 0), "the other run has expired without an update")
+	g.Expect(tracker.Begin(suspect, 9, at(6)).ConfirmAfter).To(BeNumerically(">", 0), "the other gateway's run has expired without an update")
 }
 
 func TestStrongSuspectsArePlacedOneAtATime(t *testing.T) {
@@ -215,68 +217,69 @@
 	g.Expect(tracker.OccupiedServers(2, at(3.06))).To(Equal(map[string]bool{"i-5": true}))
 }
 
-func TestWhatIsKeptIsBounded(t *testing.T) {
+func TestMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	tracker := newObservedTracker(12)
 	fatal := id("fatal")
 	for i := 1; i <= 3; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(tracker, fatal, 3.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 3.1)).NotTo(BeNil())
 	for i := range maxEntries + 100 {
-		tracker.RecordCrash(id(fmt.Sprint("flood-", i)), crashAt(fmt.Sprint("o-", i), 4), at(4))
+		tracker.RecordCrash(id(fmt.Sprint("fill-", i)), crashAt(fmt.Sprint("other-", i), 4), at(4))
 	}
 	g.Expect(tracker.entries).To(HaveLen(maxEntries))
 	g.Expect(tracker.Verdict(fatal)).NotTo(BeNil(), "quarantined requests are evicted last")
 	g.Expect(len(tracker.DueUpdates(at(5)))).To(Equal(maxUpdatesPerBatch))
 	g.Expect(len(tracker.Snapshot(at(5)))).To(Equal(maxSnapshotUpdates))
 	for i := range 3 * maxCrashes {
-		tracker.RecordCrash(id("often"), crashAt(fmt.Sprint("e-", i), 5+float64(i)), at(5+float64(i)))
+		tracker.RecordCrash(id("frequent"), crashAt(fmt.Sprint("e-", i), 5+float64(i)), at(5+float64(i)))
 	}
-	g.Expect(len(tracker.entries[id("often")].crashes)).To(BeNumerically("<=", maxCrashes))
+	g.Expect(len(tracker.entries[id("frequent")].crashes)).To(BeNumerically("<=", maxCrashes))
 	tracker.Sweep(at(5).Add(evidenceTTL + time.Hour))
 	g.Expect(tracker.entries).To(HaveLen(1), "the quarantined request")
 	tracker.Sweep(at(5).Add(3 * 24 * time.Hour))
 	g.Expect(tracker.HasEntries()).To(BeFalse())
 }
 
-// Updates give the same result in any order and however often they arrive.
+// Merging updates gives the same verdict in any order, also if updates arrive more than once.
 func TestUpdatesMergeInAnyOrder(t *testing.T) {
 	g := NewWithT(t)
 	fatal := id("fatal")
 	var updates []Update
 	for i := 1; i <= 3; i++ {
-		witness := newObservedTracker(12)
-		witness.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
-		updates = append(updates, witness.DueUpdates(at(4))...)
+		sender := newObservedTracker(12)
+		sender.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
+		updates = append(updates, sender.DueUpdates(at(4))...)
 	}
 	g.Expect(updates).To(HaveLen(3))
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		tracker := newObservedTracker(12)
-		again := rapid.SliceOfN(rapid.SampledFrom(updates), 0, 10).Draw(t, "again")
-		for i, update := range rapid.Permutation(append(again, updates...)).Draw(t, "order") {
+		duplicates := rapid.SliceOfN(rapid.SampledFrom(updates), 0, 10).Draw(t, "duplicates")
+		for i, update := range rapid.Permutation(append(duplicates, updates...)).Draw(t, "order") {
 			tracker.Merge([]Update{update}, fmt.Sprint(i), at(4))
 		}
-		v := verdictAt(tracker, fatal, 4.1)
+		v := evaluateVerdict(tracker, fatal, 4.1)
 		g.Expect(v).NotTo(BeNil())
 		g.Expect(v.Servers).To(ConsistOf("i-1", "i-2", "i-3"))
 	})
 }
 
-// Gateways that could not reach each other had quarantined a request that ran bystander the fatal one.
+// Gateways that can't reach each other may quarantine both a fatal request and a bystander that ran on
+// the same servers. The bystander's quarantine is lifted once they exchange their evidence.
 func TestAVerdictIsLiftedWhenAnotherExplainsIt(t *testing.T) {
 	g := NewWithT(t)
 	here, there := newObservedTracker(12), newObservedTracker(12)
-	fatal, bystander := id("fatal"), id("beside")
+	fatal, bystander := id("fatal"), id("bystander")
 	for i := 1; i <= 3; i++ {
 		here.RecordCrash(bystander, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	for i := 1; i <= 4; i++ {
 		there.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(here, bystander, 5)).NotTo(BeNil())
-	g.Expect(verdictAt(there, fatal, 5)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(here, bystander, 5)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(there, fatal, 5)).NotTo(BeNil())
 	here.Merge(there.Snapshot(at(6)), "there", at(6))
 	g.Expect(here.Verdict(bystander)).To(BeNil())
 	g.Expect(here.Verdict(fatal)).NotTo(BeNil())
@@ -289,11 +292,11 @@
 	for i := 1; i <= 3; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	v := verdictAt(tracker, fatal, 3.1)
+	v := evaluateVerdict(tracker, fatal, 3.1)
 	due := v.Until.Add(time.Second)
 	g.Expect(tracker.Begin(fatal, 1, due).TrialDue).To(BeTrue())
 	tracker.BeginTrial(fatal, 1, v.WithTrial(due), due)
-	g.Expect(tracker.Check(fatal, 1).Verdict).To(BeNil(), "it is the trial")
+	g.Expect(tracker.Check(fatal, 1).Verdict).To(BeNil(), "this run is the trial")
 	g.Expect(tracker.Check(fatal, 2).Verdict).NotTo(BeNil())
 	decision := tracker.Begin(fatal, 2, due.Add(time.Second))
 	g.Expect(decision.Verdict).NotTo(BeNil())
@@ -306,7 +309,7 @@
 	g := NewWithT(t)
 	tracker := newObservedTracker(12)
 	for i := range maxCrashes {
-		tracker.RecordCrash(id("often"), crashAt(fmt.Sprint("i-1234567890@17654321", 10000+i), float64(i)), at(float64(i)))
+		tracker.RecordCrash(id("frequent"), crashAt(fmt.Sprint("i-1234567890@17654321", 10000+i), float64(i)), at(float64(i)))
 	}
 	updates := tracker.DueUpdates(at(100))
 	g.Expect(updates).To(HaveLen(1))
@@ -323,10 +326,10 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(read.Until).To(BeTemporally("~", v.Until, 2*time.Millisecond))
 	g.Expect(read.Servers).To(Equal(v.Servers))
-	// With a clock an hour behind the writer's, the refusal is no longer than its period.
-	late, err := decodeVerdict(value, now.Add(-time.Hour))
+	// With a clock an hour behind the writer's, the refusal is capped at the refusal period.
+	skewed, err := decodeVerdict(value, now.Add(-time.Hour))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(late.Until.Sub(now.Add(-time.Hour))).To(Equal(refusalPeriod(0)))
+	g.Expect(skewed.Until.Sub(now.Add(-time.Hour))).To(Equal(refusalPeriod(0)))
 	for _, bad := range []string{"", "{", `{"trials":-1}`, `{"since":5,"until":4}`} {
 		_, err := decodeVerdict([]byte(bad), now)
 		g.Expect(err).To(MatchError(ContainSubstring("verdict")), bad)
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -5,36 +5,35 @@
 	"time"
 )
 
-// Verdict is the finding that a request crashes the servers which run it. The request is refused until
-// a set time and may then be sent once more as a trial.
+// Verdict is the decision to quarantine a request because it crashes the servers that run it. The
+// request is refused until the refusal period ends; then a single trial run is allowed.
 type Verdict struct {
-	Since  time.Time // when it was reached or the latest trial began
-	Until  time.Time
-	Trials int
-	// Servers are the crashed server instances.
-	Servers []string
+	Since   time.Time // time of the decision or start of the latest trial
+	Until   time.Time // end of the refusal period
+	Trials  int       // number of trials so far
+	Servers []string  // instances of the servers that the request crashed
 }
 
-// refusalPeriods are how long a request is refused: after the verdict, after the first trial, and after
-// each further one. A failed trial hits every request on its server, so there are only two on the first
-// day. The cause is usually removed by another version of the model or its engine, which takes days
-// to deploy, and an operator can lift a quarantine earlier.
+// refusalPeriods are the refusal periods after the verdict, after the first trial, and after each
+// further trial. A failed trial aborts all requests on its server, so there are at most two on the
+// first day. The usual fix is a new version of the model or its engine, which takes days to deploy;
+// an operator can lift a quarantine earlier.
 var refusalPeriods = []time.Duration{time.Minute, 10 * time.Minute, 24 * time.Hour}
 
-// verdictTTL is how long a verdict is kept after its refusal period when no trial is requested.
+// verdictTTL is how long a verdict is kept after its refusal period if no trial starts.
 const verdictTTL = 24 * time.Hour
 
 func refusalPeriod(trials int) time.Duration {
 	return refusalPeriods[min(trials, len(refusalPeriods)-1)]
 }
 
-// newVerdict returns the verdict for crashes at the given time.
+// newVerdict returns the verdict for crashes that were found conclusive at the given time.
 func newVerdict(crashes []Crash, now time.Time) *Verdict {
-	return &Verdict{Since: now, Until: now.Add(refusalPeriod(0)), Servers: crashedServers(crashes)}
+	return &Verdict{Since: now, Until: now.Add(refusalPeriod(0)), Servers: serversOf(crashes)}
 }
 
-// WithTrial returns the verdict while a trial that begins now is running. It stays in force unless the
-// trial is answered, because the gateway that runs the trial may not survive to report a failure.
+// WithTrial returns the verdict that applies once a trial starts. It stays in force unless the trial
+// gets a response: the gateway that runs the trial may itself fail before it can report a crash.
 func (v Verdict) WithTrial(now time.Time) Verdict {
 	return Verdict{Since: now, Until: now.Add(refusalPeriod(v.Trials + 1)), Trials: v.Trials + 1, Servers: v.Servers}
 }
@@ -44,10 +43,12 @@
 	if other == nil || v.Trials != other.Trials {
 		return other == nil || v.Trials > other.Trials
 	}
-	return v.Until.After(other.Until.Add(time.Second)) // smaller differences come from datagram delay
+	// Verdicts are sent with relative times, so datagram delay shifts Until by less than 1 s.
+	return v.Until.After(other.Until.Add(time.Second))
 }
 
-func crashedServers(crashes []Crash) []string {
+// serversOf returns the distinct server instances of the crashes.
+func serversOf(crashes []Crash) []string {
 	var out []string
 	for _, crash := range crashes {
 		if !slices.Contains(out, crash.Server) {
