--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,6 +1,6 @@
 // Package exchange sends a single HTTP/1.1 request to a backend server and
-// reports the exact outcome: whether any part of it was sent, so that it may
-// have run, and whether the response is complete. It never retries.
+// reports the exact outcome: whether the request may have run, because part of
+// it was sent, and whether the response is complete. It never retries.
 package exchange
 
 import (
@@ -24,12 +24,13 @@
 	Body   []byte
 	// HasBody distinguishes an empty body from none.
 	HasBody bool
-	// EchoHeader is the header in which the server repeats EchoID. A response
-	// with another value belongs to another request.
+	// EchoHeader names the response header in which the server returns EchoID. A
+	// response with another value belongs to another request.
 	EchoHeader string
 	EchoID     string
-	// MayRepeat requests may use connections that have been idle for longer:
-	// if the server is just closing the connection, this only costs a retry.
+	// MayRepeat is set if the request may be sent again. It may then use a
+	// connection that has been idle for longer: if the server closes the
+	// connection at the same time, the only cost is a retry.
 	MayRepeat bool
 }
 
@@ -45,10 +46,10 @@
 	Mismatched Stage = "answer" // the response does not belong to this request
 )
 
-// Error is the failure of an exchange.
+// Error describes a failed exchange.
 type Error struct {
 	Stage Stage
-	// MayHaveRun is false if no part of the request was sent.
+	// MayHaveRun is true unless no part of the request was sent.
 	MayHaveRun bool
 	Err        error
 }
@@ -59,21 +60,23 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Response is a response header; Read returns the body. Close must be called.
+// Response is a response whose header has been read. Read returns the body.
+// Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body, -1 if unknown.
+	// Length is the length of the body in bytes, -1 if unknown.
 	Length int64
 
-	pool       *Pool
-	conn       *conn
-	raw        *http.Response
-	stopCancel func() bool // stops the request's context from closing the connection
-	complete   bool
+	pool          *Pool
+	conn          *conn
+	raw           *http.Response
+	detachContext func() bool // keeps the request's context from closing the connection; false if it has already ended
+	complete      bool        // whether the body was read completely
 }
 
-// Read reads the body. io.EOF means that the body is complete.
+// Read implements io.Reader for the body. It returns io.EOF only if the body is
+// complete.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.raw.Body.Read(p)
 	if err == io.EOF {
@@ -82,31 +85,32 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is reused if the body was read
-// completely; otherwise it is closed, which makes the server abort the request.
+// Close ends the exchange. If the body was read completely, the connection
+// returns to the pool; otherwise it is closed, so that the server aborts the
+// request.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
 	}
 	c := r.conn
 	r.conn = nil
-	notCancelled := r.stopCancel()
+	notCancelled := r.detachContext()
 	if r.complete && notCancelled && !r.raw.Close && c.reader.Buffered() == 0 && c.written() {
-		r.pool.put(c, keepAliveTimeout(r.Header))
+		r.pool.putIdle(c, keepAliveTimeout(r.Header))
 		return
 	}
 	c.close()
 }
 
-// maxMismatched bounds the responses to other requests that are skipped on a
-// connection before the exchange fails.
-const maxMismatched = 2
+// maxMismatchedResponses is the number of responses to other requests that are
+// skipped before the exchange fails.
+const maxMismatchedResponses = 2
 
-// errResponseMismatch reports a response that carries another request's ID.
+// errResponseMismatch is returned for a response that has another request's ID.
 var errResponseMismatch = errors.New("response belongs to another request")
 
 // Do sends the request to the address and returns the response header. The
-// connection is closed if ctx ends before the response was read. Errors are of
+// connection is closed if ctx ends before the response is closed. Errors are of
 // type *Error.
 func (p *Pool) Do(ctx context.Context, address string, req *Request) (*Response, error) {
 	c, err := p.get(ctx, address, req.MayRepeat)
@@ -125,31 +129,32 @@
 		return nil, err
 	}
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
-		pool: p, conn: c, raw: resp, stopCancel: stop}, nil
+		pool: p, conn: c, raw: resp, detachContext: stop}, nil
 }
 
 // roundTrip writes the request and reads the response header.
 func (c *conn) roundTrip(req *Request) (*http.Response, error) {
-	if err := c.send(req); err != nil {
-		// The server may have responded before it closed the connection.
-		if resp, readErr := c.readHeader(req); readErr == nil {
+	if err := c.writeRequest(req); err != nil {
+		// The server may have sent a response before it closed the connection.
+		if resp, readErr := c.readResponseHeader(req); readErr == nil {
 			resp.Close = true
 			return resp, nil
 		}
 		return nil, err
 	}
-	return c.readHeader(req)
+	return c.readResponseHeader(req)
 }
 
-// readHeader reads response headers until one belongs to the request.
-func (c *conn) readHeader(req *Request) (*http.Response, error) {
+// readResponseHeader reads the response header of the request. It skips
+// informational responses and a few responses to other requests.
+func (c *conn) readResponseHeader(req *Request) (*http.Response, error) {
 	for skipped := 0; ; {
-		c.limit.left = maxHeaderBytes
+		c.limited.remaining = maxHeaderBytes
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: req.Method})
 		if err != nil {
 			return nil, &Error{Stage: Waiting, MayHaveRun: true, Err: err}
 		}
-		c.limit.left = -1
+		c.limited.remaining = -1
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
@@ -158,7 +163,7 @@
 			return resp, nil
 		}
 		skipped++
-		if skipped > maxMismatched || resp.Close || resp.ContentLength < 0 {
+		if skipped > maxMismatchedResponses || resp.Close || resp.ContentLength < 0 {
 			return nil, &Error{Stage: Mismatched, MayHaveRun: true, Err: errResponseMismatch}
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -167,29 +172,30 @@
 	}
 }
 
-// maxInlineBodyBytes is the size in bytes up to which a request is written before its
-// response is read. It is well below a socket's send buffer, so that the write
-// never blocks on the server.
+// maxInlineBodyBytes is the largest body that is written before reading the
+// response. It is well below the size of a socket's send buffer, so that the
+// write does not block if the server stops reading.
 const maxInlineBodyBytes = 4 << 10
 
-// send writes the request. Larger bodies are written concurrently with reading
-// the response, because a server may respond before it has read them.
-func (c *conn) send(req *Request) error {
+// writeRequest writes the request. A large body is written in the background
+// while the response is read, because a server may respond before it has read
+// the whole body.
+func (c *conn) writeRequest(req *Request) error {
 	header := appendHeader(c.headerBuf[:0], req)
 	c.headerBuf = header
-	c.sent = make(chan struct{})
+	c.writeDone = make(chan struct{})
 	if len(req.Body) <= maxInlineBodyBytes {
-		defer close(c.sent)
+		defer close(c.writeDone)
 		return c.write(append(header, req.Body...))
 	}
 	if err := c.write(header); err != nil {
-		close(c.sent)
+		close(c.writeDone)
 		return err
 	}
 	go func() {
-		defer close(c.sent)
-		// The reader of the response reports a failure.
-		_, c.sendErr = c.Write(req.Body)
+		defer close(c.writeDone)
+		// A failure is reported by reading the response.
+		_, c.writeErr = c.Write(req.Body)
 	}()
 	return nil
 }
@@ -199,11 +205,11 @@
 	if err == nil {
 		return nil
 	}
-	c.sendErr = err
+	c.writeErr = err
 	return &Error{Stage: Sending, MayHaveRun: n > 0, Err: err}
 }
 
-// appendHeader appends the request line and the headers.
+// appendHeader appends the request line and headers to b.
 func appendHeader(b []byte, req *Request) []byte {
 	b = append(b, req.Method...)
 	b = append(b, ' ')
@@ -227,26 +233,28 @@
 	return append(b, "\r\n"...)
 }
 
-// maxHeaderBytes bounds a response header. The 1 MB that net/http accepts in a
-// request by default is too much: a process of 200 MB must be able to hold a
-// few hundred headers at a time.
+// maxHeaderBytes limits the size of a response header. The 1 MB that net/http
+// accepts in a request by default is too large: a process with 200 MB of memory
+// must be able to hold a few hundred headers at a time.
 const maxHeaderBytes = 64 << 10
 
-// limitedConn is a connection that fails reads beyond left bytes; -1 sets no limit.
+// limitedConn is a connection whose reads fail after a number of bytes.
 type limitedConn struct {
 	net.Conn
-	left int
+	remaining int // bytes that may still be read, -1 for no limit
 }
 
 var errHeaderTooLarge = fmt.Errorf("response header exceeds %d bytes", maxHeaderBytes)
 
+// Read implements io.Reader. It may return more than the remaining bytes in
+// the call that reaches the limit.
 func (l *limitedConn) Read(p []byte) (int, error) {
-	if l.left == 0 {
+	if l.remaining == 0 {
 		return 0, errHeaderTooLarge
 	}
 	n, err := l.Conn.Read(p)
-	if l.left > 0 {
-		l.left = max(0, l.left-n)
+	if l.remaining > 0 {
+		l.remaining = max(0, l.remaining-n)
 	}
 	return n, err
 }
@@ -255,24 +263,24 @@
 type conn struct {
 	net.Conn
 	address       string
-	limit         *limitedConn
+	limited       *limitedConn
 	reader        *bufio.Reader
 	headerBuf     []byte        // buffer for request headers
-	sent          chan struct{} // closed when the request is written
-	sendErr       error         // set before sent is closed
-	idleSince     time.Time     // when it became idle
-	reusableUntil time.Time     // when it is too old even for a request that may be repeated
+	writeDone     chan struct{} // closed when writing the request has ended
+	writeErr      error         // error of writing the request; set before writeDone is closed
+	idleSince     time.Time     // when the connection was returned to the pool
+	reusableUntil time.Time     // when the connection expires, even for a request that may be repeated
 }
 
-// written reports whether the request has been written completely.
+// written reports whether the whole request has been written.
 func (c *conn) written() bool {
 	select {
-	case <-c.sent:
-		return c.sendErr == nil
+	case <-c.writeDone:
+		return c.writeErr == nil
 	default:
 		return false
 	}
 }
 
-// close closes the connection. It may be called more than once.
+// close closes the connection. It may be called repeatedly.
 func (c *conn) close() { _ = c.Conn.Close() }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -44,10 +44,10 @@
 			return "", 0, err
 		}
 		defer resp.Close()
-		answer, err := io.ReadAll(resp)
-		return string(answer), resp.Status, err
+		content, err := io.ReadAll(resp)
+		return string(content), resp.Status, err
 	}
-	failure := func(err error) *Error {
+	exchangeError := func(err error) *Error {
 		var e *Error
 		Expect(errors.As(err, &e)).To(BeTrue(), "%v", err)
 		return e
@@ -55,10 +55,10 @@
 
 	It("passes method, target and body on unchanged and reuses the connection", func() {
 		for _, id := range []string{"a", "b"} {
-			answer, status, err := do(id, "body of "+id)
+			body, status, err := do(id, "body of "+id)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(status).To(Equal(200))
-			Expect(answer).To(Equal(worker.ResponseBody(id)))
+			Expect(body).To(Equal(worker.ResponseBody(id)))
 		}
 		runs := server.Executions()
 		Expect(runs).To(HaveLen(2))
@@ -68,31 +68,31 @@
 		Expect(server.ConnectionCount()).To(Equal(1))
 	})
 
-	It("was not sent when no connection can be opened", func() {
+	It("reports that the request was not sent if no connection can be opened", func() {
 		server.Close()
 		_, _, err := do("a", "")
-		Expect(failure(err).MayHaveRun).To(BeFalse())
-		Expect(failure(err).Stage).To(Equal(Connecting))
+		Expect(exchangeError(err).MayHaveRun).To(BeFalse())
+		Expect(exchangeError(err).Stage).To(Equal(Connecting))
 	})
 
-	It("may have run when the connection closes without a response", func() {
+	It("reports that the request may have run if the connection closes without a response", func() {
 		server.QueueBehaviours(worker.Behaviour{DropConnection: true})
 		_, _, err := do("a", "")
-		Expect(failure(err).MayHaveRun).To(BeTrue())
+		Expect(exchangeError(err).MayHaveRun).To(BeTrue())
 	})
 
 	It("skips the response to another request", func() {
 		server.QueueBehaviours(worker.Behaviour{ForeignResponseFirst: true, AbortAfterEvents: -1})
-		answer, _, err := do("a", "")
+		body, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(worker.ResponseBody("a")))
+		Expect(body).To(Equal(worker.ResponseBody("a")))
 	})
 
-	It("accepts a response without length as complete when its connection closes cleanly", func() {
+	It("accepts a response without a length as complete if the connection closes cleanly", func() {
 		server.QueueBehaviours(worker.Behaviour{CloseDelimited: true, AbortAfterEvents: -1})
-		answer, _, err := do("a", "")
+		body, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(worker.ResponseBody("a")))
+		Expect(body).To(Equal(worker.ResponseBody("a")))
 		_, _, err = do("b", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(server.ConnectionCount()).To(Equal(2))
@@ -100,27 +100,27 @@
 
 	It("distinguishes an aborted stream from a complete one", func() {
 		server.QueueBehaviours(worker.Behaviour{Events: 3, AbortAfterEvents: 1})
-		answer, _, err := do("a", "")
+		body, _, err := do("a", "")
 		Expect(err).To(HaveOccurred())
-		Expect(answer).To(HavePrefix(worker.Event("a", 1)))
+		Expect(body).To(HavePrefix(worker.Event("a", 1)))
 		server.QueueBehaviours(worker.Behaviour{Events: 3, AbortAfterEvents: -1})
-		answer, _, err = do("b", "")
+		body, _, err = do("b", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(worker.StreamBody("b", 3)))
+		Expect(body).To(Equal(worker.StreamBody("b", 3)))
 	})
 
-	It("accepts a response that arrives before a long body has been read, without losing a byte", func() {
-		long := strings.Repeat("x", 8<<20)
+	It("accepts a complete response that arrives before the server has read a long body", func() {
+		longBody := strings.Repeat("x", 8<<20)
 		server.QueueBehaviours(worker.Behaviour{RejectBeforeBody: true})
-		_, status, err := do("a", long)
+		_, status, err := do("a", longBody)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(413))
-		answer, _, err := do("b", "")
+		body, _, err := do("b", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(worker.ResponseBody("b")))
+		Expect(body).To(Equal(worker.ResponseBody("b")))
 	})
 
-	It("does not use a connection that its server has closed", func() {
+	It("does not reuse a connection that the server has closed", func() {
 		_, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
 		server.CloseConnections()
@@ -134,7 +134,7 @@
 		Expect(server.ConnectionCount()).To(Equal(2))
 	})
 
-	It("keeps no connection to a process that is known to have ended", func() {
+	It("closes idle connections to a server process that is known to have ended", func() {
 		_, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
 		pool.CloseIdle(server.Address())
@@ -144,7 +144,7 @@
 		Expect(server.ConnectionCount()).To(Equal(2))
 	})
 
-	It("sends a request that may run only once on a fresh connection", func() {
+	It("opens a new connection for a non-repeatable request if the idle one may be stale", func() {
 		_, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
 		clock = clock.Add(maxIdleNonRepeatable + time.Millisecond)
@@ -156,7 +156,7 @@
 		Expect(server.ConnectionCount()).To(Equal(2))
 	})
 
-	It("closes idle connections that are too old", func() {
+	It("closes expired idle connections", func() {
 		_, _, err := do("a", "")
 		Expect(err).NotTo(HaveOccurred())
 		clock = clock.Add(maxIdleRepeatable + time.Millisecond)
@@ -164,7 +164,7 @@
 		Expect(pool.idle).To(BeEmpty())
 	})
 
-	It("aborts when its context ends, and the server notices", func() {
+	It("closes the connection when the context is cancelled, and the server detects it", func() {
 		server.QueueBehaviours(worker.Behaviour{Hang: true})
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
@@ -173,13 +173,13 @@
 			cancel()
 		}()
 		_, err := pool.Do(ctx, server.Address(), request("a", ""))
-		Expect(failure(err).MayHaveRun).To(BeTrue())
+		Expect(exchangeError(err).MayHaveRun).To(BeTrue())
 		Expect(errors.Is(err, context.Canceled)).To(BeTrue())
 		Eventually(server.Disconnects).Should(Equal(1))
 	})
 })
 
-func TestKeepAliveTimes(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(keepAliveTimeout(http.Header{"Keep-Alive": {"timeout=5, max=100"}})).To(Equal(5 * time.Second))
 	g.Expect(keepAliveTimeout(http.Header{"Keep-Alive": {"max=100"}})).To(BeZero())
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -15,36 +15,39 @@
 )
 
 const (
-	// connectTimeout bounds opening a connection. It takes about 1 ms, and a
-	// lost SYN is sent again after 1 s; the timeout is well between the two, so
-	// that another server can be tried instead of waiting for the second SYN.
+	// connectTimeout limits the time to open a connection. Connecting takes about
+	// 1 ms, and a lost SYN is retransmitted after 1 s. The timeout is well between
+	// the two, so that another server is tried instead of waiting for the
+	// retransmission.
 	connectTimeout = 400 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken (TCP_USER_TIMEOUT). It tolerates the loss of a
-	// few packets in a row and detects a host without power within two seconds.
-	unackedTimeout = 1500 * time.Millisecond
-	// keepAliveIdle, keepAliveInterval and keepAliveProbes detect a silent host
-	// while waiting for a response: after 1 s + 3 x 0.5 s.
+	// tcpUserTimeout (TCP_USER_TIMEOUT) is how long sent data may stay
+	// unacknowledged before the connection is closed. It tolerates the loss of a
+	// few packets in a row and detects a host that lost power within 2 s.
+	tcpUserTimeout = 1500 * time.Millisecond
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes are the TCP keep-alive
+	// settings. They detect an unresponsive host while waiting for a response,
+	// after 1 s + 3 x 0.5 s.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveProbes   = 3
-	// maxIdleRepeatable is the longest idle time of a connection for a request that
-	// may be repeated, unless the server announces a shorter time.
+	// maxIdleRepeatable is how long a connection may have been idle when it is
+	// reused for a request that may be repeated. The server may announce a shorter
+	// time.
 	maxIdleRepeatable = 4 * time.Second
-	// maxIdleNonRepeatable is the same for a request that must not be repeated: if the server
-	// closes the connection at that moment, it is unknown whether the request
-	// ran. A new connection costs 1 ms.
+	// maxIdleNonRepeatable is the limit for a request that must not be repeated. If
+	// the server closed the connection while the request was sent, it would be
+	// unknown whether the request ran. A new connection takes only 1 ms.
 	maxIdleNonRepeatable = 500 * time.Millisecond
-	// keepAliveMargin is subtracted from the keep-alive time that a server announces,
-	// to allow for the time until the request arrives.
+	// keepAliveMargin is subtracted from the keep-alive timeout that a server
+	// announces, to allow for the latency of the next request.
 	keepAliveMargin = 300 * time.Millisecond
-	// readBufferBytes is the size of a connection's read buffer in bytes; an event of
-	// a stream has a few hundred.
+	// readBufferBytes is the size of a connection's read buffer. An event of a
+	// stream has a few hundred bytes.
 	readBufferBytes = 4 << 10
 )
 
-// Pool holds idle connections to backend servers. It is safe for concurrent
-// use.
+// Pool sends requests to backend servers and reuses idle connections. It is safe
+// for concurrent use.
 type Pool struct {
 	dial   Dial
 	now    func() time.Time
@@ -54,10 +57,11 @@
 	idle map[string][]*conn // by address, oldest first
 }
 
-// Dial opens a connection.
+// Dial opens a connection, like net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewPool returns an empty pool that dials TCP. onDial is called before each attempt to connect.
+// NewPool returns an empty pool that opens TCP connections. onDial is called
+// before each attempt to connect.
 func NewPool(now func() time.Time, onDial func()) *Pool {
 	dialer := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle,
@@ -65,7 +69,7 @@
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
 			if ctlErr := raw.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			}); ctlErr != nil {
 				return ctlErr
 			}
@@ -75,7 +79,8 @@
 	return NewPoolWithDialer(dialer.DialContext, now, onDial)
 }
 
-// NewPoolWithDialer returns an empty pool that opens connections with dial.
+// NewPoolWithDialer returns an empty pool that opens connections with dial,
+// within connectTimeout.
 func NewPoolWithDialer(dial Dial, now func() time.Time, onDial func()) *Pool {
 	bounded := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, connectTimeout)
@@ -85,10 +90,10 @@
 	return &Pool{dial: bounded, now: now, onDial: onDial, idle: map[string][]*conn{}}
 }
 
-// get returns an idle connection that is still usable, or a new one.
+// get returns a usable idle connection or opens a new one.
 func (p *Pool) get(ctx context.Context, address string, mayRepeat bool) (*conn, error) {
 	for {
-		c := p.take(address, mayRepeat)
+		c := p.takeIdle(address, mayRepeat)
 		if c == nil {
 			break
 		}
@@ -102,13 +107,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, address: address, limit: &limitedConn{Conn: raw, left: -1}}
-	c.reader = bufio.NewReaderSize(c.limit, readBufferBytes)
+	c := &conn{Conn: raw, address: address, limited: &limitedConn{Conn: raw, remaining: -1}}
+	c.reader = bufio.NewReaderSize(c.limited, readBufferBytes)
 	return c, nil
 }
 
-// take removes and returns the most recently used idle connection, nil if it is too old.
-func (p *Pool) take(address string, mayRepeat bool) *conn {
+// takeIdle removes and returns the most recently used idle connection to an
+// address, or nil if there is none or it has been idle for too long.
+func (p *Pool) takeIdle(address string, mayRepeat bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -123,8 +129,9 @@
 	return c
 }
 
-// put returns a connection to the pool, at most for the time that its server announced.
-func (p *Pool) put(c *conn, serverTimeout time.Duration) {
+// putIdle returns a connection to the pool. serverTimeout is the keep-alive
+// timeout that the server announced, 0 for none.
+func (p *Pool) putIdle(c *conn, serverTimeout time.Duration) {
 	keep := maxIdleRepeatable
 	if serverTimeout > 0 {
 		keep = min(keep, serverTimeout-keepAliveMargin)
@@ -140,8 +147,9 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// CloseIdle closes the idle connections to an address whose process is known to have ended:
-// for a request sent on one of them it would be unknown whether it ran.
+// CloseIdle closes the idle connections to an address. It is called when the
+// server's process is known to have ended: if a request were sent on such a
+// connection, it would be unknown whether the request ran.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,8 +159,7 @@
 	delete(p.idle, address)
 }
 
-// Sweep closes idle connections that are too old. It is to be called about once
-// a second.
+// Sweep closes expired idle connections. It must be called about once per second.
 func (p *Pool) Sweep() {
 	now := p.now()
 	p.mu.Lock()
@@ -174,8 +181,8 @@
 	}
 }
 
-// healthy reports whether an idle connection is still open and has received no
-// unexpected bytes.
+// healthy reports whether an idle connection is still open and no data has
+// arrived on it. It does not block.
 func (c *conn) healthy() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -196,7 +203,8 @@
 	return err == nil && (readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK)
 }
 
-// keepAliveTimeout returns the keep-alive timeout that a server announces, 0 for none.
+// keepAliveTimeout returns the timeout that a server announces in the Keep-Alive
+// header, 0 for none.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/exchange/probe.go
+++ b/internal/exchange/probe.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// probeTimeout bounds a probe. A connection between failure domains opens within a few ms, and a
-// caller's next attempt waits for the probe.
+// probeTimeout limits the duration of a probe, as a caller's next attempt waits for it. Connecting to a
+// server in another failure domain takes a few ms.
 const probeTimeout = 100 * time.Millisecond
 
-// Refused reports whether the address refuses connections: its host is up, but the process has ended.
-// It is false if a connection opens or nothing comes back.
-func (p *Pool) Refused(ctx context.Context, address string) bool {
+// RefusesConnections probes whether an address refuses connections, which means that its host is up but
+// the server's process has ended. It returns false if the connection opens or there is no reply.
+func (p *Pool) RefusesConnections(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	p.onDial()
--- a/internal/gateway/server_exits.go
+++ b/internal/gateway/server_exits.go
@@ -92,7 +92,7 @@
 	var probes sync.WaitGroup
 	for _, server := range g.servers.Sample(maxProbes, g.random, func(s registry.Server) bool { return !g.quarantine.KnownCrashed(s.InstanceID()) }) {
 		probes.Go(func() {
-			if g.pool.Refused(context.Background(), server.Address) {
+			if g.pool.RefusesConnections(context.Background(), server.Address) {
 				g.quarantine.RecordServerCrash(server.InstanceID(), g.now())
 			}
 		})
@@ -168,7 +168,7 @@
 // probe sets the result of a check: the server has exited if its address refuses connections.
 func (g *Gateway) probe(server registry.Server, c *exitCheck) {
 	defer close(c.done)
-	c.exited = g.pool.Refused(context.Background(), server.Address)
+	c.exited = g.pool.RefusesConnections(context.Background(), server.Address)
 	if c.exited {
 		telemetry.Count("merlinpost_backend_servers_ended_total", "service", server.Service)
 		g.logger.Warn("backend server ended", slog.String("server", server.InstanceID()), slog.String("service", server.Service),
