--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -232,7 +232,7 @@
 	if paused {
 		return false
 	}
-	if g.peers.BorrowRepeat(ctx, q.service, q.info.ID) {
+	if g.peers.BorrowRetry(ctx, q.service, q.info.ID) {
 		return true
 	}
 	g.mu.Lock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -138,7 +138,7 @@
 
 // LendRepeat grants another gateway a repeated send to a service from this gateway's retry budget, and reports whether
 // the budget permitted it.
-func (g *Gateway) LendRepeat(service string) bool { return g.budget(service).Lend(g.now()) }
+func (g *Gateway) LendRetry(service string) bool { return g.budget(service).Lend(g.now()) }
 
 // RecordStall records that the process was stalled since the given time. Requests that arrived during the stall may
 // be old, so requests counted until the backlog is processed do not add to the retry budgets.
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -45,7 +45,7 @@
 	RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a repeated send to a service from their retry budgets and reports
 	// whether one did. The key determines which gateways are asked.
-	BorrowRepeat(ctx context.Context, service, key string) bool
+	BorrowRetry(ctx context.Context, service, key string) bool
 }
 
 // UsePeers sets the peers from which the gateway requests permits. It must be called before
--- a/internal/peers/estimates.go
+++ b/internal/peers/estimates.go
@@ -8,9 +8,9 @@
 	"github.com/merlinpost/merlinpost/internal/enginemodel"
 )
 
-// maxEstimatedServices limits the services whose engine estimates are sent, so that a heartbeat fits
-// into a datagram: a service takes about 50 of the 1,200 bytes. Services with the most
-// observations come first.
+// maxEstimatedServices limits the number of services whose engine estimates a heartbeat contains, so that
+// it fits into a datagram: each service takes about 50 of the 1,200 bytes. The services with the most
+// observations are sent.
 const maxEstimatedServices = 8
 
 // engineEstimates are a gateway's enginemodel.Estimates for a service's engines, encoded in about 50 bytes.
@@ -20,7 +20,7 @@
 	AttentionPerMillionPairs float32 `msgpack:"a"` // additional microseconds per million pairs of tokens
 	FirstEventLatency        float32 `msgpack:"l"` // microseconds to the first event for an empty prompt
 	TokenTime                float32 `msgpack:"t"` // microseconds per generated token
-	MaxEventGap              float32 `msgpack:"p"` // longest pause of a stream in microseconds
+	MaxEventGap              float32 `msgpack:"p"` // longest time between two events of a stream in microseconds
 	Observations             float32 `msgpack:"o"` // number of prompts observed
 }
 
@@ -28,7 +28,7 @@
 
 func fromMicros(v float32) time.Duration { return time.Duration(v * float32(time.Microsecond)) }
 
-// updateEstimates copies the scheduler's estimates for the heartbeats. It must be called from Run's
+// updateEstimates copies the scheduler's estimates for use in heartbeats. It must be called from Run's
 // goroutine, which owns the scheduler.
 func (p *Peers) updateEstimates() {
 	var out []engineEstimates
@@ -43,8 +43,9 @@
 	p.mu.Unlock()
 }
 
-// peerEstimates returns the other gateways' estimates for a service's engines that are based on the
-// most observations. A gateway that becomes the home of a group starts with them.
+// peerEstimates returns the estimates for a service's engines that are based on the most observations
+// among those of the other gateways, and whether there are any. A gateway that becomes the home of a
+// group uses them as its initial estimates.
 func (p *Peers) peerEstimates(service string) (enginemodel.Estimates, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -8,7 +8,7 @@
 )
 
 // ReportInterval is the heartbeat interval of a gateway that reads the store on behalf of the
-// others. Each heartbeat repeats the reports, so that a lost datagram delays them by one interval.
+// others. Each heartbeat includes all current reports, so that a lost datagram delays them by one interval only.
 const ReportInterval = 400 * time.Millisecond
 
 // liveLogInterval limits how often the number of live gateways is logged: when all gateways start
@@ -18,7 +18,7 @@
 // handleHeartbeat processes a received heartbeat.
 func (p *Peers) handleHeartbeat(b heartbeat, from netip.AddrPort, now time.Time) {
 	if b.Starting {
-		defer p.greet(b.Host, from, now)
+		defer p.sendInitialState(b.Host, from, now)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,8 +31,7 @@
 	}
 }
 
-// sendHeartbeatIfDue sends a heartbeat when one is due, and logs changes of the number of live
-// gateways.
+// sendHeartbeatIfDue sends a heartbeat if one is due, and logs changes of the number of live gateways.
 func (p *Peers) sendHeartbeatIfDue(now time.Time) {
 	p.mu.Lock()
 	interval := p.members.heartbeatInterval()
@@ -40,10 +39,10 @@
 	if len(reports) > 0 {
 		interval = ReportInterval
 	}
-	due := now.Sub(p.heartbeatAt) >= interval || p.states.unsent
+	due := now.Sub(p.heartbeatAt) >= interval || p.states.reportPending
 	if due {
 		p.heartbeatAt = now
-		p.states.unsent = false
+		p.states.reportPending = false
 	}
 	live := len(p.members.live(now))
 	changed := live != p.loggedLive && now.Sub(p.liveLoggedAt) >= liveLogInterval
@@ -69,7 +68,7 @@
 	p.sendAll(message{Heartbeat: b})
 }
 
-// newHeartbeat returns a heartbeat of this gateway with the given reports.
+// newHeartbeat returns a heartbeat of this gateway with the given reports. The caller must hold p.mu.
 func (p *Peers) newHeartbeat(reports []stateReport) *heartbeat {
 	return &heartbeat{Host: p.members.self.Host, Capacity: p.members.self.Capacity, Leaving: p.leaving, States: reports, Estimates: p.estimates,
 		Starting: time.Since(p.start) < startupPeriod}
@@ -88,7 +87,7 @@
 	}
 }
 
-// AnnounceLeave tells the other gateways that this one is about to terminate.
+// AnnounceLeave notifies the other gateways that this one is about to terminate.
 func (p *Peers) AnnounceLeave() {
 	p.mu.Lock()
 	p.leaving = true
@@ -102,7 +101,7 @@
 	p.mu.Lock()
 	p.members.addListed(listed, time.Now())
 	p.mu.Unlock()
-	p.sendHeartbeat(nil) // informs newly listed gateways of this one
+	p.sendHeartbeat(nil) // announces this gateway to newly listed ones
 }
 
 // Rank returns the position of this gateway in the order of the live gateways for a key, starting at 0.
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -9,14 +9,14 @@
 	"github.com/merlinpost/merlinpost/internal/rendezvous"
 )
 
-// Member is a gateway.
+// Member identifies a gateway and describes its capacity.
 type Member struct {
 	Host    string
 	Address netip.AddrPort
 	Capacity
 }
 
-// Capacity describes a gateway's host; zero values are unknown.
+// Capacity describes a gateway's host. Zero values mean unknown.
 type Capacity struct {
 	Cores    float64 `msgpack:"c,omitempty"` // available to the gateway
 	LinkMbps uint32  `msgpack:"w,omitempty"`
@@ -25,29 +25,31 @@
 const (
 	// minHeartbeatInterval is the heartbeat interval in a small deployment.
 	minHeartbeatInterval = time.Second
-	// heartbeatIntervalPerMember makes the interval proportional to the number of members, to limit
-	// the traffic of each host. With 390 members, each receives a heartbeat every 19.5 s: the host
-	// sends 20 datagrams of about 90 bytes per second.
+	// heartbeatIntervalPerMember makes the interval of large deployments proportional to the number of
+	// members, which limits the traffic per host. With 390 members, a host sends a heartbeat to each of the
+	// others every 19.5 s: 20 datagrams of about 90 bytes per second.
 	heartbeatIntervalPerMember = 50 * time.Millisecond
-	// maxMissedHeartbeats is the number of consecutive heartbeats that a live member may miss.
+	// maxMissedHeartbeats is the number of heartbeat intervals without a heartbeat after which a member
+	// counts as down.
 	maxMissedHeartbeats = 3
-	// unresponsiveFor is how long a member that did not answer counts as down, unless a heartbeat
-	// arrives from it earlier.
-	unresponsiveFor = 3 * time.Second
+	// unresponsivePeriod is how long a member that did not respond counts as down, unless it sends a
+	// heartbeat earlier.
+	unresponsivePeriod = 3 * time.Second
 	// largeHostFraction is the fraction of the largest member's cores that a member needs to be the
-	// home of a group of engines, and the fraction of cores and link speed that it needs to be
-	// preferred for reading the store on behalf of the others. A small host would be overloaded by
-	// the requests of all gateways; a host on a slow link would receive a large value, and report
-	// it, much later.
+	// home of a group of engines, and the fraction of the largest number of cores and the highest link
+	// speed that it needs to be preferred for reading the store on behalf of the others. A small host
+	// would be overloaded by the requests of all gateways; a host on a slow link would receive and report
+	// a large value much later.
 	largeHostFraction = 0.5
-	// rateShareRetention is how long a silent member keeps its share of rate limits: it may be partitioned
-	// from this gateway and still send requests. The limit frees the shares of hosts that never return.
+	// rateShareRetention is how long a member without heartbeats keeps its share of rate limits: it may be
+	// partitioned from this gateway and still send requests. Afterwards its share is redistributed, because
+	// the host may never return.
 	rateShareRetention = time.Minute
-	// slackShareRetention is how long a silent member keeps its share of the retry budgets' slack.
+	// slackShareRetention is how long a member without heartbeats keeps its share of the retry budgets' slack.
 	slackShareRetention = time.Hour
-	// joinDelay is how long a gateway uses none of the slack after it is first listed in the store, so that
-	// the others learn of it first. joinDelayIntervals is the same delay in heartbeat intervals; the longer
-	// one applies.
+	// joinDelay is how long a gateway uses none of the slack after it was first listed in the store, so that
+	// the others discover it before. joinDelayIntervals is the same delay in heartbeat intervals; the longer
+	// of the two applies.
 	joinDelay, joinDelayIntervals = 1200 * time.Millisecond, 1.2
 )
 
@@ -58,19 +60,19 @@
 	known map[string]*peerState // by host, excluding self
 	// listedAt is when the store first listed this gateway.
 	listedAt time.Time
-	// stalledAt is the end of the last stall of this process. It received no heartbeats during the stall.
+	// stalledAt is the end of the last stall of this process, during which it processed no heartbeats.
 	stalledAt time.Time
 }
 
-// peerState is the state of another gateway.
+// peerState is what is known of another gateway.
 type peerState struct {
 	Member
-	heartbeatAt time.Time // time of the last heartbeat, zero if none
-	listedAt    time.Time // when the store first listed it
-	downUntil   time.Time
-	leaving     bool
-	estimates   []engineEstimates // from its last heartbeat that had any
-	greetedAt   time.Time
+	heartbeatAt        time.Time // time of the last heartbeat, zero if none
+	listedAt           time.Time // when the store first listed it
+	downUntil          time.Time
+	leaving            bool
+	estimates          []engineEstimates // from its last heartbeat that had any
+	initialStateSentAt time.Time         // time of the last sendInitialState
 }
 
 func newMembers(self Member, now time.Time) *members {
@@ -82,7 +84,7 @@
 	return max(minHeartbeatInterval, time.Duration(len(m.known))*heartbeatIntervalPerMember)
 }
 
-// addListed adds members listed in the store. A listed member is not necessarily up.
+// addListed adds members listed in the store. A listed member is not necessarily live.
 func (m *members) addListed(listed []Member, now time.Time) {
 	for _, member := range listed {
 		if member.Host == m.self.Host {
@@ -118,16 +120,16 @@
 	p.heartbeatAt, p.leaving, p.downUntil = now, leaving, time.Time{}
 }
 
-// markUnresponsive records that the member at an address did not answer.
+// markUnresponsive records that the member at an address did not respond.
 func (m *members) markUnresponsive(at netip.AddrPort, now time.Time) {
 	for _, p := range m.known {
 		if p.Address == at {
-			p.downUntil = now.Add(unresponsiveFor)
+			p.downUntil = now.Add(unresponsivePeriod)
 		}
 	}
 }
 
-// live returns the hosts that are up, including this one, in alphabetical order.
+// live returns the hosts of the live gateways, including this one, in alphabetical order.
 func (m *members) live(now time.Time) []string {
 	hosts := []string{m.self.Host}
 	for host, p := range m.known {
@@ -139,9 +141,9 @@
 	return hosts
 }
 
-// rateSharers returns the number of gateways, including this one, that share the rate limits of servers:
-// all that may be sending requests, including silent ones.
-func (m *members) rateSharers(now time.Time) int {
+// rateShareCount returns the number of gateways, including this one, that share the rate limits of servers:
+// all that may be sending requests, including those without recent heartbeats.
+func (m *members) rateShareCount(now time.Time) int {
 	n := 1
 	for _, p := range m.known {
 		if !p.leaving && now.Sub(p.lastSeen()) <= max(rateShareRetention, maxMissedHeartbeats*m.heartbeatInterval()) {
@@ -154,10 +156,11 @@
 // recordStall records that this process was stalled until now.
 func (m *members) recordStall(now time.Time) { m.stalledAt = now }
 
-// slackSharers returns the number of gateways, including this one, that share the slack of the retry budgets;
-// 0 while the others may not know of this one. A silent member may be partitioned and still use its share, so
-// it is counted for slackShareRetention, and for as long as at least a third of all gateways are silent.
-func (m *members) slackSharers(now time.Time) int {
+// slackShareCount returns the number of gateways, including this one, that share the slack of the retry
+// budgets, or 0 while the others may not know of this one. A member without heartbeats may be partitioned and
+// still use its share, so it is counted for slackShareRetention, and for as long as at least a third of all
+// gateways are not live.
+func (m *members) slackShareCount(now time.Time) int {
 	if m.listedAt.IsZero() || now.Sub(m.listedAt) < max(joinDelay, time.Duration(joinDelayIntervals*float64(m.heartbeatInterval()))) {
 		return 0
 	}
@@ -188,13 +191,13 @@
 	return p.listedAt
 }
 
-// isLive reports whether a member is up.
+// isLive reports whether a member has sent a recent heartbeat and neither leaves nor counts as unresponsive.
 func (m *members) isLive(p *peerState, now time.Time) bool {
 	return !p.heartbeatAt.IsZero() && !p.leaving && now.After(p.downUntil) && now.Sub(p.heartbeatAt) <= maxMissedHeartbeats*m.heartbeatInterval()
 }
 
-// home returns the live gateway that schedules the group with a key, chosen by rendezvous hashing among those
-// with enough cores.
+// home returns the live gateway that schedules the requests to the group with a key. It is selected by
+// rendezvous hashing among those with enough cores.
 func (m *members) home(key string, now time.Time) Member {
 	maxCores := m.self.Cores
 	for _, p := range m.known {
@@ -217,14 +220,14 @@
 	return m.self
 }
 
-// rank returns the position of this gateway in the order of the live gateways for a key, starting
-// at 0. Hosts with large processors and fast links precede the others.
+// rank returns the position of this gateway in the rendezvous order of the live gateways for a key,
+// starting at 0. Large hosts precede small ones.
 func (m *members) rank(key string, now time.Time) int {
 	large, small := m.splitByCapacity(now)
 	return slices.Index(append(rendezvous.Rank(key, large), rendezvous.Rank(key, small)...), m.self.Host)
 }
 
-// splitByCapacity returns the live hosts, split into large and small ones.
+// splitByCapacity returns the live hosts, split into large ones, with many cores and a fast link, and small ones.
 func (m *members) splitByCapacity(now time.Time) (large, small []string) {
 	var largest Capacity
 	live := m.live(now)
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// noticesPerDatagram limits the notices in one datagram: each takes up to 73 of the 1,200 bytes.
+	// noticesPerDatagram is the maximum number of notices in one datagram: each takes up to 73 of the 1,200 bytes.
 	noticesPerDatagram = 16
-	// stallThreshold is the time between two iterations of Run's loop above which the process counts as
-	// stalled. backlogPeriod is the time allowed for processing the backlog after a stall.
+	// The process counts as stalled if the time between two iterations of Run's loop exceeds
+	// stallThreshold. backlogPeriod is the time allowed for processing the backlog after a stall.
 	stallThreshold, backlogPeriod = 500 * time.Millisecond, 200 * time.Millisecond
 )
 
-// loanState is the state of the loans of rate limit shares.
+// loanState is the state of loans of rate limit shares.
 type loanState struct {
-	lentAt      time.Time // when shares were last lent
-	loopedAt    time.Time // time of the last iteration of Run's loop
-	ignoreUntil time.Time // end of the period in which received loans are ignored
+	lentAt           time.Time // time of the last loans or renewals
+	lastIterationAt  time.Time // time of the last iteration of Run's loop
+	ignoreLoansUntil time.Time // end of the period in which received loans are ignored
 }
 
-// sendNotices sends notices that are due to the other gateways.
+// sendNotices sends the notices that are due to all other gateways.
 func (p *Peers) sendNotices(now time.Time) {
 	for batch := range slices.Chunk(p.notices.Due(now), noticesPerDatagram) {
 		p.sendAll(message{Notices: batch})
 	}
 }
 
-// handleNotices processes notices of another gateway, and replies with those for which this gateway
-// has newer information.
+// handleNotices processes notices from another gateway, and replies with this gateway's notices where
+// they are newer.
 func (p *Peers) handleNotices(notices []notice.Report, from netip.AddrPort, now time.Time) {
 	host := p.hostAt(from)
 	var newer []notice.Report
@@ -58,7 +58,7 @@
 	return at.String()
 }
 
-// lendRateShares lends this gateway's share of each rate limit to the home gateway of the server's
+// lendRateShares lends this gateway's share of each server's rate limit to the home of the server's
 // group, or renews the loan.
 func (p *Peers) lendRateShares(now time.Time) {
 	limits := p.notices.Limits()
@@ -67,7 +67,7 @@
 	}
 	p.loans.lentAt = now
 	p.mu.Lock()
-	limits.SetGateways(p.members.rateSharers(now))
+	limits.SetGateways(p.members.rateShareCount(now))
 	p.mu.Unlock()
 	due := map[netip.AddrPort][]notice.Report{}
 	for group, servers := range p.local.RateLimitedServers() {
@@ -91,11 +91,11 @@
 	}
 }
 
-// handleLoans accepts the shares that another gateway lends. Loans carry the lender's notices of the
-// servers, because an earlier datagram with the rate limit may have been lost.
+// handleLoans accepts the shares that another gateway lends. A loan includes the lender's notices of the
+// server, because an earlier datagram with the rate limit may have been lost.
 func (p *Peers) handleLoans(loans []notice.Report, from netip.AddrPort, now time.Time) {
 	p.handleNotices(loans, from, now)
-	if now.Before(p.loans.ignoreUntil) {
+	if now.Before(p.loans.ignoreLoansUntil) {
 		return
 	}
 	for _, l := range loans {
@@ -108,17 +108,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.leaving {
-		return // AnnounceLeave has given up the share
+		return // AnnounceLeave has released the share
 	}
-	p.local.SetGateways(p.members.slackSharers(now))
+	p.local.SetGateways(p.members.slackShareCount(now))
 }
 
-// checkStall detects that the process was stalled and then returns borrowed shares and ignores the loans
-// in the backlog: the lenders may have reclaimed these shares during the stall.
+// checkStall detects that the process was stalled. After a stall it returns the borrowed shares and ignores
+// the loans in the backlog, because the lenders may have reclaimed these shares during the stall.
 func (p *Peers) checkStall(now time.Time) {
-	last := p.loans.loopedAt
+	last := p.loans.lastIterationAt
 	stalled := !last.IsZero() && now.Sub(last) > stallThreshold
-	p.loans.loopedAt = now
+	p.loans.lastIterationAt = now
 	if stalled {
 		p.mu.Lock()
 		p.members.recordStall(now)
@@ -128,6 +128,6 @@
 	if stalled && !p.notices.Empty() {
 		telemetry.Count("merlinpost_rate_shares_returned_total")
 		p.notices.Limits().DropBorrowed(now)
-		p.loans.ignoreUntil = now.Add(backlogPeriod)
+		p.loans.ignoreLoansUntil = now.Add(backlogPeriod)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,11 +1,12 @@
-// Package peers connects the gateways of a deployment. It tracks which gateways are up and which
-// gateway schedules the requests to a group of engines (the group's home). It also
-// distributes estimates of engine performance, notices of backend servers, suspected requests, shares of
-// limits and budgets, and the states that gateways have read from the platform's store, so that not
-// all of them need to read it.
+// Package peers implements the protocol between the gateways of a deployment. It tracks which
+// gateways are live and which one schedules the requests to each group of engines (the group's
+// home). It also distributes estimates of engine performance, notices of backend servers, suspected
+// requests, shares of rate limits and retry budgets, and the states that gateways have read from the
+// platform's store, so that not all of them need to read it.
 //
-// All messages are datagrams on one socket. Lost requests are repeated, and other lost information
-// is sent again or read from the store. No guarantee to callers depends on the delivery of a datagram.
+// All messages are UDP datagrams on one socket. Lost requests are retransmitted, and other lost
+// information is resent or read from the store. No guarantee to callers depends on the delivery of a
+// datagram.
 package peers
 
 import (
@@ -23,10 +24,10 @@
 )
 
 const (
-	// busyInterval is the interval at which queued permit requests are checked in the absence of
-	// events; idleInterval is the interval of Run's loop when none is queued.
-	busyInterval, idleInterval = 20 * time.Millisecond, 100 * time.Millisecond
-	// inboxSize is the number of received datagrams that may be waiting for Run.
+	// queuedPollInterval is the interval at which Run polls the scheduler in the absence of events
+	// while permit requests are queued; idlePollInterval applies when none are queued.
+	queuedPollInterval, idlePollInterval = 20 * time.Millisecond, 100 * time.Millisecond
+	// inboxSize is the capacity of the queue of received datagrams that Run has not processed yet.
 	inboxSize = 1024
 )
 
@@ -37,31 +38,31 @@
 	PermitDecision *permit.Decision `msgpack:"v,omitempty"`
 	FirstToken     *firstToken      `msgpack:"f,omitempty"`
 	End            *requestEnd      `msgpack:"e,omitempty"`
-	// Suspects are requests that may crash servers, as known to the sender.
+	// Suspects are requests that are suspected of crashing servers, as known to the sender.
 	Suspects []quarantine.Update `msgpack:"q,omitempty"`
-	// Notices are the servers' statements about themselves, as known to the sender.
+	// Notices are the notices that servers have sent in responses, as known to the sender.
 	Notices []notice.Report `msgpack:"n,omitempty"`
-	// Loans are the rate limits of which the sender lends its share to the receiver.
+	// Loans identify the rate limits of which the sender lends its share to the receiver.
 	Loans []notice.Report `msgpack:"l,omitempty"`
-	// RepeatRequest asks the receiver for a repeat from its retry budget; RepeatResponse is the reply.
-	RepeatRequest  *repeatRequest  `msgpack:"r,omitempty"`
-	RepeatResponse *repeatResponse `msgpack:"p,omitempty"`
+	// RetryRequest asks the receiver for a retry from its retry budget; RetryResponse is the response.
+	RetryRequest  *retryRequest  `msgpack:"r,omitempty"`
+	RetryResponse *retryResponse `msgpack:"p,omitempty"`
 }
 
-// heartbeat announces a gateway and reports the states that it has read from the store.
+// heartbeat announces that a gateway is live and reports the states that it has read from the store.
 type heartbeat struct {
 	Host string `msgpack:"h"`
 	Capacity
 	Leaving bool `msgpack:"l,omitempty"`
-	// Starting is set by a gateway that has just started, to ask the others for what they know of suspects
-	// and notices.
+	// Starting is set by a gateway that has just started. It requests the current suspects and notices
+	// from the others.
 	Starting bool          `msgpack:"n,omitempty"`
 	States   []stateReport `msgpack:"f,omitempty"`
-	// Estimates are those for the engines whose requests the sender schedules.
+	// Estimates are the sender's estimates for the engines whose requests it schedules.
 	Estimates []engineEstimates `msgpack:"e,omitempty"`
 }
 
-// permitRequest asks for permission to send a request to an engine of a group.
+// permitRequest asks the home of a group for permission to send a request to one of its engines.
 type permitRequest struct {
 	Group permit.Group `msgpack:"g"`
 	permit.Ask
@@ -81,34 +82,34 @@
 	permit.StreamStats
 }
 
-// LocalGateway is the gateway of this process.
+// LocalGateway is the gateway that runs in this process.
 type LocalGateway interface {
 	// Engines returns the engines of a group.
 	Engines(permit.Group) []permit.Engine
-	// Quarantine returns the tracker of requests that may crash servers.
+	// Quarantine returns the tracker of requests that are suspected of crashing servers.
 	Quarantine() *quarantine.Tracker
-	// Notices returns the registry of the servers' statements about themselves.
+	// Notices returns the registry of the servers' notices.
 	Notices() *notice.Registry
 	// RateLimitedServers returns the servers that state a rate limit, by group.
 	RateLimitedServers() map[permit.Group][]string
 	// SetGateways sets the number of gateways, including this one, that share the slack of the retry
-	// budgets; 0 while this gateway has no share.
+	// budgets. With 0, this gateway has no share.
 	SetGateways(n int)
-	// LendRepeat grants another gateway a repeated send to a service from this gateway's retry budget, and reports
+	// LendRetry grants another gateway a retry to a service from this gateway's retry budget, and reports
 	// whether the budget permitted it.
-	LendRepeat(service string) bool
-	// RecordStall records that the process was stalled since the given time and is expected to process
-	// the backlog until the other.
+	LendRetry(service string) bool
+	// RecordStall records that the process was stalled from since until now, and is expected to have
+	// processed the backlog at until.
 	RecordStall(since, until time.Time)
 }
 
-// received is a message with its sender.
+// received is a message with the address of its sender.
 type received struct {
 	message
 	from netip.AddrPort
 }
 
-// Peers connects this gateway to the others. It is safe for concurrent use.
+// Peers exchanges messages with the other gateways. It is safe for concurrent use.
 type Peers struct {
 	socket     *datagram.Socket[message]
 	self       netip.AddrPort
@@ -124,38 +125,38 @@
 	mu             sync.Mutex
 	members        *members
 	states         topicStates
-	estimates      []engineEstimates               // by this gateway, as sent in heartbeats
+	estimates      []engineEstimates               // this gateway's, as sent in heartbeats
 	pendingPermits map[string]chan permit.Decision // by request ID
-	pendingRepeats map[uint64]chan bool            // waiting for a repeatResponse, by ID
-	lastRepeatID   uint64                          // ID of the newest repeatRequest
+	pendingRetries map[uint64]chan bool            // by the ID of the retryRequest
+	lastRetryID    uint64                          // ID of the newest retryRequest
 	leaving        bool
 	heartbeatAt    time.Time
 	loggedLive     int // number of live gateways last logged, at liveLoggedAt
 	liveLoggedAt   time.Time
 }
 
-// Open opens a socket on an IP address and port for the gateway on host, which is this process's.
+// Open listens on an IP address and port. Host is the host of this gateway.
 func Open(host, address string, capacity Capacity, local LocalGateway, logger *slog.Logger) (*Peers, error) {
-	socket, err := datagram.Open[message](address, metric)
+	socket, err := datagram.Open[message](address, metricPrefix)
 	if err != nil {
 		return nil, err
 	}
 	return newPeers(host, socket, capacity, local, logger), nil
 }
 
-// New connects the gateway on host to the others over conn, and takes ownership of conn.
+// New is like Open, but uses conn, which it takes ownership of.
 func New(host string, conn datagram.PacketConn, capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
-	return newPeers(host, datagram.New[message](conn, metric), capacity, local, logger)
+	return newPeers(host, datagram.New[message](conn, metricPrefix), capacity, local, logger)
 }
 
-// metric is the name prefix of the datagram counters.
-const metric = "merlinpost_peer_datagrams"
+// metricPrefix is the name prefix of the datagram counters.
+const metricPrefix = "merlinpost_peer_datagrams"
 
 func newPeers(host string, socket *datagram.Socket[message], capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
 	self := socket.Address()
 	now := time.Now()
 	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, quarantine: local.Quarantine(), notices: local.Notices(), start: now,
-		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRepeats: map[uint64]chan bool{}}
+		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRetries: map[uint64]chan bool{}}
 	p.scheduler = permit.NewScheduler[netip.AddrPort](local.Engines, p.peerEstimates, p.notices.Limits(), permit.Policy{})
 	return p
 }
@@ -167,14 +168,15 @@
 	return p.members.self
 }
 
-// Run sends and processes messages until ctx is done. One goroutine receives; the calling one decides.
+// Run sends and processes messages until ctx is done. A separate goroutine receives from the socket;
+// the calling goroutine processes the messages.
 func (p *Peers) Run(ctx context.Context) {
 	var receiving sync.WaitGroup
 	defer receiving.Wait()
 	receiving.Go(func() {
 		p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.enqueue(received{m, from}) })
 	})
-	timer := time.NewTimer(idleInterval)
+	timer := time.NewTimer(idlePollInterval)
 	defer timer.Stop()
 	estimatesLogged := time.Now()
 	for {
@@ -186,9 +188,9 @@
 		case <-p.quarantine.UpdatesReady():
 		case <-p.notices.Pending():
 		case <-timer.C:
-			next := idleInterval
+			next := idlePollInterval
 			if p.scheduler.QueuedCount() > 0 {
-				next = busyInterval
+				next = queuedPollInterval
 			}
 			timer.Reset(next)
 		}
@@ -259,10 +261,10 @@
 		p.handleNotices(r.Notices, r.from, now)
 	case r.Loans != nil:
 		p.handleLoans(r.Loans, r.from, now)
-	case r.RepeatRequest != nil:
-		p.lendRepeat(*r.RepeatRequest, r.from)
-	case r.RepeatResponse != nil:
-		p.deliverRepeat(*r.RepeatResponse)
+	case r.RetryRequest != nil:
+		p.lendRetry(*r.RetryRequest, r.from)
+	case r.RetryResponse != nil:
+		p.deliverRetryResponse(*r.RetryResponse)
 	}
 }
 
@@ -286,6 +288,6 @@
 	}
 	select {
 	case ch <- d:
-	default: // the previous decision has not been received yet; RequestPermit repeats its request
+	default: // the previous decision has not been received yet; RequestPermit resends its request
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -47,7 +47,7 @@
 }
 
 func (fakeGateway) RateLimitedServers() map[permit.Group][]string { return nil }
-func (fakeGateway) LendRepeat(string) bool                        { return false }
+func (fakeGateway) LendRetry(string) bool                         { return false }
 func (fakeGateway) SetGateways(int)                               {}
 func (fakeGateway) RecordStall(time.Time, time.Time)              {}
 
@@ -73,12 +73,12 @@
 	m.recordHeartbeat(member("b", at(2)), false, now.Add(time.Second))
 	g.Expect(m.live(now.Add(time.Second))).To(Equal([]string{"a", "b"}))
 	g.Expect(m.live(now.Add(10 * time.Second))).To(Equal([]string{"a"}))
-	m.recordHeartbeat(member("b", at(9)), false, now) // replaced at another address
+	m.recordHeartbeat(member("b", at(9)), false, now) // a replacement at another address
 	g.Expect(m.known["b"].Address).To(Equal(at(9)))
 }
 
-// Gateways with the same view agree on the home of each key, and the loss of a gateway moves only
-// the keys of which it was the home.
+// Gateways with the same view of the membership agree on the home of each key, and the loss of a gateway
+// moves only the keys whose home it was.
 func TestGatewaysAgreeOnHome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "gateways")
@@ -112,8 +112,8 @@
 	})
 }
 
-// Guards against homes on hosts with few cores, which would be overloaded by the requests of all
-// gateways. They are used only if there are no larger hosts.
+// Guards against homes on hosts with few cores, which the requests of all gateways would overload.
+// Such hosts are homes only if there are no larger ones.
 func TestOnlyLargeHostsAreHomes(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -132,8 +132,8 @@
 	g.Expect(homes).To(HaveKey("middle"))
 }
 
-// Guards against small hosts that read the store on behalf of the others while larger ones are
-// live, and against gateways that disagree on the order.
+// Guards against small hosts reading the store on behalf of the others while larger ones are live, and
+// against gateways that disagree on the order.
 func TestLargeHostsRankFirst(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -165,7 +165,7 @@
 		m.addListed([]Member{member(fmt.Sprint(i), at(i+2))}, time.Unix(0, 0))
 	}
 	datagramsPerSecond := 389 / m.heartbeatInterval().Seconds()
-	// One gateway in 35 schedules a group and sends the estimates of one service's engines.
+	// One gateway in 35 is the home of a group and sends the estimates for one service's engines.
 	const bytesEach = 90 + 60/35
 	g.Expect(datagramsPerSecond * bytesEach).To(BeNumerically("<", 2000))
 }
@@ -195,7 +195,7 @@
 		{"strong suspect", 240, message{Suspects: suspects(1, 3)}},
 		{"notice", 80, message{Notices: []notice.Report{rated}}},
 		{"loan", 80, message{Loans: []notice.Report{rated}}},
-		{"a datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Report{rated}, noticesPerDatagram)}},
+		{"datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Report{rated}, noticesPerDatagram)}},
 	} {
 		data, err := msgpack.Marshal(m.message)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -204,24 +204,24 @@
 	}
 }
 
-// suspects returns the given number of suspected requests, each of which has ended the given number of servers.
-func suspects(requests, ends int) []quarantine.Update {
-	l, now := quarantine.New(), time.Unix(1000, 0)
+// suspects returns the given number of suspected requests, each with the given number of server crashes.
+func suspects(requests, crashes int) []quarantine.Update {
+	tracker, now := quarantine.New(), time.Unix(1000, 0)
 	for i := range requests {
 		id := quarantine.Identify("team", "POST", "a.example", fmt.Sprint("/", i), nil)
-		for j := range ends {
+		for j := range crashes {
 			at := now.Add(time.Duration(j) * time.Second)
-			l.RecordCrash(id, quarantine.Crash{Server: fmt.Sprintf("i-7f3a91c2%02d@17650000%05d", j, i), SentAt: at.Add(-time.Second), At: at}, at)
+			tracker.RecordCrash(id, quarantine.Crash{Server: fmt.Sprintf("i-7f3a91c2%02d@17650000%05d", j, i), SentAt: at.Add(-time.Second), At: at}, at)
 		}
 	}
-	return l.Snapshot(now.Add(time.Minute))
+	return tracker.Snapshot(now.Add(time.Minute))
 }
 
 func TestSuspectBatchesFitIntoDatagrams(t *testing.T) {
 	g := NewWithT(t)
 	total := 0
-	for _, ends := range []int{1, 3, 12} {
-		for _, batch := range suspectBatches(suspects(100, ends)) {
+	for _, crashes := range []int{1, 3, 12} {
+		for _, batch := range suspectBatches(suspects(100, crashes)) {
 			data, err := msgpack.Marshal(message{Suspects: batch})
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(len(data)).To(BeNumerically("<=", 1200))
@@ -238,7 +238,7 @@
 	g.Expect(f.reports(now)).To(HaveLen(1))
 	f.receive(stateReport{"t", 7, 100, 5000}, at(9), now.Add(time.Second))
 	g.Expect(f.topic("t").confirmedAt()).To(Equal(now.Add(900 * time.Millisecond)))
-	g.Expect(f.topic("t").remote.since).To(Equal(now.Add(-4 * time.Second)))
+	g.Expect(f.topic("t").remote.storeUpSince).To(Equal(now.Add(-4 * time.Second)))
 	g.Expect(f.reports(now.Add(time.Second))).To(BeEmpty()) // another gateway reports it
 	changed := f.topic("t").changed
 	f.receive(stateReport{"t", 8, 0, 0}, at(9), now.Add(2*time.Second))
@@ -248,9 +248,9 @@
 	g.Expect(f.topic("t").remote.state).To(BeEquivalentTo(8))
 }
 
-// Guards against missing a higher version that was read earlier over a slow link, and against
-// recent reports of a gateway with an older version, which must neither confirm this gateway's
-// version nor replace the higher one.
+// Guards against ignoring a higher version because it was read earlier, as over a slow link, and against
+// a recent report of an older version, which must neither confirm this gateway's version nor replace the
+// higher one.
 func TestHigherVersionIsNewerRegardlessOfReadTime(t *testing.T) {
 	g := NewWithT(t)
 	f, now := topicStates{}, time.Unix(100, 0)
@@ -273,16 +273,16 @@
 	g.Expect(f.topic("t").confirmedAt()).To(Equal(now.Add(2 * time.Second)))
 }
 
-// Guards against reporting a state that was fetched from another gateway, which reports it itself.
+// Guards against reporting a state that was fetched from another gateway, which already reports it.
 func TestStateFromPeerIsNotReportedAgain(t *testing.T) {
 	g := NewWithT(t)
 	f, now := topicStates{}, time.Unix(100, 0)
 	f.topic("t").versioned = true
 	f.receive(stateReport{"t", 8, 0, 0}, at(2), now)
 	f.record("t", 8, now, now)
-	g.Expect(f.unsent).To(BeFalse())
+	g.Expect(f.reportPending).To(BeFalse())
 	f.record("t", 9, now.Add(time.Second), now)
-	g.Expect(f.unsent).To(BeTrue())
+	g.Expect(f.reportPending).To(BeTrue())
 }
 
 var _ = Describe("gateways on one network", func() {
@@ -306,7 +306,7 @@
 		return permit.Ask{ID: id, UniqueTokens: 20000, FirstTokenTarget: 2 * time.Second, FirstTokenTimeout: 8 * time.Second}
 	}
 
-	It("discover each other and notice one that leaves", func() {
+	It("discover each other and detect one that leaves", func() {
 		a, _ := open("a")
 		b, _ := open("b")
 		a.AddListed([]Member{b.Self()}) // b discovers a from its heartbeat
@@ -329,11 +329,11 @@
 		}
 		b, _ := open("b")
 		a.AddListed([]Member{b.Self()})
-		read := func() time.Duration {
-			f, _ := b.peerEstimates("s")
-			return f.PrefillPer1000Tokens
+		prefillTime := func() time.Duration {
+			e, _ := b.peerEstimates("s")
+			return e.PrefillPer1000Tokens
 		}
-		Eventually(read, 3*time.Second).Should(BeNumerically("~", 100*time.Millisecond, 20*time.Millisecond))
+		Eventually(prefillTime, 3*time.Second).Should(BeNumerically("~", 100*time.Millisecond, 20*time.Millisecond))
 		_, known := b.peerEstimates("other")
 		Expect(known).To(BeFalse())
 	})
@@ -363,7 +363,7 @@
 		a.AddListed([]Member{b.Self()})
 		Eventually(live(a)).Should(Equal(2))
 		stopB()
-		for i := range 8 { // about half of these groups had their home at b
+		for i := range 8 { // b was the home of about half of these groups
 			decision, _ := a.RequestPermit(context.Background(), permit.Group{Service: "s", Index: i}, request(fmt.Sprint("r", i)))
 			Expect(decision.Verdict).To(Equal(permit.Granted))
 		}
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// answerTimeout limits the wait for the answer of a home. It allows for a round trip of up to
+	// responseTimeout limits the wait for a response of a home. It allows for a round-trip time of up to
 	// 6 ms and a home process on a seventh of a core. An unreachable home delays a request by
-	// maxMissedAnswers+1 time-outs.
-	answerTimeout = 80 * time.Millisecond
-	// queuedRetryInterval is the interval at which a queued permit request is repeated, in case its
-	// grant was lost or the home has terminated. At four repeats a second, about a hundred queued
-	// requests took most of the processor time of a home on a seventh of a core.
-	queuedRetryInterval = time.Second
-	// maxMissedAnswers is the number of answers in a row that may be missing before a home counts as down.
-	maxMissedAnswers = 2
-	// maxHomeAttempts is the number of homes that are tried in turn.
+	// maxMissedResponses+1 timeouts.
+	responseTimeout = 80 * time.Millisecond
+	// queuedResendInterval is the interval at which a queued permit request is resent, in case its
+	// grant was lost or the home has terminated. Resent four times a second, about a hundred queued
+	// requests took most of the CPU time of a home on a seventh of a core.
+	queuedResendInterval = time.Second
+	// maxMissedResponses is the number of consecutive responses that a home may miss before it counts as down.
+	maxMissedResponses = 2
+	// maxHomeAttempts is the maximum number of homes that are tried in turn.
 	maxHomeAttempts = 2
 )
 
-// Permit is permission to send a request to an engine. The zero Permit was granted without a home, and its methods
-// do nothing.
+// Permit is permission to send a request to an engine. The methods of the zero Permit, which stands for one that
+// was granted without a home, do nothing.
 type Permit struct {
 	peers *Peers
 	home  netip.AddrPort
@@ -48,8 +48,8 @@
 }
 
 // RequestPermit asks the group's home for permission to send a request, and waits while the permit
-// request is queued. If no home answers, the request may be sent: the verdict is then Granted without
-// an engine, and the Permit is zero. When ctx is done, the verdict is Refused.
+// request is queued. If no home responds, the request may be sent anyway: the verdict is Granted without
+// an engine, and the Permit is zero. If ctx is done before the decision, the verdict is Refused.
 func (p *Peers) RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
 	ch := make(chan permit.Decision, 1)
 	p.mu.Lock()
@@ -65,8 +65,8 @@
 		p.mu.Lock()
 		home := p.members.home(group.Key(), time.Now()).Address
 		p.mu.Unlock()
-		decision, answered := p.requestFromHome(ctx, home, pendingRequest{group, a, start}, ch)
-		if answered {
+		decision, responded := p.requestFromHome(ctx, home, pendingRequest{group, a, start}, ch)
+		if responded {
 			if decision.Verdict != permit.Granted {
 				return decision, Permit{}
 			}
@@ -79,14 +79,14 @@
 	return permit.Decision{ID: a.ID, Verdict: permit.Granted}, Permit{}
 }
 
-// pendingRequest is a permit request with the time at which its remaining times were calculated.
+// pendingRequest is a permit request. The remaining times that it contains are relative to requestedAt.
 type pendingRequest struct {
 	group       permit.Group
 	request     permit.Ask
 	requestedAt time.Time
 }
 
-// message returns the request with the remaining times adjusted to now.
+// message returns the message for the request, with the remaining times relative to now.
 func (q pendingRequest) message() message {
 	a, elapsed := q.request, time.Since(q.requestedAt)
 	a.FirstTokenTarget -= elapsed
@@ -95,11 +95,11 @@
 }
 
 // requestFromHome sends a permit request to a home and waits for the decision. It returns false if the home does
-// not answer.
+// not respond.
 func (p *Peers) requestFromHome(ctx context.Context, home netip.AddrPort, q pendingRequest, ch <-chan permit.Decision) (permit.Decision, bool) {
 	p.send(q.message(), home)
 	missed := 0
-	timer := time.NewTimer(answerTimeout)
+	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -111,13 +111,13 @@
 				return decision, true
 			}
 			missed = 0
-			timer.Reset(queuedRetryInterval)
+			timer.Reset(queuedResendInterval)
 		case <-timer.C:
-			if missed++; missed > maxMissedAnswers {
+			if missed++; missed > maxMissedResponses {
 				return permit.Decision{}, false
 			}
 			p.send(q.message(), home)
-			timer.Reset(answerTimeout)
+			timer.Reset(responseTimeout)
 		}
 	}
 }
--- /dev/null
+++ b/internal/peers/retries.go
@@ -0,0 +1,100 @@
+package peers
+
+import (
+	"context"
+	"net/netip"
+	"slices"
+	"time"
+
+	"github.com/merlinpost/merlinpost/internal/rendezvous"
+	"github.com/merlinpost/merlinpost/internal/telemetry"
+)
+
+const (
+	// retryResponseTimeout limits the wait for another gateway's response. A later response is ignored: the lender
+	// counted the retry when it responded, and a send long after that may be in another window.
+	retryResponseTimeout = 50 * time.Millisecond
+	// maxLenders is the maximum number of gateways that are asked for one retry.
+	maxLenders = 3
+)
+
+// retryRequest asks a gateway to grant a retry to a service from its retry budget.
+type retryRequest struct {
+	ID      uint64 `msgpack:"i"`
+	Service string `msgpack:"s"`
+}
+
+// retryResponse is the response to the retryRequest with the same ID.
+type retryResponse struct {
+	ID      uint64 `msgpack:"i"`
+	Granted bool   `msgpack:"g,omitempty"`
+}
+
+// BorrowRetry asks up to maxLenders other gateways, one at a time, to grant a retry to a service from their
+// retry budgets, and reports whether one did. Different keys distribute the load over the gateways.
+func (p *Peers) BorrowRetry(ctx context.Context, service, key string) bool {
+	for _, lender := range p.lenders(key) {
+		if p.borrowRetry(ctx, service, lender) {
+			telemetry.Count("merlinpost_retry_budget_borrowed_total", "service", service)
+			return true
+		}
+		if ctx.Err() != nil {
+			return false
+		}
+	}
+	return false
+}
+
+// lenders returns the addresses of the gateways to ask, in order.
+func (p *Peers) lenders(key string) []netip.AddrPort {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	hosts := slices.DeleteFunc(p.members.live(time.Now()), func(host string) bool { return host == p.members.self.Host })
+	ranked := rendezvous.Rank(key, hosts)
+	var out []netip.AddrPort
+	for _, host := range ranked[:min(len(ranked), maxLenders)] {
+		out = append(out, p.members.known[host].Address)
+	}
+	return out
+}
+
+// borrowRetry asks one gateway for a retry and waits for its response.
+func (p *Peers) borrowRetry(ctx context.Context, service string, lender netip.AddrPort) bool {
+	response := make(chan bool, 1)
+	p.mu.Lock()
+	p.lastRetryID++
+	id := p.lastRetryID
+	p.pendingRetries[id] = response
+	p.mu.Unlock()
+	defer func() {
+		p.mu.Lock()
+		delete(p.pendingRetries, id)
+		p.mu.Unlock()
+	}()
+	requestedAt := time.Now()
+	p.send(message{RetryRequest: &retryRequest{id, service}}, lender)
+	timer := time.NewTimer(retryResponseTimeout)
+	defer timer.Stop()
+	select {
+	case granted := <-response:
+		return granted && time.Since(requestedAt) <= retryResponseTimeout
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+	return false
+}
+
+// lendRetry responds to a retryRequest of another gateway.
+func (p *Peers) lendRetry(r retryRequest, from netip.AddrPort) {
+	p.send(message{RetryResponse: &retryResponse{r.ID, p.local.LendRetry(r.Service)}}, from)
+}
+
+// deliverRetryResponse passes a response to the borrowRetry call that waits for it.
+func (p *Peers) deliverRetryResponse(r retryResponse) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if ch := p.pendingRetries[r.ID]; ch != nil {
+		ch <- r.Granted
+		delete(p.pendingRetries, r.ID)
+	}
+}
--- a/internal/peers/slack_test.go
+++ b/internal/peers/slack_test.go
@@ -15,12 +15,12 @@
 	Member
 	members     *members // nil while it is down
 	leaving     bool
-	cut         bool      // partitioned from the other gateways, not from the store
+	partitioned bool      // partitioned from the other gateways, not from the store
 	heartbeatAt time.Time // time of its last heartbeats
 	listReadAt  time.Time // time of its last read of the store's list
 }
 
-// slackFleet simulates gateways that discover each other by heartbeats and by the store's list.
+// slackFleet simulates gateways that discover each other from heartbeats and from the store's list.
 type slackFleet struct {
 	rnd    *rand.Rand
 	now    time.Time
@@ -55,14 +55,14 @@
 	f.sendHeartbeats(n, 0.05)
 }
 
-// listEvery is the interval at which gateways read the store's list.
-const listEvery = 20 * time.Second
+// listReadInterval is the interval at which gateways read the store's list.
+const listReadInterval = 20 * time.Second
 
-// sendHeartbeats sends a heartbeat to each known gateway; each is lost with probability loss.
+// sendHeartbeats sends a heartbeat to each known gateway. Each heartbeat is lost with probability loss.
 func (f *slackFleet) sendHeartbeats(n *slackNode, loss float64) {
 	n.heartbeatAt = f.now
 	for _, other := range f.nodes {
-		if other.members != nil && !other.cut && !n.cut && n.members.known[other.Host] != nil && f.rnd.Float64() >= loss {
+		if other.members != nil && !other.partitioned && !n.partitioned && n.members.known[other.Host] != nil && f.rnd.Float64() >= loss {
 			other.members.recordHeartbeat(n.Member, n.leaving, f.now)
 		}
 	}
@@ -84,7 +84,7 @@
 		n.leaving = true
 		f.sendHeartbeats(n, 0)
 	case kind == 4:
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case kind == 5:
 		n.members.recordStall(f.now)
 	}
@@ -94,7 +94,7 @@
 func (f *slackFleet) step() {
 	f.now = f.now.Add(500 * time.Millisecond)
 	for _, n := range f.nodes {
-		if n.members != nil && f.now.Sub(n.listReadAt) >= listEvery {
+		if n.members != nil && f.now.Sub(n.listReadAt) >= listReadInterval {
 			f.readList(n)
 		}
 		if n.members != nil && f.now.Sub(n.heartbeatAt) >= n.members.heartbeatInterval() {
@@ -110,14 +110,15 @@
 		if n.members == nil || n.leaving {
 			continue
 		}
-		if sharing := n.members.slackSharers(f.now); sharing > 0 {
+		if sharing := n.members.slackShareCount(f.now); sharing > 0 {
 			sum += 1 / float64(sharing)
 		}
 	}
 	return sum
 }
 
-// Guards against gateways that together use more than the slack of a service.
+// Guards against gateways whose shares add up to more than the slack of a service, under random faults and
+// membership changes.
 func TestGatewaysTogetherStayWithinSlack(t *testing.T) {
 	for size, seeds := range map[int]uint64{4: 100, 22: 30, 390: 1} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -155,13 +156,13 @@
 	for range 60 {
 		f.step()
 	}
-	if n := f.nodes[0].members.slackSharers(f.now); n != 4 {
+	if n := f.nodes[0].members.slackShareCount(f.now); n != 4 {
 		t.Fatalf("%d gateways are counted 30 s after the last heartbeat of one, want 4", n)
 	}
 	for range 2 * 3600 {
 		f.step()
 	}
-	if n := f.nodes[0].members.slackSharers(f.now); n != 3 {
+	if n := f.nodes[0].members.slackShareCount(f.now); n != 3 {
 		t.Fatalf("%d gateways are counted an hour after the last heartbeat of one, want 3", n)
 	}
 }
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	// startupPeriod is how long after its start a gateway asks the others for what they know of suspects
-	// and notices. In a small deployment it spans several heartbeats, because one may be lost.
+	// startupPeriod is how long after its start a gateway requests the current suspects and notices from the
+	// others. In a small deployment it spans several heartbeats, because one may be lost.
 	startupPeriod = 3 * time.Second
-	// maxGreeters is the number of gateways that send a new gateway what they know.
-	maxGreeters = 2
-	// maxSuspectBytes limits the estimated size of the suspects in one datagram.
+	// maxInitialStateSenders is the number of gateways that send suspects and notices to a gateway that has just
+	// started.
+	maxInitialStateSenders = 2
+	// maxSuspectBytes is the maximum estimated size of the suspects in one datagram.
 	maxSuspectBytes = 1000
 )
 
-// sendSuspects sends changes of suspected requests to the other gateways.
+// sendSuspects sends the updates of suspected requests that are due to all other gateways.
 func (p *Peers) sendSuspects(now time.Time) {
 	for _, batch := range suspectBatches(p.quarantine.DueUpdates(now)) {
 		p.sendAll(message{Suspects: batch})
 	}
 }
 
-// greet sends a gateway that has just started this gateway's engine estimates, so that it need not wait
-// for the next heartbeat. Only maxGreeters gateways also send suspects and notices.
-func (p *Peers) greet(host string, at netip.AddrPort, now time.Time) {
+// sendInitialState sends this gateway's engine estimates to a gateway that has just started, which would
+// otherwise receive them with the next heartbeat. Only maxInitialStateSenders gateways also send suspects and
+// notices.
+func (p *Peers) sendInitialState(host string, at netip.AddrPort, now time.Time) {
 	p.mu.Lock()
-	if m := p.members.known[host]; m != nil && now.Sub(m.greetedAt) >= startupPeriod {
-		m.greetedAt = now
+	if m := p.members.known[host]; m != nil && now.Sub(m.initialStateSentAt) >= startupPeriod {
+		m.initialStateSentAt = now
 		defer p.send(message{Heartbeat: p.newHeartbeat(nil)}, at)
 	}
 	live := slices.DeleteFunc(p.members.live(now), func(h string) bool { return h == host })
 	position := slices.Index(rendezvous.Rank("requests/"+host, live), p.members.self.Host)
 	p.mu.Unlock()
-	if position < 0 || position >= maxGreeters {
+	if position < 0 || position >= maxInitialStateSenders {
 		return
 	}
 	for _, batch := range suspectBatches(p.quarantine.Snapshot(now)) {
--- a/internal/peers/topicstates.go
+++ b/internal/peers/topicstates.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// stateReport is the state of a topic of the store as read by the sending gateway.
+// stateReport is the state of a topic, a part of the store's contents, as read by the sending gateway.
 type stateReport struct {
 	Topic string
 	State uint64 // digest of the contents, or their version
 	AgeMs int64  // time since it was read
-	// ContactMs is the time for which the store has answered the sender's calls without interruption.
+	// ContactMs is the time for which the store has responded to the sender's calls without interruption.
 	ContactMs int64
 }
 
-// observedState is a state with the time at which it was read, by this gateway's clock.
+// observedState is a state that a gateway has read. Times are by this gateway's clock.
 type observedState struct {
-	state uint64
-	at    time.Time
-	since time.Time // when the store began to answer the reader's calls without interruption
-	from  netip.AddrPort
+	state        uint64
+	readAt       time.Time
+	storeUpSince time.Time // since when the store has responded to the reader's calls without interruption
+	from         netip.AddrPort
 }
 
 // topicState is the state of a topic as read by this gateway and as reported by the others.
 type topicState struct {
 	// versioned is set if states are versions: a higher one is newer regardless of when it was read,
-	// and reports of lower versions are ignored.
-	versioned   bool
-	own, remote observedState
-	changed     chan struct{} // closed when a newer state is reported
+	// and reports of lower versions are ignored. Otherwise the state that was read last is the newest.
+	versioned     bool
+	local, remote observedState
+	changed       chan struct{} // closed when a newer state is reported
 }
 
 // topicStates holds the states of all topics. It is not safe for concurrent use.
 type topicStates struct {
-	topics map[string]*topicState
-	unsent bool // this gateway has read a state that it has not reported yet
+	topics        map[string]*topicState
+	reportPending bool // this gateway has read a state that it has not reported yet
 }
 
-// reportFor is how long a gateway reports a state after reading it.
-const reportFor = 2 * time.Second
+// reportPeriod is how long a gateway reports a state after reading it.
+const reportPeriod = 2 * time.Second
 
 func (s *topicStates) topic(name string) *topicState {
 	if s.topics == nil {
@@ -53,17 +53,17 @@
 	return t
 }
 
-// record stores a state that this gateway has read.
+// record records a state that this gateway has read.
 func (s *topicStates) record(name string, state uint64, at, since time.Time) {
 	t := s.topic(name)
 	// A state that another gateway has reported need not be reported again.
-	if t.own.state != state && (state != t.remote.state || at.After(t.remote.at)) {
-		s.unsent = true
+	if t.local.state != state && (state != t.remote.state || at.After(t.remote.readAt)) {
+		s.reportPending = true
 	}
-	t.own = observedState{state: state, at: at, since: since}
+	t.local = observedState{state: state, readAt: at, storeUpSince: since}
 }
 
-// receive processes a report of another gateway.
+// receive processes a report from another gateway.
 func (s *topicStates) receive(report stateReport, from netip.AddrPort, now time.Time) {
 	t := s.topic(report.Topic)
 	remote := observedState{report.State, now.Add(-time.Duration(report.AgeMs) * time.Millisecond),
@@ -78,60 +78,59 @@
 	}
 }
 
-// replaces reports whether a reported state supersedes the remote state that is kept.
+// replaces reports whether a reported state is newer than the current remote state.
 func (t *topicState) replaces(next observedState) bool {
 	if t.versioned && next.state != t.remote.state {
 		return next.state > t.remote.state
 	}
-	return next.at.After(t.remote.at)
+	return next.readAt.After(t.remote.readAt)
 }
 
 // outdated reports whether another gateway has a newer state.
 func (t *topicState) outdated() bool {
 	if t.versioned {
-		return t.remote.state > t.own.state
+		return t.remote.state > t.local.state
 	}
-	return t.remote.state != t.own.state && t.remote.at.After(t.own.at)
+	return t.remote.state != t.local.state && t.remote.readAt.After(t.local.readAt)
 }
 
-// reports returns the states to report to the others: those that this gateway has read recently, and later than
-// any other gateway.
+// reports returns the states to report to the others: those that this gateway has read within reportPeriod and
+// later than any other gateway.
 func (s *topicStates) reports(now time.Time) []stateReport {
 	var out []stateReport
 	for name, t := range s.topics {
-		if age := now.Sub(t.own.at); !t.own.at.IsZero() && age < reportFor && t.own.at.After(t.remote.at) {
-			out = append(out, stateReport{name, t.own.state, age.Milliseconds(), now.Sub(t.own.since).Milliseconds()})
+		if age := now.Sub(t.local.readAt); !t.local.readAt.IsZero() && age < reportPeriod && t.local.readAt.After(t.remote.readAt) {
+			out = append(out, stateReport{name, t.local.state, age.Milliseconds(), now.Sub(t.local.storeUpSince).Milliseconds()})
 		}
 	}
 	return out
 }
 
-// confirmedAt returns when this gateway's state was last read from the store, by this gateway or
-// another one.
+// confirmedAt returns when any gateway last read this gateway's state from the store.
 func (t *topicState) confirmedAt() time.Time {
-	if t.remote.state == t.own.state && t.remote.at.After(t.own.at) {
-		return t.remote.at
+	if t.remote.state == t.local.state && t.remote.readAt.After(t.local.readAt) {
+		return t.remote.readAt
 	}
-	return t.own.at
+	return t.local.readAt
 }
 
 // ReportState records the state of a topic that this gateway read at the given time, and since when the
-// store has answered its calls without interruption. The state is reported in heartbeats.
+// store has responded to its calls without interruption. The state is reported in heartbeats.
 func (p *Peers) ReportState(topic string, state uint64, at, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.states.record(topic, state, at, since)
 }
 
-// StoreUpSince returns since when the store has answered the calls of the gateway whose report on
-// a topic is in use without interruption; zero if there is no report.
+// StoreUpSince returns since when the store has responded without interruption to the gateway whose report
+// on a topic is in use, or zero if there is no report.
 func (p *Peers) StoreUpSince(topic string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.states.topic(topic).remote.since
+	return p.states.topic(topic).remote.storeUpSince
 }
 
-// SetVersioned declares that the states of a topic are versions: higher ones are newer.
+// SetVersioned declares that the states of a topic are versions, of which a higher one is newer.
 func (p *Peers) SetVersioned(topic string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +143,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.states.topic(topic)
-	return t.remote.at, t.remote.from, t.outdated()
+	return t.remote.readAt, t.remote.from, t.outdated()
 }
 
 // ReportedState returns the state of a topic that other gateways have reported, or 0 if there is no report.
@@ -163,8 +162,8 @@
 	return t.confirmedAt(), t.changed
 }
 
-// SmallHosts reports whether this host, and whether any live host, has a small processor or a slow link
-// compared with the largest.
+// SmallHosts reports whether this host, and whether any live host, has few cores or a slow link compared
+// with the largest.
 func (p *Peers) SmallHosts() (self, anyHost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
