--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,6 +1,6 @@
 // Package datagram exchanges small messages between processes of the system over UDP, with one
 // msgpack message per datagram. Delivery is not guaranteed: a message is dropped on any error, and
-// users must repeat it or tolerate its loss.
+// callers must resend it or tolerate its loss.
 package datagram
 
 import (
@@ -14,7 +14,8 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// maxMessageBytes is larger than any message and small enough to avoid fragmentation.
+// maxMessageBytes is the size of the receive buffer. It exceeds the size of every message; messages are
+// small enough to avoid IP fragmentation.
 const maxMessageBytes = 1200
 
 // PacketConn is the subset of *net.UDPConn that a Socket uses.
@@ -32,8 +33,7 @@
 }
 
 // Open returns a socket that listens on an IP address and port. MetricPrefix is the name prefix of the
-// counters of malformed and unsent messages. Errors have the code BadSettings and name the field
-// peers.listen.
+// counters of malformed and unsent messages. Errors have the code BadSettings and the field peers.listen.
 func Open[T any](address, metricPrefix string) (*Socket[T], error) {
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -65,7 +65,7 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram was sent to a closed port
+			continue // e.g. an ICMP error for a datagram that was sent to a closed port
 		}
 		var message T
 		if msgpack.Unmarshal(buf[:n], &message) != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Send sends a message. If that fails, it counts the message as unsent.
+// Send sends a message. If that fails, it drops the message and counts it as unsent.
 func (s *Socket[T]) Send(message T, to netip.AddrPort) {
 	data, err := msgpack.Marshal(message)
 	if err == nil {
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against incompatible versions: a decoder ignores unknown fields and leaves missing ones zero.
+// Guards against incompatible releases: a decoder ignores unknown fields and leaves missing ones zero.
 func TestVersionsWithDifferentFieldsAreCompatible(t *testing.T) {
 	g := NewWithT(t)
 	type newer struct {
