--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,7 +146,7 @@
 	g.mu.Lock()
 	g.stalledUntil = until
 	g.mu.Unlock()
-	g.eachBudget(func(b *retrybudget.Budget) { b.Stalled(since, until, g.now()) })
+	g.eachBudget(func(b *retrybudget.Budget) { b.RecordStall(since, until, g.now()) })
 }
 
 // eachBudget calls do for the budget of every service.
@@ -208,7 +208,7 @@
 	return getOrCreate(g, g.budgets, service, func() *retrybudget.Budget {
 		now := g.now()
 		b := retrybudget.New(g.settings.Load().Retries, g.slackShare, now)
-		b.Stalled(now, g.stalledUntil, now)
+		b.RecordStall(now, g.stalledUntil, now)
 		return b
 	})
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -188,7 +188,7 @@
 
 // serve sends the request to backend servers, relays the response to the caller and logs the result.
 func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, q *request) {
-	g.budget(q.service).Request(g.now())
+	g.budget(q.service).RecordRequest(g.now())
 	rel := &relay{w: w}
 	err := g.runAttempts(ctx, q, rel)
 	switch {
--- a/internal/peers/slack_test.go
+++ b/internal/peers/slack_test.go
@@ -133,13 +133,13 @@
 						f.injectFault()
 					}
 					f.step()
-					most = max(most, f.totalShare()*retrybudget.SlackInUse)
+					most = max(most, f.totalShare()*retrybudget.UsedSlackFraction)
 					if most > 1 {
 						t.Fatalf("seed %d: all gateways together use %.3f of the slack", seed, most)
 					}
 				}
 			}
-			if most < 0.5*retrybudget.SlackInUse {
+			if most < 0.5*retrybudget.UsedSlackFraction {
 				t.Errorf("all gateways together use at most %.3f of the slack, too little", most)
 			}
 		})
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,16 +1,16 @@
-// Package retrybudget limits the repeated sends to a service: in any window, all gateways together send at most a
-// ratio of the service's requests plus a slack. The package uses no clock and no network.
+// Package retrybudget limits the retries to a service: in any window, all gateways together send at most as many
+// retries as a ratio of the service's requests plus a slack. The package uses no clock and no network.
 //
-// A gateway pays for each repeat from two sources, without knowing those of the other gateways:
+// A gateway charges each retry to two sources, without knowing those of the other gateways:
 //
-//   - a token bucket, to which each request adds one part of the ratio. In any window it pays for at most its
-//     depth, its refill and that part of the ratio times the requests in the window;
-//   - the requests of the previous window, with the rest of the ratio. In any window it pays for at most that
-//     rest times the requests of the previous window.
+//   - a token bucket, to which each request adds a fraction of the ratio. In any window it covers at most its
+//     depth, its refill and that fraction of the ratio times the requests in the window;
+//   - the requests of the previous window, with the remainder of the ratio. In any window they cover at most that
+//     remainder times their number.
 //
 // Both bounds are sums over requests, so they hold for all gateways together when gateways start or stop and
 // when callers move between them: every gateway assigns a request to the same window. The depths and refills of
-// all buckets together are a part of the slack.
+// all buckets together are a fraction of the slack.
 package retrybudget
 
 import (
@@ -21,33 +21,33 @@
 
 // Settings configures the retry budget of a service, summed over all gateways.
 type Settings struct {
-	// Ratio is the permitted number of repeats per request.
+	// Ratio is the permitted number of retries per request.
 	Ratio float64
-	// Window is the period over which requests and repeats are counted.
+	// Window is the length of the sliding window in which requests and retries are counted.
 	Window time.Duration
-	// Slack is the number of repeats permitted per window in addition to the ratio.
+	// Slack is the number of retries permitted per window in addition to the ratio.
 	Slack float64
 }
 
 const (
-	// bucketRatio is the part of the ratio that requests add to the token bucket.
-	bucketRatio = 0.3
-	// depthSlack and refillSlack are the parts of the slack used for the depths of all buckets together and
-	// for their refill per window without requests. The rest covers sends that arrive later than they were
-	// granted and requests that are counted later than they were sent.
-	depthSlack, refillSlack = 0.35, 0.4
-	// SlackInUse is the part of the slack that all gateways together use, provided that none of them
-	// underestimates the number of gateways.
-	SlackInUse = depthSlack + refillSlack
-	// stepsPerWindow is the resolution at which requests and repeats are counted.
+	// bucketRatioFraction is the fraction of the ratio that requests add to the token bucket.
+	bucketRatioFraction = 0.3
+	// depthSlackFraction and refillSlackFraction are the fractions of the slack used for the depths of all
+	// buckets together and for their refill per window without requests. The remainder covers retries that
+	// arrive later than they were granted and requests that are counted later than they were sent.
+	depthSlackFraction, refillSlackFraction = 0.35, 0.4
+	// UsedSlackFraction is the fraction of the slack that all gateways together use, provided that none of
+	// them underestimates the number of gateways.
+	UsedSlackFraction = depthSlackFraction + refillSlackFraction
+	// stepsPerWindow is the number of steps of a window. Requests and retries are counted per step.
 	stepsPerWindow = 40
-	// steps is the number of steps kept: two windows, and the partial steps at their ends.
-	steps = 2*stepsPerWindow + 2
+	// stepsKept is the number of steps kept: two windows, and the partial steps at their ends.
+	stepsKept = 2*stepsPerWindow + 2
 	// tolerance absorbs floating-point rounding.
 	tolerance = 1e-9
 )
 
-// Budget is the budget of one service at one gateway. It is safe for concurrent use.
+// Budget is the retry budget of one service at one gateway. It is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex
 	settings Settings
@@ -57,39 +57,39 @@
 	tokens   float64
 	tokensAt time.Time
 
-	step         int64 // number of the newest step
-	requests     [steps]int
-	granted      [steps]int
-	fromPrevious [steps]float64 // repeats paid for by the requests of the previous window
+	step              int64 // number of the newest step
+	requests          [stepsKept]int
+	granted           [stepsKept]int
+	chargedToPrevious [stepsKept]float64 // retries charged to the requests of the previous window
 	// ignoreUntil is the time until which requests are not counted.
 	ignoreUntil time.Time
 
 	queue claimQueue
 }
 
-// Decision is the result of Take, Claim or Renew, with the counts that it is based on.
+// Decision is a decision on a retry, with the counts that it is based on.
 type Decision struct {
 	Granted bool `json:"granted"`
-	// Taken is the number of repeats that this gateway has granted in the window, excluding this one.
+	// Taken is the number of retries that this gateway has granted in the window, excluding this one.
 	Taken int `json:"taken"`
-	// Allowed is Taken plus the number of repeats that the budget still permits.
+	// Allowed is Taken plus the number of retries that the budget still permits.
 	Allowed float64 `json:"allowed"`
-	// Borrowed reports whether another gateway's budget paid for the repeat.
+	// Borrowed reports whether the retry was charged to another gateway's budget.
 	Borrowed bool `json:"borrowed,omitempty"`
 	// Waited is the time from the claim to the decision.
 	Waited time.Duration `json:"waited,omitempty"`
 
-	start        time.Time // of the budget
-	step         int64     // step in which the repeat was granted
-	fromPrevious float64   // part paid for by the requests of the previous window
+	start             time.Time // of the budget
+	step              int64     // step in which the retry was granted
+	chargedToPrevious float64   // part charged to the requests of the previous window
 }
 
-// New returns an empty budget that starts at now. Share is this gateway's fraction of the slack.
+// New returns an empty budget. Share is this gateway's fraction of the slack.
 func New(s Settings, share float64, now time.Time) *Budget {
 	return &Budget{settings: s, share: share, start: now, tokensAt: now}
 }
 
-// SetSettings changes the bounds. Counts are kept unless the length of the window changes.
+// SetSettings changes the settings. Counts are kept unless the length of the window changes.
 func (b *Budget) SetSettings(s Settings, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,21 +110,21 @@
 	b.tokens = min(b.tokens, b.depth())
 }
 
-// Stalled reports that the process was stalled since the given time. Requests counted between since and until
-// may be old: they do not add to the budget, and the bucket is emptied.
-func (b *Budget) Stalled(since, until, now time.Time) {
+// RecordStall records that the process was stalled since the given time. Requests counted between since and until
+// may have been sent earlier, so they do not add to the budget, and the bucket is emptied.
+func (b *Budget) RecordStall(since, until, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
 	b.tokens = 0
 	b.ignoreUntil = until
-	for n := max(b.stepOf(since), b.step-steps+1); n <= b.step; n++ {
+	for n := max(b.stepOf(since), b.step-stepsKept+1); n <= b.step; n++ {
 		b.requests[index(n)] = 0
 	}
 }
 
-// Request counts a request for the service.
-func (b *Budget) Request(now time.Time) {
+// RecordRequest counts a request to the service.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
@@ -132,10 +132,10 @@
 		return
 	}
 	b.requests[index(b.step)]++
-	b.tokens = min(b.tokens+bucketRatio*b.settings.Ratio, b.depth())
+	b.tokens = min(b.tokens+bucketRatioFraction*b.settings.Ratio, b.depth())
 }
 
-// Take grants one repeated send and counts it, or denies it if the budget is exhausted or claims are pending.
+// Take grants a retry and counts it, or denies it if the budget is exhausted or claims are pending.
 func (b *Budget) Take(now time.Time) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -146,23 +146,23 @@
 	return b.take()
 }
 
-// take grants one repeated send and counts it if the budget permits it, regardless of pending claims.
+// take grants a retry and counts it if the budget permits it, regardless of pending claims.
 func (b *Budget) take() Decision {
 	d := b.decision()
-	fromPrevious := max(0, 1-b.tokens)
-	if fromPrevious > b.previousCredit()+tolerance {
+	chargedToPrevious := max(0, 1-b.tokens)
+	if chargedToPrevious > b.previousCredit()+tolerance {
 		return d
 	}
 	b.tokens = max(0, b.tokens-1)
-	b.fromPrevious[index(b.step)] += fromPrevious
+	b.chargedToPrevious[index(b.step)] += chargedToPrevious
 	b.granted[index(b.step)]++
-	d.Granted, d.start, d.step, d.fromPrevious = true, b.start, b.step, fromPrevious
+	d.Granted, d.start, d.step, d.chargedToPrevious = true, b.start, b.step, chargedToPrevious
 	return d
 }
 
-// Renew decides again, regardless of pending claims, on a repeat that was granted earlier and is about to be sent,
-// because repeats count when they reach a server. It releases the earlier grant even if it denies the repeat. A
-// borrowed repeat was not counted in this budget, so nothing is released for it.
+// Renew decides again, regardless of pending claims, on a retry that was granted earlier and is about to be sent,
+// because retries count when they reach a server. It releases the earlier grant even if it denies the retry. A
+// borrowed retry was not counted in this budget, so nothing is released for it.
 func (b *Budget) Renew(earlier Decision, now time.Time) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -173,11 +173,11 @@
 	return b.take()
 }
 
-// release no longer counts a grant. Tokens are not returned, because the bucket may have been refilled since.
+// release removes a grant from the counts. Tokens are not returned, because the bucket may have been refilled since.
 func (b *Budget) release(d Decision) {
-	if d.start.Equal(b.start) && b.step-d.step < steps {
+	if d.start.Equal(b.start) && b.step-d.step < stepsKept {
 		b.granted[index(d.step)]--
-		b.fromPrevious[index(d.step)] -= d.fromPrevious
+		b.chargedToPrevious[index(d.step)] -= d.chargedToPrevious
 	}
 }
 
@@ -190,34 +190,34 @@
 	return Decision{Taken: taken, Allowed: math.Round(100*(float64(taken)+b.available())) / 100}
 }
 
-// available returns the number of repeats that the budget permits now.
+// available returns the number of retries that the budget permits now.
 func (b *Budget) available() float64 { return b.tokens + b.previousCredit() }
 
-// previousCredit returns the number of repeats that the requests of the previous window can still pay for: the
-// minimum over all windows that contain the current time. A step that is only partly in a window counts for its
-// repeats but not for its requests.
+// previousCredit returns the number of retries that the requests of the previous window still cover: the
+// minimum over all windows that contain the current time. Of a step that is only partly in a window, the
+// retries count but the requests don't.
 func (b *Budget) previousCredit() float64 {
-	ratio := (1 - bucketRatio) * b.settings.Ratio
+	ratio := (1 - bucketRatioFraction) * b.settings.Ratio
 	before := 0 // requests of the window before the one that starts in step n
 	for n := b.step - stepsPerWindow + 1; n < b.step; n++ {
 		before += b.requests[index(n)]
 	}
-	spent := 0.0
-	least := ratio * float64(before)
+	charged := 0.0
+	credit := ratio * float64(before)
 	for n := b.step; n >= b.step-stepsPerWindow; n-- {
-		spent += b.fromPrevious[index(n)]
-		least = min(least, ratio*float64(before)-spent)
+		charged += b.chargedToPrevious[index(n)]
+		credit = min(credit, ratio*float64(before)-charged)
 		before += b.requests[index(n-stepsPerWindow)] - b.requests[index(n-1)]
 	}
-	return max(0, least)
+	return max(0, credit)
 }
 
-// depth returns the capacity of the bucket.
-func (b *Budget) depth() float64 { return depthSlack * b.settings.Slack * b.share }
+// depth returns the maximum number of tokens in the bucket.
+func (b *Budget) depth() float64 { return depthSlackFraction * b.settings.Slack * b.share }
 
-// refill returns the tokens that the bucket gains per second without requests.
+// refill returns the number of tokens that the bucket gains per second without requests.
 func (b *Budget) refill() float64 {
-	return refillSlack * b.settings.Slack * b.share / b.settings.Window.Seconds()
+	return refillSlackFraction * b.settings.Slack * b.share / b.settings.Window.Seconds()
 }
 
 // advance refills the bucket and clears the steps that have expired by now.
@@ -227,20 +227,20 @@
 		b.tokensAt = now
 	}
 	step := b.stepOf(now)
-	if step-b.step >= steps {
-		b.step = step - steps // all steps have expired
+	if step-b.step >= stepsKept {
+		b.step = step - stepsKept // all steps have expired
 	}
 	for b.step < step {
 		b.step++
 		i := index(b.step)
-		b.requests[i], b.granted[i], b.fromPrevious[i] = 0, 0, 0
+		b.requests[i], b.granted[i], b.chargedToPrevious[i] = 0, 0, 0
 	}
 }
 
 // reset empties the budget.
 func (b *Budget) reset(now time.Time) {
 	b.start, b.step, b.tokens = now, 0, 0
-	b.requests, b.granted, b.fromPrevious = [steps]int{}, [steps]int{}, [steps]float64{}
+	b.requests, b.granted, b.chargedToPrevious = [stepsKept]int{}, [stepsKept]int{}, [stepsKept]float64{}
 }
 
 // stepOf returns the number of the step that contains t. The difference uses the monotonic clock.
@@ -249,4 +249,4 @@
 }
 
 // index returns the ring buffer index of a step, which may be negative.
-func index(step int64) int { return int((step%steps + steps) % steps) }
+func index(step int64) int { return int((step%stepsKept + stepsKept) % stepsKept) }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a budget that stays empty after it is exhausted.
+// Guards against a budget that does not recover after it is exhausted.
 func TestBudgetReplenishesAfterExhaustion(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -19,7 +19,7 @@
 	g.Expect(b.Take(now).Granted).To(BeFalse())
 	now = now.Add(time.Hour)
 	for range 30 {
-		b.Request(now)
+		b.RecordRequest(now)
 		now = now.Add(time.Second)
 	}
 	granted := 0
@@ -32,7 +32,7 @@
 }
 
 // At a single instant, a budget never grants more than its slack plus its ratio of the requests.
-func TestRepeatsStayWithinBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		b := New(Settings{Ratio: 0.1, Window: 10 * time.Second, Slack: 5}, 1, now)
@@ -43,7 +43,7 @@
 					retries++
 				}
 			} else {
-				b.Request(now)
+				b.RecordRequest(now)
 				requests++
 			}
 		}
@@ -56,23 +56,23 @@
 	now := time.Now()
 	b := New(Settings{Ratio: 1.0 / 3, Window: 10 * time.Second, Slack: 10}, 1, now)
 	for range 20 {
-		b.Request(now)
+		b.RecordRequest(now)
 	}
 	for taken := range 3 {
 		d := b.Take(now)
-		d.start, d.step, d.fromPrevious = time.Time{}, 0, 0
+		d.start, d.step, d.chargedToPrevious = time.Time{}, 0, 0
 		g.Expect(d).To(Equal(Decision{Granted: taken < 2, Taken: taken, Allowed: 2}))
 	}
 }
 
-// Guards against a settings reload that discards the repeats already counted.
-func TestSettingsReloadKeepsCountedRepeats(t *testing.T) {
+// Guards against a settings reload that discards the retries already counted.
+func TestSettingsReloadKeepsCountedRetries(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	s := Settings{Ratio: 1.0 / 3, Window: 10 * time.Second, Slack: 10}
 	b := New(s, 1, now)
 	for range 20 {
-		b.Request(now)
+		b.RecordRequest(now)
 	}
 	g.Expect(b.Take(now).Granted).To(BeTrue())
 	g.Expect(b.Take(now).Granted).To(BeTrue())
@@ -81,7 +81,7 @@
 	g.Expect(b.Take(now)).To(Equal(Decision{Granted: false, Taken: 2, Allowed: 2}))
 }
 
-// Guards against counting requests queued during a stall as current ones.
+// Guards against counting requests that were queued during a stall as if they had just been sent.
 func TestRequestsQueuedDuringStallAddNoBudget(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -89,25 +89,25 @@
 	since := now
 	now = now.Add(5 * time.Second)
 	for range 100 {
-		b.Request(now)
+		b.RecordRequest(now)
 	}
-	b.Stalled(since, now.Add(200*time.Millisecond), now)
+	b.RecordStall(since, now.Add(200*time.Millisecond), now)
 	for range 100 {
-		b.Request(now.Add(100 * time.Millisecond))
+		b.RecordRequest(now.Add(100 * time.Millisecond))
 	}
 	g.Expect(b.Take(now.Add(150 * time.Millisecond)).Allowed).To(BeNumerically("<", 0.1))
-	g.Expect(b.Take(now.Add(10*time.Second)).Allowed).To(BeNumerically("<=", depthSlack*10), "only the depth of the bucket")
+	g.Expect(b.Take(now.Add(10*time.Second)).Allowed).To(BeNumerically("<=", depthSlackFraction*10), "only the depth of the bucket")
 }
 
-// Guards against counting a repeat twice: when it is granted and when it is sent.
-func TestRenewedRepeatCountsOnlyWhenSent(t *testing.T) {
+// Guards against counting a retry twice, when it is granted and when it is sent.
+func TestRenewedRetryCountsOnlyWhenSent(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 0}, 1, now)
 	request := func(n int) {
 		for range n {
 			now = now.Add(20 * time.Millisecond)
-			b.Request(now)
+			b.RecordRequest(now)
 		}
 	}
 	request(1500)
@@ -150,17 +150,17 @@
 			sent++
 		}
 	}
-	g.Expect(float64(sent)).To(BeNumerically("<=", SlackInUse*10))
+	g.Expect(float64(sent)).To(BeNumerically("<=", UsedSlackFraction*10))
 }
 
-// Guards against sending a granted repeat that the budget no longer permits.
-func TestRenewDeniesRepeatNoLongerPermitted(t *testing.T) {
+// Guards against sending a granted retry that the budget no longer permits.
+func TestRenewDeniesRetryNoLongerPermitted(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 0}, 1, now)
 	for range 1000 {
 		now = now.Add(20 * time.Millisecond)
-		b.Request(now)
+		b.RecordRequest(now)
 	}
 	d := b.Take(now)
 	g.Expect(d.Granted).To(BeTrue())
--- a/internal/retrybudget/claim.go
+++ b/internal/retrybudget/claim.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// queueBelow is the fraction of a full budget below which claims are queued for GrantInterval, so that claims made
-	// at about the same time are granted by priority rather than in order of arrival.
-	queueBelow = 0.5
+	// queueThreshold is the fraction of a full budget below which claims are queued for GrantInterval, so that claims
+	// made at about the same time are granted by priority rather than in order of arrival.
+	queueThreshold = 0.5
 	// GrantInterval is the interval at which pending claims are decided.
 	GrantInterval = 10 * time.Millisecond
 	// maxPollInterval bounds the time between two calls of Grant on behalf of the same pending claim.
@@ -16,24 +16,24 @@
 	// minWait is the time that a claim waits before it may be denied because of the claims ahead of it: some of
 	// these may be granted by other gateways in the meantime.
 	minWait = 5 * GrantInterval
-	// lendAbove is the fraction of a full budget above which repeats are lent to other gateways.
-	lendAbove = 0.1
-	// byExpiryEvery makes every nth grant go to the claim that expires first, so that claims of a higher rank don't
-	// starve short-lived ones.
-	byExpiryEvery = 4
+	// lendThreshold is the fraction of a full budget that must be available for retries to be lent to other gateways.
+	lendThreshold = 0.1
+	// expiryGrantInterval is the number of grants of which one goes to the claim that expires first, so that claims of
+	// a higher priority don't starve short-lived ones.
+	expiryGrantInterval = 4
 )
 
-// Claim is a request for a repeated send that may wait for budget.
+// Claim is a request for a retry that may wait until the budget permits it.
 type Claim struct {
-	// Rank is the priority of the claim, 0 first.
+	// Rank is the priority of the claim; 0 is the highest.
 	Rank int
-	// Due is the time by which the repeat should be sent; claims past their due time have the lowest priority.
+	// Due is the time by which the retry should be sent; claims past their due time have the lowest priority.
 	Due time.Time
-	// Expires is the time after which the repeat is useless; the claim is denied by then.
+	// Expires is the time after which the retry is useless; a claim that has not been granted by then is denied.
 	Expires time.Time
 }
 
-// PendingClaim is a queued claim without a decision so far.
+// PendingClaim is a queued claim.
 type PendingClaim struct {
 	claim    Claim
 	since    time.Time
@@ -43,13 +43,13 @@
 
 // claimQueue holds the pending claims in order of arrival.
 type claimQueue struct {
-	claims    []*PendingClaim
-	grants    int       // number of grants so far
-	decidedAt time.Time // time of the last decision about the pending claims
+	claims     []*PendingClaim
+	grantCount int       // number of grants so far
+	decidedAt  time.Time // time of the last decision about the pending claims
 }
 
-// Claim requests a repeated send. If enough of the budget is left or the claim has expired, the decision is immediate
-// and the PendingClaim is nil.
+// Claim requests a retry. If enough of the budget is left or the claim has expired, the decision is immediate and the
+// PendingClaim is nil.
 func (b *Budget) Claim(c Claim, now time.Time) (Decision, *PendingClaim) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,13 +65,13 @@
 	return Decision{}, p
 }
 
-// Lend grants another gateway a repeated send and counts it, unless claims are pending or the remaining budget is
-// reserved for this gateway's own repeats.
+// Lend grants another gateway a retry and counts it, unless claims are pending or the remaining budget is reserved for
+// this gateway's own retries.
 func (b *Budget) Lend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	if len(b.queue.claims) > 0 || b.available() < max(2, lendAbove*b.capacity()) {
+	if len(b.queue.claims) > 0 || b.available() < max(2, lendThreshold*b.capacity()) {
 		return false
 	}
 	return b.take().Granted
@@ -79,7 +79,7 @@
 
 // grantsImmediately reports whether enough of the budget is left to grant a claim without queueing it.
 func (b *Budget) grantsImmediately() bool {
-	return len(b.queue.claims) == 0 && b.available() >= max(1, queueBelow*b.capacity())
+	return len(b.queue.claims) == 0 && b.available() >= max(1, queueThreshold*b.capacity())
 }
 
 // Grant grants pending claims as far as the budget permits, and denies those that have expired or are not expected to
@@ -97,7 +97,7 @@
 		if now.Sub(p.since) < GrantInterval && !b.batchDue(now) {
 			break
 		}
-		b.queue.grants++
+		b.queue.grantCount++
 		b.resolve(p, b.take(), now)
 	}
 	pending := slices.SortedFunc(slices.Values(b.queue.claims), byPriority(now))
@@ -114,8 +114,9 @@
 	}
 }
 
-// PollInterval returns the time after which the owner of a pending claim calls Grant again. It grows with the number of
-// pending claims, up to maxPollInterval, so that the calls for all of them average one per GrantInterval below that bound.
+// PollInterval returns the time after which the owner of a pending claim calls Grant again. It is proportional to the
+// number of pending claims, up to maxPollInterval. Below that bound, the calls for all claims average one per
+// GrantInterval.
 func (b *Budget) PollInterval() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -137,7 +138,7 @@
 // next returns the claim to grant next.
 func (b *Budget) next(now time.Time) *PendingClaim {
 	order := byPriority(now)
-	if b.queue.grants%byExpiryEvery == byExpiryEvery-1 {
+	if b.queue.grantCount%expiryGrantInterval == expiryGrantInterval-1 {
 		order = byExpiry
 	}
 	return slices.MinFunc(b.queue.claims, order)
@@ -165,15 +166,15 @@
 	}
 }
 
-// replenishRate returns the estimated number of repeats that become available per second, from the requests of the last
-// window.
+// replenishRate returns the estimated number of retries that become available per second, based on the requests of the
+// last window.
 func (b *Budget) replenishRate() float64 {
 	return b.settings.Ratio*float64(b.recentRequests())/b.settings.Window.Seconds() + b.refill()
 }
 
-// capacity returns the number of repeats that the budget permits if none have been granted.
+// capacity returns the number of retries that the budget permits if none have been granted.
 func (b *Budget) capacity() float64 {
-	return b.depth() + (1-bucketRatio)*b.settings.Ratio*float64(b.recentRequests())
+	return b.depth() + (1-bucketRatioFraction)*b.settings.Ratio*float64(b.recentRequests())
 }
 
 // recentRequests returns the number of requests in the last window.
@@ -191,8 +192,8 @@
 // Undecided reports whether no decision has been made yet.
 func (p *PendingClaim) Undecided() bool { return len(p.decision) == 0 }
 
-// Withdraw removes the claim from the queue and returns the decision, which denies the repeat unless it was granted
-// in the meantime. A granted repeat stays counted.
+// Withdraw removes the claim from the queue and returns the decision, which denies the retry unless it was granted
+// in the meantime. A granted retry stays counted.
 func (p *PendingClaim) Withdraw() Decision {
 	p.budget.mu.Lock()
 	defer p.budget.mu.Unlock()
--- a/internal/retrybudget/claim_test.go
+++ b/internal/retrybudget/claim_test.go
@@ -14,30 +14,30 @@
 	pending map[string]*PendingClaim
 }
 
-// newClaimFixture returns a budget that permits the given number of repeats now and gains 10 per second at 50 requests
-// per second.
-func newClaimFixture(g *WithT, repeats int) *claimFixture {
+// newClaimFixture returns a budget that permits the given number of retries now, and gains 10 per second from 50
+// requests per second.
+func newClaimFixture(g *WithT, retries int) *claimFixture {
 	c := &claimFixture{now: time.Now(), pending: map[string]*PendingClaim{}}
 	c.Budget = New(Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 12}, 1, c.now)
 	for range 1500 {
 		c.elapse(20 * time.Millisecond)
 	}
-	for c.available() >= float64(repeats)+1 {
+	for c.available() >= float64(retries)+1 {
 		g.Expect(c.Take(c.now).Granted).To(BeTrue())
 	}
 	return c
 }
 
-// elapse advances the time, with a request every 20 ms.
+// elapse advances the time. It records a request and calls Grant every 20 ms.
 func (c *claimFixture) elapse(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.now = c.now.Add(20 * time.Millisecond)
-		c.Request(c.now)
+		c.RecordRequest(c.now)
 		c.Grant(c.now)
 	}
 }
 
-// claim makes a claim and keeps it by name if it is pending. The times are relative to now.
+// claim makes a claim and stores it under a name if it is pending. The times are relative to now.
 func (c *claimFixture) claim(name string, rank int, due, expires time.Duration) Decision {
 	d, p := c.Claim(Claim{Rank: rank, Due: c.now.Add(due), Expires: c.now.Add(expires)}, c.now)
 	if p != nil {
@@ -46,7 +46,7 @@
 	return d
 }
 
-// decided returns whether each claim decided since the last call was granted.
+// decided returns the claims decided since the last call, and whether each was granted.
 func (c *claimFixture) decided() map[string]bool {
 	out := map[string]bool{}
 	for name, p := range c.pending {
@@ -60,7 +60,7 @@
 	return out
 }
 
-// Guards against delaying repeats while enough of the budget is left.
+// Guards against delaying retries while enough of the budget is left.
 func TestClaimsAreGrantedImmediatelyWithEnoughBudget(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 40)
@@ -69,7 +69,7 @@
 	g.Expect(c.pending).To(BeEmpty())
 }
 
-// Guards against granting the last repeats of a budget in order of arrival.
+// Guards against granting the last retries of a budget in order of arrival.
 func TestClaimsNearExhaustionAreGrantedByPriority(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 2)
@@ -85,20 +85,20 @@
 	g.Expect(c.decided()).To(Equal(map[string]bool{"late": true}))
 }
 
-// Guards against starving calls by streams of a higher rank, which can wait longer.
+// Guards against calls being starved by streams of a higher priority, which can wait longer.
 func TestEveryFourthGrantGoesToEarliestExpiry(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
 	for i := range 30 {
 		c.claim(string(rune('a'+i)), 0, 5*time.Second, 5*time.Second)
 	}
-	c.queue.grants = 0
+	c.queue.grantCount = 0
 	c.claim("call", 9, 4*time.Second, 4*time.Second)
 	c.elapse(1100 * time.Millisecond)
 	g.Expect(c.decided()).To(HaveKeyWithValue("call", true))
 }
 
-// Guards against making a caller wait for a repeat that cannot be granted before the claim expires.
+// Guards against making a caller wait for a retry that cannot be granted before the claim expires.
 func TestClaimExpiringBeforeGrantIsDeniedEarly(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
@@ -111,7 +111,7 @@
 	g.Expect(len(c.pending)).To(BeNumerically(">=", 9))
 }
 
-// Guards against denying a claim because of claims that are denied with it.
+// Guards against denying a claim because of earlier claims that are denied at the same time.
 func TestDeniedClaimsDoNotCountAsAhead(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
@@ -137,7 +137,7 @@
 	g.Expect(c.decided()).To(Equal(map[string]bool{"a": false}))
 }
 
-// Guards against granting a repeat to a withdrawn claim.
+// Guards against granting a retry to a withdrawn claim.
 func TestWithdrawnClaimIsNotGranted(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
@@ -149,7 +149,7 @@
 	g.Expect(c.decision().Taken).To(Equal(before))
 }
 
-// BenchmarkGrantWithPendingClaims measures one decision about 500 pending claims when no budget is left to grant any.
+// BenchmarkGrantWithPendingClaims measures Grant with 500 pending claims and an exhausted budget.
 func BenchmarkGrantWithPendingClaims(b *testing.B) {
 	now := time.Now()
 	budget := New(Settings{Ratio: 0, Window: 10 * time.Second, Slack: 1000}, 1, now)
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// Excluded under the race detector, whose runtime fails in some simulations of whole fleets in synthetic time.
+// Excluded under the race detector, whose runtime fails in some simulations of whole fleets with a synthetic clock.
 
 package retrybudget_test
 
@@ -31,7 +31,7 @@
 	seed              uint64
 	gateways, servers int
 	route             string
-	// requestInterval is the time between requests before changes apply.
+	// requestInterval is the time between requests at load 1.
 	requestInterval time.Duration
 	changes         []change
 	// oneGateway sends all requests to the first gateway.
@@ -39,7 +39,7 @@
 	faults     []fleetFault
 }
 
-// change sets the load, and how many of every 10 requests fail and in which way.
+// change is a change of the load and of the failures of servers.
 type change struct {
 	at      time.Duration
 	load    float64 // factor on the request rate
@@ -47,7 +47,7 @@
 	failure worker.Behaviour
 }
 
-// fleetFault is a failure, reload or membership change of gateways or servers.
+// fleetFault is a failure, settings reload or membership change of gateways or servers.
 type fleetFault struct {
 	at, duration time.Duration
 	kind         string
@@ -129,8 +129,8 @@
 
 // injectFaults injects the faults in order. Partitions may overlap with later faults.
 func (p *fleetRun) injectFaults() {
-	var lasting sync.WaitGroup
-	defer lasting.Wait()
+	var partitions sync.WaitGroup
+	defer partitions.Wait()
 	for i, f := range p.faults {
 		p.waitUntil(f.at)
 		n := p.Nodes[f.node]
@@ -145,10 +145,10 @@
 				p.Sleep(f.duration / 8)
 			}
 		case "partition":
-			p.cut(n, true)
-			lasting.Go(func() {
+			p.setPartitioned(n, true)
+			partitions.Go(func() {
 				p.Sleep(f.duration)
-				p.cut(n, false)
+				p.setPartitioned(n, false)
 			})
 		case "join":
 			p.AddNode(fmt.Sprint("joined-", i))
@@ -162,7 +162,7 @@
 				Retries: retrybudget.Settings{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack - float64(i%2)}})
 		case "store partition":
 			p.PartitionStore(n, true)
-			lasting.Go(func() {
+			partitions.Go(func() {
 				p.Sleep(f.duration)
 				p.PartitionStore(n, false)
 			})
@@ -176,17 +176,17 @@
 	}
 }
 
-// cut partitions a gateway from the others, or reconnects it.
-func (p *fleetRun) cut(n *simfleet.Node, cut bool) {
+// setPartitioned partitions a gateway from the others, or reconnects it.
+func (p *fleetRun) setPartitioned(n *simfleet.Node, partitioned bool) {
 	for _, other := range p.Nodes {
 		if other != n {
-			p.PartitionNodes(n, other, cut)
+			p.PartitionNodes(n, other, partitioned)
 		}
 	}
 }
 
-// repeats returns the times of all arrivals beyond the first of each request.
-func (p *fleetRun) repeats() []time.Time {
+// retries returns the times of all arrivals beyond the first of each request.
+func (p *fleetRun) retries() []time.Time {
 	first := map[string]bool{}
 	var out []time.Time
 	for _, s := range p.Servers {
@@ -202,8 +202,8 @@
 	return out
 }
 
-// run simulates the scenario and returns its worst window and the total number of repeats.
-func (d fleetScenario) run() (worst retryrule.Window, repeats int) {
+// run simulates the scenario and returns its worst window and the total number of retries.
+func (d fleetScenario) run() (worst retryrule.Window, retries int) {
 	synctest.Test(new(testing.T), func(*testing.T) {
 		p := &fleetRun{Fleet: simfleet.New(d.gateways, d.servers, d.seed, nil), fleetScenario: d, load: 1}
 		defer p.Close()
@@ -213,42 +213,42 @@
 		tasks.Go(p.applyChanges)
 		tasks.Go(p.injectFaults)
 		tasks.Wait()
-		all := p.repeats()
-		repeats = len(all)
+		all := p.retries()
+		retries = len(all)
 		worst = retryrule.Worst(retryrule.Rule{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack}, p.requests, all)
 	})
-	return worst, repeats
+	return worst, retries
 }
 
-// The repeats of whole fleets, counted when they reach a server, stay within the rule in any window.
-func TestFleetRepeatsStayWithinRule(t *testing.T) {
+// The retries of whole fleets, counted when they reach a server, stay within the rule in any window.
+func TestFleetRetriesStayWithinRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// Hashed because rapid draws mostly small integers, which would repeat scenarios.
 		d := drawFleetScenario(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
-		worst, repeats := d.run()
-		if repeats > 0 && worst.Excess() > 0 {
-			t.Fatalf("%d repeats for %d requests in a window, %.1f allowed\n%+v", worst.Retries, worst.Requests, worst.Allowed, d)
+		worst, retries := d.run()
+		if retries > 0 && worst.Excess() > 0 {
+			t.Fatalf("%d retries for %d requests in a window, %.1f allowed\n%+v", worst.Retries, worst.Requests, worst.Allowed, d)
 		}
 	})
 }
 
-// Guards against losing requests of a terminating server although the budgets of all gateways together permit their
-// repeats.
+// Guards against losing requests that run on a server when it terminates although the budgets of all gateways
+// together permit their retries.
 func TestRequestsOfTerminatedServerCompleteOnOthers(t *testing.T) {
 	for _, route := range []string{"resume", "again"} {
 		t.Run(route, func(t *testing.T) {
 			for seed := range uint64(10) {
-				if lost, asked := runServerTermination(route, seed); lost > 0 {
-					t.Errorf("seed %d: %d of %d requests around the termination of a server were not answered completely", seed, lost, asked)
+				if lost, sent := runServerTermination(route, seed); lost > 0 {
+					t.Errorf("seed %d: %d of %d requests around the termination of a server received no complete response", seed, lost, sent)
 				}
 			}
 		})
 	}
 }
 
-// runServerTermination terminates one of three servers under constant load and returns how many of the requests sent in
-// the 10 s around that time were lost, that is, not answered completely.
-func runServerTermination(route string, seed uint64) (lost, asked int) {
+// runServerTermination terminates one of three servers under constant load. Of the requests sent in the 10 s around
+// that time, it returns how many received no complete response and how many were sent.
+func runServerTermination(route string, seed uint64) (lost, sent int) {
 	synctest.Test(new(testing.T), func(*testing.T) {
 		f := simfleet.New(4, 3, seed, nil)
 		defer f.Close()
@@ -268,7 +268,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if at >= 20*time.Second {
-					asked++
+					sent++
 					if r.Aborted || r.Status != 200 {
 						lost++
 					}
@@ -278,5 +278,5 @@
 		}
 		requests.Wait()
 	})
-	return lost, asked
+	return lost, sent
 }
--- a/internal/retrybudget/simulation_test.go
+++ b/internal/retrybudget/simulation_test.go
@@ -24,7 +24,7 @@
 	onlyGateway int     // the gateway that receives all requests, -1 for any
 }
 
-// fault is a failure, reload or membership change of a gateway.
+// fault is a failure, settings reload or membership change of a gateway.
 type fault struct {
 	at, duration time.Duration
 	kind         string
@@ -37,12 +37,12 @@
 	gateways int
 	segments []segment
 	faults   []fault
-	delayed  float64 // fraction of the repeats that are sent up to 6 s after they are granted
+	delayed  float64 // fraction of the retries that are sent up to 6 s after they are granted
 	seed     uint64
 }
 
 // drawScenario generates a scenario from a seed. The draws are uniform: rapid's generators favour small values, which
-// give scenarios without repeats.
+// give scenarios without retries.
 func drawScenario(seed uint64) scenario {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	ms := func(from, to int) time.Duration { return time.Duration(from+rnd.IntN(to-from)) * time.Millisecond }
@@ -72,11 +72,11 @@
 	stalledFrom time.Time
 	stalledTo   time.Time
 	queued      []time.Time // requests sent during a stall
-	delayed     []delayedRepeat
+	delayed     []delayedRetry
 }
 
-// delayedRepeat is a granted repeat that is due to be sent at a later time.
-type delayedRepeat struct {
+// delayedRetry is a granted retry that is due to be sent at a later time.
+type delayedRetry struct {
 	grant Decision
 	at    time.Time
 }
@@ -89,15 +89,15 @@
 	now      time.Time
 	nodes    []*node
 	requests []time.Time
-	repeats  []time.Time
+	retries  []time.Time
 	failing  float64
 }
 
 // step is the time step of the simulation.
 const step = 5 * time.Millisecond
 
-// run simulates the scenario and returns the times of its requests and repeats.
-func (d scenario) run() (requests, repeats []time.Time) {
+// run simulates the scenario and returns the times of its requests and retries.
+func (d scenario) run() (requests, retries []time.Time) {
 	p := &simulation{scenario: d, settings: Settings{d.rule.Ratio, d.rule.Window, d.rule.Slack}, rnd: rand.New(rand.NewPCG(d.seed, 1)),
 		now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
 	begin := p.now
@@ -123,7 +123,7 @@
 			}
 		}
 	}
-	return p.requests, p.repeats
+	return p.requests, p.retries
 }
 
 // inject applies a fault.
@@ -145,7 +145,7 @@
 	p.setShares()
 }
 
-// setShares sets the shares of all gateways that have joined. Those that have not joined yet are counted.
+// setShares sets the shares of all gateways that have joined. Gateways that have not joined yet count as sharing.
 func (p *simulation) setShares() {
 	counted := 0
 	for _, n := range p.nodes {
@@ -162,15 +162,15 @@
 
 func (p *simulation) stalled(n *node) bool { return p.now.Before(n.stalledTo) }
 
-// advance ends the stalls and the join delays that are over and sends the delayed repeats that are due. A gateway
-// serves its queue when its stall ends.
+// advance ends the stalls and join delays that are over, and sends the delayed retries that are due. A gateway
+// serves its queued requests when its stall ends.
 func (p *simulation) advance() {
 	for _, n := range p.nodes {
 		if !n.stalledTo.IsZero() && !p.stalled(n) {
 			for range n.queued {
 				p.serve(n)
 			}
-			n.budget.Stalled(n.stalledFrom, p.now.Add(200*time.Millisecond), p.now)
+			n.budget.RecordStall(n.stalledFrom, p.now.Add(200*time.Millisecond), p.now)
 			n.stalledTo, n.queued = time.Time{}, nil
 			p.setShares()
 		}
@@ -193,10 +193,9 @@
 	p.serve(n)
 }
 
-// serve sends a request until a send succeeds, the budget denies a repeat, a repeat is delayed or three repeats are
-// sent.
+// serve sends a request until a send succeeds, a retry is denied or delayed, or three retries have been sent.
 func (p *simulation) serve(n *node) {
-	n.budget.Request(p.now)
+	n.budget.RecordRequest(p.now)
 	for range 3 {
 		if p.rnd.Float64() >= p.failing {
 			return
@@ -206,43 +205,43 @@
 		case !d.Granted:
 			return
 		case p.rnd.Float64() < p.delayed:
-			n.delayed = append(n.delayed, delayedRepeat{d, p.now.Add(time.Duration(p.rnd.IntN(6000)) * time.Millisecond)})
+			n.delayed = append(n.delayed, delayedRetry{d, p.now.Add(time.Duration(p.rnd.IntN(6000)) * time.Millisecond)})
 			return
 		}
-		p.repeats = append(p.repeats, p.now)
+		p.retries = append(p.retries, p.now)
 	}
 }
 
-// sendDelayed sends the delayed repeats of a gateway that are due, if their grants can be renewed.
+// sendDelayed sends the delayed retries of a gateway that are due, if their grants can be renewed.
 func (p *simulation) sendDelayed(n *node) {
-	n.delayed = slices.DeleteFunc(n.delayed, func(r delayedRepeat) bool {
+	n.delayed = slices.DeleteFunc(n.delayed, func(r delayedRetry) bool {
 		if p.now.Before(r.at) {
 			return false
 		}
 		if n.budget.Renew(r.grant, p.now).Granted {
-			p.repeats = append(p.repeats, p.now)
+			p.retries = append(p.retries, p.now)
 		}
 		return true
 	})
 }
 
-// In any window, the repeats of all gateways stay within the rule and within the stricter bound that each gateway
-// enforces, which splits the ratio between the requests of two windows. Only SlackInUse of the slack is allowed:
-// the rest is reserved for sends in flight, which the simulation does not have.
-func TestRepeatsOfAllGatewaysStayWithinRule(t *testing.T) {
+// In any window, the retries of all gateways stay within the rule and within the stricter bound that each gateway
+// enforces, which splits the ratio between the requests of two windows. Only UsedSlackFraction of the slack is
+// allowed: the remainder is reserved for retries in flight, which the simulation does not have.
+func TestRetriesOfAllGatewaysStayWithinRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// Hashed because rapid draws mostly small integers, which would repeat scenarios.
 		d := drawScenario(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
-		requests, repeats := d.run()
-		if len(repeats) == 0 {
+		requests, retries := d.run()
+		if len(retries) == 0 {
 			return
 		}
-		d.rule.Slack *= SlackInUse
-		if w := retryrule.Worst(d.rule, requests, repeats); w.Excess() > 1e-6 {
-			t.Fatalf("%d repeats for %d requests in the window at %s, %.1f allowed", w.Retries, w.Requests, w.Start.Sub(requests[0]), w.Allowed)
+		d.rule.Slack *= UsedSlackFraction
+		if w := retryrule.Worst(d.rule, requests, retries); w.Excess() > 1e-6 {
+			t.Fatalf("%d retries for %d requests in the window at %s, %.1f allowed", w.Retries, w.Requests, w.Start.Sub(requests[0]), w.Allowed)
 		}
-		if w := retryrule.WorstSplit(d.rule, bucketRatio, requests, repeats); w.Excess() > 1e-6 {
-			t.Fatalf("%d repeats in the window at %s, %.1f paid for", w.Retries, w.Start.Sub(requests[0]), w.Allowed)
+		if w := retryrule.WorstSplit(d.rule, bucketRatioFraction, requests, retries); w.Excess() > 1e-6 {
+			t.Fatalf("%d retries in the window at %s, %.1f covered", w.Retries, w.Start.Sub(requests[0]), w.Allowed)
 		}
 	})
 }
@@ -253,16 +252,16 @@
 		segments: []segment{{failFrom, perSecond, 0, -1}, {40*time.Second - failFrom, perSecond, 1, -1}}}
 }
 
-// Guards against a budget that denies nearly all repeats.
+// Guards against a budget that denies nearly all retries.
 func TestASteadilyFailingServiceGetsMostOfItsBudget(t *testing.T) {
 	for _, perSecond := range []int{10, 50, 200} {
 		g := NewWithT(t)
 		d := steadyScenario(perSecond, 8*time.Second)
-		requests, repeats := d.run()
-		w := retryrule.Worst(d.rule, requests, repeats)
+		requests, retries := d.run()
+		w := retryrule.Worst(d.rule, requests, retries)
 		g.Expect(float64(w.Retries)).To(BeNumerically(">=", 0.6*w.Allowed), "%d a second", perSecond)
 		last := 0
-		for _, at := range repeats {
+		for _, at := range retries {
 			if at.After(requests[0].Add(30 * time.Second)) {
 				last++
 			}
@@ -271,7 +270,7 @@
 	}
 }
 
-// Guards against a budget too small to repeat all requests that are running on a server when it terminates.
+// Guards against a budget too small to retry all requests that are running on a server when it terminates.
 func TestBudgetCoversServerTermination(t *testing.T) {
 	g := NewWithT(t)
 	const gateways, running = 4, 48
@@ -283,7 +282,7 @@
 	}
 	for range 30 * 50 { // at 50 a second
 		now = now.Add(20 * time.Millisecond)
-		budgets[rnd.IntN(gateways)].Request(now)
+		budgets[rnd.IntN(gateways)].RecordRequest(now)
 	}
 	granted := 0
 	for i := range running {
