--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -315,7 +315,7 @@
 	defer cancel()
 	resp, err := g.pool.Do(ctx, server.Address, g.outgoingRequest(q, server, choice.FetchFrom, rel))
 	var result sendResult
-	var notices *notice.Statement
+	var notices *notice.ResponseNotices
 	if err != nil {
 		result, err = g.exchangeError(ctx, b, err)
 	} else {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -79,7 +79,7 @@
 	// ServerEnded is set if the connection broke because the server process exited.
 	ServerExited bool `json:"ended,omitempty"`
 	// Notices are the notices in the response headers, or nil if there are none.
-	Notices *notice.Statement `json:"said,omitempty"`
+	Notices *notice.ResponseNotices `json:"said,omitempty"`
 	// Repeat is the retry budget's decision on repeating this send, nil if the budget was not consulted.
 	Repeat *retrybudget.Decision `json:"repeat,omitempty"`
 }
--- a/internal/notice/board_test.go
+++ b/internal/notice/board_test.go
@@ -20,44 +20,44 @@
 }
 
 func newTestRegistry() *testRegistry {
-	b := &testRegistry{}
-	b.Registry = NewRegistry(ratelimit.New(func() float64 { return 0 }), func(e Event) { b.events = append(b.events, e) })
-	return b
+	r := &testRegistry{}
+	r.Registry = NewRegistry(ratelimit.New(func() float64 { return 0 }), func(e Event) { r.events = append(r.events, e) })
+	return r
 }
 
 func at(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-func limit(rate float64) Statement { return Statement{Limited: true, Limit: rate} }
+func limit(rate float64) ResponseNotices { return ResponseNotices{Limited: true, Limit: rate} }
 
 // rate returns the limit in force, or 0 if there is none.
-func (b *testRegistry) rate(now int) float64 { return b.limits.Budget(server, at(now)).Rate }
+func (r *testRegistry) rate(now int) float64 { return r.limits.Budget(server, at(now)).Rate }
 
 func TestNothingIsKeptWhereNothingIsSaid(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordResponse(server, Statement{}, at(0), at(10))
+	b.RecordResponse(server, ResponseNotices{}, at(0), at(10))
 	g.Expect(b.Empty()).To(BeTrue())
 	g.Expect(b.Due(at(10))).To(BeEmpty())
 	g.Expect(b.Active(server, at(10))).To(BeEmpty())
 }
 
-func TestLimitEndsWithAnswerWithoutIt(t *testing.T) {
+func TestLimitEndsWithResponseWithoutIt(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
 	b.RecordResponse(server, limit(4), at(0), at(100))
 	g.Expect(b.rate(100)).To(Equal(4.0))
 	g.Expect(b.Active(server, at(300))[0].Age).To(Equal(200 * time.Millisecond))
 
-	b.RecordResponse(server, Statement{}, at(50), at(150)) // sent before the limit was received, so it may be older
+	b.RecordResponse(server, ResponseNotices{}, at(50), at(150)) // sent before the limit was received, so it may be older
 	g.Expect(b.rate(150)).To(Equal(4.0))
-	b.RecordResponse(server, Statement{Unreadable: []Kind{RateLimit}}, at(160), at(200)) // unreadable, so not evidence of an end
+	b.RecordResponse(server, ResponseNotices{Unreadable: []Kind{RateLimit}}, at(160), at(200)) // malformed, so no evidence that the limit has ended
 	g.Expect(b.rate(200)).To(Equal(4.0))
-	b.RecordResponse(server, Statement{}, at(160), at(210))
+	b.RecordResponse(server, ResponseNotices{}, at(160), at(210))
 	g.Expect(b.limits.Limited(server)).To(BeFalse())
 	g.Expect(b.events).To(Equal([]Event{{Server: server, Kind: RateLimit, Limit: 4}, {Server: server, Kind: RateLimit, Ended: true}}))
 }
 
-func TestLowerLimitOfReorderedAnswersApplies(t *testing.T) {
+func TestLowerLimitOfReorderedResponsesApplies(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
 	b.RecordResponse(server, limit(4), at(0), at(100))
@@ -92,7 +92,7 @@
 	g.Expect(b.Active(server, at(205))[0].From).To(Equal("edge-a"))
 	g.Expect(b.Due(at(1000))).To(BeEmpty(), "received reports are not forwarded")
 
-	b.RecordResponse(server, Statement{}, at(1000), at(1050)) // b learns that the limit has ended
+	b.RecordResponse(server, ResponseNotices{}, at(1000), at(1050)) // b learns that the limit has ended
 	ended := b.Due(at(1050))[0]
 	outdated := a.All(at(1060))[0] // a does not know of the end yet
 	reply := b.Receive(outdated, "edge-a", at(1065))
@@ -107,10 +107,10 @@
 	g.Expect(a.rate(1310)).To(Equal(2.0), "the end of the earlier limit does not end the new one")
 }
 
-// report returns the registry's report of the server.
-func (b *testRegistry) report(now time.Time) Report {
-	r, _ := b.Report(server, now)
-	return r
+// report returns the registry's report about the server.
+func (r *testRegistry) report(now time.Time) Report {
+	report, _ := r.Report(server, now)
+	return report
 }
 
 func TestUnlistedServersAreRemoved(t *testing.T) {
@@ -121,7 +121,7 @@
 	sweep := func(ms int) { b.Sweep(func(string) bool { return listed }, at(ms)) }
 	sweep(200_000)
 	g.Expect(b.limits.Limited(server)).To(BeTrue())
-	listed = false // as during an outage of the list
+	listed = false // e.g. during an outage of the store that holds the list
 	sweep(250_000)
 	g.Expect(b.limits.Limited(server)).To(BeTrue())
 	sweep(261_000)
@@ -132,8 +132,8 @@
 func TestDrainingIsReportedAndPermanent(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newTestRegistry(), newTestRegistry()
-	a.RecordResponse(server, Statement{Draining: true}, at(0), at(100))
-	a.RecordResponse(server, Statement{}, at(150), at(200)) // a response in flight
+	a.RecordResponse(server, ResponseNotices{Draining: true}, at(0), at(100))
+	a.RecordResponse(server, ResponseNotices{}, at(150), at(200)) // a response in flight
 	g.Expect(a.Draining(server)).To(BeTrue())
 	reports := a.Due(at(300))
 	g.Expect(reports).To(HaveLen(1))
@@ -141,7 +141,7 @@
 	g.Expect(b.Draining(server)).To(BeTrue())
 	g.Expect(b.Active(server, at(310))).To(Equal([]ActiveNotice{{Server: server, Kind: Draining, Age: 200 * time.Millisecond, From: "edge-a"}}))
 	g.Expect(b.limits.Limited(server)).To(BeFalse())
-	g.Expect(b.Draining("i-1@1765000000001")).To(BeFalse(), "a different start of the server")
+	g.Expect(b.Draining("i-1@1765000000001")).To(BeFalse(), "another instance of the server")
 	b.Sweep(func(string) bool { return true }, at(10_000_000))
 	g.Expect(b.Draining(server)).To(BeTrue(), "as long as it is listed")
 }
@@ -152,7 +152,7 @@
 	g := NewWithT(t)
 	a, b := newTestRegistry(), newTestRegistry()
 	b.RecordResponse(server, limit(4), at(0), at(100))
-	a.RecordResponse(server, Statement{Draining: true}, at(200), at(300))
+	a.RecordResponse(server, ResponseNotices{Draining: true}, at(200), at(300))
 	b.Receive(a.Due(at(300))[0], "edge-a", at(310))
 	g.Expect(b.limits.Limited(server)).To(BeTrue())
 	g.Expect(b.Draining(server)).To(BeTrue())
@@ -162,9 +162,9 @@
 func TestLongestBackoffApplies(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordResponse(server, Statement{Backoff: 4 * time.Second}, at(0), at(100))
-	b.RecordResponse(server, Statement{Backoff: time.Second}, at(10), at(200))
-	b.RecordResponse(server, Statement{}, at(20), at(300))
+	b.RecordResponse(server, ResponseNotices{Backoff: 4 * time.Second}, at(0), at(100))
+	b.RecordResponse(server, ResponseNotices{Backoff: time.Second}, at(10), at(200))
+	b.RecordResponse(server, ResponseNotices{}, at(20), at(300))
 	g.Expect(b.BackoffRemaining(server, at(1100))).To(Equal(3 * time.Second))
 	g.Expect(b.BackoffRemaining(server, at(4100))).To(BeZero())
 	g.Expect(b.Due(at(400))).To(BeEmpty(), "a backoff applies to this gateway only")
@@ -175,7 +175,7 @@
 	g.Expect(b.Empty()).To(BeTrue())
 }
 
-// Guards against sending a report for every response of a server that states a different limit in each.
+// Guards against sending a report for every response of a server that sends a different limit in each.
 func TestFrequentLimitChangesAreSentAtIntervals(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
@@ -188,7 +188,8 @@
 	g.Expect(b.rate(10_000)).To(BeNumerically("~", 4, 0.5))
 }
 
-// Guards against a deadlock: the server list calls the registry while it holds its own lock, and Sweep calls the list.
+// Guards against a deadlock: the server list calls the registry while it holds its own lock, and Sweep calls the
+// server list.
 func TestSweepCallsListedWithoutLock(t *testing.T) {
 	b := newTestRegistry()
 	b.RecordResponse(server, limit(1), at(0), at(100))
@@ -214,7 +215,7 @@
 			b.Receive(r, "edge-a", at(now))
 		}
 		if got, _ := b.Report(server, at(now)); got.Limited != newest.Limited || newest.Limited && got.Limit != newest.Limit {
-			t.Fatalf("%+v, the newest is %+v", got, newest)
+			t.Fatalf("got %+v, the newest report is %+v", got, newest)
 		}
 	})
 }
--- a/internal/notice/days_test.go
+++ b/internal/notice/days_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// Excluded under the race detector, whose runtime fails in some simulations of whole fleets in synthetic
-// time.
+// Excluded under the race detector, whose runtime fails in some simulations of whole fleets with a synthetic
+// clock.
 
 package notice_test
 
@@ -28,7 +28,7 @@
 	propagationTime = 3 * time.Second
 	// window is the period over which arrivals are counted.
 	window = 4 * time.Second
-	// maxRefusalTime is half of the time that callers wait.
+	// maxRefusalTime is the maximum time until a request is refused: half of the time that callers wait.
 	maxRefusalTime = 2500 * time.Millisecond
 	// drainGrace is the time after which a gateway that has received a draining notice must send the server
 	// no requests.
@@ -43,13 +43,13 @@
 	route             string
 	gateways, servers int
 	rate              float64
-	// limitedServers servers state the rate from limitFrom until limitUntil.
+	// limitedServers is the number of servers that limit the rate from limitFrom until limitUntil.
 	limitedServers        int
 	limitFrom, limitUntil time.Duration
-	// drainingServers servers state from drainFrom on that they are draining, while the list has them as ready.
+	// drainingServers is the number of servers that are draining from drainFrom on, while they are listed as ready.
 	drainingServers int
 	drainFrom       time.Duration
-	// backoffServers servers refuse requests from refuseFrom on for refuseFor, and state the backoff.
+	// backoffServers is the number of servers that refuse requests with a backoff from refuseFrom on for refuseFor.
 	backoffServers        int
 	refuseFrom, refuseFor time.Duration
 	backoff               time.Duration
@@ -75,18 +75,18 @@
 	d := scenario{route: rapid.SampledFrom([]string{"once", "again", "stream", "resume"}).Draw(t, "route"),
 		gateways: rapid.IntRange(1, 5).Draw(t, "gateways"), servers: rapid.IntRange(1, 8).Draw(t, "servers"),
 		rate:      rapid.SampledFrom([]float64{0, 0.2, 1, 4, 60}).Draw(t, "rate"),
-		limitFrom: ms(500, 3000, "limit at"), limitUntil: ms(9000, 20000, "lift at"),
-		requestInterval: ms(4, 60, "every"), oneGateway: rapid.Bool().Draw(t, "uneven")}
-	d.limitedServers = rapid.IntRange(1, d.servers).Draw(t, "limited")
-	if rapid.Bool().Draw(t, "leave") {
-		d.drainingServers, d.drainFrom = rapid.IntRange(1, d.servers).Draw(t, "leaving"), ms(500, 9000, "leave at")
+		limitFrom: ms(500, 3000, "limit from"), limitUntil: ms(9000, 20000, "limit until"),
+		requestInterval: ms(4, 60, "request interval"), oneGateway: rapid.Bool().Draw(t, "one gateway")}
+	d.limitedServers = rapid.IntRange(1, d.servers).Draw(t, "limited servers")
+	if rapid.Bool().Draw(t, "drain") {
+		d.drainingServers, d.drainFrom = rapid.IntRange(1, d.servers).Draw(t, "draining servers"), ms(500, 9000, "drain from")
 	}
-	if rapid.Bool().Draw(t, "rest") {
-		d.backoffServers, d.refuseFrom, d.refuseFor = rapid.IntRange(1, d.servers).Draw(t, "resting"), ms(500, 9000, "refuse at"), ms(50, 2000, "refuse for")
-		d.backoff = ms(1000, 6000, "rest for")
+	if rapid.Bool().Draw(t, "back off") {
+		d.backoffServers, d.refuseFrom, d.refuseFor = rapid.IntRange(1, d.servers).Draw(t, "backoff servers"), ms(500, 9000, "refuse from"), ms(50, 2000, "refuse for")
+		d.backoff = ms(1000, 6000, "backoff")
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "faults") {
-		d.faults = append(d.faults, fault{ms(500, 12000, "at"), ms(200, 8000, "lasts"), rapid.SampledFrom(faultKinds).Draw(t, "kind"),
+		d.faults = append(d.faults, fault{ms(500, 12000, "at"), ms(200, 8000, "duration"), rapid.SampledFrom(faultKinds).Draw(t, "kind"),
 			rapid.IntRange(0, d.gateways-1).Draw(t, "node")})
 	}
 	return d
@@ -127,20 +127,20 @@
 	pending.Wait()
 }
 
-// setNotices makes servers state the scenario's notices.
+// setNotices makes the servers send the scenario's notices.
 func (p *scenarioRun) setNotices() {
 	step := 10 * time.Millisecond
 	refusing := false
 	for now := time.Duration(0); now < scenarioDuration; now += step {
 		for i, s := range p.Servers {
-			var lines []string
+			var headers []string
 			if i < p.limitedServers && now >= p.limitFrom && now < p.limitUntil {
-				lines = append(lines, "Server-Limit: "+strconv.FormatFloat(p.rate, 'g', -1, 64))
+				headers = append(headers, "Server-Limit: "+strconv.FormatFloat(p.rate, 'g', -1, 64))
 			}
 			if p.draining(i) && now >= p.drainFrom {
-				lines = append(lines, "Server-Leaving: 1")
+				headers = append(headers, "Server-Leaving: 1")
 			}
-			p.CurrentWorker(s).SetHeaders(lines...)
+			p.CurrentWorker(s).SetHeaders(headers...)
 		}
 		if refuse := now >= p.refuseFrom && now < p.refuseFrom+p.refuseFor; p.backoffServers > 0 && refuse != refusing {
 			refusing = refuse
@@ -219,8 +219,8 @@
 	return most
 }
 
-// arrivalsByGateway returns the arrivals at a server by the gateway that sent them. It excludes gateways that
-// are killed in the scenario, because they lose their notices.
+// arrivalsByGateway returns the arrivals at a server, keyed by the gateway that sent them. It excludes gateways
+// that are killed in the scenario, because they lose their notices.
 func (p *scenarioRun) arrivalsByGateway(w *worker.Worker) map[string][]worker.Arrival {
 	out := map[string][]worker.Arrival{}
 	for _, a := range w.Arrivals() {
@@ -235,9 +235,9 @@
 	return out
 }
 
-// checkHeeded returns an error message if a gateway did not follow a notice that it had received, and ""
+// checkCompliance returns an error message if a gateway did not comply with a notice that it had received, and ""
 // otherwise.
-func (p *scenarioRun) checkHeeded() string {
+func (p *scenarioRun) checkCompliance() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, s := range p.Servers {
@@ -259,8 +259,8 @@
 	return ""
 }
 
-// requestAfterDraining returns the ID of a request that was sent later than drainGrace after its gateway
-// received the draining notice, which the server states from the given time on.
+// requestAfterDraining returns the ID of a request that was sent more than drainGrace after its gateway received
+// the draining notice, or "" if there is none. The server sends the notice from the given time on.
 func requestAfterDraining(arrivals []worker.Arrival, statedFrom time.Time, sentAt map[string]time.Time) string {
 	var received time.Time
 	for _, a := range arrivals {
@@ -275,7 +275,7 @@
 	return ""
 }
 
-// requestsDuringBackoff returns the highest number of requests during a backoff that was stated between two
+// requestsDuringBackoff returns the highest number of requests during any backoff that was sent between two
 // times.
 func requestsDuringBackoff(arrivals []worker.Arrival, from, to time.Time, backoff time.Duration) (most int) {
 	for i, first := range arrivals {
@@ -293,10 +293,10 @@
 	return most
 }
 
-// check returns an error message if a gateway did not follow the notices or refused a request incorrectly, and
-// "" otherwise.
+// check returns an error message if the gateways did not comply with the notices or refused a request incorrectly,
+// and "" otherwise.
 func (p *scenarioRun) check() string {
-	if failure := p.checkHeeded(); failure != "" {
+	if failure := p.checkCompliance(); failure != "" {
 		return failure
 	}
 	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(p.limitUntil)
@@ -387,12 +387,12 @@
 }
 
 // With faults of gateways and any distribution of callers:
-//   - a server that states a rate receives at most 1.5 times that rate plus 5 requests in any 4 s;
-//   - a server that is draining receives no requests, and one that backs off hardly any, from gateways
-//     that have received the notice;
-//   - refused requests have not run, and are refused quickly and with a Retry-After time;
-//   - without faults and other notices, most of the capacity that the limits allow is used.
-func TestFleetsHeedNotices(t *testing.T) {
+//   - a server with a rate limit receives at most 1.5 times that rate plus 5 requests in any 4 s;
+//   - a draining server receives no requests, and a server during a backoff at most maxDuringBackoff, from
+//     each gateway that has received the notice, after a grace period;
+//   - refused requests have not run, and are refused within maxRefusalTime and with a Retry-After header;
+//   - without faults and other notices, at least 0.7 of the capacity that the limits allow is used.
+func TestFleetsComplyWithNotices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawScenario(t)
 		if failure := d.run(); failure != "" {
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,6 +1,6 @@
-// Package notice tracks notices: statements of backend servers about themselves in the headers of
-// their responses. A notice says that a server is draining, which rate of requests it accepts, or for
-// how long it wants none. The package uses no clock and no network.
+// Package notice tracks the notices that backend servers send in the headers of their responses: that
+// a server is draining, limits the rate of requests, or asks the gateway to back off. The package uses
+// no clock and no network.
 package notice
 
 import (
@@ -12,50 +12,50 @@
 type Kind string
 
 const (
-	Draining  Kind = "draining"   // the server accepts no new work and terminates soon
-	RateLimit Kind = "rate_limit" // the request rate that the server accepts from all gateways together
-	Backoff   Kind = "backoff"    // the time for which the server wants no requests from the gateway that it responded to
+	Draining  Kind = "draining"   // the server accepts no new requests and terminates soon
+	RateLimit Kind = "rate_limit" // the server accepts a limited rate of requests from all gateways together
+	Backoff   Kind = "backoff"    // the server accepts no requests from the gateway that it responded to for a time
 )
 
-// Statement holds the notices of one response.
-type Statement struct {
+// ResponseNotices are the notices in one response.
+type ResponseNotices struct {
 	Draining bool `json:"draining,omitempty"`
-	// Limited reports whether a rate limit is stated; Limit is the limit in requests per second.
+	// Limited reports whether there is a rate limit; Limit is the limit in requests per second.
 	Limited bool    `json:"limited,omitempty"`
 	Limit   float64 `json:"limit,omitempty"`
-	// Backoff is the time for which the server wants no requests, or 0 if none is stated.
+	// Backoff is the time for which the server accepts no requests, or 0 if the response has no backoff.
 	Backoff time.Duration `json:"backoff,omitempty"`
-	// Unreadable are the kinds of notices that could not be parsed. Earlier notices of these kinds stay in force.
+	// Unreadable are the kinds of malformed notices. Earlier notices of these kinds stay in force.
 	Unreadable []Kind `json:"unreadable,omitempty"`
 }
 
-// Empty reports whether the response has no notices, not even unreadable ones.
-func (s Statement) Empty() bool {
-	return !s.Draining && !s.Limited && s.Backoff == 0 && len(s.Unreadable) == 0
+// Empty reports whether the response has no notices, not even malformed ones.
+func (n ResponseNotices) Empty() bool {
+	return !n.Draining && !n.Limited && n.Backoff == 0 && len(n.Unreadable) == 0
 }
 
-// Kinds returns the kinds of the readable notices.
-func (s Statement) Kinds() []Kind {
+// Kinds returns the kinds of the well-formed notices.
+func (n ResponseNotices) Kinds() []Kind {
 	var out []Kind
-	if s.Draining {
+	if n.Draining {
 		out = append(out, Draining)
 	}
-	if s.Limited {
+	if n.Limited {
 		out = append(out, RateLimit)
 	}
-	if s.Backoff > 0 {
+	if n.Backoff > 0 {
 		out = append(out, Backoff)
 	}
 	return out
 }
 
-// unreadable reports whether the response has a notice of a kind that could not be parsed.
-func (s Statement) unreadable(kind Kind) bool { return slices.Contains(s.Unreadable, kind) }
+// unreadable reports whether the response has a malformed notice of a kind.
+func (n ResponseNotices) unreadable(kind Kind) bool { return slices.Contains(n.Unreadable, kind) }
 
-// MaxLimit is the highest valid rate limit in requests per second. A backend server runs tens to
-// hundreds of requests at once.
+// MaxLimit is the highest valid rate limit in requests per second. It is far above the capacity of a
+// backend server, which runs tens to hundreds of requests at once.
 const MaxLimit = 1e6
 
-// MaxBackoff is the longest valid backoff. A server that wants no requests for longer should be removed
-// from the list.
+// MaxBackoff is the longest valid backoff. A server that accepts no requests for longer should be removed
+// from the server list.
 const MaxBackoff = time.Hour
--- a/internal/notice/registry.go
+++ b/internal/notice/registry.go
@@ -11,42 +11,43 @@
 )
 
 const (
-	// unlistedRetention is how long the notices of an unlisted server are kept. List entries can expire
-	// and return when the list cannot be written for a while.
+	// unlistedRetention is how long the notices of an unlisted server are kept. Entries of the server list
+	// can expire and return when the list cannot be written for a while.
 	unlistedRetention = time.Minute
-	// maxServers limits the number of servers with recorded notices; the largest fleet has 650 servers.
+	// maxServers is the maximum number of servers with recorded notices; the largest fleet has 650 servers.
 	maxServers = 4096
 )
 
-// Registry holds the notices that a gateway knows from responses and from the reports of other
-// gateways, by instance ID: a restarted server has a new entry. It is safe for concurrent use.
+// Registry holds the notices that a gateway has received in responses and in reports of other
+// gateways. Servers are identified by instance ID, so that a restarted server has a new entry.
+// It is safe for concurrent use.
 type Registry struct {
-	limits  *ratelimit.Limiter
-	notify  func(Event)
-	size    atomic.Int32  // number of servers, for a fast check without the lock: usually 0
-	pending chan struct{} // signals that there are changes to send
+	limits      *ratelimit.Limiter
+	notify      func(Event)
+	serverCount atomic.Int32  // len(servers), usually 0, for a check without the lock
+	pending     chan struct{} // signals that there are changes to send
 
 	mu      sync.Mutex
 	servers map[string]*serverState
 }
 
-// serverState is what is known of one server instance.
+// serverState holds the notices of one server instance.
 type serverState struct {
-	// draining is never reset: a server that is draining does not return to service without a restart.
+	// draining is never reset: a draining server does not return to service without a restart.
 	draining      bool
 	drainingSince time.Time
-	drainingFrom  string // gateway that reported it, empty if it was stated to this gateway
+	drainingFrom  string // gateway that reported it, empty if this gateway received the notice itself
 	limited       bool
 	limit         float64
-	// limitStatedAt is when the limit was last stated. limitClearedAt is the latest time at which no
-	// limit is known to have been stated.
+	// limitStatedAt is when a response last had the limit. limitClearedAt is the latest time at which the
+	// server is known to have had no limit.
 	limitStatedAt, limitClearedAt time.Time
-	limitFrom                     string // gateway that last reported the limit, empty if it was stated to this gateway
-	// backoffUntil is the time from which the server accepts requests of this gateway again, as stated at
-	// backoffStatedAt.
+	limitFrom                     string // gateway that last reported the limit, empty if this gateway received it itself
+	// backoffUntil is the time from which the server accepts requests of this gateway again. The backoff was
+	// received at backoffStatedAt.
 	backoffUntil, backoffStatedAt time.Time
 	resends                       resendSchedule
-	listedAt                      time.Time // when the server was last found on the list, or when this state was created
+	listedAt                      time.Time // when the server was last found in the server list, or when this state was created
 }
 
 // Event is a change of the notices of a server.
@@ -55,13 +56,13 @@
 	Kind   Kind
 	Ended  bool
 	Limit  float64
-	// Backoff is the time for which the server wants no requests.
+	// Backoff is the time for which the server accepts no requests.
 	Backoff time.Duration
-	From    string // gateway that reported the change, empty if it was stated to this gateway
+	From    string // gateway that reported the change, empty if this gateway received the notice itself
 }
 
 // NewRegistry returns an empty registry that applies rate limits to limits. Notify is called with
-// each change; it must not call the registry.
+// each change, under the registry's lock: it must not call the registry.
 func NewRegistry(limits *ratelimit.Limiter, notify func(Event)) *Registry {
 	return &Registry{limits: limits, notify: notify, pending: make(chan struct{}, 1), servers: map[string]*serverState{}}
 }
@@ -70,32 +71,32 @@
 func (r *Registry) Limits() *ratelimit.Limiter { return r.limits }
 
 // Empty reports whether no notices are recorded for any server.
-func (r *Registry) Empty() bool { return r.size.Load() == 0 }
+func (r *Registry) Empty() bool { return r.serverCount.Load() == 0 }
 
-// RecordResponse records the notices of a response to a request that was sent at the given time.
-// Responses may be reordered: a higher limit, or none, counts only if the request was sent after the current
-// limit was last stated.
-func (r *Registry) RecordResponse(server string, stated Statement, sent, now time.Time) {
-	if stated.Empty() && r.Empty() {
+// RecordResponse records the notices in a response to a request that was sent at the given time.
+// Responses may be reordered, so a higher limit, or none, applies only if the request was sent after the
+// current limit was last received.
+func (r *Registry) RecordResponse(server string, n ResponseNotices, sent, now time.Time) {
+	if n.Empty() && r.Empty() {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.lookup(server, len(stated.Kinds()) > 0, now)
+	s := r.lookup(server, len(n.Kinds()) > 0, now)
 	if s == nil {
 		return
 	}
-	if stated.Draining {
+	if n.Draining {
 		r.setDraining(server, s, now, "", now)
 	}
-	if until := now.Add(stated.Backoff); stated.Backoff > 0 && until.After(s.backoffUntil) {
+	if until := now.Add(n.Backoff); n.Backoff > 0 && until.After(s.backoffUntil) {
 		r.setBackoff(server, s, until, now)
 	}
 	newer := sent.After(s.limitStatedAt)
 	switch {
-	case stated.Limited && (!s.limited || stated.Limit <= s.limit || newer):
-		r.setLimit(server, s, stated.Limit, now, "", now)
-	case !stated.Limited && !stated.unreadable(RateLimit) && s.limited && newer:
+	case n.Limited && (!s.limited || n.Limit <= s.limit || newer):
+		r.setLimit(server, s, n.Limit, now, "", now)
+	case !n.Limited && !n.unreadable(RateLimit) && s.limited && newer:
 		r.clearLimit(server, s, sent, "", now)
 	}
 }
@@ -107,7 +108,7 @@
 	if s == nil && create && len(r.servers) < maxServers {
 		s = &serverState{listedAt: now}
 		r.servers[server] = s
-		r.size.Store(int32(len(r.servers)))
+		r.serverCount.Store(int32(len(r.servers)))
 	}
 	return s
 }
@@ -129,8 +130,8 @@
 	}
 }
 
-// BackoffRemaining returns the time for which a server still wants no requests from this gateway, or 0 if it
-// accepts them.
+// BackoffRemaining returns the time for which a server still accepts no requests from this gateway, or 0 if
+// there is no backoff.
 func (r *Registry) BackoffRemaining(server string, now time.Time) time.Duration {
 	if r.Empty() {
 		return 0
@@ -155,9 +156,9 @@
 	return s != nil && s.draining
 }
 
-func (r *Registry) setLimit(server string, s *serverState, limit float64, stated time.Time, from string, now time.Time) {
+func (r *Registry) setLimit(server string, s *serverState, limit float64, statedAt time.Time, from string, now time.Time) {
 	changed := !s.limited || s.limit != limit
-	s.limited, s.limit, s.limitStatedAt, s.limitFrom = true, limit, stated, from
+	s.limited, s.limit, s.limitStatedAt, s.limitFrom = true, limit, statedAt, from
 	if !changed {
 		return
 	}
@@ -171,7 +172,8 @@
 	r.publish(s, Event{Server: server, Kind: RateLimit, Ended: true, From: from}, now)
 }
 
-// publish notifies of a change, and schedules its sends to the other gateways if it was stated to this gateway.
+// publish calls notify with a change. If this gateway received the notice itself, publish also schedules the
+// sends of the change to the other gateways.
 func (r *Registry) publish(s *serverState, e Event, now time.Time) {
 	r.notify(e)
 	if e.From != "" {
@@ -190,8 +192,8 @@
 	Kind      Kind          `json:"kind"`
 	Limit     *float64      `json:"limit,omitempty"` // requests per second, for a rate limit
 	Remaining time.Duration `json:"left,omitempty"`  // for a backoff
-	Age       time.Duration `json:"age"`             // since it was last stated, as far as is known
-	From      string        `json:"from,omitempty"`  // gateway that reported it, empty if it was stated to this gateway
+	Age       time.Duration `json:"age"`             // since a gateway received it, for a rate limit most recently
+	From      string        `json:"from,omitempty"`  // gateway that reported it, empty if this gateway received it itself
 }
 
 // Active returns the notices of a server that are in force.
@@ -218,11 +220,12 @@
 	return out
 }
 
-// inForce reports whether any notice is in force that is reported to the other gateways.
-func (s *serverState) inForce() bool { return s.draining || s.limited }
+// reportable reports whether any notice is in force that is reported to the other gateways: a backoff is not.
+func (s *serverState) reportable() bool { return s.draining || s.limited }
 
-// Sweep removes servers that have not been listed for unlistedRetention. It calls listed without
-// holding the registry's lock, because listed may take locks under which the registry is called.
+// Sweep removes servers whose notices have ended, rate limits at least unlistedRetention ago, and servers
+// that have not been listed for unlistedRetention. It calls listed without holding the registry's lock,
+// because listed may acquire locks under which the registry is called.
 func (r *Registry) Sweep(listed func(server string) bool, now time.Time) {
 	if r.Empty() {
 		return
@@ -239,11 +242,11 @@
 		}
 	}
 	for server, s := range r.servers {
-		ended := !s.inForce() && now.After(s.backoffUntil) && now.Sub(s.limitClearedAt) > unlistedRetention
+		ended := !s.reportable() && now.After(s.backoffUntil) && now.Sub(s.limitClearedAt) > unlistedRetention
 		if ended || now.Sub(s.listedAt) > unlistedRetention {
 			r.limits.Remove(server)
 			delete(r.servers, server)
 		}
 	}
-	r.size.Store(int32(len(r.servers)))
+	r.serverCount.Store(int32(len(r.servers)))
 }
--- a/internal/notice/report.go
+++ b/internal/notice/report.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Report is what a gateway sends to the others about a server.
+// Report is what a gateway reports to the others about a server.
 type Report struct {
 	Server string `msgpack:"s"`
-	// Draining reports whether the server is draining; DrainingAgeMs is the time since that became known.
+	// Draining reports whether the server is draining; DrainingAgeMs is the time since a gateway first received
+	// that notice.
 	Draining      bool  `msgpack:"d,omitempty"`
 	DrainingAgeMs int64 `msgpack:"t,omitempty"`
-	// Limited reports whether the server states a rate limit; Limit is the limit in requests per second.
+	// Limited reports whether the server has a rate limit; Limit is the limit in requests per second.
 	Limited bool    `msgpack:"l,omitempty"`
 	Limit   float64 `msgpack:"r,omitempty"`
-	// LimitAgeMs is the time since the limit was stated or its absence was known, or 0 if no limit was ever
-	// stated.
+	// LimitAgeMs is the time since the limit, or a response without one, was last received. It is 0 if no limit
+	// was ever received.
 	LimitAgeMs int64 `msgpack:"a,omitempty"`
 }
 
-// resendSchedule determines when a change is sent again, in case a datagram was lost.
+// resendSchedule determines when a change is sent and resent, in case a datagram is lost.
 type resendSchedule struct {
 	remaining      int
 	nextAt, lastAt time.Time
@@ -25,7 +26,7 @@
 const (
 	// sendsPerChange is the number of times that a change is sent. resendInterval is the time between the
 	// first two sends, and doubles with each further one. It is also the minimum time before the next
-	// change is sent, because a server may state a different rate in every response.
+	// change is sent, because a server may send a different rate limit in every response.
 	sendsPerChange = 3
 	resendInterval = 200 * time.Millisecond
 )
@@ -58,12 +59,12 @@
 	return r.collect(now, func(s *serverState) bool { return s.resends.due(now) })
 }
 
-// All returns the reports of all servers with notices in force, for a gateway that has just started.
+// All returns the reports about all servers with reportable notices, for a gateway that has just started.
 func (r *Registry) All(now time.Time) []Report {
-	return r.collect(now, (*serverState).inForce)
+	return r.collect(now, (*serverState).reportable)
 }
 
-// Report returns the report of one server, and whether the server is known.
+// Report returns the report about one server, and whether the server is known.
 func (r *Registry) Report(server string, now time.Time) (Report, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,8 +105,8 @@
 	return report
 }
 
-// Receive processes a report of another gateway. If this gateway knows that the reported limit has
-// ended, it returns its own report as the reply, because an earlier one may have been lost.
+// Receive processes a report from another gateway. If this gateway knows that the reported limit has
+// ended, it returns its own report as a reply, because an earlier one may have been lost.
 func (r *Registry) Receive(report Report, from string, now time.Time) (reply *Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,8 +120,8 @@
 	at := now.Add(-time.Duration(report.LimitAgeMs) * time.Millisecond)
 	switch {
 	case report.Limited && at.Before(s.limitClearedAt):
-		known := s.report(report.Server, now)
-		return &known
+		newer := s.report(report.Server, now)
+		return &newer
 	case report.Limited && (!s.limited || at.After(s.limitStatedAt)):
 		r.setLimit(report.Server, s, report.Limit, at, from, now)
 	case !report.Limited && report.LimitAgeMs > 0 && s.limited && at.After(s.limitStatedAt):
