--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -1,8 +1,9 @@
 // Package lending carries grant requests from routers to the home routers of the teams,
-// and the responses, with one datagram each way. It uses datagrams instead of links
+// and the responses, with one datagram each way. It uses datagrams instead of connections
 // because with 390 routers nearly every request is the first of its team at its router:
-// each request needs one small exchange, and there is no state worth a connection. A
-// lost datagram costs a wait of requestTimeout and the fallback to an equal share.
+// each request needs one small exchange, and there is no state that a connection would
+// preserve. A lost datagram costs a wait of requestTimeout, and the router falls back to
+// its equal share of the team's limits.
 package lending
 
 import (
@@ -17,63 +18,66 @@
 )
 
 const (
-	// requestTimeout limits the wait for the home router on the request path.
+	// requestTimeout limits the wait for the home router's response, which delays a caller's request.
 	requestTimeout = 100 * time.Millisecond
-	// requestQueueSize is the number of received requests that can wait for the Home.
+	// requestQueueSize is the capacity of the queue of received requests.
 	requestQueueSize = 1024
 )
 
-// message is a datagram; exactly one field is set. Ping is the name of a live router.
-// Fields are encoded by name; the tags keep the outer names of renamed fields.
+// message is the content of a datagram. Exactly one field is set. Fields are encoded by name;
+// the tags keep the encoded names of renamed fields.
 type message struct {
 	Request  *quota.GrantRequest  `msgpack:"Ask"`
 	Response *quota.GrantResponse `msgpack:"Lent"`
 	Release  *quota.ReleaseNotice `msgpack:"Closed"`
-	Ping     string
+	Ping     string               // name of the sender, which can reach the receiver
 }
 
-// Home answers the messages of other routers. Its methods must not block.
+// Home handles the messages of other routers to this one as the home of teams. Its methods
+// must not block.
 type Home interface {
 	Acquire(quota.GrantRequest) quota.GrantResponse
 	Release(quota.ReleaseNotice)
 	MarkReachable(router string)
 }
 
-// Transport sends and receives the messages of this router on one UDP socket.
+// Transport sends and receives the messages of this router on one UDP socket. It is safe for
+// concurrent use.
 type Transport struct {
 	socket *datagram.Socket[message]
 	home   Home
 
-	mu      sync.Mutex
-	waiting map[uint64]chan quota.GrantResponse
+	mu               sync.Mutex
+	pendingResponses map[uint64]chan quota.GrantResponse // by Seq of the request
 }
 
-// Open listens on an IP address and port. home handles the messages of other routers.
+// Open listens on an IP address and port. Home handles the messages of other routers.
 func Open(address string, home Home) (*Transport, error) {
 	socket, err := datagram.Open[message](address, "merlinpost_lending")
 	if err != nil {
 		return nil, err
 	}
-	return &Transport{socket: socket, home: home, waiting: map[uint64]chan quota.GrantResponse{}}, nil
+	return &Transport{socket: socket, home: home, pendingResponses: map[uint64]chan quota.GrantResponse{}}, nil
 }
 
 // Address returns the address that the socket is bound to.
 func (t *Transport) Address() string { return t.socket.Address().String() }
 
 // pendingRequest is a received request and the address to respond to.
-type pendingRequest struct {
+type receivedRequest struct {
 	req  quota.GrantRequest
 	from netip.AddrPort
 }
 
-// Run receives messages until ctx ends: one goroutine reads, another one responds.
+// Run receives messages until ctx is done. The calling goroutine reads from the socket; another
+// one responds to grant requests.
 func (t *Transport) Run(ctx context.Context) {
-	requests := make(chan pendingRequest, requestQueueSize)
+	requests := make(chan receivedRequest, requestQueueSize)
 	var responding sync.WaitGroup
 	responding.Go(func() {
-		for pending := range requests {
-			resp := t.home.Acquire(pending.req)
-			t.socket.Send(message{Response: &resp}, pending.from)
+		for r := range requests {
+			resp := t.home.Acquire(r.req)
+			t.socket.Send(message{Response: &resp}, r.from)
 		}
 	})
 	t.socket.Receive(ctx, func(m message, from netip.AddrPort) { t.handle(m, from, requests) })
@@ -81,7 +85,7 @@
 	responding.Wait()
 }
 
-func (t *Transport) handle(m message, from netip.AddrPort, requests chan<- pendingRequest) {
+func (t *Transport) handle(m message, from netip.AddrPort, requests chan<- receivedRequest) {
 	switch {
 	case m.Ping != "":
 		t.home.MarkReachable(m.Ping)
@@ -91,7 +95,7 @@
 		t.deliver(*m.Response)
 	case m.Request != nil:
 		select {
-		case requests <- pendingRequest{*m.Request, from}:
+		case requests <- receivedRequest{*m.Request, from}:
 		default:
 			telemetry.Count("merlinpost_lending_overrun_total")
 		}
@@ -101,13 +105,13 @@
 func (t *Transport) deliver(resp quota.GrantResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if ch := t.waiting[resp.Seq]; ch != nil {
-		ch <- resp // does not block: the channel has room for its only response
-		delete(t.waiting, resp.Seq)
+	if ch := t.pendingResponses[resp.Seq]; ch != nil {
+		ch <- resp // does not block: the buffered channel receives only this response
+		delete(t.pendingResponses, resp.Seq)
 	}
 }
 
-// Ping tells the router at address that the router self can reach it.
+// Ping notifies the router at address that the router named self can reach it.
 func (t *Transport) Ping(address, self string) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
 		t.socket.Send(message{Ping: self}, to)
@@ -121,8 +125,8 @@
 	}
 }
 
-// Acquire sends a grant request to the home router at an address. It returns false if
-// no response arrives in time. Each request needs a Seq of its own.
+// Acquire sends a grant request to the home router at an address and waits for the response.
+// It returns false if none arrives within requestTimeout. Each request needs a unique Seq.
 func (t *Transport) Acquire(ctx context.Context, home string, req quota.GrantRequest) (quota.GrantResponse, bool) {
 	to, err := netip.ParseAddrPort(home)
 	if err != nil {
@@ -130,7 +134,7 @@
 	}
 	ch := make(chan quota.GrantResponse, 1)
 	t.mu.Lock()
-	t.waiting[req.Seq] = ch
+	t.pendingResponses[req.Seq] = ch
 	t.mu.Unlock()
 	t.socket.Send(message{Request: &req}, to)
 	timer := time.NewTimer(requestTimeout)
@@ -143,6 +147,6 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.waiting, req.Seq)
+	delete(t.pendingResponses, req.Seq)
 	return quota.GrantResponse{}, false
 }
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -44,8 +44,8 @@
 	g.Expect(resp.RetryAfterMS).To(BeEquivalentTo(7))
 }
 
-// A home that receives a malformed datagram still answers the next request, and a request
-// to an unreachable home times out without leaving state behind.
+// Guards against a home that stops responding after a malformed datagram, and against
+// leaking the state of a request that times out.
 func TestAcquireSurvivesMalformedDatagramsAndTimesOut(t *testing.T) {
 	g := NewWithT(t)
 	home := startTransport(t, func(req quota.GrantRequest) quota.GrantResponse {
@@ -61,7 +61,7 @@
 	g.Expect(ok).To(BeTrue())
 	_, ok = router.Acquire(context.Background(), "127.0.0.1:1", quota.GrantRequest{Seq: 4, Team: "t"})
 	g.Expect(ok).To(BeFalse())
-	g.Expect(router.waiting).To(BeEmpty())
+	g.Expect(router.pendingResponses).To(BeEmpty())
 }
 
 // Datagrams are encoded by field name. A renamed field without a tag would make routers of
