--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -90,12 +90,12 @@
 		}),
 		budgets: map[string]*retrybudget.Budget{}, slackShare: 1, borrowPausedUntil: map[string]time.Time{},
 		responseTimes: map[string]*placement.ResponseTimeEstimator{},
-		exits:         exitTracker{byInstance: map[string]*exitCheck{}, pending: map[string][]interruptedRun{}},
+		exits:         exitTracker{checks: map[string]*exitCheck{}, pendingRuns: map[string][]interruptedRun{}},
 		quarantine:    quarantine.New(),
 	}
 	g.notices = notice.NewRegistry(ratelimit.New(g.random), g.logNoticeChange)
 	servers.OnRestart(g.pool.CloseIdle)
-	servers.OnEnd(g.serverExited)
+	servers.OnUnexpectedExit(g.serverExited)
 	g.settings.Store(&set)
 	g.shutdownCtx, g.abortRequests = context.WithCancel(context.Background())
 	return g
@@ -103,7 +103,7 @@
 
 // UseNetwork sets the function that dials backend servers. It must be called before the gateway
 // handles requests.
-func (g *Gateway) UseNetwork(dial exchange.Dial) {
+func (g *Gateway) UseDialer(dial exchange.Dial) {
 	g.pool = exchange.NewPoolWithDialer(dial, time.Now, func() {})
 	g.servers.OnRestart(g.pool.CloseIdle)
 }
@@ -116,7 +116,7 @@
 		g.logger.Warn("listen addresses changed; restart required to apply them", "callers", set.CallerAddress)
 	}
 	if old.Retries != set.Retries {
-		g.eachBudget(func(b *retrybudget.Budget) { b.SetSettings(set.Retries, g.now()) })
+		g.forEachBudget(func(b *retrybudget.Budget) { b.SetSettings(set.Retries, g.now()) })
 	}
 }
 
@@ -132,7 +132,7 @@
 	g.slackShare = share
 	g.mu.Unlock()
 	if changed {
-		g.eachBudget(func(b *retrybudget.Budget) { b.SetShare(share, g.now()) })
+		g.forEachBudget(func(b *retrybudget.Budget) { b.SetShare(share, g.now()) })
 	}
 }
 
@@ -146,11 +146,11 @@
 	g.mu.Lock()
 	g.stalledUntil = until
 	g.mu.Unlock()
-	g.eachBudget(func(b *retrybudget.Budget) { b.RecordStall(since, until, g.now()) })
+	g.forEachBudget(func(b *retrybudget.Budget) { b.RecordStall(since, until, g.now()) })
 }
 
 // eachBudget calls do for the budget of every service.
-func (g *Gateway) eachBudget(do func(*retrybudget.Budget)) {
+func (g *Gateway) forEachBudget(do func(*retrybudget.Budget)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range g.budgets {
