--- a/internal/follow/broadcast.go
+++ b/internal/follow/broadcast.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// broadcast wakes all waiting goroutines at each event. The zero value is ready to use. It is safe
+// broadcast signals events to all waiting goroutines. The zero value is ready to use. It is safe
 // for concurrent use.
 type broadcast struct {
 	mu sync.Mutex
--- a/internal/follow/broadcast_test.go
+++ b/internal/follow/broadcast_test.go
@@ -8,12 +8,12 @@
 
 func TestBroadcastWakesAllWaiters(t *testing.T) {
 	g := NewWithT(t)
-	var s broadcast
-	s.notify() // no goroutine is waiting
-	first, second := s.wait(), s.wait()
+	var b broadcast
+	b.notify() // no goroutine is waiting
+	first, second := b.wait(), b.wait()
 	g.Expect(first).NotTo(BeClosed())
-	s.notify()
+	b.notify()
 	g.Expect(first).To(BeClosed())
 	g.Expect(second).To(BeClosed())
-	g.Expect(s.wait()).NotTo(BeClosed())
+	g.Expect(b.wait()).NotTo(BeClosed())
 }
--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -13,26 +13,26 @@
 )
 
 // configTopic returns how the configuration topic is followed. Its timing is derived from
-// ApplyWithin, the time within which a change must be in force.
+// ApplyWithin, the time within which a new configuration must be active.
 func (f *Follower) configTopic() topic {
 	settings := f.settings.Load()
 	timing := newTiming(settings.ApplyWithin, 0.7)
 	if _, anySmall := f.Peers.SmallHosts(); anySmall {
 		timing.ReadSpread += smallHostDelay
 	}
-	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: configReadMaxKB, timing: timing, interval: minReadInterval, longPoll: true,
+	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: maxConfigReadKB, timing: timing, interval: minReadInterval, longPoll: true,
 		slowestTransfer: freshness.TransferTime(f.configBytes, settings.RecordBytes, float64(f.Peers.SlowestLinkMbps())),
 		confirm:         func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, replace: f.applyConfig, apply: f.applyConfig,
 		sharedByPeers: true,
 		fetchFromPeer: f.fetchConfigFromPeer,
 		publish:       f.publishConfig,
-		observe: func(err error) {
-			f.configLag.observe(f.Gateway.ConfigVersion(), int64(f.Peers.ReportedState(f.Topics.Configuration)), err, settings.ApplyWithin, time.Now())
+		updateLag: func(err error) {
+			f.configLag.update(f.Gateway.ConfigVersion(), int64(f.Peers.ReportedState(f.Topics.Configuration)), err, settings.ApplyWithin, time.Now())
 		}}
 }
 
-// applyConfig applies the last configuration among the records. If it can't be decoded, the
-// previous one stays in force.
+// applyConfig applies the last valid configuration among the records and returns the active
+// version. Without a valid and newer one, the previous configuration stays active.
 func (f *Follower) applyConfig(b batch, _ time.Time) uint64 {
 	for _, r := range slices.Backward(b.records) {
 		if r.Key != f.Topics.ConfigurationKey || r.Value == nil {
@@ -45,7 +45,7 @@
 			continue
 		}
 		f.configBytes = len(r.Value)
-		if f.Gateway.SetTable(f.shareUnchanged(table), b.asOf) {
+		if f.Gateway.SetTable(f.reuseUnchanged(table), b.confirmedAt) {
 			f.Logger.Info("configuration in force", "config", table.Version, "bytes", b.bytes(), "read_ms", b.duration.Milliseconds(),
 				"apply_ms", time.Since(b.sentAt.Add(b.duration)).Milliseconds(), "reads_for_all", b.byPrimary)
 		}
@@ -54,31 +54,31 @@
 	return uint64(f.Gateway.ConfigVersion())
 }
 
-// shareUnchanged returns the table with the routes and teams of the active one reused where they
-// are equal, so that the earlier versions kept for peers only take memory for what differs.
-func (f *Follower) shareUnchanged(table *routing.Table) *routing.Table {
+// reuseUnchanged returns an equal table that shares unchanged routes and teams with the active one,
+// so that the earlier versions that are kept for peers only take memory for their differences.
+func (f *Follower) reuseUnchanged(table *routing.Table) *routing.Table {
 	active := f.Gateway.Table()
 	if active == nil || active.Version >= table.Version {
 		return table
 	}
-	shared, err := active.Apply(routing.Diff(active, table))
+	merged, err := active.Apply(routing.Diff(active, table))
 	if err != nil {
 		f.Logger.Error("cannot reuse unchanged parts of the active configuration", "config", table.Version, "error", err)
 		return table
 	}
-	return shared
+	return merged
 }
 
-// publishConfig makes the active version available to peers; next is the position from which to
-// read the topic after it.
+// publishConfig makes the active configuration available to peers. next is the position from which
+// to read the topic after it.
 func (f *Follower) publishConfig(next logposition.Position) {
 	if table := f.Gateway.Table(); table != nil {
 		f.Share.Put(configshare.Version{Table: table, Next: next, Bytes: f.configBytes})
 	}
 }
 
-// fetchConfigFromPeer fetches and applies the configuration of a peer that reported a newer
-// version. It reports whether that succeeded.
+// fetchConfigFromPeer fetches the configuration from a peer that has reported a newer version, and
+// applies it. It returns whether that succeeded.
 func (f *Follower) fetchConfigFromPeer(ctx context.Context, r *readState) bool {
 	at, from, newer := f.Peers.NewerState(f.Topics.Configuration)
 	if !newer {
@@ -95,8 +95,8 @@
 		f.Logger.Info("configuration in force", "config", v.Table.Version, "fetched_from", from, "fetched_bytes", fetchedBytes,
 			"took_ms", time.Since(start).Milliseconds())
 	}
-	r.next, r.loaded, r.behind, r.gotRecords = logposition.Later(r.next, v.Next), true, false, false
+	r.next, r.loaded, r.moreAvailable, r.gotRecords = logposition.Later(r.next, v.Next), true, false, false
 	f.Share.Put(v)
-	f.Peers.ReportState(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.upSince)
+	f.Peers.ReportState(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.availableSince)
 	return true
 }
--- a/internal/follow/dependencies.go
+++ b/internal/follow/dependencies.go
@@ -14,13 +14,13 @@
 	"github.com/merlinpost/merlinpost/internal/routing"
 )
 
-// Record is a record of a keyed topic. A nil Value means that the key was removed.
+// Record is a record of a keyed topic. A nil Value marks the removal of the key.
 type Record struct {
 	Key   string
 	Value []byte
 }
 
-// Store is the metadata store. Its topics keep the newest record of each key permanently, and all
+// Store is the metadata store. Its topics retain the newest record of each key permanently, and all
 // other records for a limited time.
 type Store interface {
 	// Read returns the records of a topic from a position on, the position of the next record, and
@@ -48,8 +48,8 @@
 	Servers string
 	// Gateways is the topic with the peer address of each gateway. It is written by the gateways.
 	Gateways string
-	// Quarantine is the topic with the requests that made servers fail, by request digest. It is
-	// written by the gateways.
+	// Quarantine is the topic with the requests that caused servers to fail, by request digest. It
+	// is written by the gateways.
 	Quarantine string
 }
 
@@ -66,7 +66,7 @@
 	// DrainWithin is the time within which a draining backend server must stop receiving new
 	// requests.
 	DrainWithin time.Duration
-	// ApplyWithin is the time within which a configuration must be in force.
+	// ApplyWithin is the time within which a new configuration must be active.
 	ApplyWithin time.Duration
 	// RecordBytes is the maximum record size that the store accepts from its users, 0 if unknown.
 	RecordBytes int
@@ -77,36 +77,37 @@
 	// Rank returns the position of this gateway in the read order of a topic. The gateway with rank
 	// 0 is the primary reader.
 	Rank(topic string) int
-	// ReportState records the state that this gateway has read, to be reported to the others, and
-	// since when its calls to the store have succeeded without interruption.
-	ReportState(topic string, state uint64, at, since time.Time)
-	// StoreUpSince returns since when another gateway's calls to the store have succeeded without
-	// interruption; zero if none has reported it.
+	// ReportState sets what is reported to the other gateways: the state that this gateway has, the
+	// time at which it was the newest, and since when calls of the store have succeeded without
+	// interruption.
+	ReportState(topic string, state uint64, at, availableSince time.Time)
+	// StoreUpSince returns since when another gateway's calls of the store have succeeded without
+	// interruption; zero if no gateway has reported it.
 	StoreUpSince(topic string) time.Time
 	// ReportedState returns the newest state of the topic that another gateway has reported, 0 if
-	// none has.
+	// there is none.
 	ReportedState(topic string) uint64
 	// SetVersioned declares that the states of a topic are ordered version numbers.
 	SetVersioned(topic string)
-	// NewerState reports whether another gateway has reported a newer state than this one has, the
-	// address of that gateway, and the time at which that state was the newest.
+	// NewerState returns whether another gateway has reported a newer state than this gateway has,
+	// the time at which that state was known to be the newest, and the address of that gateway.
 	NewerState(topic string) (at time.Time, from netip.AddrPort, newer bool)
 	// LastConfirmed returns when this gateway's state was last confirmed to be the newest, and a
 	// channel that is closed when another gateway reports a newer one.
 	LastConfirmed(topic string) (at time.Time, changed <-chan struct{})
-	// SmallHosts returns whether this host has a small processor or link compared with the largest
-	// host, and whether any live host has.
+	// SmallHosts returns whether this host has much less CPU or bandwidth than the largest host,
+	// and whether this is true of any live host.
 	SmallHosts() (self, anyHost bool)
 	// SlowestLinkMbps returns the speed of the slowest link of the live gateways in Mbit/s, 0 if
 	// unknown.
 	SlowestLinkMbps() uint32
-	// AddListed adds the gateways that are registered in the store to the known ones. Self returns
-	// this gateway.
+	// AddListed adds the gateways that are registered in the store to the known ones.
 	AddListed([]peers.Member)
+	// Self returns this gateway.
 	Self() peers.Member
 }
 
-// Dependencies are the components that a follower uses.
+// Dependencies are the components that a Follower uses.
 type Dependencies struct {
 	// Connect returns a client of the store at an address.
 	Connect func(address string) Store
--- a/internal/follow/deployment_test.go
+++ b/internal/follow/deployment_test.go
@@ -30,36 +30,37 @@
 // simulatedGateway is a gateway of a deployment in simulated time.
 type simulatedGateway struct {
 	name    string
-	link    *memnet.Host
+	host    *memnet.Host
 	gateway *gateway.Gateway
 	peers   *peers.Peers
 }
 
-// deployment is a store and gateways on an in-memory network. It must be used in a synctest bubble.
+// deployment consists of a store and gateways on an in-memory network. It must be used in a
+// synctest bubble.
 type deployment struct {
 	net       *memnet.Network
 	store     *platformstore.Store
 	storeHost *memnet.Host
-	hosts     []*simulatedGateway
+	gateways  []*simulatedGateway
 }
 
 const (
 	storePort, peerPort = 8223, 7340
-	// applyWithin is the time within which a change must be in force.
+	// applyWithin is the time within which a new configuration must be active.
 	applyWithin = 3 * time.Second
 	// recordBytes is the maximum record size that the store accepts from its users.
 	recordBytes = 110_000
 )
 
-// hostSpec describes a host: the rate of its link in bit/s and its processor in cores.
+// hostSpec describes a host: the rate of its link in bit/s, 0 if unlimited, and its CPU in cores.
 type hostSpec struct {
 	name        string
 	rate, cores float64
 }
 
-// deploy starts gateways that follow a store with one configuration, and waits until they have
-// discovered each other. The returned function stops them.
-func deploy(specs []hostSpec, first []byte) (*deployment, func()) {
+// startDeployment starts a store with a configuration, and gateways that follow it, and waits until
+// the gateways have discovered each other. The returned function stops them.
+func startDeployment(specs []hostSpec, first []byte) (*deployment, func()) {
 	d := &deployment{net: memnet.New(100 * time.Microsecond), store: platformstore.New()}
 	d.storeHost = d.net.Host(0)
 	storeListener := d.storeHost.Listen(storePort)
@@ -69,44 +70,46 @@
 	var running sync.WaitGroup
 	running.Go(func() { _ = server.Serve(storeListener) }) // ends with ErrServerClosed
 	for _, spec := range specs {
-		h := &simulatedGateway{name: spec.name, link: d.net.Host(spec.rate)}
+		h := &simulatedGateway{name: spec.name, host: d.net.Host(spec.rate)}
 		servers := registry.New()
-		h.gateway = gateway.New(gateway.Settings{}, platform.Dialect{}, servers, quiet())
-		h.peers = peers.New(spec.name, h.link.ListenPacket(peerPort), peers.Capacity{Cores: spec.cores, LinkMbps: uint32(spec.rate / 1e6)}, h.gateway, quiet())
-		listener := h.link.Listen(peerPort)
+		h.gateway = gateway.New(gateway.Settings{}, platform.Dialect{}, servers, discardLogger())
+		h.peers = peers.New(spec.name, h.host.ListenPacket(peerPort), peers.Capacity{Cores: spec.cores, LinkMbps: uint32(spec.rate / 1e6)}, h.gateway, discardLogger())
+		listener := h.host.Listen(peerPort)
 		deps := dependencies(h.gateway, servers, h.peers)
-		deps.Share = configshare.New(h.link.DialContext, spec.rate/1e6, quiet())
+		deps.Share = configshare.New(h.host.DialContext, spec.rate/1e6, discardLogger())
 		deps.Connect = func(address string) follow.Store {
-			return platform.NewStoreOver(h.link.DialContext, address, slog.New(slog.DiscardHandler))
+			return platform.NewStoreOver(h.host.DialContext, address, slog.New(slog.DiscardHandler))
 		}
 		f := follow.New(deps, follow.Settings{Address: d.storeHost.Address(storePort).String(), DrainWithin: applyWithin,
 			ApplyWithin: applyWithin, RecordBytes: recordBytes})
 		running.Go(func() { h.peers.Run(ctx) })
 		running.Go(func() { deps.Share.Serve(ctx, listener) })
 		running.Go(func() { f.Run(ctx) })
-		d.hosts = append(d.hosts, h)
+		d.gateways = append(d.gateways, h)
 	}
-	time.Sleep(5 * time.Second) // all have read the list of gateways and exchanged heartbeats
+	time.Sleep(5 * time.Second) // until all have read the list of gateways and exchanged heartbeats
 	return d, func() {
 		cancel()
 		_ = server.Close() // closes active connections
 		d.net.Close()
 		running.Wait()
-		time.Sleep(time.Second) // for connections that were being opened
+		time.Sleep(time.Second) // until pending dials have ended
 	}
 }
 
-// host returns the gateway with the given name.
-func (d *deployment) host(name string) *simulatedGateway {
-	return d.hosts[slices.IndexFunc(d.hosts, func(h *simulatedGateway) bool { return h.name == name })]
+// gatewayNamed returns the gateway with the given name.
+func (d *deployment) gatewayNamed(name string) *simulatedGateway {
+	return d.gateways[slices.IndexFunc(d.gateways, func(h *simulatedGateway) bool { return h.name == name })]
 }
 
-// write stores a configuration, which is confirmed on return.
-func (d *deployment) write(value []byte) { d.store.Put(platformstore.TopicOperator, "config", value) }
+// writeConfig writes a configuration to the store.
+func (d *deployment) writeConfig(value []byte) {
+	d.store.Put(platformstore.TopicOperator, "config", value)
+}
 
 // setDisconnected interrupts or restores the connection between a host and the store.
 func (d *deployment) setDisconnected(h *simulatedGateway, disconnected bool) {
-	d.net.SetPartitioned(h.link, d.storeHost, disconnected)
+	d.net.SetPartitioned(h.host, d.storeHost, disconnected)
 }
 
 // configOfSize returns a configuration of about the given number of bytes.
@@ -120,13 +123,13 @@
 	}
 	value, err := json.Marshal(doc{"version": version, "routes": routes})
 	if err != nil {
-		panic(err) // can't happen with strings and numbers
+		panic(err) // cannot happen with strings and numbers
 	}
 	return value
 }
 
-// hostsInReadOrder returns the names of n hosts in the order in which they read the configuration.
-func hostsInReadOrder(n int) []string {
+// namesInReadOrder returns the names of n hosts in the read order of the configuration topic.
+func namesInReadOrder(n int) []string {
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("edge-", i))
@@ -134,53 +137,53 @@
 	return rendezvous.Rank(platform.Topics.Configuration, names)
 }
 
-// Guards against an endlessly repeated read of a large configuration on a slow link. A value of 0.9
-// MB takes 0.8 to 1.0 s at 10 Mbit/s, but a call to the store was limited to 0.7 s in total, so it
-// was cut off and started again without end. Hosts with such links (13 of 21) never applied the
-// change and logged "lost the store" 0.70 s after the write; the other 8 applied it within 0.3 s.
-// Smaller values of 0.3 and 0.6 MB were not affected.
+// Guards against an endlessly repeated read of a large configuration over a slow link. A value of
+// 0.9 MB takes 0.8 to 1.0 s at 10 Mbit/s, but calls of the store had a total timeout of 0.7 s, so
+// the read timed out and restarted forever. Of 21 hosts, the 13 with such links never applied the
+// change and logged "lost the store" 0.70 s after the write; the others applied it within 0.3 s.
+// Values of 0.3 and 0.6 MB were not affected.
 func TestLargeConfigurationIsAppliedOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		const slow = 8e6 // 10 Mbit/s, of which responses to callers take a fifth
-		d, end := deploy([]hostSpec{{"a", slow, 0.144}, {"b", slow, 0.144}, {"c", 200e6, 0.8}}, configOfSize(1, 1000))
+		const slow = 8e6 // 10 Mbit/s, of which responses to callers use a fifth
+		d, end := startDeployment([]hostSpec{{"a", slow, 0.144}, {"b", slow, 0.144}, {"c", 200e6, 0.8}}, configOfSize(1, 1000))
 		defer end()
 		for version := int64(2); version <= 4; version++ {
-			d.write(configOfSize(version, 300_000*int(version-1)))
+			d.writeConfig(configOfSize(version, 300_000*int(version-1)))
 			time.Sleep(applyWithin)
-			for _, h := range d.hosts {
+			for _, h := range d.gateways {
 				g.Expect(h.gateway.ConfigVersion()).To(Equal(version), h.name)
 			}
 		}
 	})
 }
 
-// Guards against a confirmation that counts from the arrival of a reply. A large reply that takes
-// long on a slow link only shows that its version was the newest when the request was sent. The
-// primary reader has a congested link. The others do not hear from it and read version 2
-// themselves; then version 3 is written. The primary reader's reply with version 2 arrives and it
-// announces that version as the newest, although the store produced the reply before version 3, and
-// loses its connection to the store. If the announcement counted from the arrival, the others would
-// wait as if they had just read, and apply version 3 up to a second too late.
+// Guards against dating a confirmation by the arrival of the reply. A reply only shows that its
+// version was the newest when the request was sent, and a large reply takes long on a slow link.
+// The primary reader's link is slow, so the other hosts time out waiting for its confirmation and
+// read version 2 themselves; then version 3 is written. When the reply with version 2 arrives, the
+// primary reader reports version 2 as the newest and loses its connection to the store. If that
+// report were dated by the arrival, the others would wait as if they had just read, and apply
+// version 3 up to a second too late.
 func TestConfirmationCountsFromTheRequestNotTheArrivalOfTheReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		names := hostsInReadOrder(3)
-		d, end := deploy([]hostSpec{{names[0], 2.5e6, 0.3}, {names[1], 200e6, 0.3}, {names[2], 200e6, 0.3}}, configOfSize(1, 1000))
+		names := namesInReadOrder(3)
+		d, end := startDeployment([]hostSpec{{names[0], 2.5e6, 0.3}, {names[1], 200e6, 0.3}, {names[2], 200e6, 0.3}}, configOfSize(1, 1000))
 		defer end()
-		d.write(configOfSize(2, 1_100_000)) // 3.2 s on the primary reader's link
-		for d.host(names[1]).gateway.ConfigVersion() < 2 || d.host(names[2]).gateway.ConfigVersion() < 2 {
+		d.writeConfig(configOfSize(2, 1_100_000)) // 3.2 s on the primary reader's link
+		for d.gatewayNamed(names[1]).gateway.ConfigVersion() < 2 || d.gatewayNamed(names[2]).gateway.ConfigVersion() < 2 {
 			time.Sleep(time.Millisecond)
 		}
-		d.write(configOfSize(3, 1000))
+		d.writeConfig(configOfSize(3, 1000))
 		written := time.Now()
-		for d.host(names[0]).gateway.ConfigVersion() < 2 { // until the primary reader's reply has arrived
+		for d.gatewayNamed(names[0]).gateway.ConfigVersion() < 2 { // until the primary reader's reply has arrived
 			time.Sleep(time.Millisecond)
 		}
-		d.setDisconnected(d.host(names[0]), true)
+		d.setDisconnected(d.gatewayNamed(names[0]), true)
 		time.Sleep(applyWithin - time.Since(written))
 		for _, name := range names[1:] {
-			g.Expect(d.host(name).gateway.ConfigVersion()).To(BeEquivalentTo(3), name)
+			g.Expect(d.gatewayNamed(name).gateway.ConfigVersion()).To(BeEquivalentTo(3), name)
 		}
 	})
 }
@@ -190,93 +193,93 @@
 func TestReplyWithContinuousDataIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		d, end := deploy([]hostSpec{{"a", 1e6, 0.144}}, configOfSize(1, 1000))
+		d, end := startDeployment([]hostSpec{{"a", 1e6, 0.144}}, configOfSize(1, 1000))
 		defer end()
 		d.store.SetChunked(true)
-		d.write(configOfSize(2, 1_100_000)) // 8 s on this link
+		d.writeConfig(configOfSize(2, 1_100_000)) // 8 s on this link
 		time.Sleep(10 * time.Second)
-		g.Expect(d.hosts[0].gateway.ConfigVersion()).To(BeEquivalentTo(2))
+		g.Expect(d.gateways[0].gateway.ConfigVersion()).To(BeEquivalentTo(2))
 	})
 }
 
-// Guards against every host reading a large value over the link that also carries responses to
-// callers, which takes 0.8 to 1.0 s at 10 Mbit/s. One large host reads it and the others receive
-// only the difference.
+// Guards against each host reading a large value over the link that also carries responses to
+// callers, which takes 0.8 to 1.0 s at 10 Mbit/s. Instead, one large host reads the value and sends
+// the others only the difference.
 func TestSmallHostsReceiveDifferenceFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const slow, fast = 10e6, 200e6
-		d, end := deploy([]hostSpec{{"a", slow, 0.144}, {"b", slow, 0.144}, {"c", fast, 0.8}, {"d", slow, 0.144}}, configOfSize(1, 600_000))
+		d, end := startDeployment([]hostSpec{{"a", slow, 0.144}, {"b", slow, 0.144}, {"c", fast, 0.8}, {"d", slow, 0.144}}, configOfSize(1, 600_000))
 		defer end()
-		d.write(configOfSize(2, 900_000))
+		d.writeConfig(configOfSize(2, 900_000))
 		time.Sleep(300 * time.Millisecond)
-		for _, h := range d.hosts {
+		for _, h := range d.gateways {
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(2), h.name)
 		}
 	})
 }
 
-// If the primary reader loses its connection to the store right before a change, the other hosts
-// used to read the value all at once. Now a large host reads first, even from a store that takes
-// 0.24 s to reply, and distributes the difference.
+// Guards against all other hosts reading the value at once if the primary reader loses its
+// connection to the store right before a change. A large host must read first, even if the store
+// takes 0.24 s to reply, and distribute the difference.
 func TestLargeHostReadsBeforeSmallHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		specs := []hostSpec{{"a", 10e6, 0.144}, {"b", 10e6, 0.144}, {"c", 200e6, 0.8}, {"d", 200e6, 0.8}, {"e", 10e6, 0.144}}
-		d, end := deploy(specs, configOfSize(1, 600_000))
+		d, end := startDeployment(specs, configOfSize(1, 600_000))
 		defer end()
 		for _, name := range []string{"c", "d"} {
-			if d.host(name).peers.Rank(platform.Topics.Configuration) == 0 {
-				d.setDisconnected(d.host(name), true)
+			if d.gatewayNamed(name).peers.Rank(platform.Topics.Configuration) == 0 {
+				d.setDisconnected(d.gatewayNamed(name), true)
 			}
 		}
 		before := map[string]int{}
-		for _, h := range d.hosts {
-			before[h.name] = h.link.Received()
+		for _, h := range d.gateways {
+			before[h.name] = h.host.Received()
 		}
 		d.store.SetResponseDelay(240 * time.Millisecond)
-		d.write(configOfSize(2, 900_000))
+		d.writeConfig(configOfSize(2, 900_000))
 		time.Sleep(applyWithin)
-		for i, h := range d.hosts {
+		for i, h := range d.gateways {
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(2), h.name)
 			if specs[i].rate == 10e6 {
-				g.Expect(h.link.Received()-before[h.name]).To(BeNumerically("<", 100_000), h.name)
+				g.Expect(h.host.Received()-before[h.name]).To(BeNumerically("<", 100_000), h.name)
 			}
 		}
 	})
 }
 
-// A host that is disconnected from the store receives changes from its peers, and continues from
-// their position when it is connected again.
+// A host that is disconnected from the store receives changes from its peers. When it is connected
+// again, it continues reading from their position.
 func TestHostDisconnectedFromStoreReceivesChangesFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		d, end := deploy([]hostSpec{{"a", 10e6, 0.3}, {"b", 10e6, 0.3}, {"c", 10e6, 0.3}}, configOfSize(1, 1000))
+		d, end := startDeployment([]hostSpec{{"a", 10e6, 0.3}, {"b", 10e6, 0.3}, {"c", 10e6, 0.3}}, configOfSize(1, 1000))
 		defer end()
-		for i, h := range d.hosts {
+		for i, h := range d.gateways {
 			d.setDisconnected(h, true)
 			time.Sleep(5 * time.Second)
-			d.write(configOfSize(int64(2+2*i), 20_000))
+			d.writeConfig(configOfSize(int64(2+2*i), 20_000))
 			time.Sleep(applyWithin)
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(2+2*i), h.name)
 			d.setDisconnected(h, false)
-			d.write(configOfSize(int64(3+2*i), 20_000))
+			d.writeConfig(configOfSize(int64(3+2*i), 20_000))
 			time.Sleep(applyWithin)
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(3+2*i), h.name)
 		}
 	})
 }
 
-// event is a write of a configuration, or an interruption of a host's connection to the store or
-// its end.
+// event is a write of a configuration, or the start or end of an interruption of a host's
+// connection to the store.
 type event struct {
 	at         time.Duration
-	bytes      int // size of the configuration that is written; 0 if the event concerns a connection
-	host       int // whose connection to the store changes
+	bytes      int // size of the written configuration; 0 if the event concerns a connection
+	host       int // index of the host whose connection changes
 	disconnect bool
 }
 
-// generateEvents generates writes and interruptions over some seconds. At least one host stays
+// generateEvents generates writes and interruptions over several seconds. At least one host stays
 // connected.
 func generateEvents(t *rapid.T, hosts int) (events []event) {
 	moment := rapid.IntRange(0, 6000)
@@ -296,15 +299,15 @@
 }
 
 // For any order of writes, replies and interruptions, every host that stays connected to the store
-// applies each change in time. Hosts have links on which the largest value takes up to 0.9 s. Rates
-// and sizes are a tenth of real ones.
+// applies each change in time. The largest value takes up to 0.9 s on the slowest links. Rates and
+// sizes are a tenth of those in production.
 func TestConnectedHostsApplyChangesInTime(t *testing.T) {
 	small, large := hostSpec{rate: 1e6, cores: 0.144}, hostSpec{rate: 20e6, cores: 0.8}
-	// The primary reader is disconnected as the first of three changes is written. All others have
-	// slow links, wait until its last confirmation is 2.1 s old, and then read for longer than the
-	// rest of the 3 s.
+	// The primary reader is disconnected just before the first of three changes. The others have
+	// slow links: if they waited until the last confirmation is 2.1 s old, their reads would take
+	// longer than the rest of the 3 s.
 	var specs []hostSpec
-	for _, name := range hostsInReadOrder(5) {
+	for _, name := range namesInReadOrder(5) {
 		specs = append(specs, hostSpec{name, small.rate, small.cores})
 	}
 	events := []event{{host: 0, disconnect: true}, {at: time.Millisecond, bytes: 110_000}, {at: time.Millisecond, bytes: 1000}, {at: 2 * time.Millisecond, bytes: 30_000}}
@@ -313,7 +316,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		var specs []hostSpec
-		for _, name := range hostsInReadOrder(rapid.IntRange(2, 5).Draw(t, "hosts")) {
+		for _, name := range namesInReadOrder(rapid.IntRange(2, 5).Draw(t, "hosts")) {
 			spec := small
 			if rapid.Bool().Draw(t, "large") {
 				spec = large
@@ -327,11 +330,11 @@
 	})
 }
 
-// runEvents runs the events on a deployment and returns what was applied too late, "" if nothing
-// was.
+// runEvents runs the events on a deployment. It describes the first change that was applied too
+// late; late is empty if there is none.
 func runEvents(specs []hostSpec, events []event) (late string) {
 	bubble := func(*testing.T) {
-		d, end := deploy(specs, configOfSize(1, 1000))
+		d, end := startDeployment(specs, configOfSize(1, 1000))
 		defer end()
 		start := time.Now()
 		lastDisconnect := map[int]time.Duration{} // hosts that were never interrupted are absent
@@ -343,18 +346,18 @@
 			if e.bytes == 0 {
 				isDisconnected[e.host] = e.disconnect
 				lastDisconnect[e.host] = e.at
-				d.setDisconnected(d.hosts[e.host], e.disconnect)
+				d.setDisconnected(d.gateways[e.host], e.disconnect)
 				continue
 			}
 			version++
-			d.write(configOfSize(version, e.bytes))
+			d.writeConfig(configOfSize(version, e.bytes))
 			written, at := version, e.at
 			checks = append(checks, func() {
 				time.Sleep(at + applyWithin - time.Since(start))
-				for i, h := range d.hosts {
+				for i, h := range d.gateways {
 					_, wasDisconnected := lastDisconnect[i]
 					if got := h.gateway.ConfigVersion(); !wasDisconnected && got < written && late == "" {
-						late = fmt.Sprintf("%s has %d in force %v after %d was written", h.name, got, applyWithin, written)
+						late = fmt.Sprintf("%s has active version %d, %v after version %d was written", h.name, got, applyWithin, written)
 					}
 				}
 			})
--- a/internal/follow/export_test.go
+++ b/internal/follow/export_test.go
@@ -5,16 +5,16 @@
 // This file exports internals to the tests in package follow_test, which import the platform
 // package and its simulated store.
 
-// RecoveryGrace is how long entries that were removed during an outage of the store are kept after
-// it.
+// RecoveryGrace is how long removals are deferred after an outage of the store.
 const RecoveryGrace = recoveryGrace
 
-// ReplaceServers replaces the server list with the newest records of all servers.
+// ReplaceServers replaces the server list with the newest records of all servers and returns the
+// digest of the list.
 func (f *Follower) ReplaceServers(records []Record, graceStart time.Time) uint64 {
 	return f.replaceServers(batch{records: records}, graceStart)
 }
 
-// ApplyServerChanges applies changes to the server list.
+// ApplyServerChanges applies changes to the server list and returns the digest of the list.
 func (f *Follower) ApplyServerChanges(records []Record, graceStart time.Time) uint64 {
 	return f.applyServerChanges(batch{records: records}, graceStart)
 }
@@ -22,5 +22,5 @@
 // ApplyConfig applies configuration records.
 func (f *Follower) ApplyConfig(records []Record) { f.applyConfig(batch{records: records}, time.Time{}) }
 
-// StoreUnavailable reports whether the server list can't be read.
+// StoreUnavailable returns whether the server list cannot be read from the store.
 func (f *Follower) StoreUnavailable() bool { return f.storeUnavailable.Load() }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -13,60 +13,61 @@
 
 const (
 	// readTimeout limits how long a call may receive no data, in addition to its long-poll wait.
-	// The store usually answers within a few ms; replies that take about a hundred times as long
-	// are still accepted, and a dead connection is replaced early enough for bounds of a few
-	// seconds.
+	// The store usually answers within a few ms. The timeout accepts replies that are about a
+	// hundred times slower, and detects a dead connection early enough to apply changes within a
+	// few seconds.
 	readTimeout = 700 * time.Millisecond
-	// retryDelay is the delay before the primary reader retries a failed call. Each following
-	// gateway in the order waits one more retryDelay, up to maxRetryDelay.
+	// retryDelay is the delay before the primary reader retries a failed call. The delay grows by
+	// retryDelay with each position in the read order, up to maxRetryDelay.
 	retryDelay, maxRetryDelay = 200 * time.Millisecond, time.Second
-	// recoveryGrace is how long entries that were removed during an outage of the store are kept
-	// after it. Live servers register again within about two seconds.
+	// recoveryGrace is how long removals are deferred after an outage of the store. Live servers
+	// register again within about two seconds.
 	recoveryGrace = 2300 * time.Millisecond
-	// readStagger is the extra delay of each gateway in the order, relative to the one before it,
-	// when no confirmation arrived; maxReadStagger limits the sum.
+	// readStagger is the additional read delay per position in the read order if the primary
+	// reader has not confirmed the state in time; maxReadStagger caps the total.
 	readStagger, maxReadStagger = 60 * time.Millisecond, 300 * time.Millisecond
 	// smallHostDelay is the additional read delay of small hosts, so that a large host can read
-	// first and distribute the difference: 0.24 s for a reply of a store that is 60 times slower
-	// than usual, 0.1 s for 0.9 MB at 200 Mbit/s, and 0.13 s for the distribution.
+	// first and distribute the difference. It covers 0.24 s for the reply of a store that is 60
+	// times slower than usual, 0.1 s to transfer 0.9 MB at 200 Mbit/s, and 0.13 s to distribute the
+	// difference.
 	smallHostDelay = 500 * time.Millisecond
-	// graceCheckInterval is how often deferred removals are checked.
-	graceCheckInterval = 200 * time.Millisecond
-	// serversReadMaxKB limits one read of the server list to 0.2 s on the slowest links, which
+	// deferredRemovalCheckInterval is how often deferred removals are checked for expiry.
+	deferredRemovalCheckInterval = 200 * time.Millisecond
+	// maxServersReadKB limits one read of the server list to 0.2 s on the slowest links, which
 	// carry 10 Mbit/s.
-	serversReadMaxKB = 256
-	// configReadMaxKB limits one read of a topic where only the newest record counts, to a single
-	// record or a few small ones. In a burst of versions of 300 KB, each superseded one would take
-	// 0.24 s on such a link.
-	configReadMaxKB = 16
-	// minReadInterval is the minimum time between two reads of a topic by one gateway, for bursts
-	// of changes.
+	maxServersReadKB = 256
+	// maxConfigReadKB limits one read of the configuration topic, where only the newest record
+	// counts, to a single record or a few small ones. In a burst of versions of 300 KB, each
+	// superseded version would take 0.24 s on such a link.
+	maxConfigReadKB = 16
+	// minReadInterval is the minimum time between two reads of a topic by one gateway. It limits
+	// the rate of reads during bursts of changes.
 	minReadInterval = 150 * time.Millisecond
 )
 
-// connection is a client of the store at the current address.
-type connection struct{ Store }
+// storeClient wraps a Store so that it can be replaced atomically.
+type storeClient struct{ Store }
 
-// Follower keeps a gateway's configuration and list of backend servers in sync with the store.
+// Follower keeps a gateway's configuration and server list in sync with the store.
 type Follower struct {
 	Dependencies
-	store    atomic.Pointer[connection]
+	store    atomic.Pointer[storeClient]
 	settings atomic.Pointer[Settings]
-	// storeUnavailable is set while the server list can't be read.
+	// storeUnavailable is set while the server list cannot be read from the store.
 	storeUnavailable atomic.Bool
 	configLag        lagMonitor
 	// configBytes is the encoded size of the newest configuration.
 	configBytes int
-	// storeAnswered wakes pending retries when the store answers again.
-	storeAnswered broadcast
-	// rejectionLog limits the log lines about invalid entries, by field.
-	rejectionLog decisionlog.Limiter
-	// entryDigests has a digest of each entry by server ID. Their sum identifies the state of the
-	// list.
+	// storeRecovered wakes pending retries when the store answers again.
+	storeRecovered broadcast
+	// rejectionLogLimiter limits the rate of log lines about invalid entries, by field.
+	rejectionLogLimiter decisionlog.Limiter
+	// entryDigests holds a digest of each entry, by server ID. Their sum identifies the state of
+	// the server list.
 	entryDigests map[string]uint64
 }
 
-// New returns a follower, which is started with Run.
+// New returns a follower. Run starts it.
 func New(deps Dependencies, s Settings) *Follower {
 	f := &Follower{Dependencies: deps, configLag: lagMonitor{logger: deps.Logger}, entryDigests: map[string]uint64{}}
 	f.Peers.SetVersioned(f.Topics.Configuration)
@@ -74,28 +75,29 @@
 	return f
 }
 
-// SetSettings applies new settings. A new store address is used from the next call on.
+// SetSettings applies new settings. Calls of the store that are in progress continue at the
+// previous address.
 func (f *Follower) SetSettings(s Settings) {
 	old := f.settings.Swap(&s)
 	if old == nil || old.Address != s.Address {
-		f.store.Store(&connection{f.Connect(s.Address)})
+		f.store.Store(&storeClient{f.Connect(s.Address)})
 	}
 }
 
-// Run follows the store until ctx is done.
+// Run keeps the gateway in sync with the store until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	go f.followTopic(ctx, f.configTopic)
 	go f.followGateways(ctx)
 	f.followTopic(ctx, f.serversTopic)
 }
 
-// followTopic reads a topic in a loop until ctx is done.
+// followTopic keeps reading a topic until ctx is done.
 func (f *Follower) followTopic(ctx context.Context, current func() topic) {
 	r := readState{}
 	for ctx.Err() == nil {
 		t := current()
 		primary := f.Peers.Rank(t.name) == 0
-		if r.loaded && !r.down && !r.behind {
+		if r.loaded && !r.unavailable && !r.moreAvailable {
 			f.waitUntilDue(ctx, t, primary, &r)
 		}
 		if !t.fetchFromPeer(ctx, &r) {
@@ -104,7 +106,8 @@
 	}
 }
 
-// waitUntilDue waits until the topic has to be read, or a peer reports a newer state.
+// waitUntilDue waits until the topic is due to be read, or a peer reports a newer state. Meanwhile
+// it applies the confirmations that peers report.
 func (f *Follower) waitUntilDue(ctx context.Context, t topic, primary bool, r *readState) {
 	sleep(ctx, minReadInterval)
 	for ctx.Err() == nil {
@@ -114,12 +117,12 @@
 			maxAge = t.timing.MaxAge(t.slowestTransfer) + f.readDelay(t)
 		}
 		t.confirm(confirmed, f.graceStart(t.name, r))
-		t.observe(r.lastErr)
+		t.updateLag(r.lastErr)
 		remaining := maxAge - time.Since(confirmed)
 		if remaining <= 0 {
 			return
 		}
-		timer := time.NewTimer(min(remaining, graceCheckInterval))
+		timer := time.NewTimer(min(remaining, deferredRemovalCheckInterval))
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -131,8 +134,8 @@
 	}
 }
 
-// readDelay returns how long this gateway waits beyond the maximum age of a confirmation before it
-// reads, so that gateways do not all read at once.
+// readDelay returns how long this gateway waits after the last confirmation has reached its maximum
+// age before it reads, so that gateways do not all read at once.
 func (f *Follower) readDelay(t topic) time.Duration {
 	delay := min(time.Duration(f.Peers.Rank(t.name))*readStagger, maxReadStagger)
 	if small, _ := f.Peers.SmallHosts(); small && t.sharedByPeers {
@@ -141,9 +144,9 @@
 	return delay
 }
 
-// waitBeforeRetry waits before a failed call is retried. It returns early when a call for another
-// topic succeeds, which shows that the store is back, or when a peer reports a newer state. A
-// gateway that is not ready retries as often as the primary reader.
+// waitBeforeRetry waits before a failed call is retried. It returns early if a call for another
+// topic succeeds, which shows that the store is available again, or if a peer reports a newer
+// state. A gateway that is not ready yet retries as often as the primary reader.
 func (f *Follower) waitBeforeRetry(ctx context.Context, t topic) {
 	delay := retryDelay
 	if f.Gateway.Ready() {
@@ -156,7 +159,7 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-changed:
-	case <-f.storeAnswered.wait():
+	case <-f.storeRecovered.wait():
 	}
 }
 
--- a/internal/follow/lag_test.go
+++ b/internal/follow/lag_test.go
@@ -16,20 +16,20 @@
 	var out bytes.Buffer
 	monitor := lagMonitor{logger: slog.New(slog.NewTextHandler(&out, nil))}
 	now := time.Unix(100, 0)
-	observe := func(inForce, newest int64, after time.Duration) string {
+	update := func(active, newest int64, after time.Duration) string {
 		out.Reset()
 		now = now.Add(after)
-		monitor.observe(inForce, newest, errors.New("cut"), time.Second, now)
+		monitor.update(active, newest, errors.New("timeout"), time.Second, now)
 		return out.String()
 	}
-	g.Expect(observe(3, 3, 0)).To(BeEmpty())
-	g.Expect(observe(3, 5, 0)).To(BeEmpty())
-	g.Expect(observe(3, 5, time.Second)).To(BeEmpty())
-	line := observe(3, 6, time.Millisecond)
-	for _, part := range []string{"configuration behind", "config=3", "newest_heard=6", "behind=1.001s", "why=cut"} {
+	g.Expect(update(3, 3, 0)).To(BeEmpty())
+	g.Expect(update(3, 5, 0)).To(BeEmpty())
+	g.Expect(update(3, 5, time.Second)).To(BeEmpty())
+	line := update(3, 6, time.Millisecond)
+	for _, part := range []string{"configuration behind", "config=3", "newest_heard=6", "behind=1.001s", "why=timeout"} {
 		g.Expect(line).To(ContainSubstring(part))
 	}
-	g.Expect(observe(3, 6, time.Second)).To(BeEmpty())
-	g.Expect(strings.Count(observe(6, 6, time.Second), "configuration caught up")).To(Equal(1))
-	g.Expect(observe(6, 6, time.Second)).To(BeEmpty())
+	g.Expect(update(3, 6, time.Second)).To(BeEmpty())
+	g.Expect(strings.Count(update(6, 6, time.Second), "configuration caught up")).To(Equal(1))
+	g.Expect(update(6, 6, time.Second)).To(BeEmpty())
 }
--- a/internal/follow/quarantine.go
+++ b/internal/follow/quarantine.go
@@ -7,10 +7,10 @@
 	"github.com/merlinpost/merlinpost/internal/quarantine"
 )
 
-// quarantineStore implements quarantine.Store on the current metadata store.
+// quarantineStore implements quarantine.Store with a topic of the metadata store.
 type quarantineStore struct{ f *Follower }
 
-// Quarantine returns the store of quarantine verdicts.
+// Quarantine returns the storage for quarantine verdicts.
 func (f *Follower) Quarantine() quarantine.Store { return quarantineStore{f} }
 
 // Newest implements quarantine.Store.
--- a/internal/follow/servers.go
+++ b/internal/follow/servers.go
@@ -11,7 +11,8 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// replaceServers replaces the server list with the newest records of all servers.
+// replaceServers replaces the server list with the newest records of all servers and returns the
+// digest of the list.
 func (f *Follower) replaceServers(b batch, graceStart time.Time) uint64 {
 	clear(f.entryDigests)
 	var (
@@ -26,12 +27,12 @@
 		}
 	}
 	now := time.Now()
-	f.logDropped(f.Servers.Apply(invalid, now, time.Time{}))
-	f.logDropped(f.Servers.Replace(list, now, graceEnd(graceStart)))
+	f.logRemoved(f.Servers.Apply(invalid, now, time.Time{}))
+	f.logRemoved(f.Servers.Replace(list, now, graceEnd(graceStart)))
 	return f.serversDigest()
 }
 
-// applyServerChanges applies changes to the server list.
+// applyServerChanges applies changes to the server list and returns the digest of the list.
 func (f *Follower) applyServerChanges(b batch, graceStart time.Time) uint64 {
 	changes := make([]registry.Change, 0, len(b.records))
 	for _, r := range b.records {
@@ -43,33 +44,33 @@
 		s := f.decodeServer(r)
 		changes = append(changes, registry.Change{ID: r.Key, Server: s, Invalid: s == nil})
 	}
-	f.logDropped(f.Servers.Apply(changes, time.Now(), graceEnd(graceStart)))
+	f.logRemoved(f.Servers.Apply(changes, time.Now(), graceEnd(graceStart)))
 	return f.serversDigest()
 }
 
 // confirmServers records that the server list was unchanged at a time.
 func (f *Follower) confirmServers(at, graceStart time.Time) {
-	f.logDropped(f.Servers.Confirm(at, time.Now(), graceEnd(graceStart)))
+	f.logRemoved(f.Servers.Confirm(at, time.Now(), graceEnd(graceStart)))
 }
 
-// serversDigest returns the digest of the server list.
+// serversDigest returns the digest of the server list. It does not depend on the order of entries.
 func (f *Follower) serversDigest() uint64 {
-	var state uint64
+	var sum uint64
 	for _, digest := range f.entryDigests {
-		state += digest
+		sum += digest
 	}
-	return state
+	return sum
 }
 
-// decodeServer decodes an entry. It logs an invalid one and returns nil.
+// decodeServer decodes an entry. If the entry is invalid, it logs the error and returns nil.
 func (f *Follower) decodeServer(r Record) *registry.Server {
 	s, err := f.Decoder.Server(r.Key, r.Value)
 	if err != nil {
 		delete(f.entryDigests, r.Key)
-		reason := fault.From(err).Field
-		telemetry.Count("merlinpost_server_entries_rejected_total", "reason", reason)
-		if f.rejectionLog.Allow(reason, time.Now()) {
-			f.Logger.Error("server entry rejected", "server", r.Key, "field", reason, "error", err)
+		field := fault.From(err).Field
+		telemetry.Count("merlinpost_server_entries_rejected_total", "reason", field)
+		if f.rejectionLogLimiter.Allow(field, time.Now()) {
+			f.Logger.Error("server entry rejected", "server", r.Key, "field", field, "error", err)
 		}
 		return nil
 	}
@@ -77,7 +78,7 @@
 	return s
 }
 
-func (f *Follower) logDropped(ids []string) {
+func (f *Follower) logRemoved(ids []string) {
 	if len(ids) > 0 {
 		f.Logger.Info("backend servers dropped", "servers", ids)
 	}
--- a/internal/follow/servers_test.go
+++ b/internal/follow/servers_test.go
@@ -17,10 +17,10 @@
 	"github.com/merlinpost/merlinpost/platform"
 )
 
-const goodEntry = `{"service":"s1","address":"10.0.0.1:80","zone":"z","version":"v1","slots":6,"state":"ready",` +
+const validEntry = `{"service":"s1","address":"10.0.0.1:80","zone":"z","version":"v1","slots":6,"state":"ready",` +
 	`"cold_remaining_ms":0,"sequence":4,"born":1764720000000,"stage":"colocated"}`
 
-// noPeers is the peers of a gateway that is the only one.
+// noPeers implements follow.Peers for a gateway without peers.
 type noPeers struct{ follow.Peers }
 
 func (noPeers) StoreUpSince(string) time.Time { return time.Time{} }
@@ -29,7 +29,7 @@
 // newOfflineFollower returns a follower that is not connected to a store, and its server list.
 func newOfflineFollower() (*follow.Follower, *registry.Registry) {
 	servers := registry.New()
-	gw := gateway.New(gateway.Settings{}, platform.Dialect{}, servers, quiet())
+	gw := gateway.New(gateway.Settings{}, platform.Dialect{}, servers, discardLogger())
 	return follow.New(dependencies(gw, servers, noPeers{}), follow.Settings{Address: "127.0.0.1:1"}), servers
 }
 
@@ -42,15 +42,15 @@
 	return out
 }
 
-// Any series of entries, split anywhere between a full load and incremental changes, results in the
-// same server list. Guards against an inconsistency with invalid entries: a full load dropped the
-// server, an incremental change left its previous entry in force.
+// Any sequence of entries, split anywhere between a full load and incremental changes, results in
+// the same server list. Guards against inconsistent handling of invalid entries: a full load
+// removed the server, while an incremental change kept its previous entry.
 func TestFullLoadAndChangesGiveTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) follow.Record {
 			r := follow.Record{Key: rapid.SampledFrom([]string{"i-1", "i-2", "i-3"}).Draw(t, "server")}
 			doc := map[string]any{}
-			if err := json.Unmarshal([]byte(goodEntry), &doc); err != nil {
+			if err := json.Unmarshal([]byte(validEntry), &doc); err != nil {
 				t.Fatal(err)
 			}
 			doc["address"] = fmt.Sprint("10.0.0.", rapid.IntRange(1, 3).Draw(t, "address"), ":80")
@@ -90,22 +90,22 @@
 			return out
 		}
 		full, fullList := newOfflineFollower()
-		fullState := full.ReplaceServers(newest(written), time.Time{})
+		fullDigest := full.ReplaceServers(newest(written), time.Time{})
 		changes, changedList := newOfflineFollower()
 		changes.ReplaceServers(newest(written[:split]), time.Time{})
-		changedState := changes.ApplyServerChanges(written[split:], time.Time{})
+		changedDigest := changes.ApplyServerChanges(written[split:], time.Time{})
 		g := NewWithT(t)
 		g.Expect(readyServers(changedList)).To(Equal(readyServers(fullList)))
-		g.Expect(changedState).To(Equal(fullState))
+		g.Expect(changedDigest).To(Equal(fullDigest))
 	})
 }
 
-// While removals are deferred after an outage of the store, an invalid entry still takes effect at
-// once, because an outage does not explain it.
+// An invalid entry removes its server at once, even while removals are deferred after an outage of
+// the store, because an outage does not cause invalid entries.
 func TestInvalidEntryIsNotDeferred(t *testing.T) {
 	g := NewWithT(t)
 	f, servers := newOfflineFollower()
-	f.ReplaceServers([]follow.Record{{Key: "i-1", Value: []byte(goodEntry)}, {Key: "i-2", Value: []byte(goodEntry)}, {Key: "i-3", Value: []byte(goodEntry)}}, time.Time{})
+	f.ReplaceServers([]follow.Record{{Key: "i-1", Value: []byte(validEntry)}, {Key: "i-2", Value: []byte(validEntry)}, {Key: "i-3", Value: []byte(validEntry)}}, time.Time{})
 	g.Expect(readyServers(servers)).To(HaveLen(3))
 	outageEnd := time.Now()
 	f.ApplyServerChanges([]follow.Record{{Key: "i-1", Value: []byte(`{}`)}}, outageEnd)
