--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -95,7 +95,7 @@
 	}
 	g.notices = notice.NewRegistry(ratelimit.New(g.random), g.logNoticeChange)
 	servers.OnRestart(g.pool.CloseIdle)
-	servers.OnEnd(g.serverExited)
+	servers.OnUnexpectedExit(g.serverExited)
 	g.settings.Store(&set)
 	g.shutdownCtx, g.abortRequests = context.WithCancel(context.Background())
 	return g
--- a/internal/gateway/server_exits.go
+++ b/internal/gateway/server_exits.go
@@ -59,7 +59,7 @@
 // recordExit records in the quarantine tracker that a server exited while it ran a request. If this
 // makes the request a strong suspect, listed servers are probed in the background.
 func (g *Gateway) recordExit(r interruptedRun) {
-	g.quarantine.SetServerCount(g.servers.Reachable(g.now()))
+	g.quarantine.SetServerCount(g.servers.ReachableCount(g.now()))
 	if g.quarantine.RecordCrash(r.id, r.crash, g.now()) {
 		go func() {
 			g.probeServers()
--- a/internal/registry/failurerate.go
+++ b/internal/registry/failurerate.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// failureRateTimeConstant is the time constant of the exponential decay. At some tens of
-	// requests per second to a backend server, it covers enough requests to distinguish a rate of
-	// 0.3 from chance.
+	// failureRateTimeConstant is the time constant of the exponential decay. At tens of requests
+	// per second to a backend server, it covers enough requests to distinguish a rate of 0.3 from
+	// chance.
 	failureRateTimeConstant = 3 * time.Second
-	// priorSuccesses is the weight of assumed successes, so that a single failure of a server with
-	// little traffic does not result in a rate of 1.
+	// priorSuccesses is the number of successes added to the total as a prior, so that a single
+	// failure of a server with little traffic does not result in a rate of 1.
 	priorSuccesses = 4
 )
 
-// FailureRate is an exponentially decaying failure rate. The zero value has no results. It is not
-// safe for concurrent use.
+// FailureRate is an exponentially weighted failure rate of recent requests. The zero value is ready
+// to use. It is not safe for concurrent use.
 type FailureRate struct {
-	failed, total float64
+	failed, total float64 // decayed counts
 	updatedAt     time.Time
 }
 
@@ -31,6 +31,7 @@
 	}
 }
 
+// decay applies the decay since the last update.
 func (r *FailureRate) decay(now time.Time) {
 	if elapsed := now.Sub(r.updatedAt); elapsed > 0 {
 		factor := math.Exp(-float64(elapsed) / float64(failureRateTimeConstant))
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry holds the backend servers that run without an agent: which of them may receive
-// new requests, and what this process has observed of each.
+// Package registry holds the list of backend servers that run without an agent: which of them may
+// receive new requests, and the state that this process has observed of each.
 package registry
 
 import (
@@ -21,15 +21,15 @@
 	Slots         int
 	// Draining servers finish their requests and accept no new ones.
 	Draining bool
-	// WarmupRemaining is how much longer the server is slow after its start.
+	// WarmupRemaining is how much longer the server will be slow after its start.
 	WarmupRemaining time.Duration
-	// StartUnixMs is the start time of the process in Unix ms, which distinguishes the instances of
-	// a server; 0 if the server does not state it.
+	// StartUnixMs is the start time of the server process in Unix ms, which distinguishes the
+	// instances of a server; 0 if unknown.
 	StartUnixMs int64
 }
 
-// InstanceID identifies one instance of the server, from its start to its end. Nothing observed of
-// one instance applies to another.
+// InstanceID returns the ID of this instance of the server, that is, of one process. State observed
+// of one instance does not apply to another.
 func (s Server) InstanceID() string {
 	if s.StartUnixMs == 0 {
 		return s.ID
@@ -40,8 +40,8 @@
 // instanceIDSeparator separates the server ID and the start time in an instance ID.
 const instanceIDSeparator = "@"
 
-// sameInstance reports whether two registrations may be of the same instance. It returns true if
-// one of them states no start time.
+// sameInstance reports whether two registrations may be of the same instance. They may if either
+// has no start time.
 func (s Server) sameInstance(other Server) bool {
 	return s.StartUnixMs == other.StartUnixMs || s.StartUnixMs == 0 || other.StartUnixMs == 0
 }
@@ -52,7 +52,7 @@
 	ID     string
 	Server *Server
 	// Invalid is set if the newest entry is invalid. Such a removal is not deferred, because an
-	// outage of the list does not explain it.
+	// outage of the store does not cause invalid entries.
 	Invalid bool
 }
 
@@ -63,34 +63,34 @@
 	ready       map[string][]*Backend // by service, ordered by ID
 	loaded      bool
 	confirmedAt time.Time
-	// pendingRemovals has the removals that may be an effect of an outage of the list, with the
-	// time at which each takes effect.
+	// pendingRemovals holds the time at which each deferred removal takes effect, by server ID.
+	// Removals are deferred if an outage of the store may have caused them.
 	pendingRemovals map[string]time.Time
 	// onRestart is called with the address of a server that has restarted.
 	onRestart func(address string)
-	// onEnd is called with the ID of an instance that ended without having drained.
-	onEnd func(instanceID string)
+	// onUnexpectedExit is called with the ID of an instance that exited without draining.
+	onUnexpectedExit func(instanceID string)
 }
 
 // OnRestart registers f to be called with the previous address of each server that has restarted.
 // It must be called before the registry is in use.
 func (r *Registry) OnRestart(f func(address string)) { r.onRestart = f }
 
-// OnEnd registers f to be called with the ID of each instance that is no longer listed, or was
-// replaced by another one, without having drained. It must be called before the registry is in use;
-// f must not call the registry.
-func (r *Registry) OnEnd(f func(instanceID string)) { r.onEnd = f }
+// OnUnexpectedExit registers f to be called with the ID of each instance that is no longer listed,
+// or was replaced by another one, without having been listed as draining. It must be called before
+// the registry is in use; f must not call the registry.
+func (r *Registry) OnUnexpectedExit(f func(instanceID string)) { r.onUnexpectedExit = f }
 
 // New returns an empty registry.
 func New() *Registry {
 	return &Registry{backends: map[string]*Backend{}, ready: map[string][]*Backend{}, pendingRemovals: map[string]time.Time{},
-		onRestart: func(string) {}, onEnd: func(string) {}}
+		onRestart: func(string) {}, onUnexpectedExit: func(string) {}}
 }
 
-// Apply applies changes in the order in which they were written, and returns the IDs of the removed
-// servers. Removals are deferred until grace, if it is not zero, because a registration may have
-// expired while its server could not renew it.
-func (r *Registry) Apply(changes []Change, now, grace time.Time) (dropped []string) {
+// Apply applies changes in the given order, which must be that of the store, and returns the IDs of
+// the removed servers. If graceEnd is not zero, removals are deferred until then, because a
+// registration may have expired while its server could not renew it.
+func (r *Registry) Apply(changes []Change, now, graceEnd time.Time) (removed []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range changes {
@@ -98,24 +98,24 @@
 			r.upsert(*c.Server)
 			continue
 		}
-		if b := r.backends[c.ID]; b != nil && now.Before(grace) && !b.server().Draining && !c.Invalid {
-			r.pendingRemovals[c.ID] = grace
+		if b := r.backends[c.ID]; b != nil && now.Before(graceEnd) && !b.server().Draining && !c.Invalid {
+			r.pendingRemovals[c.ID] = graceEnd
 			continue
 		}
 		if b := r.backends[c.ID]; b != nil && !c.Invalid {
-			r.reportEnded(b)
+			r.reportUnexpectedExit(b)
 		}
-		dropped = r.remove(c.ID, dropped)
+		removed = r.remove(c.ID, removed)
 	}
-	dropped = r.expire(now, dropped)
+	removed = r.applyDueRemovals(now, removed)
 	r.confirmedAt = now
-	r.rebuild()
-	return dropped
+	r.rebuildReady()
+	return removed
 }
 
-// Replace replaces the server list. Servers that are missing from it are removed, after grace as in
-// Apply.
-func (r *Registry) Replace(list []Server, now, grace time.Time) (dropped []string) {
+// Replace replaces the server list. Servers that are missing from the new list are removed, with
+// the same deferral as in Apply.
+func (r *Registry) Replace(list []Server, now, graceEnd time.Time) (removed []string) {
 	listed := make(map[string]bool, len(list))
 	changes := make([]Change, 0, len(list))
 	for i := range list {
@@ -130,17 +130,17 @@
 	}
 	r.loaded = true
 	r.mu.Unlock()
-	return r.Apply(changes, now, grace)
+	return r.Apply(changes, now, graceEnd)
 }
 
 func (r *Registry) upsert(s Server) {
 	delete(r.pendingRemovals, s.ID)
 	b := r.backends[s.ID]
 	if b != nil && !b.server().sameInstance(s) {
-		// Requests in progress keep the state of the instance that they were sent to, so that their
-		// results do not affect the new one.
+		// The new instance gets a new Backend. Requests in progress keep the previous one, so that
+		// their results do not affect the new instance.
 		r.onRestart(b.server().Address)
-		r.reportEnded(b)
+		r.reportUnexpectedExit(b)
 		b = nil
 	}
 	if b == nil {
@@ -150,35 +150,39 @@
 	b.entry.Store(&s)
 }
 
-// reportEnded calls onEnd for an instance that has ended, unless it was draining.
-func (r *Registry) reportEnded(b *Backend) {
+// reportUnexpectedExit calls onUnexpectedExit for an instance that has exited, unless it was
+// draining.
+func (r *Registry) reportUnexpectedExit(b *Backend) {
 	if s := b.server(); !s.Draining {
-		r.onEnd(s.InstanceID())
+		r.onUnexpectedExit(s.InstanceID())
 	}
 }
 
-func (r *Registry) remove(id string, dropped []string) []string {
+// remove removes a server and appends its ID to removed, if it is listed.
+func (r *Registry) remove(id string, removed []string) []string {
 	delete(r.pendingRemovals, id)
 	if r.backends[id] == nil {
-		return dropped
+		return removed
 	}
 	delete(r.backends, id)
-	return append(dropped, id)
+	return append(removed, id)
 }
 
-func (r *Registry) expire(now time.Time, dropped []string) []string {
+// applyDueRemovals applies the deferred removals that are due, and appends their IDs to removed.
+func (r *Registry) applyDueRemovals(now time.Time, removed []string) []string {
 	for id, at := range r.pendingRemovals {
 		if !now.Before(at) {
 			if b := r.backends[id]; b != nil {
-				r.reportEnded(b)
+				r.reportUnexpectedExit(b)
 			}
-			dropped = r.remove(id, dropped)
+			removed = r.remove(id, removed)
 		}
 	}
-	return dropped
+	return removed
 }
 
-func (r *Registry) rebuild() {
+// rebuildReady updates the index of servers that may receive new requests.
+func (r *Registry) rebuildReady() {
 	ready := map[string][]*Backend{}
 	for _, b := range r.backends {
 		if s := b.server(); !s.Draining {
@@ -199,8 +203,8 @@
 	return r.ready[service]
 }
 
-// Reachable returns the number of listed backend servers that are not avoided.
-func (r *Registry) Reachable(now time.Time) int {
+// ReachableCount returns the number of listed backend servers that are not currently avoided.
+func (r *Registry) ReachableCount(now time.Time) int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	n := 0
@@ -212,8 +216,8 @@
 	return n
 }
 
-// Sample returns a random sample, drawn with random, of at most limit of listed servers that are
-// not draining and for which accept returns true.
+// Sample returns a random sample of at most limit listed servers that are not draining and for
+// which accept returns true. random returns random numbers in [0, 1).
 func (r *Registry) Sample(limit int, random func() float64, accept func(Server) bool) []Server {
 	r.mu.RLock()
 	var out []Server
@@ -230,7 +234,7 @@
 	return out[:min(limit, len(out))]
 }
 
-// FindInstance returns the registration of an instance; false if it is not listed.
+// FindInstance returns the registration of an instance, and false if it is not listed.
 func (r *Registry) FindInstance(instanceID string) (Server, bool) {
 	serverID := instanceID
 	if i := strings.LastIndex(instanceID, instanceIDSeparator); i >= 0 {
@@ -238,7 +242,7 @@
 	}
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	for _, id := range []string{serverID, instanceID} { // without a start time, the instance ID is the server ID
+	for _, id := range []string{serverID, instanceID} { // without a start time, the instance ID is the server ID, which may contain the separator
 		if b := r.backends[id]; b != nil && b.server().InstanceID() == instanceID {
 			return b.Server(), true
 		}
@@ -253,29 +257,29 @@
 	return r.loaded
 }
 
-// Age returns how long ago the list was last confirmed.
+// Age returns how long ago the list was last known to be up to date.
 func (r *Registry) Age(now time.Time) time.Duration {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return now.Sub(r.confirmedAt)
 }
 
-// Confirm records that the list was unchanged at a time, and applies the deferred removals whose
-// grace has ended; all of them if grace is zero.
-func (r *Registry) Confirm(at, now, grace time.Time) (dropped []string) {
+// Confirm records that the list was up to date at a time, and applies the deferred removals that
+// are due, or all of them if graceEnd is zero. It returns the IDs of the removed servers.
+func (r *Registry) Confirm(at, now, graceEnd time.Time) (removed []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if grace.IsZero() {
+	if graceEnd.IsZero() {
 		for id := range r.pendingRemovals {
 			r.pendingRemovals[id] = now
 		}
 	}
-	dropped = r.expire(now, nil)
+	removed = r.applyDueRemovals(now, nil)
 	if at.After(r.confirmedAt) {
 		r.confirmedAt = at
 	}
-	if len(dropped) > 0 {
-		r.rebuild()
+	if len(removed) > 0 {
+		r.rebuildReady()
 	}
-	return dropped
+	return removed
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-func ids(r *Registry) []string {
+// readyIDs returns the IDs of the servers of service "s" that may receive new requests.
+func readyIDs(r *Registry) []string {
 	var out []string
 	for _, b := range r.Ready("s") {
 		out = append(out, b.Server().ID)
@@ -22,13 +23,13 @@
 	g.Expect(r.Loaded()).To(BeFalse())
 	r.Replace([]Server{{ID: "b", Service: "s"}, {ID: "a", Service: "s"}, {ID: "c", Service: "s", Draining: true}, {ID: "d", Service: "other"}}, now, time.Time{})
 	g.Expect(r.Loaded()).To(BeTrue())
-	g.Expect(ids(r)).To(Equal([]string{"a", "b"}))
+	g.Expect(readyIDs(r)).To(Equal([]string{"a", "b"}))
 	g.Expect(r.Apply([]Change{{ID: "a", Server: &Server{ID: "a", Service: "s", Draining: true}}, {ID: "b"}}, now, time.Time{})).To(Equal([]string{"b"}))
-	g.Expect(ids(r)).To(BeEmpty())
+	g.Expect(readyIDs(r)).To(BeEmpty())
 }
 
-// A gateway that learns from its peers that the list is unchanged does not read it again. Its
-// deferred removals must take effect nevertheless.
+// A gateway does not read the list while its peers confirm that it is unchanged. Deferred removals
+// must still take effect.
 func TestConfirmAppliesDeferredRemovals(t *testing.T) {
 	g := NewWithT(t)
 	r, now := New(), time.Now()
@@ -37,7 +38,7 @@
 	r.Apply([]Change{{ID: "b"}}, now, grace)
 	g.Expect(r.Confirm(now, now.Add(500*time.Millisecond), grace)).To(BeEmpty())
 	g.Expect(r.Confirm(now.Add(time.Second), grace, grace)).To(Equal([]string{"b"}))
-	g.Expect(ids(r)).To(Equal([]string{"a"}))
+	g.Expect(readyIDs(r)).To(Equal([]string{"a"}))
 	g.Expect(r.Age(grace.Add(time.Second))).To(Equal(time.Second))
 }
 
@@ -46,10 +47,11 @@
 	r, now := New(), time.Now()
 	r.Replace([]Server{{ID: "a", Service: "s"}}, now, time.Time{})
 	r.Apply([]Change{{ID: "a"}}, now, now.Add(time.Second))
-	g.Expect(ids(r)).To(Equal([]string{"a"}))
-	// Another process could reach the list all the time.
+	g.Expect(readyIDs(r)).To(Equal([]string{"a"}))
+	// Another gateway could reach the store throughout, so the entry did not expire because of an
+	// outage.
 	g.Expect(r.Confirm(now, now, time.Time{})).To(Equal([]string{"a"}))
-	g.Expect(ids(r)).To(BeEmpty())
+	g.Expect(readyIDs(r)).To(BeEmpty())
 }
 
 func TestRemovalsAfterOutageAreDeferred(t *testing.T) {
@@ -57,15 +59,15 @@
 	r, now := New(), time.Now()
 	r.Replace([]Server{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s", Draining: true}}, now, time.Time{})
 	grace := now.Add(time.Second)
-	g.Expect(r.Replace(nil, now, grace)).To(Equal([]string{"c"})) // it was draining
-	g.Expect(ids(r)).To(Equal([]string{"a", "b"}))
+	g.Expect(r.Replace(nil, now, grace)).To(Equal([]string{"c"})) // servers that are draining are removed at once
+	g.Expect(readyIDs(r)).To(Equal([]string{"a", "b"}))
 	r.Apply([]Change{{ID: "a", Server: &Server{ID: "a", Service: "s"}}}, now.Add(500*time.Millisecond), grace)
 	g.Expect(r.Apply(nil, grace, grace)).To(Equal([]string{"b"}))
-	g.Expect(ids(r)).To(Equal([]string{"a"}))
+	g.Expect(readyIDs(r)).To(Equal([]string{"a"}))
 }
 
 // For any sequence of changes, the servers that may receive requests are those whose newest entry
-// is ready, and no removal is deferred beyond its grace.
+// is ready, and no removal is deferred beyond its grace period.
 func TestNewestEntryTakesEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := New(), time.Unix(0, 0)
@@ -91,7 +93,7 @@
 		}
 		r.Apply(nil, now.Add(3*time.Second), grace)
 		ready := map[string]bool{}
-		for _, id := range ids(r) {
+		for _, id := range readyIDs(r) {
 			ready[id] = true
 		}
 		for id, want := range newest {
@@ -149,8 +151,8 @@
 	g.Expect(b.View(now).InFlight).To(Equal(1))
 }
 
-// A server that restarts under its ID is another process: nothing observed of the previous instance
-// applies to it, and neither do late results of that instance.
+// A server that restarts with the same ID is a new instance: no state observed of the previous
+// instance applies to it, and neither do late results of that instance.
 func TestRestartedServerHasNewState(t *testing.T) {
 	g := NewWithT(t)
 	r, now := New(), time.Now()
@@ -187,7 +189,8 @@
 	g.Expect(after.Server().InstanceID()).To(Equal("a"))
 }
 
-// For any sequence of listed instances, the state is that of the newest listed one only.
+// For any sequence of listed instances, the state only reflects requests to the newest listed
+// instance.
 func TestStateBelongsToOneInstance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := New(), time.Unix(0, 0)
