--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -21,7 +21,7 @@
 		timing.ReadSpread += smallHostDelay
 	}
 	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: maxConfigReadKB, timing: timing, interval: minReadInterval, longPoll: true,
-		slowestTransfer: freshness.TransferTime(f.configBytes, settings.RecordBytes, float64(f.Peers.SlowestLinkMbps())),
+		slowestTransfer: freshness.EstimateTransferTime(f.configBytes, settings.RecordBytes, float64(f.Peers.SlowestLinkMbps())),
 		confirm:         func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, replace: f.applyConfig, apply: f.applyConfig,
 		sharedByPeers: true,
 		fetchFromPeer: f.fetchConfigFromPeer,
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -17,20 +17,20 @@
 	g.Expect(ConfirmedAt(sent, after(1510), 1500*time.Millisecond, true)).To(Equal(after(1500)))
 	g.Expect(ConfirmedAt(sent, after(1510), 1500*time.Millisecond, false)).To(Equal(sent))
 	g.Expect(ConfirmedAt(sent, after(5), 0, true)).To(Equal(sent))
-	g.Expect(ConfirmedAt(sent, after(5), 1500*time.Millisecond, true)).To(Equal(sent)) // the store did not wait
+	g.Expect(ConfirmedAt(sent, after(5), 1500*time.Millisecond, true)).To(Equal(sent)) // the store replied without waiting
 }
 
 func TestTransferTimeDependsOnValueAndLink(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(TransferTime(0, 262144, 10)).To(BeNumerically("~", 300*time.Millisecond, 10*time.Millisecond))
-	g.Expect(TransferTime(887_000, 262144, 10)).To(BeNumerically("~", 1520*time.Millisecond, 10*time.Millisecond))
-	g.Expect(TransferTime(887_000, 262144, 200)).To(BeNumerically("<", 80*time.Millisecond))
-	g.Expect(TransferTime(887_000, 262144, 0)).To(BeZero())
+	g.Expect(EstimateTransferTime(0, 262144, 10)).To(BeNumerically("~", 300*time.Millisecond, 10*time.Millisecond))
+	g.Expect(EstimateTransferTime(887_000, 262144, 10)).To(BeNumerically("~", 1520*time.Millisecond, 10*time.Millisecond))
+	g.Expect(EstimateTransferTime(887_000, 262144, 200)).To(BeNumerically("<", 80*time.Millisecond))
+	g.Expect(EstimateTransferTime(887_000, 262144, 0)).To(BeZero())
 }
 
-// For any transfer time, the maximum age, the read spread and the transfer fit into the bound,
-// unless the transfer alone takes most of it, and the confirmation of a waiting read arrives before
-// the maximum age.
+// For any transfer time, the maximum age, the read spread and the transfer fit into ApplyWithin,
+// unless the transfer alone takes most of it, and the confirmation of a long poll arrives before
+// the maximum age is reached.
 func TestMaxAgeLeavesTimeToRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		timing := testTiming
@@ -41,10 +41,10 @@
 			t.Fatalf("maximum age %v and transfer %v do not fit into %v", maxAge, transfer, timing.ApplyWithin)
 		}
 		if maxAge < timing.ApplyWithin/4 || maxAge > timing.ApplyWithin*7/10 {
-			t.Fatalf("maximum age %v of %v", maxAge, timing.ApplyWithin)
+			t.Fatalf("maximum age is %v, want 1/4 to 7/10 of %v", maxAge, timing.ApplyWithin)
 		}
 		if wait := timing.PollWait(maxAge); wait > timing.ReadInterval && wait+timing.ReadInterval+timing.AnnounceDelay > maxAge {
-			t.Fatalf("maximum age is %v, the read waits %v", maxAge, wait)
+			t.Fatalf("poll wait of %v is too long for a maximum age of %v", wait, maxAge)
 		}
 	})
 }
