--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership polls the platform's list of live and leaving hosts. The list is delayed and
-// may be wrong, so it is only a hint.
+// Package membership polls the platform's list of live and leaving processes. The list is
+// eventually consistent and may be wrong, so it is only a hint.
 package membership
 
 import (
@@ -19,10 +19,10 @@
 // State is the state of a member.
 type State string
 
-// States of a member.
+// The states of a member.
 const (
-	Live    State = "live"
-	Leaving State = "leaving"
+	StateLive    State = "live"
+	StateLeaving State = "leaving"
 )
 
 // Member is a router or agent process on a host.
@@ -34,7 +34,7 @@
 	State         State  `json:"state"`
 }
 
-// Reader polls the list and is started with Run.
+// Reader polls the membership list. Run starts it.
 type Reader struct {
 	url      string
 	interval time.Duration
@@ -44,9 +44,9 @@
 	etag     string
 }
 
-// NewReader returns a Reader for the list at an IP address and port. If address is empty, the list
-// stays empty. If name is set, only that member is requested, which limits the traffic of large
-// numbers of agents.
+// NewReader returns a Reader for the list that is served at an IP address and port. If address is
+// empty, the list stays empty. If name is set, only that member is requested, which limits the
+// traffic of a large number of agents.
 func NewReader(address, name string, interval time.Duration, logger *slog.Logger) *Reader {
 	r := &Reader{interval: interval, client: &http.Client{Timeout: interval + time.Second}, logger: logger}
 	if address != "" {
@@ -59,13 +59,14 @@
 	return r
 }
 
-// Members returns the members of the newest list by name. The map must not be modified.
+// Members returns the members of the last list that was read, by name. The map must not be
+// modified.
 func (r *Reader) Members() map[string]Member { return *r.members.Load() }
 
-// Leaving reports whether the named member is listed as leaving.
-func (r *Reader) Leaving(name string) bool { return r.Members()[name].State == Leaving }
+// Leaving returns whether the named member is listed as leaving.
+func (r *Reader) Leaving(name string) bool { return r.Members()[name].State == StateLeaving }
 
-// Run polls until ctx is done. If the list can't be read, the last one stays in use.
+// Run polls the list until ctx is done. If the list cannot be read, the last one stays in use.
 func (r *Reader) Run(ctx context.Context) {
 	if r.url == "" {
 		return
@@ -93,6 +94,7 @@
 	}
 }
 
+// poll reads the list once.
 func (r *Reader) poll(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url, nil)
 	if err != nil {
