--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -17,16 +17,16 @@
 
 var limits = Limits{ReplyWait: time.Second, IdleTimeout: 700 * time.Millisecond, Timeout: 15 * time.Second, MaxBytes: 2 << 20}
 
-// call calls a handler over a link of 1 Mbit/s and returns how long it took. It must be called in a
-// synctest bubble.
+// call makes a call to a handler over a link of 1 Mbit/s and returns its result and duration. It
+// must be called in a synctest bubble.
 func call(handler http.HandlerFunc) (status, bytes int, took time.Duration, err error) {
 	network := memnet.New(time.Millisecond)
-	here, there := network.Host(1e6), network.Host(0)
-	listener := there.Listen(80)
+	clientHost, serverHost := network.Host(1e6), network.Host(0)
+	listener := serverHost.Listen(80)
 	server := &http.Server{Handler: handler}
 	go func() { _ = server.Serve(listener) }() // ends with ErrServerClosed
-	client := &http.Client{Transport: &http.Transport{DialContext: here.DialContext}}
-	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+there.Address(80).String()+"/", nil)
+	client := &http.Client{Transport: &http.Transport{DialContext: clientHost.DialContext}}
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+serverHost.Address(80).String()+"/", nil)
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -40,9 +40,9 @@
 	return reply.Status, len(reply.Body), took, err
 }
 
-// A call continues as long as data arrives, with a chunked body or a stated length.
+// A call continues as long as data arrives, with a chunked body or with a Content-Length.
 func TestLargeReplyOverSlowLinkSucceeds(t *testing.T) {
-	for name, length := range map[string]string{"chunked": "", "with a length": "1000000"} {
+	for name, length := range map[string]string{"chunked": "", "with Content-Length": "1000000"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
@@ -63,21 +63,21 @@
 
 func TestIdleTimeoutEndsCall(t *testing.T) {
 	for name, c := range map[string]struct {
-		before int // bytes sent before the server stops
+		sent   int // bytes that are sent before the server stops
 		within time.Duration
 	}{"before the reply": {0, limits.ReplyWait + limits.IdleTimeout}, "in the middle of the reply": {1000, limits.IdleTimeout}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				_, bytes, took, err := call(func(w http.ResponseWriter, r *http.Request) {
-					if c.before > 0 {
-						_, _ = w.Write(make([]byte, c.before))
+					if c.sent > 0 {
+						_, _ = w.Write(make([]byte, c.sent))
 						_ = http.NewResponseController(w).Flush()
 					}
 					<-r.Context().Done()
 				})
 				g.Expect(err).To(MatchError(context.Canceled))
-				g.Expect(bytes).To(Equal(c.before))
+				g.Expect(bytes).To(Equal(c.sent))
 				g.Expect(took).To(BeNumerically("~", c.within, 50*time.Millisecond))
 			})
 		})
@@ -88,7 +88,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		_, _, took, err := call(func(w http.ResponseWriter, r *http.Request) {
-			for r.Context().Err() == nil { // endless data at short intervals
+			for r.Context().Err() == nil { // an endless reply
 				_, _ = io.WriteString(w, "x")
 				_ = http.NewResponseController(w).Flush()
 				time.Sleep(100 * time.Millisecond)
@@ -106,7 +106,7 @@
 	g.Expect(fault.Is(err, fault.TooLarge)).To(BeTrue())
 }
 
-// fixedResponse is a round tripper that answers every request with its text.
+// fixedResponse is an http.RoundTripper that answers every request with the same body.
 type fixedResponse string
 
 func (f fixedResponse) RoundTrip(r *http.Request) (*http.Response, error) {
