--- a/internal/follow/deployment_test.go
+++ b/internal/follow/deployment_test.go
@@ -78,7 +78,7 @@
 		deps := dependencies(h.gateway, servers, h.peers)
 		deps.Share = configshare.New(h.host.DialContext, spec.rate/1e6, discardLogger())
 		deps.Connect = func(address string) follow.Store {
-			return platform.NewStoreOver(h.host.DialContext, address, slog.New(slog.DiscardHandler))
+			return platform.NewStoreWithDial(h.host.DialContext, address, slog.New(slog.DiscardHandler))
 		}
 		f := follow.New(deps, follow.Settings{Address: d.storeHost.Address(storePort).String(), DrainWithin: applyWithin,
 			ApplyWithin: applyWithin, RecordBytes: recordBytes})
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -190,7 +190,7 @@
 	p.peers = others
 	share := configshare.New(n.Host.DialContext, 0, discardLogger())
 	follower := follow.New(follow.Dependencies{Connect: func(address string) follow.Store {
-		return platform.NewStoreOver(n.Host.DialContext, address, discardLogger())
+		return platform.NewStoreWithDial(n.Host.DialContext, address, discardLogger())
 	},
 		Topics: platform.Topics, Decoder: platform.Decoder{}, Gateway: p.gateway, Servers: servers, Peers: others, Share: share, Logger: discardLogger()},
 		follow.Settings{Address: f.storeHost.Address(storePort).String(), DrainWithin: DrainWithin, ApplyWithin: ApplyWithin})
