--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// configVersion returns a small configuration.
+// smallConfig returns a small configuration.
 func smallConfig(version int) []byte { return largeConfig(version, 1, 1) }
 
 // largeConfig returns a configuration with the given number of routes, of 270 bytes each, and
