--- a/internal/configshare/configshare_test.go
+++ b/internal/configshare/configshare_test.go
@@ -27,7 +27,7 @@
 // table returns a configuration with the given number of routes. Routes with the same index are
 // equal in all versions.
 func table(version int64, routes int) *routing.Table {
-	c := routing.Contents{Version: version, Teams: map[string]*routing.Team{}}
+	c := routing.Config{Version: version, Teams: map[string]*routing.Team{}}
 	for i := range routes {
 		c.Routes = append(c.Routes, routing.Route{Name: fmt.Sprint("r-", i), Host: fmt.Sprintf("%d.example", i*7919%10007), PathPrefix: "/a/",
 			Timeout: time.Second, Targets: []routing.Target{{Service: "s1", Weight: 1}}})
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -184,7 +184,7 @@
 	servers := registry.New()
 	p.gateway = gateway.New(gateway.Settings{Retries: retrybudget.Settings{Ratio: RetryRatio, Window: RetryWindow, Slack: RetrySlack}},
 		platform.Dialect{}, servers, discardLogger())
-	p.gateway.UseNetwork(n.Host.DialContext)
+	p.gateway.UseDialer(n.Host.DialContext)
 	others := peers.New(n.Name, n.Host.ListenPacket(peerPort), peers.Capacity{Cores: 0.3}, p.gateway, discardLogger())
 	p.gateway.UsePeers(others)
 	p.peers = others
