--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -16,37 +16,37 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// attemptID identifies one attempt of a request on a link.
-type attemptID struct {
-	id      string
-	attempt uint32
+// attemptKey identifies an attempt of a request.
+type attemptKey struct {
+	requestID string
+	attempt   uint32
 }
 
-// agentLink is the link to one agent and the agent's last reported state. Its
-// run method needs a goroutine of its own; the other methods are safe for
-// concurrent use.
+// agentLink maintains the connection to one agent and holds the state that the
+// agent last reported. run blocks until its context ends; the other methods are
+// safe for concurrent use.
 type agentLink struct {
 	router *Router
 	server resource.Server
 	cancel context.CancelFunc
 
 	mu                sync.Mutex
-	conn              *link.Conn // nil while down
+	conn              *link.Conn // nil while disconnected
 	incarnation       string
 	revision          uint64
 	load              wire.Load
 	serving           map[string]bool
 	offersSinceReport int     // offers sent since the agent's last load report
-	meanFirstTokenMS  float64 // moving average of the time to first token; 0 before the first sample
-	attempts          map[attemptID]*call
-	pendingCancels    []attemptID // to be sent after a reconnect
+	ewmaFirstTokenMS  float64 // time to first token; 0 before the first sample
+	attempts          map[attemptKey]*call
+	pendingCancels    []attemptKey // sent after the next reconnect to the same process
 	lastUsed          time.Time
 }
 
 func (l *agentLink) status() ProcessStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return ProcessStatus{Name: l.server.Name, Role: "agent", Up: l.conn != nil, Leaving: l.load.Draining, Serving: len(l.serving) > 0,
+	return ProcessStatus{Name: l.server.Name, Role: "agent", Up: l.conn != nil, Draining: l.load.Draining, Serving: len(l.serving) > 0,
 		Revision: l.revision, Running: sum(l.load.Running), Queued: sum(l.load.Queued)}
 }
 
@@ -111,7 +111,7 @@
 	err = conn.Run(ctx, l.handleMessage)
 	telemetry.Count("merlinpost_links_ended_total", "code", string(fault.From(err).Code))
 	l.markDown()
-	l.router.logger.Info("link lost", "server", l.server.Name, "error", err)
+	l.router.logger.Info("agent link closed", "server", l.server.Name, "error", err)
 	return nil
 }
 
@@ -125,16 +125,16 @@
 	l.offersSinceReport = 0
 	if !sameProcess {
 		l.serving, l.load = nil, wire.Load{}
-		l.pendingCancels = nil // the attempts ended with the old process
+		l.pendingCancels = nil // the attempts ended with the previous process
 	}
 	for _, a := range l.pendingCancels {
-		conn.Send(&wire.Cancel{ID: a.id, Attempt: a.attempt})
+		conn.Send(&wire.Cancel{ID: a.requestID, Attempt: a.attempt})
 	}
 	l.pendingCancels = nil
 	for _, c := range l.attempts {
-		c.enqueue(linkUp{l, l.incarnation})
+		c.enqueue(linkUpEvent{l, l.incarnation})
 	}
-	l.router.logger.Info("link up", "server", l.server.Name, "same_process", sameProcess)
+	l.router.logger.Info("agent link established", "server", l.server.Name, "same_process", sameProcess)
 }
 
 func (l *agentLink) markDown() {
@@ -145,27 +145,28 @@
 	}
 	l.conn = nil
 	for _, c := range l.attempts {
-		c.enqueue(linkDown{l})
+		c.enqueue(linkDownEvent{l})
 	}
 }
 
-// handleMessage processes a received message on the link's read goroutine.
+// handleMessage processes a received message. It is called on the goroutine that
+// reads from the link.
 func (l *agentLink) handleMessage(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Heartbeat:
 		l.handleHeartbeat(m)
 	case *wire.OfferResponse:
 		l.updateLoad(m.Load)
-		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
+		l.forwardToCall(attemptKey{m.ID, m.Attempt}, m)
 	case *wire.Chunk:
-		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
+		l.forwardToCall(attemptKey{m.ID, m.Attempt}, m)
 	case *wire.End:
 		l.updateLoad(m.Load)
-		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
+		l.forwardToCall(attemptKey{m.ID, m.Attempt}, m)
 	case *wire.Cancelled:
-		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
+		l.forwardToCall(attemptKey{m.ID, m.Attempt}, m)
 	case *wire.ConfigRequest:
-		l.handleConfigPull(m)
+		l.handleConfigRequest(m)
 	case *wire.ConfigSnapshot:
 		if len(m.Data) > 0 && l.router.Config.InstallSnapshot(m.Data) != nil {
 			telemetry.Count("merlinpost_config_from_peer_broken_total")
@@ -173,7 +174,7 @@
 	}
 }
 
-func (l *agentLink) routeToCall(id attemptID, m wire.Message) {
+func (l *agentLink) forwardToCall(id attemptKey, m wire.Message) {
 	l.mu.Lock()
 	c := l.attempts[id]
 	l.mu.Unlock()
@@ -211,7 +212,7 @@
 	}
 }
 
-func (l *agentLink) handleConfigPull(m *wire.ConfigRequest) {
+func (l *agentLink) handleConfigRequest(m *wire.ConfigRequest) {
 	config := l.router.Config
 	revision, data, err := config.EncodeSnapshot(m.NewerThan)
 	if err != nil || !config.Ready() {
@@ -220,7 +221,7 @@
 	l.send(&wire.ConfigSnapshot{Revision: revision, Data: data})
 }
 
-// send sends m and reports whether the link was up and accepted it.
+// send queues m and reports whether the link was up and its send queue had room.
 func (l *agentLink) send(m wire.Message) bool {
 	l.mu.Lock()
 	conn := l.conn
@@ -228,36 +229,35 @@
 	return conn != nil && conn.Send(m)
 }
 
-// register routes the messages of an attempt to c and sends its offer. It
-// returns the incarnation of the agent process.
+// register forwards the messages of an attempt to c from now on and sends its
+// offer. It returns the incarnation of the agent process.
 func (l *agentLink) register(c *call, offer *wire.Offer) (string, *fault.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
 		return "", fault.New(fault.LinkBusy, "link to agent %q is down", l.server.Name).WithOutcome(fault.NotRun)
 	}
-	id := attemptID{offer.ID, offer.Attempt}
+	id := attemptKey{offer.ID, offer.Attempt}
 	l.attempts[id] = c
 	l.lastUsed = time.Now()
 	if !l.conn.Send(offer) {
 		delete(l.attempts, id)
-		// The send buffer was full, so the offer was not sent.
-		return "", fault.New(fault.LinkBusy, "send buffer of the link to agent %q is full", l.server.Name).WithOutcome(fault.NotRun)
+		return "", fault.New(fault.LinkBusy, "send queue of the link to agent %q is full", l.server.Name).WithOutcome(fault.NotRun)
 	}
 	l.offersSinceReport++
 	l.conn.AddRequests(1)
 	return l.incarnation, nil
 }
 
-// state returns the incarnation of the agent process last connected to and
-// whether the link is up.
-func (l *agentLink) state() (incarnation string, up bool) {
+// connectionState returns the incarnation of the agent process of the current or,
+// if the link is down, the last connection, and whether the link is up.
+func (l *agentLink) connectionState() (incarnation string, up bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.incarnation, l.conn != nil
 }
 
-func (l *agentLink) unregister(id attemptID) {
+func (l *agentLink) unregister(id attemptKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.attempts[id]; !ok {
@@ -269,22 +269,22 @@
 	}
 }
 
-// cancelAttempt sends a cancel now or, if the link is down, after the next
-// reconnect to the same process.
-func (l *agentLink) cancelAttempt(id attemptID) {
-	if l.send(&wire.Cancel{ID: id.id, Attempt: id.attempt}) {
+// cancelAttempt sends a cancel immediately or, if the link is down, after the next
+// reconnect to the same agent process.
+func (l *agentLink) cancelAttempt(id attemptKey) {
+	if l.send(&wire.Cancel{ID: id.requestID, Attempt: id.attempt}) {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.pendingCancels) < maxPendingCancels { // otherwise the agent ends it by its orphan timeout
+	if len(l.pendingCancels) < maxPendingCancels { // otherwise the agent ends the attempt after its orphan timeout
 		l.pendingCancels = append(l.pendingCancels, id)
 	}
 }
 
-// reconnect closes the connection if it is still to the given agent process;
-// run then dials a new one.
-func (l *agentLink) reconnect(incarnation string) {
+// closeConnectionTo closes the connection if it is to the agent process with the
+// given incarnation; run then opens a new one.
+func (l *agentLink) closeConnectionTo(incarnation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil && l.incarnation == incarnation {
@@ -293,18 +293,18 @@
 	}
 }
 
-// firstTokenSampleWeight is the weight of a new sample in the exponentially
-// weighted moving average of the time to first token.
-const firstTokenSampleWeight = 0.1
+// firstTokenEWMAWeight is the weight of a new sample in the exponentially weighted
+// moving average (EWMA) of the time to first token.
+const firstTokenEWMAWeight = 0.1
 
-// recordFirstToken adds a sample of the time from offer to first token.
+// recordFirstToken adds a sample of the time from the offer to the first token.
 func (l *agentLink) recordFirstToken(d time.Duration) {
 	ms := float64(d) / float64(time.Millisecond)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.meanFirstTokenMS == 0 {
-		l.meanFirstTokenMS = ms
+	if l.ewmaFirstTokenMS == 0 {
+		l.ewmaFirstTokenMS = ms
 		return
 	}
-	l.meanFirstTokenMS += firstTokenSampleWeight * (ms - l.meanFirstTokenMS)
+	l.ewmaFirstTokenMS += firstTokenEWMAWeight * (ms - l.ewmaFirstTokenMS)
 }
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -19,8 +19,9 @@
 	cancelTimeout = 500 * time.Millisecond
 	// offerReplyTimeout bounds the wait for an agent to accept or refuse an offer.
 	offerReplyTimeout = time.Second
-	// prefixReplicas is the number of servers of a pool that cache a prompt prefix.
-	prefixReplicas = 2
+	// prefixCacheReplicas is the number of servers of a pool to which requests with
+	// the same prompt prefix are preferably sent.
+	prefixCacheReplicas = 2
 )
 
 // Request is a validated request with its class and target.
@@ -34,32 +35,32 @@
 	Pool              string
 	Target            string // "model@version" or service name
 	MayRepeat         bool
-	IdempotencyKey    string // scoped by service and team; empty if there is none
+	IdempotencyKey    string // scoped by service and team; may be empty
 	IdempotencyWindow time.Duration
 	Body              []byte
 	MaxTokens         int
 	Prefix            string // start of the prompt, for prefix-cache affinity
 	ContentType       string // of Body
-	// Resumable reports whether another server can continue a partial answer.
-	Resumable bool
+	Resumable         bool   // another server can continue a partial answer
 }
 
-// linkUp and linkDown notify a call of a change of its link.
-type linkUp struct {
+// linkUpEvent and linkDownEvent report that an agent link was established or lost.
+type linkUpEvent struct {
 	link        *agentLink
 	incarnation string
 }
-type linkDown struct{ link *agentLink }
+type linkDownEvent struct{ link *agentLink }
 
-// agentAvailable tells a waiting call that an agent may be reachable now.
-type agentAvailable struct{}
+// agentAvailableEvent reports to a call without a reachable agent that one may be
+// reachable now.
+type agentAvailableEvent struct{}
 
-// eventBufferSize is the capacity of a call's event channel. It has room for the
-// chunk window of an attempt and the control messages around it.
+// eventBufferSize is the capacity of a call's event channel, in events. It exceeds
+// the flow-control window of an attempt and leaves room for control messages.
 const eventBufferSize = 2*relay.WindowChunks + 64
 
-// call runs one request by driving a relay.Machine on the goroutine of Do. It
-// implements relay.Effects; those methods run on the same goroutine.
+// call drives the relay.Machine of one request and implements its relay.Effects.
+// Everything but enqueue runs on the goroutine that called Router.Do.
 type call struct {
 	router  *Router
 	req     *Request
@@ -68,25 +69,26 @@
 	events  chan any
 	timers  [relay.TimerOfferReply + 1]time.Time
 
-	eventsDropped atomic.Bool // the event channel was full
+	eventsDropped atomic.Bool // the event channel overflowed
 
 	link *agentLink
 	// incarnation identifies the agent process that the attempt was offered to.
-	incarnation    string
-	attempt        attemptID
-	offeredAt      time.Time
-	firstTokenSeen bool
-	tried          map[string]bool // servers that were offered the request
-	linkFailed     map[string]bool // servers whose link failed when the offer was sent
-	lastFailed     string          // server that failed the request last
-	end            *wire.End
-	err            *fault.Error
-	deliveryFailed bool
+	incarnation         string
+	attempt             attemptKey
+	offerTime           time.Time
+	firstTokenDelivered bool
+	tried               map[string]bool // servers that were offered the request
+	linkFailed          map[string]bool // servers whose link failed when the offer was sent
+	lastFailed          string          // server that failed the request last
+	end                 *wire.End
+	err                 *fault.Error
+	deliveryFailed      bool
 }
 
-// enqueue passes an event to the call without blocking. The channel has room for
-// all that an agent may send unacknowledged; if it overflows nevertheless, the
-// call resynchronizes as after a broken link.
+// enqueue adds an event to the call's event channel without blocking. The channel
+// has room for everything that an agent may send without acknowledgement. If it
+// overflows nevertheless, the event is dropped, and the call resynchronizes as it
+// does after a lost link.
 func (c *call) enqueue(e any) {
 	select {
 	case c.events <- e:
@@ -97,7 +99,7 @@
 }
 
 // Do runs a request to completion and passes the chunks of its answer to deliver
-// on the calling goroutine. An error from deliver means that the client has
+// on the calling goroutine. deliver returns an error if the caller has
 // disconnected. A returned fault always has an outcome.
 func (r *Router) Do(ctx context.Context, req *Request, deliver func([]byte) error) (*wire.End, *fault.Error) {
 	if n := r.inProgress.Add(1); n > int64(r.settings.Callers.MaxRequests) {
@@ -122,7 +124,7 @@
 }
 
 func (c *call) run(ctx context.Context) {
-	defer c.release()
+	defer c.cleanUp()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	c.machine.Start()
@@ -130,7 +132,7 @@
 		timer.Reset(c.timeToNextTimer())
 		select {
 		case e := <-c.events:
-			c.handle(e)
+			c.handleEvent(e)
 		case <-timer.C:
 			c.fireTimers()
 		case <-ctx.Done():
@@ -145,19 +147,19 @@
 	}
 }
 
-// resync makes the machine resume from what it has received after events were
-// dropped.
+// resync makes the machine resume the answer after dropped events. To the machine
+// it looks like a link that was lost and, if it is up, established again.
 func (c *call) resync() {
 	if c.link == nil {
 		return
 	}
 	c.machine.HandleLinkDown()
-	if incarnation, up := c.link.state(); up {
+	if incarnation, up := c.link.connectionState(); up {
 		c.machine.HandleLinkUp(incarnation == c.incarnation)
 	}
 }
 
-func (c *call) release() {
+func (c *call) cleanUp() {
 	c.router.links.removeWaiter(c)
 	if c.link != nil {
 		c.link.unregister(c.attempt)
@@ -167,7 +169,7 @@
 	}
 }
 
-func (c *call) handle(e any) {
+func (c *call) handleEvent(e any) {
 	switch e := e.(type) {
 	case *wire.OfferResponse:
 		c.recordFailure(e.Fault)
@@ -179,22 +181,22 @@
 		c.machine.HandleEnd(e)
 	case *wire.Cancelled:
 		c.machine.HandleCancelled(e)
-	case linkUp:
+	case linkUpEvent:
 		if e.link == c.link {
 			c.machine.HandleLinkUp(e.incarnation == c.incarnation)
 		}
-	case agentAvailable:
+	case agentAvailableEvent:
 		c.machine.HandleAgentAvailable()
-	case linkDown:
+	case linkDownEvent:
 		if e.link == c.link {
 			c.machine.HandleLinkDown()
 		}
 	}
 }
 
-// recordFailure marks the current server for later choices: a server that refused
-// the request because of load is not tried again, and one that failed it is used
-// again only if there is no other.
+// recordFailure updates which servers later offers may select. A server that
+// refused the request because of overload is not selected again; one that failed
+// it for another reason is selected again only if no other server is left.
 func (c *call) recordFailure(f *wire.Fault) {
 	if f == nil || relay.IsOverload(fault.Code(f.Code)) {
 		return
@@ -242,7 +244,7 @@
 	if c.link == nil {
 		return
 	}
-	age := time.Since(c.offeredAt).Milliseconds()
+	age := time.Since(c.offerTime).Milliseconds()
 	switch m := m.(type) {
 	case *wire.Cancel:
 		m.AgeMS = age
@@ -252,22 +254,22 @@
 	c.link.send(m)
 }
 
-// Abandon implements relay.Effects. A link that is up while its agent does not
-// answer may be stuck for good, so it is replaced by a new one, on which its
-// other requests are resumed.
+// Abandon implements relay.Effects. If the agent does not answer although the link
+// is up, the connection may never recover. It is therefore closed, and the other
+// requests on it are resumed over a new one.
 func (c *call) Abandon(attempt uint32) {
 	if c.link != nil {
-		c.link.cancelAttempt(attemptID{c.req.ID, attempt})
-		c.link.reconnect(c.incarnation)
+		c.link.cancelAttempt(attemptKey{c.req.ID, attempt})
+		c.link.closeConnectionTo(c.incarnation)
 		c.avoidCurrentServer()
 	}
 }
 
 // Deliver implements relay.Effects.
 func (c *call) Deliver(data []byte) {
-	if !c.firstTokenSeen {
-		c.firstTokenSeen = true
-		c.link.recordFirstToken(time.Since(c.offeredAt))
+	if !c.firstTokenDelivered {
+		c.firstTokenDelivered = true
+		c.link.recordFirstToken(time.Since(c.offerTime))
 	}
 	if !c.deliveryFailed && c.deliver(data) != nil {
 		c.deliveryFailed = true
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -12,56 +12,59 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// Admit checks a request against the limits of its team. The team's home router
-// decides; while it is unreachable, each router enforces an equal share of the
-// limits. The returned function must be called when the request has ended.
+// Admit checks a request against the rate and concurrency limits of its team. The
+// team's home router, chosen by rendezvous hashing, decides. While it is
+// unreachable, each router enforces an equal share of the limits. The returned
+// function must be called when the request has ended.
 func (r *Router) Admit(ctx context.Context, name string, team *resource.Team) (func(), *fault.Error) {
 	if team.Rate == 0 && team.Concurrency == 0 {
 		return func() {}, nil
 	}
 	peers := r.liveRouters()
 	home, listed := peers[rendezvous.First(name, memberNames(peers))]
-	if !listed || r.lendingEndpoint == nil {
+	if !listed || r.quotaTransport == nil {
 		return r.localLimiter.Admit(time.Now(), name, team, len(peers))
 	}
-	request := quota.GrantRequest{Seq: r.quotaRequestSeq.Add(1), Team: name, Router: r.processName()}
+	request := quota.GrantRequest{Seq: r.quotaRequestSeq.Add(1), Team: name, Router: r.instanceID()}
 	var reply quota.GrantResponse
 	answered := true
 	if home.Name == r.settings.Name {
-		reply = (*teamHome)(r).Acquire(request)
+		reply = (*quotaHome)(r).Acquire(request)
 	} else {
-		reply, answered = r.lendingEndpoint.Acquire(ctx, home.Address, request)
+		reply, answered = r.quotaTransport.Acquire(ctx, home.Address, request)
 	}
 	switch {
 	case !answered:
 		telemetry.Count("merlinpost_lending_fallback_total")
-		r.reportEnded(name, home, r.localLimiter.DiscardGrant(name, request.Seq)) // the home may have granted it
+		// The home router may have granted the request although its reply did not arrive.
+		r.releaseGrants(name, home, r.localLimiter.DiscardGrant(name, request.Seq))
 		return r.localLimiter.Admit(time.Now(), name, team, len(peers))
 	case reply.Granted:
 		r.localLimiter.StartGranted(time.Now(), name)
-		return func() { r.reportEnded(name, home, r.localLimiter.EndGranted(name, request.Seq)) }, nil
+		return func() { r.releaseGrants(name, home, r.localLimiter.EndGranted(name, request.Seq)) }, nil
 	}
 	return nil, quota.RefusalError(reply, team)
 }
 
-// processName identifies this process to the home routers of teams.
-func (r *Router) processName() string { return r.settings.Name + "/" + r.incarnation }
+// instanceID identifies this router process in quota messages.
+func (r *Router) instanceID() string { return r.settings.Name + "/" + r.incarnation }
 
-// reportEnded reports ended requests to the team's home router.
-func (r *Router) reportEnded(name string, home membership.Member, seqs []uint64) {
-	notice := quota.ReleaseNotice{Team: name, Router: r.processName(), Seqs: seqs}
+// releaseGrants returns the grants with the given sequence numbers to the team's
+// home router.
+func (r *Router) releaseGrants(name string, home membership.Member, seqs []uint64) {
+	notice := quota.ReleaseNotice{Team: name, Router: r.instanceID(), Seqs: seqs}
 	if home.Name == r.settings.Name {
-		(*teamHome)(r).Release(notice)
+		(*quotaHome)(r).Release(notice)
 		return
 	}
-	r.lendingEndpoint.Release(home.Address, notice)
+	r.quotaTransport.Release(home.Address, notice)
 }
 
-// teamHome is a Router in its role as the home of teams. It implements lending.Home.
-type teamHome Router
+// quotaHome implements lending.Home for the teams that have the Router as their home.
+type quotaHome Router
 
 // Acquire implements lending.Home.
-func (h *teamHome) Acquire(request quota.GrantRequest) quota.GrantResponse {
+func (h *quotaHome) Acquire(request quota.GrantRequest) quota.GrantResponse {
 	team := h.Config.View().Teams[request.Team]
 	if team == nil {
 		return quota.GrantResponse{Seq: request.Seq, RetryAfterMS: time.Second.Milliseconds()}
@@ -70,22 +73,22 @@
 }
 
 // Release implements lending.Home.
-func (h *teamHome) Release(c quota.ReleaseNotice) { h.homeLimiter.Release(c) }
+func (h *quotaHome) Release(c quota.ReleaseNotice) { h.homeLimiter.Release(c) }
 
 // MarkReachable implements lending.Home.
-func (h *teamHome) MarkReachable(router string) { h.homeLimiter.MarkReachable(time.Now(), router) }
+func (h *quotaHome) MarkReachable(router string) { h.homeLimiter.MarkReachable(time.Now(), router) }
 
-// PeersAddress returns the address that serves quota requests of other routers,
-// or "" if there is none.
-func (r *Router) PeersAddress() string {
-	if r.lendingEndpoint == nil {
+// QuotaAddress returns the address at which this router serves quota requests of
+// other routers, or "" if it serves none.
+func (r *Router) QuotaAddress() string {
+	if r.quotaTransport == nil {
 		return ""
 	}
-	return r.lendingEndpoint.Address()
+	return r.quotaTransport.Address()
 }
 
-// liveRouters returns the live routers of the membership list. A router with a
-// lending endpoint always includes itself, listed or not.
+// liveRouters returns the live routers of the membership list. A router that serves
+// quota requests always includes itself, listed or not.
 func (r *Router) liveRouters() map[string]membership.Member {
 	out := map[string]membership.Member{}
 	for name, m := range r.members.Members() {
@@ -93,8 +96,8 @@
 			out[name] = m
 		}
 	}
-	if _, listed := out[r.settings.Name]; !listed && r.lendingEndpoint != nil {
-		out[r.settings.Name] = membership.Member{Name: r.settings.Name, Role: "router", Address: r.lendingEndpoint.Address(), State: membership.Live}
+	if _, listed := out[r.settings.Name]; !listed && r.quotaTransport != nil {
+		out[r.settings.Name] = membership.Member{Name: r.settings.Name, Role: "router", Address: r.quotaTransport.Address(), State: membership.Live}
 	}
 	return out
 }
@@ -107,8 +110,8 @@
 	return out
 }
 
-// pingPeers pings every live router each quota.PingInterval, and one that is new to
-// the membership list at the next check.
+// pingPeers pings every live router once per quota.PingInterval. A router that is
+// new to the membership list is pinged at the next check.
 func (r *Router) pingPeers(ctx context.Context) {
 	lastPing := map[string]time.Time{}
 	tick := time.NewTicker(pingCheckInterval)
@@ -120,7 +123,7 @@
 		for name, m := range peers {
 			if now.Sub(lastPing[name]) >= quota.PingInterval {
 				lastPing[name] = now
-				r.lendingEndpoint.Ping(m.Address, r.processName())
+				r.quotaTransport.Ping(m.Address, r.instanceID())
 			}
 		}
 		for name := range lastPing {
@@ -136,5 +139,5 @@
 	}
 }
 
-// pingCheckInterval is how often the membership list is checked for due pings.
+// pingCheckInterval is the time between checks of the membership list for due pings.
 const pingCheckInterval = time.Second
--- a/internal/router/links.go
+++ b/internal/router/links.go
@@ -14,32 +14,35 @@
 	reconcileInterval = time.Second
 	redialMinDelay    = 50 * time.Millisecond
 	redialMaxDelay    = 2 * time.Second
-	// idleLinkTimeout is how long an unused link outside the subset stays open.
+	// idleLinkTimeout is how long an unused link to a server outside the subsets
+	// stays open.
 	idleLinkTimeout = time.Minute
-	// maxBootstrapLinks bounds the agents that a router without a configuration
-	// connects to in order to get one.
+	// maxBootstrapLinks is the maximum number of agents that a router without a
+	// configuration connects to in order to get one.
 	maxBootstrapLinks = 3
-	// maxPendingCancels bounds the cancels kept per unreachable agent.
+	// maxPendingCancels is the maximum number of cancels kept for an unreachable
+	// agent.
 	maxPendingCancels = 10_000
 )
 
-// linkSet holds the links of a router.
+// linkSet holds the agent links of a router.
 type linkSet struct {
-	router *Router
-	mu     sync.Mutex
-	byName map[string]*agentLink
-	subset map[string][]string // server names by pool
-	ctx    context.Context
+	router        *Router
+	mu            sync.Mutex
+	linksByServer map[string]*agentLink
+	subsetsByPool map[string][]string // names of the servers selected from each pool
+	ctx           context.Context
 
 	waitersMu sync.Mutex
 	waiters   map[*call]bool // calls waiting for a reachable agent
 }
 
 func newLinkSet(r *Router) *linkSet {
-	return &linkSet{router: r, byName: map[string]*agentLink{}, subset: map[string][]string{}, waiters: map[*call]bool{}}
+	return &linkSet{router: r, linksByServer: map[string]*agentLink{}, subsetsByPool: map[string][]string{}, waiters: map[*call]bool{}}
 }
 
-// run maintains links to a subset of each pool, spread over failure domains.
+// run keeps links to a subset of the servers of each pool until ctx ends. The
+// subset is spread over failure domains.
 func (s *linkSet) run(ctx context.Context) {
 	s.mu.Lock()
 	s.ctx = ctx
@@ -51,7 +54,7 @@
 			s.reconcile(s.router.Config.View())
 			if now := s.router.Config.View().Revision; now != revision {
 				revision = now
-				s.sendHeartbeats()
+				s.triggerHeartbeats()
 			}
 		} else {
 			s.bootstrap()
@@ -64,16 +67,16 @@
 	}
 }
 
-// bootstrap opens links to a few agents of the membership list, from which the
-// router can get the configuration while the configuration log is unavailable.
+// bootstrap opens links to a few agents of the membership list. They provide the
+// configuration while the configuration log is unavailable.
 func (s *linkSet) bootstrap() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.router.members.Members() {
-		if len(s.byName) >= maxBootstrapLinks {
+		if len(s.linksByServer) >= maxBootstrapLinks {
 			return
 		}
-		if m.Role == "agent" && s.byName[m.Name] == nil {
+		if m.Role == "agent" && s.linksByServer[m.Name] == nil {
 			s.openLocked(resource.Server{Name: m.Name, Agent: m.Address, FailureDomain: m.FailureDomain})
 		}
 	}
@@ -86,34 +89,34 @@
 	declared := map[string]resource.Server{}
 	wanted := map[string]bool{}
 	for name, pool := range v.Pools {
-		s.subset[name] = s.chooseSubset(pool)
-		for _, n := range s.subset[name] {
+		s.subsetsByPool[name] = s.selectSubset(pool)
+		for _, n := range s.subsetsByPool[name] {
 			wanted[n] = true
 		}
 		for _, server := range pool.Servers {
 			declared[server.Name] = server
 		}
 	}
-	for name, l := range s.byName {
+	for name, l := range s.linksByServer {
 		server, ok := declared[name]
 		if !ok || server != l.server || (!wanted[name] && l.idle()) {
 			l.cancel()
-			delete(s.byName, name)
+			delete(s.linksByServer, name)
 		}
 	}
 	for name := range wanted {
-		if s.byName[name] == nil {
+		if s.linksByServer[name] == nil {
 			s.openLocked(declared[name])
 		}
 	}
 }
 
-// sendHeartbeats announces the current revision to every agent without waiting
-// for the next heartbeat.
-func (s *linkSet) sendHeartbeats() {
+// triggerHeartbeats sends a heartbeat with the current configuration revision to
+// every connected agent immediately.
+func (s *linkSet) triggerHeartbeats() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.byName {
+	for _, l := range s.linksByServer {
 		l.mu.Lock()
 		if l.conn != nil {
 			l.conn.TriggerHeartbeat()
@@ -122,7 +125,7 @@
 	}
 }
 
-func (s *linkSet) chooseSubset(pool *resource.Pool) []string {
+func (s *linkSet) selectSubset(pool *resource.Pool) []string {
 	domains := map[string]string{}
 	for _, server := range pool.Servers {
 		domains[server.Name] = server.FailureDomain
@@ -137,26 +140,26 @@
 
 func (s *linkSet) openLocked(server resource.Server) *agentLink {
 	ctx, cancel := context.WithCancel(s.ctx)
-	l := &agentLink{router: s.router, server: server, cancel: cancel, attempts: map[attemptID]*call{}, lastUsed: time.Now()}
-	s.byName[server.Name] = l
+	l := &agentLink{router: s.router, server: server, cancel: cancel, attempts: map[attemptKey]*call{}, lastUsed: time.Now()}
+	s.linksByServer[server.Name] = l
 	go l.run(ctx)
 	return l
 }
 
-// poolLinks returns the links to the selected servers of a pool.
-func (s *linkSet) poolLinks(name string) []*agentLink {
+// subsetLinks returns the links to the servers in the subset of a pool.
+func (s *linkSet) subsetLinks(name string) []*agentLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]*agentLink, 0, len(s.subset[name]))
-	for _, n := range s.subset[name] {
-		if l := s.byName[n]; l != nil {
+	out := make([]*agentLink, 0, len(s.subsetsByPool[name]))
+	for _, n := range s.subsetsByPool[name] {
+		if l := s.linksByServer[n]; l != nil {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-// addWaiter registers a call to be notified when an agent becomes available.
+// addWaiter registers a call to be notified once when an agent becomes available.
 func (s *linkSet) addWaiter(c *call) {
 	s.waitersMu.Lock()
 	defer s.waitersMu.Unlock()
@@ -169,23 +172,23 @@
 	delete(s.waiters, c)
 }
 
-// notifyWaiters tells the waiting calls that an agent reconnected or reported
-// what it serves, and removes them.
+// notifyWaiters notifies and removes all waiting calls after an agent has connected
+// or reported its loaded targets.
 func (s *linkSet) notifyWaiters() {
 	s.waitersMu.Lock()
 	defer s.waitersMu.Unlock()
 	for c := range s.waiters {
-		c.enqueue(agentAvailable{})
+		c.enqueue(agentAvailableEvent{})
 		delete(s.waiters, c)
 	}
 }
 
-// linkTo returns the link to a declared server and opens one if there is none,
-// also to a server outside the subset.
-func (s *linkSet) linkTo(server resource.Server) *agentLink {
+// getOrOpen returns the link to a declared server, which need not be in a subset,
+// and opens one if there is none.
+func (s *linkSet) getOrOpen(server resource.Server) *agentLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.byName[server.Name]
+	l := s.linksByServer[server.Name]
 	if l == nil {
 		l = s.openLocked(server)
 	}
@@ -198,8 +201,8 @@
 func (s *linkSet) status() []ProcessStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]ProcessStatus, 0, len(s.byName))
-	for _, l := range s.byName {
+	out := make([]ProcessStatus, 0, len(s.linksByServer))
+	for _, l := range s.linksByServer {
 		out = append(out, l.status())
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,8 +1,8 @@
-// Package router implements the router process of an entry host: it keeps links
-// to agents, chooses a backend server for each request and relays the answer.
-// The decision logic is in packages dispatch, relay and quota; this package adds
-// sockets, clocks and goroutines. The callers' and operators' APIs are in
-// packages of their own.
+// Package router implements the router process, which runs on an entry host. It
+// maintains links to agents, selects a backend server for each request and relays
+// the answer. The decision logic is in the packages dispatch, relay and quota; this
+// package adds sockets, clocks and goroutines. The HTTP APIs for callers and
+// operators are in separate packages.
 package router
 
 import (
@@ -33,7 +33,7 @@
 	links           *linkSet
 	localLimiter    *quota.LocalLimiter
 	homeLimiter     *quota.HomeLimiter
-	lendingEndpoint *lending.Transport // nil if every router enforces equal shares only
+	quotaTransport  *lending.Transport // nil if every router always enforces an equal share of the limits
 	quotaRequestSeq atomic.Uint64
 
 	mu     sync.Mutex // guards picker, rng and budget
@@ -45,13 +45,13 @@
 	draining   atomic.Bool
 }
 
-// retryBudgetWindow is the period over which retries are limited to a share of
-// the requests. It is long enough to contain requests even at a router that gets
-// only one in ten seconds.
+// retryBudgetWindow is the period over which retries are limited to a share of the
+// requests. At a router with as little as one request in ten seconds it still
+// contains a request.
 const retryBudgetWindow = 10 * time.Second
 
-// New returns a router that is not running yet. If a peer address is configured,
-// its socket is opened here.
+// New returns a router that is not running yet. If an address for quota requests of
+// other routers is configured, New opens its socket.
 func New(set settings.Router, logger *slog.Logger) (*Router, error) {
 	p := set.Policy
 	picker, err := dispatch.New(p.Choice, dispatch.Options{PrefixAffinity: p.Prefix, DomainAffinity: p.Domain, StragglerPenalty: p.Straggler, CountUnreported: p.Corrected})
@@ -69,7 +69,7 @@
 	r.members = membership.NewReader(set.Members.Address, "", settings.Millis(set.Members.PollMS), logger)
 	r.links = newLinkSet(r)
 	if set.Peers.Listen != "" {
-		if r.lendingEndpoint, err = lending.Open(set.Peers.Listen, (*teamHome)(r)); err != nil {
+		if r.quotaTransport, err = lending.Open(set.Peers.Listen, (*quotaHome)(r)); err != nil {
 			return nil, err
 		}
 	}
@@ -82,8 +82,8 @@
 	tasks.Go(func() { r.Config.Run(ctx) })
 	tasks.Go(func() { r.members.Run(ctx) })
 	tasks.Go(func() { r.links.run(ctx) })
-	if r.lendingEndpoint != nil {
-		tasks.Go(func() { r.lendingEndpoint.Run(ctx) })
+	if r.quotaTransport != nil {
+		tasks.Go(func() { r.quotaTransport.Run(ctx) })
 		tasks.Go(func() { r.pingPeers(ctx) })
 	}
 	tasks.Wait()
@@ -93,7 +93,7 @@
 func (r *Router) Ready() bool { return r.Config.Ready() && !r.draining.Load() }
 
 // BeginDrain makes the readiness check fail. Requests are still served until the
-// process ends.
+// router stops.
 func (r *Router) BeginDrain() {
 	if !r.draining.Swap(true) {
 		r.logger.Info("draining: readiness check now fails")
@@ -107,21 +107,21 @@
 		Revision: r.Config.View().Revision}
 }
 
-// ProcessStatus is the state of one process as known to a router.
+// ProcessStatus is the state of a process as known to a router.
 type ProcessStatus struct {
 	Name     string `json:"name"`
 	Role     string `json:"role"`
 	Up       bool   `json:"up"`
-	Leaving  bool   `json:"leaving"`
-	Serving  bool   `json:"serving"` // for an agent: its backend server has something loaded
+	Draining bool   `json:"leaving"`
+	Serving  bool   `json:"serving"` // of an agent: its backend server has at least one target loaded
 	Revision uint64 `json:"revision"`
 	Running  int    `json:"running"`
 	Queued   int    `json:"queued"`
 }
 
-// Status returns the state of this router and of the agents it has links to.
+// Status returns the state of this router and of each agent that it has a link to.
 func (r *Router) Status() []ProcessStatus {
-	out := []ProcessStatus{{Name: r.settings.Name, Role: "router", Up: true, Serving: true, Leaving: r.draining.Load(),
+	out := []ProcessStatus{{Name: r.settings.Name, Role: "router", Up: true, Serving: true, Draining: r.draining.Load(),
 		Revision: r.Config.View().Revision, Running: int(r.InProgress())}}
 	return append(out, r.links.status()...)
 }
@@ -129,7 +129,7 @@
 // Serves reports whether a connected, non-draining agent of the pool has the
 // target loaded.
 func (r *Router) Serves(pool, target string) bool {
-	for _, l := range r.links.poolLinks(pool) {
+	for _, l := range r.links.subsetLinks(pool) {
 		if l.serves(target) {
 			return true
 		}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -10,7 +10,7 @@
 	"github.com/merlinpost/merlinpost/internal/settings"
 )
 
-// Handlers are the HTTP handlers of the callers' and the operators' API.
+// Handlers are the HTTP handlers of the APIs for callers and operators.
 type Handlers struct{ Callers, Operators http.Handler }
 
 // Listeners are the listening sockets of the two APIs.
@@ -30,10 +30,10 @@
 	return Listeners{callers, operators}, nil
 }
 
-// Serve runs the router and its APIs until ctx ends or stop is closed. The end of
-// ctx cuts off requests in progress. Closing stop starts a graceful shutdown: the
-// readiness check fails, requests are accepted until the load balancer has had
-// BalancerLagMS to notice, and Serve returns after the last answer.
+// Serve runs the router and its APIs until ctx ends or stop is closed. When ctx
+// ends, requests in progress are aborted. Closing stop starts a graceful shutdown:
+// the readiness check fails, requests are accepted for another BalancerLagMS until
+// the load balancer has noticed, and Serve returns after the last answer.
 func (r *Router) Serve(ctx context.Context, stop <-chan struct{}, l Listeners, h Handlers) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -49,16 +49,16 @@
 	case <-stop:
 		r.drain(ctx, callers)
 	}
-	_ = callers.Close()   // after drain, connections are still open only if ctx ended
-	_ = operators.Close() // open watch requests do not delay the shutdown
+	_ = callers.Close()   // after a drain, connections are still open only if ctx ended
+	_ = operators.Close() // does not wait for open watch requests
 	cancel()
 	<-done
 	r.logger.Info("router stopped")
 	return nil
 }
 
-// drain waits for the load balancer to notice the failing readiness check, then
-// for the last answer.
+// drain makes the readiness check fail, waits BalancerLagMS for the load balancer to
+// notice, and then waits for the requests in progress.
 func (r *Router) drain(ctx context.Context, callers *http.Server) {
 	r.BeginDrain()
 	callers.SetKeepAlivesEnabled(false) // close each connection after its answer
