--- a/internal/relay/cancel.go
+++ b/internal/relay/cancel.go
@@ -5,46 +5,48 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// cancel cancels the current attempt. The request ends with the fault cause when
-// the agent has confirmed whether the attempt ran, or after CancelTimeout.
+// cancel cancels the current attempt. The request finishes with the fault cause as
+// soon as the agent has confirmed whether the attempt ran, or after CancelTimeout.
 func (m *Machine) cancel(cause *fault.Error) {
-	if m.state == cancelling {
+	if m.state == stateCancelling {
 		return
 	}
 	m.pendingFault = cause
-	if m.state == waiting {
+	if m.state == stateWaiting {
 		m.finish(nil, cause)
 		return
 	}
-	m.state = cancelling
+	m.state = stateCancelling
 	m.effects.SetTimer(TimerCancel, m.cfg.CancelTimeout)
 	m.effects.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
 	if !m.linkUp {
 		m.effects.Abandon(m.attempt)
-		m.finishCancel(true) // the agent can't confirm now, so do not keep the caller waiting
+		m.finishCancel(true) // no confirmation can arrive now, so the caller gets its answer at once
 	}
 }
 
 // HandleCancelled processes the agent's confirmation of a cancel.
 func (m *Machine) HandleCancelled(c *wire.Cancelled) {
-	if m.isCurrent(c.Attempt) && m.state == cancelling {
+	if m.isCurrent(c.Attempt) && m.state == stateCancelling {
 		m.finishCancel(c.Ran)
 	}
 }
 
-func (m *Machine) finishCancel(ran bool) {
-	if ran {
+// finishCancel finishes the request after a cancel. mayHaveRun reports whether the
+// cancelled attempt may have run.
+func (m *Machine) finishCancel(mayHaveRun bool) {
+	if mayHaveRun {
 		m.possibleRuns++
 	}
 	m.finish(nil, m.pendingFault)
 }
 
-// HandleCallerGone cancels the request because its caller has disconnected.
-func (m *Machine) HandleCallerGone() {
-	if m.state == finished {
+// HandleCallerDisconnected cancels the request because its caller has disconnected.
+func (m *Machine) HandleCallerDisconnected() {
+	if m.state == stateFinished {
 		return
 	}
-	if m.state == waiting {
+	if m.state == stateWaiting {
 		m.finish(nil, fault.New(fault.Cancelled, "caller disconnected"))
 		return
 	}
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// stepKinds lists the kinds of steps; each is drawn as often as it is listed.
+// stepKinds lists the kinds of steps. A kind is drawn with a probability proportional
+// to the number of times that it is listed.
 var stepKinds = []string{
 	"deliver all", "deliver all", "deliver all", "deliver one", "deliver one", "deliver one",
 	"step engines", "step engines", "step engines", "add request", "add request",
@@ -18,7 +19,7 @@
 
 func (cl *cluster) step() {
 	kind := rapid.SampledFrom(stepKinds).Draw(cl.t, "step")
-	conns := cl.conns()
+	conns := cl.allLinks()
 	switch kind {
 	case "add request":
 		if len(cl.requests) < 6 {
@@ -39,7 +40,7 @@
 		cl.disruptAgent(kind, a)
 	case "caller gone":
 		if len(cl.requests) > 0 {
-			draw(cl, cl.requests, "which request").machine.HandleCallerGone()
+			draw(cl, cl.requests, "which request").machine.HandleCallerDisconnected()
 		}
 	case "reconnect":
 		for _, r := range cl.requests {
@@ -63,7 +64,7 @@
 	case "kill":
 		a.down = true
 		a.runs = nil
-		for _, c := range cl.conns() {
+		for _, c := range cl.allLinks() {
 			if c.agent == a {
 				cl.breakLink(c, false)
 			}
@@ -108,7 +109,7 @@
 		if open == 0 {
 			return
 		}
-		for _, c := range cl.conns() {
+		for _, c := range cl.allLinks() {
 			cl.deliverNext(c)
 		}
 		cl.stepEngines()
@@ -116,11 +117,11 @@
 	}
 }
 
-// Checks over random interleavings of messages, losses, broken links, late
-// messages of old links, crashes and restarts that no caller gets a missing,
-// duplicate or foreign token; that a request reported as "not run" was not and is
-// not started; that a request that must not be repeated starts at most once; and
-// that every request finishes exactly once.
+// Over random interleavings of delivered, lost and late messages, broken links,
+// crashes and restarts, no answer misses a token, repeats one or contains one of
+// another request; a request reported as "not run" is never started, before or after
+// the report; a request that must not be repeated starts at most once; and every
+// request finishes exactly once.
 func TestRequestsOverFailingLinksAndAgents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cl := &cluster{t: t, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), starts: map[string]int{}}
@@ -137,7 +138,7 @@
 		}
 		cl.runToCompletion()
 		cl.advance(time.Minute)
-		for _, c := range cl.conns() { // deliver what is still in transit
+		for _, c := range cl.allLinks() { // deliver what is still in transit
 			for len(c.toAgent) > 0 {
 				cl.deliverNext(c)
 			}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,18 +1,18 @@
-// Package relay implements the state machine of one request at a router. It
-// offers the request to agents one after another, delivers the answer in order,
-// resumes it over new links and on other agents, and finishes the request exactly
-// once. The package does no I/O: events are method calls, and effects go through
-// the Effects interface.
+// Package relay implements the state machine of one request at a router. It offers
+// the request to one agent at a time, delivers the chunks of the answer in order,
+// resumes the answer over a new link or on another agent after a failure, and
+// finishes the request exactly once. The package does no I/O: events are passed in
+// as method calls, and side effects go through the Effects interface.
 //
 // Invariants:
 //
 //   - the outcome "not run" is reported only if every attempt was refused, or was
 //     cancelled and the agent confirmed that it had not started;
-//   - a request that may not be repeated is offered again only if the attempts
-//     before are known not to have run;
-//   - a caller gets each chunk once and in order, and a successful end only after
-//     the complete answer;
-//   - a request is answered as soon as its result is decided.
+//   - a request that may not be repeated is offered again only if all earlier
+//     attempts are known not to have run;
+//   - the caller receives each chunk once and in order, and a successful end only
+//     after the complete answer;
+//   - a request finishes as soon as its result is known.
 package relay
 
 import (
@@ -24,43 +24,47 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// ackIntervalChunks is the number of chunks covered by one acknowledgement.
+// ackIntervalChunks is the number of chunks after which an acknowledgement is sent.
 const ackIntervalChunks = 32
 
-// WindowChunks is the flow-control window: the number of unacknowledged chunks an
-// agent may send. It bounds what a router buffers for a slow caller.
+// WindowChunks is the flow-control window: the number of chunks that an agent may
+// send without acknowledgement. It bounds the memory that a router uses to buffer
+// the answer for a slow caller.
 const WindowChunks = 128
 
-// maxBusyLinks bounds the further links tried for one offer after a busy one.
-const maxBusyLinks = 16
+// maxBusyLinkRetries is the maximum number of further links tried for one attempt
+// after Effects.Offer returned LinkBusy.
+const maxBusyLinkRetries = 16
 
 // Timer identifies a timer of a request.
 type Timer uint8
 
 const (
-	TimerAgentLost  Timer = iota // the agent or, while waiting, every agent has been unreachable for too long
-	TimerCancel                  // the agent has not confirmed a cancel
-	TimerDeadline                // the request has exceeded RunTimeout
-	TimerOfferReply              // the agent has not replied to an offer
+	TimerAgentLost  Timer = iota // LostTimeout: the agent or, without one, every agent is unreachable
+	TimerCancel                  // CancelTimeout: the agent has not confirmed a cancel
+	TimerDeadline                // RunTimeout: the request is not complete
+	TimerOfferReply              // OfferReplyTimeout: the agent has not replied to an offer
 )
 
 // Effects are the side effects of a Machine.
 type Effects interface {
-	// Offer chooses an agent and sends it the attempt. done and doneText are
-	// the number and the text of the chunks already delivered to the caller.
-	// A fault means that nothing was sent: BackendServersUnreachable that an
-	// agent may become reachable soon, LinkBusy that the chosen one can't take an offer now.
-	Offer(attempt uint32, done uint32, doneText string) *fault.Error
-	// Send sends a message to the agent of the current attempt. The message
-	// is dropped if the link is down.
+	// Offer selects an agent and sends it an offer for the attempt.
+	// chunksDelivered and deliveredText are the number and the text of the
+	// chunks already delivered to the caller. A fault means that nothing was
+	// sent. Its code is BackendServersUnreachable if an agent may become
+	// reachable soon, and LinkBusy if the link to the selected agent cannot
+	// take an offer now.
+	Offer(attempt uint32, chunksDelivered uint32, deliveredText string) *fault.Error
+	// Send sends a message to the agent of the current attempt. It drops the
+	// message if the link is down.
 	Send(m wire.Message)
-	// Abandon sends a cancel to the agent of the current attempt as soon as
-	// the agent is reachable.
+	// Abandon cancels an attempt without waiting for a confirmation. The
+	// cancel is sent as soon as the agent of the current attempt is reachable.
 	Abandon(attempt uint32)
 	// Deliver passes a chunk to the caller.
 	Deliver(data []byte)
-	// Finish reports the result of the request, once; e is nil for a
-	// complete answer.
+	// Finish reports the result of the request. It is called once. e is nil
+	// if the answer is complete.
 	Finish(end *wire.End, e *fault.Error)
 	// SetTimer starts or restarts a timer; a duration of 0 stops it.
 	SetTimer(t Timer, d time.Duration)
@@ -73,50 +77,50 @@
 type Config struct {
 	MaxAttempts int
 	MayRepeat   bool
-	// Resumable reports whether another agent can continue a partly delivered
-	// answer.
+	// Resumable reports whether another agent can continue a partially
+	// delivered answer.
 	Resumable         bool
-	RunTimeout        time.Duration
-	LostTimeout       time.Duration // how long an agent may be unreachable
-	CancelTimeout     time.Duration // how long a cancel may take to be confirmed
-	OfferReplyTimeout time.Duration // how long the reply to an offer may take
+	RunTimeout        time.Duration // for the complete answer
+	LostTimeout       time.Duration // for an unreachable agent to become reachable
+	CancelTimeout     time.Duration // for the confirmation of a cancel
+	OfferReplyTimeout time.Duration // for the reply to an offer
 }
 
 type state uint8
 
 const (
-	waiting    state = iota // no agent is reachable
-	offered                 // sent, not accepted or refused yet
-	accepted                // the agent queued or runs it
-	cancelling              // a cancel was sent; the outcome depends on its confirmation
-	finished
+	stateWaiting    state = iota // no agent is reachable
+	stateOffered                 // an offer was sent and not answered yet
+	stateAccepted                // the agent has queued the request or runs it
+	stateCancelling              // a cancel was sent and not confirmed yet
+	stateFinished
 )
 
 // Machine is the state machine of one request. Create it with New, then call
 // Start. It is not safe for concurrent use.
 type Machine struct {
-	cfg          Config
-	effects      Effects
-	id           string
-	state        state
-	attempt      uint32
-	assembler    answer.Assembler
-	text         []byte
-	acked        uint32
-	linkUp       bool
-	possibleRuns int          // number of ended attempts that may have run
-	lastFault    *fault.Error // of the last failed attempt; reported if no other agent takes the request
-	pendingFault *fault.Error // fault to report when the cancel or the wait for an agent ends
-	retries      int
+	cfg           Config
+	effects       Effects
+	id            string
+	state         state
+	attempt       uint32
+	assembler     answer.Assembler
+	deliveredText []byte
+	ackedChunks   uint32
+	linkUp        bool
+	possibleRuns  int          // number of finished attempts that may have run
+	lastFault     *fault.Error // of the last failed attempt; reported if no other agent takes the request
+	pendingFault  *fault.Error // fault to report when the cancel or the wait for an agent ends
+	retries       int
 }
 
-// New returns a Machine for the request with the given id.
+// New returns a Machine for the request with the given ID.
 func New(id string, cfg Config, effects Effects) *Machine {
 	return &Machine{cfg: cfg, effects: effects, id: id}
 }
 
 // Finished reports whether Effects.Finish was called.
-func (m *Machine) Finished() bool { return m.state == finished }
+func (m *Machine) Finished() bool { return m.state == stateFinished }
 
 // Retries returns the number of offers made after failed attempts.
 func (m *Machine) Retries() int { return m.retries }
@@ -130,20 +134,21 @@
 	m.offer()
 }
 
-// offer offers the request to an agent, and to the next one if the link to it is
-// busy. If no agent is reachable, the request waits for one, because after a
-// network failure connections usually come back within moments.
+// offer offers the request to an agent, and to another one if the link to it is
+// busy. If no agent is reachable, the request waits for one, because connections
+// are usually restored shortly after a network failure. It does not wait if the
+// last attempt was refused because of overload.
 func (m *Machine) offer() {
 	m.attempt++
-	e := m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.text))
-	for busyLinks := 0; e != nil && e.Code == fault.LinkBusy && busyLinks < maxBusyLinks; busyLinks++ {
-		// Nothing was sent, so this still counts as the same attempt.
-		e = m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.text))
+	e := m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.deliveredText))
+	for busyLinks := 0; e != nil && e.Code == fault.LinkBusy && busyLinks < maxBusyLinkRetries; busyLinks++ {
+		// Nothing was sent, so the attempt number is used again.
+		e = m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.deliveredText))
 	}
 	switch {
 	case e == nil:
 	case e.Code == fault.BackendServersUnreachable && (m.lastFault == nil || !IsOverload(m.lastFault.Code)):
-		m.state = waiting
+		m.state = stateWaiting
 		m.pendingFault = e
 		m.effects.SetTimer(TimerOfferReply, 0)
 		m.effects.SetTimer(TimerAgentLost, m.cfg.LostTimeout)
@@ -155,49 +160,48 @@
 		m.finish(nil, m.lastFault)
 		return
 	}
-	m.state, m.linkUp = offered, true
+	m.state, m.linkUp = stateOffered, true
 	m.effects.SetTimer(TimerAgentLost, 0)
 	m.effects.SetTimer(TimerOfferReply, m.cfg.OfferReplyTimeout)
 }
 
-// HandleAgentAvailable offers a waiting request again because an agent may be
-// reachable now.
+// HandleAgentAvailable offers the request again if it waits for a reachable agent.
 func (m *Machine) HandleAgentAvailable() {
-	if m.state == waiting {
-		m.attempt-- // the offer that found no agent does not count
+	if m.state == stateWaiting {
+		m.attempt-- // an offer without a reachable agent does not count as an attempt
 		m.offer()
 	}
 }
 
 // isCurrent reports whether a message belongs to the current attempt.
 func (m *Machine) isCurrent(attempt uint32) bool {
-	return m.state != finished && m.state != waiting && attempt == m.attempt
+	return m.state != stateFinished && m.state != stateWaiting && attempt == m.attempt
 }
 
-// HandleVerdict processes the agent's reply to an offer or a resume.
-func (m *Machine) HandleVerdict(v *wire.OfferResponse) {
+// HandleOfferResponse processes the agent's reply to an offer or a resume.
+func (m *Machine) HandleOfferResponse(v *wire.OfferResponse) {
 	if !m.isCurrent(v.Attempt) {
 		return
 	}
 	m.effects.SetTimer(TimerOfferReply, 0)
 	if v.Fault == nil {
-		if m.state == offered {
-			m.state = accepted
+		if m.state == stateOffered {
+			m.state = stateAccepted
 		}
 		return
 	}
 	e := v.Fault.Err()
-	if m.state == cancelling {
+	if m.state == stateCancelling {
 		m.finishCancel(e.Outcome != fault.NotRun)
 		return
 	}
-	m.attemptFailed(e)
+	m.handleAttemptFailure(e)
 }
 
-// attemptFailed offers the request again or finishes it after an attempt ended
-// without a complete answer. The outcome of e tells whether it may have run.
-func (m *Machine) attemptFailed(e *fault.Error) {
-	if m.state == offered || m.state == accepted {
+// handleAttemptFailure retries or finishes the request after an attempt ended without
+// a complete answer. The outcome of e tells whether the attempt may have run.
+func (m *Machine) handleAttemptFailure(e *fault.Error) {
+	if m.state == stateOffered || m.state == stateAccepted {
 		m.effects.SetTimer(TimerOfferReply, 0)
 	}
 	m.lastFault = e
@@ -216,33 +220,34 @@
 	m.offer()
 }
 
-// terminalCodes are the faults that any other agent would return as well.
-var terminalCodes = map[fault.Code]bool{
+// nonRetryableCodes are the codes of faults that any other agent would return too.
+var nonRetryableCodes = map[fault.Code]bool{
 	fault.IdempotencyKeyConflict: true, fault.IdempotentResultUnknown: true, fault.TooLarge: true, fault.BadRequest: true,
 	fault.StartDeadlinePassed: true, fault.DeadlinePassed: true,
 }
 
 func (m *Machine) canRetry(e *fault.Error) bool {
-	if terminalCodes[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
+	if nonRetryableCodes[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
 		return false
 	}
 	if m.assembler.NextSeq() > 0 && !m.cfg.Resumable {
 		return false
 	}
-	// Retries of requests refused because of load could overload a busy pool
-	// further, so the retry budget limits them. Other retries are at most the
-	// requests that the failed server or link held, so MaxAttempts is enough.
+	// Retries after refusals because of overload add load to a pool that is
+	// already overloaded, so the retry budget limits them. The number of other
+	// retries is bounded by the requests on the failed server or link, so
+	// MaxAttempts is a sufficient limit for them.
 	return !IsOverload(e.Code) || m.effects.TakeRetry()
 }
 
-// IsOverload reports whether a code is a refusal because of load.
+// IsOverload reports whether a request was refused with this code because of overload.
 func IsOverload(c fault.Code) bool {
 	return c == fault.QueueFull || c == fault.WaitTooLong || c == fault.RecordsFull
 }
 
 // HandleChunk processes a chunk of the answer.
 func (m *Machine) HandleChunk(c *wire.Chunk) {
-	if !m.isCurrent(c.Attempt) || m.state == cancelling {
+	if !m.isCurrent(c.Attempt) || m.state == stateCancelling {
 		return
 	}
 	switch m.assembler.Accept(c.Seq) {
@@ -253,19 +258,19 @@
 		return
 	case answer.InOrder:
 	}
-	m.state = accepted
+	m.state = stateAccepted
 	if m.cfg.MayRepeat && m.cfg.Resumable {
-		m.text = append(m.text, c.Data...)
+		m.deliveredText = append(m.deliveredText, c.Data...)
 	}
 	m.effects.Deliver(c.Data)
-	if m.assembler.NextSeq()-m.acked >= ackIntervalChunks {
+	if m.assembler.NextSeq()-m.ackedChunks >= ackIntervalChunks {
 		m.ack(false)
 	}
 }
 
 func (m *Machine) ack(final bool) {
-	m.acked = m.assembler.NextSeq()
-	m.effects.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.acked, Final: final})
+	m.ackedChunks = m.assembler.NextSeq()
+	m.effects.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.ackedChunks, Final: final})
 }
 
 func (m *Machine) resume() {
@@ -278,14 +283,14 @@
 		return
 	}
 	f := e.Fault.Err()
-	if m.state == cancelling {
+	if m.state == stateCancelling {
 		m.ack(true)
 		m.finishCancel(f == nil || f.Outcome != fault.NotRun)
 		return
 	}
 	if f != nil {
 		m.ack(true)
-		m.attemptFailed(f)
+		m.handleAttemptFailure(f)
 		return
 	}
 	if e.Total != m.assembler.NextSeq() {
@@ -298,24 +303,24 @@
 
 // HandleTimeout processes the expiry of a timer.
 func (m *Machine) HandleTimeout(t Timer) {
-	if m.state == finished {
+	if m.state == stateFinished {
 		return
 	}
 	switch t {
 	case TimerAgentLost:
-		if m.state == waiting {
+		if m.state == stateWaiting {
 			m.finish(nil, m.pendingFault)
 			return
 		}
-		if !m.linkUp && m.state != cancelling {
-			m.agentLost(fmt.Sprintf("agent unreachable for %v", m.cfg.LostTimeout))
+		if !m.linkUp && m.state != stateCancelling {
+			m.handleAgentLost(fmt.Sprintf("agent unreachable for %v", m.cfg.LostTimeout))
 		}
 	case TimerOfferReply:
-		if m.state == offered {
-			m.agentLost(fmt.Sprintf("agent did not reply to the offer within %v", m.cfg.OfferReplyTimeout))
+		if m.state == stateOffered {
+			m.handleAgentLost(fmt.Sprintf("agent did not reply to the offer within %v", m.cfg.OfferReplyTimeout))
 		}
 	case TimerCancel:
-		if m.state == cancelling {
+		if m.state == stateCancelling {
 			m.effects.Abandon(m.attempt)
 			m.finishCancel(true)
 		}
@@ -324,9 +329,10 @@
 	}
 }
 
-// finish ends the request. The outcome of the reported fault covers all attempts.
+// finish ends the request. The outcome of the reported fault takes all attempts into
+// account, not only the last one.
 func (m *Machine) finish(end *wire.End, e *fault.Error) {
-	m.state = finished
+	m.state = stateFinished
 	for _, t := range []Timer{TimerAgentLost, TimerCancel, TimerDeadline, TimerOfferReply} {
 		m.effects.SetTimer(t, 0)
 	}
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -136,10 +136,10 @@
 		case <-timer.C:
 			c.fireTimers()
 		case <-ctx.Done():
-			c.machine.HandleCallerGone()
+			c.machine.HandleCallerDisconnected()
 		}
 		if c.deliveryFailed {
-			c.machine.HandleCallerGone()
+			c.machine.HandleCallerDisconnected()
 		}
 		if len(c.events) == 0 && c.eventsDropped.Swap(false) {
 			c.resync()
@@ -173,7 +173,7 @@
 	switch e := e.(type) {
 	case *wire.OfferResponse:
 		c.recordFailure(e.Fault)
-		c.machine.HandleVerdict(e)
+		c.machine.HandleOfferResponse(e)
 	case *wire.Chunk:
 		c.machine.HandleChunk(e)
 	case *wire.End:
