--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -44,26 +44,28 @@
 	g.Expect(err.Outcome).To(Equal(fault.NotRun))
 }
 
-// simulation is a home agent, its witness and the log, each of which may fail. It
-// counts the runs of keys.
+// simulation is a home agent, a witness and the log, each of which may fail. It counts
+// the calls that run.
 type simulation struct {
 	now                  time.Time
 	home, witness        *Store
 	homeIncarnation      int
 	log                  []string // keys claimed on the log
 	logDown, witnessDown bool
-	homeHadLease         bool
+	homeHadLease         bool // a process of the home agent has held the lease
 	runs                 int
-	lastRun              time.Time
+	lastRunTime          time.Time
 }
 
-// restartHome restarts the home agent, which reads the log if it is available.
+// restartHome restarts the home agent. It reads the log if the log is available.
 func (m *simulation) restartHome() {
 	m.home = NewStore(m.now)
 	m.homeIncarnation++
 	m.recoverHome()
 }
 
+// recoverHome reads the log as the home agent does after a start. It does nothing
+// while the log is unavailable.
 func (m *simulation) recoverHome() {
 	if m.logDown {
 		return
@@ -78,11 +80,11 @@
 	m.home.SetLogRead()
 }
 
-// call makes one call with the key at the home agent. The call runs to its end if
-// the home decides to start it.
+// call makes a call with the key at the home agent. If the home decides to start the
+// call, it completes immediately.
 func (m *simulation) call(key string) {
 	if !m.homeHadLease {
-		return // without a lease on the log no call with a key is accepted
+		return // an agent accepts calls with a key only after acquiring its lease on the log
 	}
 	e, _ := m.home.Lookup(m.now, key, 1)
 	if e != nil {
@@ -92,7 +94,7 @@
 	if !m.witnessDown {
 		c := m.witness.HandleClaim(m.now, &wire.ClaimRequest{Key: key, Holder: fmt.Sprint("home/", m.homeIncarnation), Digest: 1, RetentionMS: window.Milliseconds()})
 		reply = map[wire.ClaimResult]WitnessReply{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
-			wire.ClaimNotReady: WitnessCannotVouch}[c.Result]
+			wire.ClaimNotReady: WitnessNotReady}[c.Result]
 	}
 	switch m.home.Decide(m.now, window, reply, false) {
 	case RunAfterLogging:
@@ -110,13 +112,12 @@
 	}
 	e.Phase = Running
 	m.runs++
-	m.lastRun = m.now
+	m.lastRunTime = m.now
 	e.Complete(Result{Status: 200})
 }
 
-// Checks that a key runs at most once within its window when home and witness
-// restart, the witness or the log is unavailable, in any order, and the caller
-// repeats the key.
+// Repeated calls with a key run at most once within the window of the key when the home
+// and the witness restart and the witness and the log become unavailable in any order.
 func TestAKeyRunsAtMostOnceWhateverFails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &simulation{now: epoch}
@@ -129,7 +130,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0:
 				m.restartHome()
-			case 1: // a restarted witness is not in its first process
+			case 1: // restart the witness, which is then not in its first process
 				m.witness = NewStore(m.now)
 			case 2:
 				m.logDown = !m.logDown
@@ -143,7 +144,7 @@
 			case 6:
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds")) * time.Second)
 			}
-			if m.runs > 0 && m.now.Sub(m.lastRun) >= window {
+			if m.runs > 0 && m.now.Sub(m.lastRunTime) >= window {
 				return // the window of the key has passed
 			}
 			if m.runs > 1 {
@@ -153,8 +154,8 @@
 	})
 }
 
-// Checks that a new deployment runs keys from its first call, and still does with
-// the witness or the log unavailable or after a restart of the home agent.
+// A new deployment runs calls with keys from the start. It also does so while either the
+// witness or the log is unavailable, and after a restart of the home agent.
 func TestNewDeploymentRunsKeysAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	m := &simulation{now: epoch, witness: NewStore(epoch)}
