--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -18,8 +18,8 @@
 	peerTimeout       = 100 * time.Millisecond
 )
 
-// pair opens a link over the loopback interface and returns both ends.
-func pair(g Gomega) (*Conn, *Conn) {
+// openPair opens a link over the loopback interface and returns its two ends.
+func openPair(g Gomega) (*Conn, *Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer ln.Close()
@@ -47,18 +47,18 @@
 	return a, b.c
 }
 
-// A link stays up when it changes between idle and busy, although its two ends change
-// their heartbeat intervals and timeouts at different times.
+// A link stays up when requests start and end on it, although its two ends change their
+// heartbeat intervals and read timeouts at different times.
 func TestLinkSurvivesIdleAndBusyPhases(t *testing.T) {
 	g := NewWithT(t)
-	a, b := pair(g)
+	a, b := openPair(g)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var received atomic.Int64
 	ended := make(chan error, 2)
 	go func() { ended <- a.Run(ctx, func(wire.Message) { received.Add(1) }) }()
 	go func() { ended <- b.Run(ctx, func(wire.Message) {}) }()
-	b.Send(&wire.Heartbeat{}) // an agent sends a heartbeat immediately
+	b.Send(&wire.Heartbeat{}) // agents send a heartbeat as soon as a link is up
 	for _, change := range []int64{1, -1, 1, 1, -2} {
 		a.AddRequests(change)
 		b.AddRequests(change)
@@ -70,7 +70,7 @@
 // A link with requests ends within the peer timeout when the peer stops sending.
 func TestLinkEndsWhenPeerStopsSending(t *testing.T) {
 	g := NewWithT(t)
-	a, b := pair(g) // b does not run, so it neither reads nor sends
+	a, b := openPair(g) // b does not run, so it neither reads nor sends
 	defer b.Close()
 	a.AddRequests(1)
 	err := a.Run(context.Background(), func(wire.Message) {})
@@ -82,10 +82,10 @@
 	here, there := net.Pipe()
 	go func() {
 		w := wire.NewWriter(there)
-		_ = w.Write(&wire.Hello{Version: wire.Version + 1, Name: "newer"}) // the test checks the error of the reader
+		_ = w.Write(&wire.Hello{Version: wire.Version + 1, Name: "newer"}) // a failed write makes Open fail with another code
 		_ = w.Flush()
 	}()
-	go func() { _, _ = wire.NewReader(there).Read() }() // unblocks the Hello sent by Open
+	go func() { _, _ = wire.NewReader(there).Read() }() // net.Pipe is unbuffered: receive the Hello that Open sends
 	_, err := Open(here, wire.Hello{Name: "a"}, Options{HeartbeatInterval: heartbeatInterval, PeerTimeout: time.Second})
 	g.Expect(fault.Is(err, fault.BadVersion)).To(BeTrue(), "%v", err)
 }
