--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease records in the log which process acts as an agent. The offset of a
-// process's lease record is its fencing token: a later process has a higher token, and
-// an engine that checks fencing tokens rejects the commands of earlier processes.
+// Package lease records in the log which process currently acts as an agent. The offset
+// of a process's lease record in the log is its fencing token. A later process has a
+// higher token, so an engine that checks tokens rejects commands of earlier processes.
 package lease
 
 import (
@@ -14,13 +14,15 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// Record is one entry of an agent's lease stream.
+// Record is an entry of an agent's lease stream.
 type Record struct {
 	Incarnation string `json:"incarnation"`
-	Renewal     bool   `json:"renewal,omitempty"`
+	// Renewal distinguishes a renewal from the record that acquired the lease.
+	Renewal bool `json:"renewal,omitempty"`
 }
 
-// Lease is the lease of one process. Run acquires and maintains it.
+// Lease is the lease of one process. Run acquires and renews it; the other methods are
+// safe for concurrent use with Run.
 type Lease struct {
 	log           configlog.Log
 	stream        string
@@ -35,32 +37,34 @@
 }
 
 const (
+	// retryInterval is the delay after a failed read or append.
 	retryInterval = 100 * time.Millisecond
-	pollTimeout   = 10 * time.Second
+	// longPollTimeout limits how long a read waits for new entries.
+	longPollTimeout = 10 * time.Second
 )
 
-// New returns a Lease that is not held yet. Renewals keep a record of the agent within
-// the retention time of the log, so renewInterval must be well below that time.
+// New returns a Lease that is not held yet. Renewals ensure that the log always contains
+// a record of the agent, so renewInterval must be well below the retention time of the log.
 func New(log configlog.Log, agent, incarnation string, renewInterval time.Duration, logger *slog.Logger) *Lease {
 	return &Lease{log: log, stream: configlog.LeaseStream(agent), incarnation: incarnation, renewInterval: renewInterval,
 		logger: logger, held: make(chan struct{})}
 }
 
-// FencingToken returns the fencing token, or 0 while the lease is not held.
+// FencingToken returns the fencing token, or 0 if the lease has not been acquired.
 func (l *Lease) FencingToken() uint64 { return l.fencingToken.Load() }
 
-// Held returns a channel that is closed when the log contains the lease record.
+// Held returns a channel that is closed when the lease has been acquired.
 func (l *Lease) Held() <-chan struct{} { return l.held }
 
-// FirstHolder reports whether the log contains no record of an earlier process. The
-// result is valid once the lease is held.
+// FirstHolder reports whether the log shows that no earlier process of the agent held the
+// lease. It is false if the log was truncated. The result is valid once the lease is held.
 func (l *Lease) FirstHolder() bool { return l.firstHolder.Load() }
 
-// Superseded reports whether another process has taken over the lease.
+// Superseded reports whether Run has seen that another process took over the lease.
 func (l *Lease) Superseded() bool { return l.superseded.Load() }
 
-// Run acquires the lease, renews it and watches for a successor until ctx ends or
-// another process takes over. In the latter case it calls onLost once.
+// Run acquires the lease, then renews it and watches the log for a later process until
+// ctx ends or such a process takes the lease over. In the latter case it calls onLost.
 func (l *Lease) Run(ctx context.Context, onLost func()) {
 	next, ok := l.acquire(ctx)
 	if !ok {
@@ -68,7 +72,7 @@
 	}
 	lastRenewal := time.Now()
 	for ctx.Err() == nil {
-		batch, err := l.log.Read(ctx, l.stream, next, min(pollTimeout, l.renewInterval))
+		batch, err := l.log.Read(ctx, l.stream, next, min(longPollTimeout, l.renewInterval))
 		if fault.Is(err, fault.LogTruncated) {
 			next = batch.First
 			continue
@@ -92,27 +96,27 @@
 	}
 }
 
-// acquire appends the lease record and reads it back from the log. Reading before each
-// append avoids a second record if the response to the first append was lost. It returns
-// the offset from which to watch for a successor.
+// acquire appends the lease record and reads it back from the log. It reads the log
+// before each append, so that it does not append a second record if the response to the
+// first append was lost. It returns the offset from which to watch for a later process.
 func (l *Lease) acquire(ctx context.Context) (next uint64, ok bool) {
 	for ctx.Err() == nil {
-		hasEarlier := false
-		own := uint64(0)
+		hasEarlierRecord := false
+		ownOffset := uint64(0)
 		next, truncated, err := configlog.ReadAll(ctx, l.log, l.stream, func(e configlog.Entry) {
 			var r Record
 			switch {
 			case json.Unmarshal(e.Data, &r) != nil:
-			case r.Incarnation == l.incarnation && own == 0:
-				own = e.Offset
-			case r.Incarnation != l.incarnation && own == 0:
-				hasEarlier = true
+			case r.Incarnation == l.incarnation && ownOffset == 0:
+				ownOffset = e.Offset
+			case r.Incarnation != l.incarnation && ownOffset == 0:
+				hasEarlierRecord = true
 			}
 		})
-		if err == nil && own > 0 {
-			l.fencingToken.Store(own)
-			l.firstHolder.Store(!hasEarlier && !truncated)
-			l.logger.Info("lease held", "fence", own, "newborn", l.firstHolder.Load())
+		if err == nil && ownOffset > 0 {
+			l.fencingToken.Store(ownOffset)
+			l.firstHolder.Store(!hasEarlierRecord && !truncated)
+			l.logger.Info("lease held", "fence", ownOffset, "newborn", l.firstHolder.Load())
 			close(l.held)
 			return next, true
 		}
@@ -135,16 +139,16 @@
 	return err
 }
 
-// isSuccessor reports whether the entry is the lease record of a later process. It
-// ignores renewals, which an earlier process may still append until it notices that it
-// was superseded.
+// isSuccessor reports whether an entry after this process's record was appended by a
+// process that took the lease over. Renewals do not count, because an earlier process may
+// append them until it detects that it was superseded.
 func (l *Lease) isSuccessor(e configlog.Entry) bool {
 	var r Record
 	return json.Unmarshal(e.Data, &r) == nil && r.Incarnation != l.incarnation && !r.Renewal
 }
 
-// VerifyHeld reads the log to verify that this process still holds the lease. It is
-// required before commands to engines that do not check fencing tokens.
+// VerifyHeld reads the log and reports whether this process still holds the lease. It
+// must be called before each command to an engine that does not check fencing tokens.
 func (l *Lease) VerifyHeld(ctx context.Context) bool {
 	if l.FencingToken() == 0 || l.Superseded() {
 		return false
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,7 +14,7 @@
 	"github.com/merlinpost/merlinpost/internal/standin/logservice"
 )
 
-// startLog starts a fake log service and returns it with a client.
+// startLog starts a fake log service and returns it together with a client for it.
 func startLog(t *testing.T) (*logservice.Service, configlog.Log) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -28,8 +28,8 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// acquireLease acquires a lease and returns it with a channel that is closed when the
-// lease is lost.
+// acquireLease starts a Lease, waits until it is held and returns it with a channel that
+// is closed when the lease is lost.
 func acquireLease(t *testing.T, g Gomega, log configlog.Log, incarnation string) (*Lease, <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -55,7 +55,7 @@
 	g.Expect(second.VerifyHeld(context.Background())).To(BeTrue())
 }
 
-// If the response to an append is lost, the process finds its record by reading the log
+// If the response to its append is lost, a process finds its record by reading the log
 // and does not append a second one.
 func TestLostAppendResponseCreatesNoSecondRecord(t *testing.T) {
 	g := NewWithT(t)
@@ -69,7 +69,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// While the log is unavailable the lease cannot be verified, so no command may be sent.
+// While the log is unavailable, the lease cannot be verified, so VerifyHeld returns false
+// and no command is sent.
 func TestVerifyHeldFailsDuringLogOutage(t *testing.T) {
 	g := NewWithT(t)
 	s, log := startLog(t)
