--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -31,7 +31,7 @@
 		g := NewWithT(t)
 		offer := &Offer{ID: rapid.String().Draw(t, "id"), Attempt: rapid.Uint32().Draw(t, "attempt"),
 			Body: rapid.SliceOfN(rapid.Byte(), 1, 40000).Draw(t, "body"), Retryable: rapid.Bool().Draw(t, "retryable")}
-		end := &End{ID: offer.ID, Total: 7, Fault: EncodeFault(fault.New(fault.EngineFailed, "gone").WithOutcome(fault.Partial)),
+		end := &End{ID: offer.ID, Total: 7, Fault: EncodeFault(fault.New(fault.EngineFailed, "engine crashed").WithOutcome(fault.Partial)),
 			Load: &Load{Queued: []int{1, 2}, Serving: []string{"advisory@base"}}}
 		r := NewReader(bytes.NewReader(encodeAll(t, offer, end)))
 		got, err := r.Read()
@@ -48,7 +48,7 @@
 func TestMalformedFramesReturnTypedErrors(t *testing.T) {
 	valid := encodeAll(t, &Heartbeat{Revision: 9})
 	oversize := append([]byte(nil), valid...)
-	binary.BigEndian.PutUint32(oversize, MaxFrame+1)
+	binary.BigEndian.PutUint32(oversize, MaxPayloadBytes+1)
 	unknown := append([]byte(nil), valid...)
 	unknown[4] = 200
 	garbage := append([]byte(nil), valid...)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,11 +1,11 @@
-// Package wire is the protocol between routers and agents, and between gateways that fetch
-// the configuration from each other: typed messages, encoded with msgpack, in
-// length-prefixed frames over a TCP connection. Fields are encoded by position, so their
-// order must not change.
+// Package wire defines the protocol between routers and agents, and between gateways that
+// fetch the configuration from each other. Typed messages are encoded with msgpack and sent
+// in length-prefixed frames over a TCP connection. Struct fields are encoded by position, so
+// their order must not change.
 //
-// A router dials an agent. Both send Hello first. Every message about a request contains
-// the request ID and the attempt number, so that the receiver recognizes messages of an
-// earlier link or attempt. Times are sent as durations, never as wall clock times, because
+// Routers dial agents. Both ends send Hello first. Every message about a request contains
+// the request ID and the attempt number, so that the receiver can detect messages of an
+// earlier link or attempt. Times are sent as durations and not as wall clock times, because
 // the clocks of two hosts may differ.
 package wire
 
@@ -15,10 +15,10 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// Version is the protocol version in Hello. A peer with another version is rejected.
+// Version is the protocol version sent in Hello. Peers with another version are rejected.
 const Version = 1
 
-// Type is the one-byte message type in a frame header.
+// Type is the message type in a frame header.
 type Type uint8
 
 const (
@@ -43,7 +43,7 @@
 // Message is any message of the protocol.
 type Message interface{ Type() Type }
 
-// Kind distinguishes model requests from plain service calls.
+// Kind distinguishes requests to a model from calls of a plain service.
 type Kind uint8
 
 const (
@@ -56,18 +56,18 @@
 	Version       int
 	Role          string // "router" or "agent"
 	Name          string
-	Incarnation   string // process identity, changes on restart
+	Incarnation   string // identifies the process; changes on every restart
 	FailureDomain string
 	Revision      uint64 // revision of the active configuration
 }
 
 // Heartbeat keeps a link alive. Agents include their load, and send a Heartbeat
-// immediately when Draining or Serving changes.
+// immediately after a change of Load.Draining or Load.Serving.
 type Heartbeat struct {
 	Revision uint64
 	Load     *Load
-	// NextMS is the longest time until the sender's next message. The receiver
-	// chooses its read timeout accordingly.
+	// NextMS is the maximum time until the sender's next message. The receiver sets
+	// its read timeout accordingly.
 	NextMS int64
 }
 
@@ -76,10 +76,10 @@
 	Running   []int // by tier
 	Slots     int
 	Queued    []int // by tier
-	ServiceMS int   // measured mean time of a request in a slot
+	ServiceMS int   // measured mean time that a request occupies a slot
 	Draining  bool
-	// Serving is the sorted list of loaded targets: "model@version" or a service name.
-	// It is nil in OfferResponse and End, which do not report it.
+	// Serving is the sorted list of loaded targets, each "model@version" or a service
+	// name. It is nil in OfferResponse and End, which do not report it.
 	Serving []string
 }
 
@@ -88,30 +88,30 @@
 	ID                 string
 	Attempt            uint32
 	Kind               Kind
-	Endpoint           string // path at the backend server
+	Endpoint           string // URL path at the backend server
 	Team               string
 	Class              string
 	Tier               uint8
 	Floor              float64 // minimum share of tokens guaranteed to the class's tier
-	Target             string  // "model@version", or service name
+	Target             string  // "model@version" or service name
 	FirstTokenTargetMS int64   // 0: no target
 	StartTimeoutMS     int64   // the request expires if it has not started by then
 	RunTimeoutMS       int64   // for the complete answer
-	Retryable          bool    // false: the request runs at most once
+	Retryable          bool    // false: the request may run at most once
 	Preemptible        bool
 	IdempotencyKey     string // scoped by team and service
-	BodyDigest         uint64 // detects different bodies under the same key
-	KeyRetentionMS     int64  // how long the key is kept
+	BodyDigest         uint64 // detects different bodies with the same key
+	KeyRetentionMS     int64  // how long the key is remembered
 	Body               []byte
 	MaxTokens          int
 	ChunksDelivered    uint32 // chunks already delivered to the caller
-	DeliveredText      string // text of these chunks
+	DeliveredText      string // text of the delivered chunks
 	SendWindow         uint32 // chunks that may be sent without acknowledgement
 	ContentType        string
 }
 
-// OfferResponse accepts (Fault is nil) or refuses an Offer. After a refusal the attempt has
-// not run, and the agent will not run it later.
+// OfferResponse accepts an Offer, if Fault is nil, or refuses it. A refused attempt has not
+// run, and the agent will not run it later.
 type OfferResponse struct {
 	ID      string
 	Attempt uint32
@@ -119,7 +119,7 @@
 	Load    *Load
 }
 
-// Chunk carries a part of an answer. Seq starts at Offer.ChunksDelivered.
+// Chunk carries a part of an answer. The first Seq of an attempt is Offer.ChunksDelivered.
 type Chunk struct {
 	ID      string
 	Attempt uint32
@@ -127,7 +127,7 @@
 	Data    []byte
 }
 
-// End completes an answer. Total is the number of chunks in the whole answer,
+// End is the last message of an attempt. Total is the number of chunks in the whole answer,
 // including those delivered by earlier attempts.
 type End struct {
 	ID           string
@@ -142,13 +142,13 @@
 	Load         *Load
 }
 
-// Ack acknowledges the chunks below Next: the agent may discard them and advance its
-// send window.
+// Ack acknowledges all chunks with a Seq below Next. The agent may discard them and advance
+// its send window.
 type Ack struct {
 	ID      string
 	Attempt uint32
 	Next    uint32
-	Final   bool // the End was received, so the agent may discard the answer
+	Final   bool // End was received, so the agent may discard the answer
 }
 
 // Cancel cancels an attempt. The agent replies with Cancelled.
@@ -158,16 +158,17 @@
 	AgeMS   int64 // since the attempt was offered
 }
 
-// Cancelled replies to a Cancel. If Ran is false, the attempt has not run and never will.
+// Cancelled replies to a Cancel. If Ran is false, the attempt has not run and will not run
+// later.
 type Cancelled struct {
 	ID      string
 	Attempt uint32
 	Ran     bool
 }
 
-// Resume asks the agent to continue an answer from chunk Next over this link. An agent
-// that does not hold the attempt replies with an OfferResponse with code RequestNotHeld,
-// and refuses the attempt from then on.
+// Resume asks the agent to send the answer from chunk Next on over this link. An agent
+// that does not have the attempt replies with an OfferResponse with code RequestNotHeld,
+// and refuses the attempt if it is offered later.
 type Resume struct {
 	ID      string
 	Attempt uint32
@@ -175,7 +176,8 @@
 	AgeMS   int64 // since the attempt was offered
 }
 
-// ConfigRequest asks the peer for its configuration if its revision is above NewerThan.
+// ConfigRequest asks the peer for its configuration if its revision is higher than
+// NewerThan.
 type ConfigRequest struct{ NewerThan uint64 }
 
 // ConfigSnapshot carries a snapshot of the sender's configuration. Empty Data means that
@@ -185,8 +187,8 @@
 	Data     []byte
 }
 
-// ClaimRequest asks a witness to record that Holder is about to run the call with an
-// idempotency key.
+// ClaimRequest asks the witness of an idempotency key to record that Holder is about to run
+// the call with the key.
 type ClaimRequest struct {
 	Seq         uint64
 	Key         string
@@ -195,20 +197,20 @@
 	RetentionMS int64
 }
 
-// ClaimResult is a witness's decision on a ClaimRequest.
+// ClaimResult is the decision of a witness on a ClaimRequest.
 type ClaimResult uint8
 
 const (
-	ClaimGranted  ClaimResult = iota // key recorded for this holder
-	ClaimTaken                       // key already recorded for another holder
-	ClaimNotReady                    // witness may have lost earlier records in a restart
+	ClaimGranted  ClaimResult = iota // the key is recorded for this holder
+	ClaimTaken                       // the key may have been used before
+	ClaimNotReady                    // the records of the witness may be incomplete, e.g. after a restart
 )
 
 // ClaimResponse replies to a ClaimRequest.
 type ClaimResponse struct {
 	Seq          uint64
 	Result       ClaimResult
-	RetryAfterMS int64 // until a witness that is not ready can decide
+	RetryAfterMS int64 // with ClaimNotReady: until the records of the witness are complete
 }
 
 // Fault is the encoding of a fault.Error.
@@ -220,7 +222,7 @@
 	RetryAfterMS int64
 }
 
-// EncodeFault encodes a typed error; nil for a nil error.
+// EncodeFault returns the encoding of e, or nil if e is nil.
 func EncodeFault(e *fault.Error) *Fault {
 	if e == nil {
 		return nil
@@ -228,7 +230,7 @@
 	return &Fault{string(e.Code), string(e.Outcome), e.Field, e.Message, e.RetryAfter.Milliseconds()}
 }
 
-// Err decodes the typed error; nil for a nil Fault.
+// Err returns the decoded error, or nil if f is nil.
 func (f *Fault) Err() *fault.Error {
 	if f == nil {
 		return nil
@@ -237,16 +239,17 @@
 		Message: f.Message, RetryAfter: time.Duration(f.RetryAfterMS) * time.Millisecond}
 }
 
-// ConfigDeltaRequest asks another gateway for its configuration, as a delta against the
-// version that the sender has; 0 if it has none.
+// ConfigDeltaRequest asks another gateway for its configuration as a delta against the
+// version that the sender has. HaveVersion is 0 if it has none.
 type ConfigDeltaRequest struct{ HaveVersion int64 }
 
 // ConfigDeltaResponse replies to a ConfigDeltaRequest.
 type ConfigDeltaResponse struct {
-	// Busy tells the requesting gateway to read the store instead.
+	// Busy means that the sender has no newer version or cannot send it now. The
+	// requesting gateway reads the configuration from the store instead.
 	Busy bool
-	// Offset is the offset in the store's topic that follows the version. It is valid only
-	// within the given era of the store.
+	// Offset is the offset after the version in the topic of the store. It is valid
+	// only within the given Era of the store.
 	Offset int64
 	Era    int64
 	// SnapshotSize is the size of the version in the store, in bytes.
