--- a/internal/telemetry/request.go
+++ b/internal/telemetry/request.go
@@ -7,8 +7,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// RequestMetrics holds the metrics of one team in one class. It is looked up
-// once per request so that metric names are not rebuilt for every token.
+// RequestMetrics holds the request metrics of a team in a class. It is looked up
+// once per request, so that series names are not built again for every token.
 type RequestMetrics struct {
 	firstToken, betweenTokens, duration *metrics.Histogram
 	class                               string
@@ -17,8 +17,8 @@
 
 var requestMetrics sync.Map // *RequestMetrics by team + "\x00" + class
 
-// RequestMetricsFor returns the metrics of a team in a class. It is safe for
-// concurrent use.
+// RequestMetricsFor returns the request metrics of a team in a class. It is safe
+// for concurrent use.
 func RequestMetricsFor(team, class string) *RequestMetrics {
 	key := team + "\x00" + class
 	if r, ok := requestMetrics.Load(key); ok {
@@ -26,36 +26,36 @@
 	}
 	labels := []string{"team", team, "class", class}
 	r := &RequestMetrics{class: class, team: team,
-		firstToken:    metrics.GetOrCreateHistogram(metricName("merlinpost_first_token_seconds", labels)),
-		betweenTokens: metrics.GetOrCreateHistogram(metricName("merlinpost_between_tokens_seconds", labels)),
-		duration:      metrics.GetOrCreateHistogram(metricName("merlinpost_request_seconds", labels))}
+		firstToken:    metrics.GetOrCreateHistogram(seriesName("merlinpost_first_token_seconds", labels)),
+		betweenTokens: metrics.GetOrCreateHistogram(seriesName("merlinpost_between_tokens_seconds", labels)),
+		duration:      metrics.GetOrCreateHistogram(seriesName("merlinpost_request_seconds", labels))}
 	actual, _ := requestMetrics.LoadOrStore(key, r)
 	return actual.(*RequestMetrics)
 }
 
-// LatencyTargets are the latency targets of a class. A zero value means that
-// there is no target.
+// LatencyTargets are the latency targets of a class. A field that is zero means
+// that there is no such target.
 type LatencyTargets struct{ FirstToken, BetweenTokens, Total time.Duration }
 
-// Observation records the timing of one request. It is not safe for concurrent
-// use.
-type Observation struct {
-	metrics    *RequestMetrics
-	targets    LatencyTargets
-	start      time.Time
-	lastToken  time.Time
-	tokens     int
-	slowGaps   int
-	firstToken time.Duration
+// RequestObservation records the latencies of one request. It is not safe for
+// concurrent use.
+type RequestObservation struct {
+	metrics        *RequestMetrics
+	targets        LatencyTargets
+	start          time.Time
+	lastToken      time.Time
+	tokens         int
+	gapsOverTarget int
+	firstToken     time.Duration
 }
 
-// Observe starts recording a request that arrived at start.
-func (r *RequestMetrics) Observe(start time.Time, targets LatencyTargets) *Observation {
-	return &Observation{metrics: r, targets: targets, start: start}
+// Observe returns the observation of a request that arrived at start.
+func (r *RequestMetrics) Observe(start time.Time, targets LatencyTargets) *RequestObservation {
+	return &RequestObservation{metrics: r, targets: targets, start: start}
 }
 
-// Token records that a token was relayed to the caller.
-func (o *Observation) Token(now time.Time) {
+// RecordToken records that a token was relayed to the caller.
+func (o *RequestObservation) RecordToken(now time.Time) {
 	o.tokens++
 	if o.tokens == 1 {
 		o.firstToken = now.Sub(o.start)
@@ -64,19 +64,19 @@
 		gap := now.Sub(o.lastToken)
 		o.metrics.betweenTokens.Update(gap.Seconds())
 		if o.targets.BetweenTokens > 0 && gap > o.targets.BetweenTokens {
-			o.slowGaps++
+			o.gapsOverTarget++
 		}
 	}
 	o.lastToken = now
 }
 
-// maxSlowGapRatio is the fraction of gaps between tokens that may exceed the
-// target: the target applies to the 95th percentile.
-const maxSlowGapRatio = 0.05
+// maxGapsOverTargetRatio is the fraction of the gaps between tokens that may exceed
+// the target, because the target applies to the 95th percentile.
+const maxGapsOverTargetRatio = 0.05
 
-// End records the end of the request. code is the error code, or empty if the
-// response was complete.
-func (o *Observation) End(now time.Time, code, outcome string) {
+// RecordEnd records the end of the request. code is the error code, or empty if
+// the answer was complete.
+func (o *RequestObservation) RecordEnd(now time.Time, code, outcome string) {
 	total := now.Sub(o.start)
 	o.metrics.duration.Update(total.Seconds())
 	result := "answered"
@@ -94,8 +94,8 @@
 	Add("merlinpost_tokens_total", o.tokens, "class", o.metrics.class)
 }
 
-func (o *Observation) meetsTargets(total time.Duration) bool {
+func (o *RequestObservation) meetsTargets(total time.Duration) bool {
 	t := o.targets
 	return (t.FirstToken == 0 || o.firstToken <= t.FirstToken) && (t.Total == 0 || total <= t.Total) &&
-		float64(o.slowGaps) <= maxSlowGapRatio*float64(max(0, o.tokens-1))
+		float64(o.gapsOverTarget) <= maxGapsOverTargetRatio*float64(max(0, o.tokens-1))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry provides the metrics and the logger of a process. Events
-// are counted in metrics; only state changes are logged.
+// Package telemetry provides the metrics and the logger of a process. Events are
+// counted in metrics; only state changes are logged.
 package telemetry
 
 import (
@@ -17,9 +17,9 @@
 // labelEscaper escapes label values for the Prometheus text format.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// metricName returns the metric with its labels, given as alternating names and
-// values.
-func metricName(metric string, labels []string) string {
+// seriesName returns the name of a metric with its labels in the Prometheus text
+// format. Labels are given as alternating names and values.
+func seriesName(metric string, labels []string) string {
 	if len(labels) == 0 {
 		return metric
 	}
@@ -41,22 +41,23 @@
 
 // Count adds 1 to a counter. Labels are given as alternating names and values.
 func Count(metric string, labels ...string) {
-	metrics.GetOrCreateCounter(metricName(metric, labels)).Inc()
+	metrics.GetOrCreateCounter(seriesName(metric, labels)).Inc()
 }
 
-// Add adds n to a counter.
+// Add adds n to a counter. Labels are given as for Count.
 func Add(metric string, n int, labels ...string) {
-	metrics.GetOrCreateCounter(metricName(metric, labels)).Add(n)
+	metrics.GetOrCreateCounter(seriesName(metric, labels)).Add(n)
 }
 
-// SetGauge sets the value of a gauge.
+// SetGauge sets the value of a gauge. Labels are given as for Count.
 func SetGauge(metric string, value float64, labels ...string) {
-	metrics.GetOrCreateGauge(metricName(metric, labels), nil).Set(value)
+	metrics.GetOrCreateGauge(seriesName(metric, labels), nil).Set(value)
 }
 
-// ObserveDuration records a duration, in seconds, in a histogram.
+// ObserveDuration records a duration, in seconds, in a histogram. Labels are given
+// as for Count.
 func ObserveDuration(metric string, d time.Duration, labels ...string) {
-	metrics.GetOrCreateHistogram(metricName(metric, labels)).Update(d.Seconds())
+	metrics.GetOrCreateHistogram(seriesName(metric, labels)).Update(d.Seconds())
 }
 
 // Handler serves the metrics in the Prometheus text format.
@@ -67,8 +68,8 @@
 	})
 }
 
-// NewLogger returns a logger that writes to w with the configured format and
-// level.
+// NewLogger returns a logger that writes records of the configured level and above
+// to w in the configured format.
 func NewLogger(w io.Writer, set settings.Logging) *slog.Logger {
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(set.Level)) // the level was validated with the settings
