--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -109,7 +109,7 @@
 	}
 	defer r.inProgress.Add(-1)
 	r.mu.Lock()
-	r.budget.Request(time.Now())
+	r.budget.RecordRequest(time.Now())
 	r.mu.Unlock()
 	c := &call{router: r, req: req, deliver: deliver, events: make(chan any, eventBufferSize), tried: map[string]bool{}, linkFailed: map[string]bool{}}
 	lostTimeoutMS := r.settings.Link.LostMS
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -92,12 +92,12 @@
 func (r *Router) liveRouters() map[string]membership.Member {
 	out := map[string]membership.Member{}
 	for name, m := range r.members.Members() {
-		if m.Role == "router" && m.State == membership.Live {
+		if m.Role == "router" && m.State == membership.StateLive {
 			out[name] = m
 		}
 	}
 	if _, listed := out[r.settings.Name]; !listed && r.quotaTransport != nil {
-		out[r.settings.Name] = membership.Member{Name: r.settings.Name, Role: "router", Address: r.quotaTransport.Address(), State: membership.Live}
+		out[r.settings.Name] = membership.Member{Name: r.settings.Name, Role: "router", Address: r.quotaTransport.Address(), State: membership.StateLive}
 	}
 	return out
 }
