--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,8 +1,8 @@
 // Package agent implements the process that runs next to each backend server. It
-// does the I/O: links to routers and other agents, calls to the backend server,
-// timers and the configuration log. The decisions are made by packages
-// execution and receipt. Each task runs in its own goroutine; tasks communicate
-// over bounded queues.
+// performs the I/O: links to routers and other agents, calls to the backend server,
+// timers and access to the configuration log. Scheduling and deduplication are
+// decided by packages execution and receipt, which perform no I/O. Each task runs
+// in its own goroutine; tasks communicate over bounded queues.
 package agent
 
 import (
@@ -48,12 +48,12 @@
 	listener        net.Listener
 	metricsListener net.Listener
 	draining        atomic.Bool
-	stop            chan struct{} // closed by Stop
+	stop            chan struct{} // closed by Stop to request a graceful shutdown
 	stopOnce        sync.Once
 }
 
-// New listens on the configured addresses and returns an agent that has not been
-// started.
+// New opens the listeners on the configured addresses. The returned agent does not
+// accept connections until Run is called.
 func New(cfg settings.Agent, logger *slog.Logger) (*Agent, error) {
 	a := &Agent{settings: cfg, logger: logger.With("agent", cfg.Name), incarnation: configlog.NewID(), stop: make(chan struct{})}
 	a.configLog = configlog.NewClient(cfg.Log.Address, settings.Millis(cfg.Log.TimeoutMS))
@@ -116,10 +116,12 @@
 }
 
 // drainPollInterval is how often a running agent checks whether the membership
-// list marks it as leaving, and a draining one whether it still holds attempts.
-// It is also the retry interval of recoverClaims.
+// list marks it as leaving, and how often a draining agent checks whether it still
+// holds attempts. recoverClaims uses it as its retry interval.
 const drainPollInterval = 50 * time.Millisecond
 
+// waitUntilDrained returns when ctx is cancelled, or when a drain that was requested
+// by Stop or by the membership list is complete.
 func (a *Agent) waitUntilDrained(ctx context.Context) {
 	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
@@ -148,6 +150,7 @@
 	}
 }
 
+// drain makes the agent refuse new work. Later calls have no effect.
 func (a *Agent) drain() {
 	if a.draining.Swap(true) {
 		return
@@ -156,13 +159,14 @@
 	a.loop.drain()
 }
 
-func (a *Agent) hello(role string) wire.Hello {
+// newHello returns the first message that this agent sends on a link.
+func (a *Agent) newHello(role string) wire.Hello {
 	return wire.Hello{Role: role, Name: a.settings.Name, Incarnation: a.incarnation, FailureDomain: a.settings.FailureDomain,
 		Revision: a.config.View().Revision}
 }
 
-func (a *Agent) linkOptions(heartbeat func() *wire.Heartbeat) link.Options {
-	return link.Options{HeartbeatInterval: settings.Millis(a.settings.Link.HeartbeatMS), PeerTimeout: settings.Millis(a.settings.Link.SilentMS), NewHeartbeat: heartbeat}
+func (a *Agent) linkOptions(newHeartbeat func() *wire.Heartbeat) link.Options {
+	return link.Options{HeartbeatInterval: settings.Millis(a.settings.Link.HeartbeatMS), PeerTimeout: settings.Millis(a.settings.Link.SilentMS), NewHeartbeat: newHeartbeat}
 }
 
 // httpHandler serves the metrics, health and status endpoints.
--- a/internal/agent/calls_test.go
+++ b/internal/agent/calls_test.go
@@ -17,8 +17,8 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// startServer starts a backend server with the given handler and returns the
-// settings to call it.
+// startServer starts an HTTP backend server with the given handler and returns the
+// settings for a client of it.
 func startServer(t *testing.T, h http.HandlerFunc) settings.Server {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -30,8 +30,8 @@
 		RunTimeoutMS: 5000, ContentType: "text/plain"}}
 }
 
-// Guards against calls that are sent twice: on a kept-alive connection that turns out
-// to be closed, net/http resends the request by itself. The service closes the
+// Guards against sending a call twice: net/http automatically resends a request if the
+// kept-alive connection was closed by the server. The test service closes the
 // connection of every second call without a response.
 func TestServiceCallIsSentOnce(t *testing.T) {
 	g := NewWithT(t)
@@ -40,7 +40,7 @@
 		if calls.Add(1)%2 == 0 {
 			panic(http.ErrAbortHandler) // closes the connection without a response
 		}
-		_, _ = fmt.Fprint(w, "done") // the body is checked by the caller below
+		_, _ = fmt.Fprint(w, "done") // a write error shows up as a wrong body below
 	})
 	c := newServiceClient(cfg)
 	for i := range 6 {
@@ -71,11 +71,12 @@
 		Target: "m@v2", Tier: 3, Body: []byte(body)}}
 }
 
+// textEvent is the format of a server-sent event with one piece of generated text.
 const textEvent = "data: {\"choices\":[{\"text\":%q}]}\n\n"
 
 func TestEngineStreams(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer  func(w http.ResponseWriter, r *http.Request)
+		handler http.HandlerFunc
 		text    string
 		code    fault.Code
 		outcome fault.Outcome
@@ -103,7 +104,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			text := ""
-			_, e := newEngineClient(startServer(t, c.answer)).generate(context.Background(), newEngineRun(`{"prompt":"p"}`),
+			_, e := newEngineClient(startServer(t, c.handler)).generate(context.Background(), newEngineRun(`{"prompt":"p"}`),
 				func(data []byte) { text += string(data) })
 			g.Expect(text).To(Equal(c.text))
 			if c.code == "" {
@@ -116,7 +117,7 @@
 	}
 }
 
-// The caller's fields must be passed on, except those that the agent sets itself.
+// Fields of the caller's body are passed on, except those that the agent overrides.
 func TestCompletionRequestBody(t *testing.T) {
 	g := NewWithT(t)
 	body, err := completionRequestBody(newEngineRun(`{"model":"m","temperature":0.5,"stream":false}`))
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -15,23 +15,23 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// claimTimeout limits how long a claim waits for the witness before it is made on
-// the log.
+// claimTimeout is how long a claim waits for the witness's reply. After that the key
+// is claimed on the log.
 const claimTimeout = 300 * time.Millisecond
 
-// claimKey claims a key with its witness and passes the result to the core, which
-// decides on it.
+// claimKey claims an idempotency key with its witness, the agent that ranks second for
+// the key, and passes the reply to the core, which decides whether the call may start.
 func (a *Agent) claimKey(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
 	select {
 	case <-a.lease.Held():
-	default: // without a lease on the log, a later process could not know of this one
+	default: // without a lease on the log, a later process would not know that this one existed
 		a.loop.decideClaim(ctx, k, o, receipt.WitnessUnreachable, true)
 		return
 	}
 	pool := poolOfService(a.config.View(), o.Target)
 	names := serverNames(pool)
 	ranked := rendezvous.Rank(o.IdempotencyKey, names)
-	if len(ranked) == 0 || ranked[0] != a.settings.Name { // the router used an older configuration
+	if len(ranked) == 0 || ranked[0] != a.settings.Name { // not the key's home: the router used an older configuration
 		a.loop.decideClaim(ctx, k, o, receipt.WitnessUnreachable, true)
 		return
 	}
@@ -40,12 +40,13 @@
 		a.loop.decideClaim(ctx, k, o, receipt.NoWitness, moved)
 		return
 	}
-	answer := a.witnesses.claim(ctx, pool.Server(ranked[1]), &wire.ClaimRequest{Key: o.IdempotencyKey, Holder: a.settings.Name + "/" + a.incarnation,
+	reply := a.witnesses.claim(ctx, pool.Server(ranked[1]), &wire.ClaimRequest{Key: o.IdempotencyKey, Holder: a.settings.Name + "/" + a.incarnation,
 		Digest: o.BodyDigest, RetentionMS: o.KeyRetentionMS})
-	telemetry.Count("merlinpost_agent_claims_total", "word", answer.String())
-	a.loop.decideClaim(ctx, k, o, answer, moved)
+	telemetry.Count("merlinpost_agent_claims_total", "word", reply.String())
+	a.loop.decideClaim(ctx, k, o, reply, moved)
 }
 
+// poolOfService returns the pool of a service, or nil if the service is not configured.
 func poolOfService(v *resource.View, service string) *resource.Pool {
 	if s := v.Services[service]; s != nil {
 		return v.Pools[s.Pool]
@@ -64,18 +65,18 @@
 	return names
 }
 
-// loggedClaim is a record in an agent's claim stream on the log.
-type loggedClaim struct {
+// claimRecord is an entry of an agent's claim stream on the log.
+type claimRecord struct {
 	Key      string `json:"key"`
 	Digest   uint64 `json:"digest"`
 	WindowMS int64  `json:"window_ms"`
 }
 
-// logClaim appends a claim to the log and then lets the call start. The call is
-// refused if the append fails.
-func (a *Agent) logClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
+// appendClaim appends a claim to the log and then allows the call to start. If the
+// append fails, the call is refused.
+func (a *Agent) appendClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
 	decision := receipt.Run
-	data, err := json.Marshal(loggedClaim{o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS})
+	data, err := json.Marshal(claimRecord{o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS})
 	if err == nil {
 		_, err = a.configLog.Append(ctx, configlog.ClaimStream(a.settings.Name), data)
 	}
@@ -86,7 +87,8 @@
 	a.loop.post(ctx, func(now time.Time) { a.loop.core.ClaimDecided(now, k, decision) })
 }
 
-// recoverClaims reads the claims of earlier processes of this agent from the log.
+// recoverClaims reads the claims of earlier processes of this agent from the log, once
+// this process holds the lease. It retries until the log can be read.
 func (a *Agent) recoverClaims(ctx context.Context) {
 	select {
 	case <-a.lease.Held():
@@ -94,9 +96,9 @@
 		return
 	}
 	for ctx.Err() == nil {
-		var claims []loggedClaim
+		var claims []claimRecord
 		_, _, err := configlog.ReadAll(ctx, a.configLog, configlog.ClaimStream(a.settings.Name), func(e configlog.Entry) {
-			var c loggedClaim
+			var c claimRecord
 			if json.Unmarshal(e.Data, &c) == nil {
 				claims = append(claims, c)
 			}
@@ -112,7 +114,8 @@
 	}
 }
 
-func (a *Agent) restoreClaims(now time.Time, claims []loggedClaim) {
+// restoreClaims adds the claims read from the log to the key store.
+func (a *Agent) restoreClaims(now time.Time, claims []claimRecord) {
 	keys := a.loop.core.Keys()
 	for _, c := range claims {
 		keys.AddLoggedClaim(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
@@ -123,8 +126,8 @@
 	}
 }
 
-// poolsUnchanged reports whether none of the pools that this server is in was
-// changed since it was first declared.
+// poolsUnchanged reports whether no pool of this server has been changed since it was
+// first declared.
 func (a *Agent) poolsUnchanged() bool {
 	v := a.config.View()
 	for _, name := range v.PoolsWithServer(a.settings.Name) {
--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -26,7 +26,8 @@
 	http         *http.Client
 }
 
-// maxEventBytes limits a line of the engine's event stream.
+// maxEventBytes limits a line of the engine's event stream, and the list of loaded
+// targets.
 const maxEventBytes = 1 << 20
 
 func newEngineClient(cfg settings.Server) *engineClient {
@@ -34,7 +35,8 @@
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: cfg.Slots, DisableCompression: true}}}
 }
 
-// completionRequestBody returns the caller's body with the fields set by the agent.
+// completionRequestBody returns the caller's body with the fields that the agent sets
+// added or replaced.
 func completionRequestBody(r execution.Run) ([]byte, error) {
 	fields := map[string]any{}
 	var raw map[string]json.RawMessage
@@ -59,8 +61,8 @@
 	return data, nil
 }
 
-// generate runs a request and passes each piece of generated text to onText. The
-// call fails if the engine sends no text for the stall timeout.
+// generate runs a completion request and passes each piece of generated text to
+// onText. It fails if the engine sends no text for the duration of the stall timeout.
 func (c *engineClient) generate(ctx context.Context, r execution.Run, onText func([]byte)) (wire.End, *fault.Error) {
 	body, err := completionRequestBody(r)
 	if err != nil {
@@ -90,11 +92,12 @@
 	return end, nil
 }
 
-// postCompletion sends the request and checks the response status.
+// postCompletion sends a completion request. A response with another status than 200
+// is returned as a fault.
 func (c *engineClient) postCompletion(ctx context.Context, endpoint string, body []byte) (*http.Response, *fault.Error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+endpoint, bytes.NewReader(body))
 	if err != nil {
-		return nil, fault.New(fault.Internal, "engine request: %w", err).WithOutcome(fault.NotRun)
+		return nil, fault.New(fault.Internal, "create engine request: %w", err).WithOutcome(fault.NotRun)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req, sent := httpsent.Trace(req)
@@ -110,13 +113,13 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // on an error the status is reported without the text
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // after a read error the status is reported without the text
 	return nil, faultFromStatus(resp.StatusCode, string(bytes.TrimSpace(text)))
 }
 
-// faultFromStatus converts an error status of the engine to a fault. Only the
-// statuses with which an engine rejects a request before starting it give the
-// outcome NotRun.
+// faultFromStatus converts an error status of the engine to a fault. The outcome is
+// NotRun only for the statuses with which an engine rejects a request before
+// starting it.
 func faultFromStatus(status int, text string) *fault.Error {
 	code, outcome := fault.EngineFailed, fault.Unknown
 	switch {
@@ -130,7 +133,7 @@
 	return fault.New(code, "the engine returned status %d: %s", status, text).WithOutcome(outcome)
 }
 
-// streamEvent holds the fields used of an event of the completion stream.
+// streamEvent is an event of the completion stream, with only the fields used here.
 type streamEvent struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -149,22 +152,23 @@
 }
 
 var (
-	dataPrefix          = []byte("data: ")
-	endMarker           = []byte("[DONE]")
+	eventDataPrefix     = []byte("data: ")
+	streamEndMarker     = []byte("[DONE]")
 	errMissingEndMarker = errors.New("the event stream ended without [DONE]")
 )
 
-// readStream reads server-sent events up to the end marker.
+// readStream reads server-sent events up to the end marker. It returns an error if the
+// stream ends without one.
 func readStream(r io.Reader, onText func([]byte)) (wire.End, error) {
 	var end wire.End
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for lines.Scan() {
-		data, ok := bytes.CutPrefix(lines.Bytes(), dataPrefix)
+		data, ok := bytes.CutPrefix(lines.Bytes(), eventDataPrefix)
 		if !ok {
 			continue
 		}
-		if bytes.Equal(data, endMarker) {
+		if bytes.Equal(data, streamEndMarker) {
 			return end, nil
 		}
 		var ev streamEvent
@@ -182,6 +186,8 @@
 	return end, errMissingEndMarker
 }
 
+// applyEvent passes the event's text to onText and copies its token counts and finish
+// reason to end.
 func applyEvent(ev *streamEvent, end *wire.End, onText func([]byte)) {
 	if ev.Usage != nil {
 		end.PromptTokens, end.OutputTokens = ev.Usage.Prompt, ev.Usage.Completion
@@ -196,32 +202,32 @@
 	}
 }
 
-// loadedTargets queries the engine for the targets it has loaded.
+// loadedTargets asks the engine which targets it has loaded.
 func (c *engineClient) loadedTargets(ctx context.Context) ([]string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/v1/models", nil)
 	if err != nil {
-		return nil, fmt.Errorf("engine models: %w", err)
+		return nil, fmt.Errorf("query the engine's loaded targets: %w", err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("engine models: %w", err)
+		return nil, fmt.Errorf("query the engine's loaded targets: %w", err)
 	}
 	defer resp.Body.Close()
 	var out struct {
 		Loaded []string `json:"loaded"`
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fault.New(fault.EngineFailed, "engine models: status %d", resp.StatusCode)
+		return nil, fault.New(fault.EngineFailed, "query the engine's loaded targets: status %d", resp.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxEventBytes)).Decode(&out); err != nil {
-		return nil, fmt.Errorf("engine models: %w", err)
+		return nil, fmt.Errorf("query the engine's loaded targets: %w", err)
 	}
 	return out.Loaded, nil
 }
 
-// order is the request body of POST /v1/orders, which makes the engine load or
-// unload a target.
-type order struct {
+// engineOrder is the request body of POST /v1/orders, by which the engine loads or
+// unloads a target.
+type engineOrder struct {
 	Op      string `json:"op"`
 	Target  string `json:"target"`
 	Adapter bool   `json:"adapter"`
@@ -229,24 +235,24 @@
 	By      string `json:"by"`
 }
 
-// postOrder sends an order and waits until the engine has carried it out.
-func (c *engineClient) postOrder(ctx context.Context, o order) error {
+// postOrder sends an order and waits until the engine has completed it.
+func (c *engineClient) postOrder(ctx context.Context, o engineOrder) error {
 	data, err := json.Marshal(o)
 	if err != nil {
-		return fmt.Errorf("engine order: %w", err)
+		return fmt.Errorf("send order to the engine: %w", err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+"/v1/orders", bytes.NewReader(data))
 	if err != nil {
-		return fmt.Errorf("engine order: %w", err)
+		return fmt.Errorf("send order to the engine: %w", err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return fmt.Errorf("engine order: %w", err)
+		return fmt.Errorf("send order to the engine: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // on an error the status is reported without the text
-		return fault.New(fault.EngineFailed, "engine order: status %d: %s", resp.StatusCode, bytes.TrimSpace(text))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, 512)) // after a read error the status is reported without the text
+		return fault.New(fault.EngineFailed, "the engine returned status %d for an order: %s", resp.StatusCode, bytes.TrimSpace(text))
 	}
 	return nil
 }
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -13,8 +13,8 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// maxAcceptedLinks limits the links opened to this agent by routers and other
-// agents.
+// maxAcceptedLinks limits the number of links that routers and other agents have open
+// to this agent.
 const maxAcceptedLinks = 4096
 
 // acceptLinks accepts links until the listener is closed and returns when all
@@ -29,14 +29,14 @@
 			if ctx.Err() != nil {
 				return
 			}
-			time.Sleep(tickInterval) // most likely out of file descriptors
+			time.Sleep(tickInterval) // usually the file descriptor limit: wait for connections to close
 			continue
 		}
 		select {
 		case slots <- struct{}{}:
 		default:
 			telemetry.Count("merlinpost_links_refused_total")
-			_ = nc.Close() // over the limit
+			_ = nc.Close() // the link limit is reached
 			continue
 		}
 		links.Go(func() {
@@ -53,27 +53,29 @@
 	conn  *link.Conn
 }
 
+// serveLink runs an accepted link until it ends.
 func (a *Agent) serveLink(ctx context.Context, nc net.Conn) {
 	p := &peerLink{agent: a, id: execution.LinkID(a.loop.lastLinkID.Add(1))}
-	conn, err := link.Open(nc, a.hello("agent"), a.linkOptions(p.heartbeat))
+	conn, err := link.Open(nc, a.newHello("agent"), a.linkOptions(p.newHeartbeat))
 	if err != nil {
 		telemetry.Count("merlinpost_links_failed_total", "code", string(fault.From(err).Code))
 		return
 	}
 	p.conn = conn
 	a.loop.post(ctx, func(now time.Time) { p.onOpen(now) })
-	err = conn.Run(ctx, func(m wire.Message) { p.dispatch(ctx, m) })
+	err = conn.Run(ctx, func(m wire.Message) { p.handleMessage(ctx, m) })
 	telemetry.Count("merlinpost_links_ended_total", "code", string(fault.From(err).Code))
 	a.loop.post(ctx, func(now time.Time) { p.onClose(now) })
 }
 
+// onOpen registers the link and closes the older link of the same router process.
 func (p *peerLink) onOpen(now time.Time) {
 	l := p.agent.loop
 	l.conns[p.id] = p.conn
-	// The first heartbeat must follow the registration in conns. A change before
-	// it is included in the heartbeat; a later one reaches this link through
-	// sendHeartbeats, which only covers registered links.
-	p.conn.Send(p.heartbeat())
+	// The first heartbeat must be sent after the registration in conns. It includes
+	// every change up to then; a later change reaches this link through
+	// triggerHeartbeats, which covers only registered links.
+	p.conn.Send(p.newHeartbeat())
 	if p.conn.Peer().Role == "router" {
 		if old := l.core.LinkUp(now, p.id, p.conn.Peer().Name+"/"+p.conn.Peer().Incarnation); old != 0 {
 			if c := l.conns[old]; c != nil {
@@ -89,18 +91,18 @@
 	l.core.LinkDown(now, p.id)
 }
 
-// heartbeat returns a heartbeat with the complete list of targets, so that each
-// heartbeat corrects lost or reordered ones.
-func (p *peerLink) heartbeat() *wire.Heartbeat {
-	b := p.agent.loop.heartbeat()
+// newHeartbeat returns a heartbeat with the complete list of served targets, so that
+// a lost or reordered heartbeat is corrected by the next one.
+func (p *peerLink) newHeartbeat() *wire.Heartbeat {
+	b := p.agent.loop.newHeartbeat()
 	load := *b.Load
 	load.Serving = p.agent.servingTargets.list()
 	b.Load = &load
 	return b
 }
 
-// dispatch passes a received message to the component that handles it.
-func (p *peerLink) dispatch(ctx context.Context, m wire.Message) {
+// handleMessage passes a received message to the component that handles it.
+func (p *peerLink) handleMessage(ctx context.Context, m wire.Message) {
 	a, l := p.agent, p.agent.loop
 	switch m := m.(type) {
 	case *wire.Offer:
@@ -124,8 +126,8 @@
 	}
 }
 
-// sendConfig sends the configuration to a peer, without data if the one held here
-// is not ready.
+// sendConfig sends the configuration to a peer. The message has no data if the
+// configuration of this agent is not ready.
 func (a *Agent) sendConfig(conn *link.Conn, m *wire.ConfigRequest) {
 	revision, data, err := a.config.EncodeSnapshot(m.NewerThan)
 	if err != nil {
@@ -138,6 +140,7 @@
 	conn.Send(&wire.ConfigSnapshot{Revision: revision, Data: data})
 }
 
+// installConfig installs a configuration received from a peer.
 func (a *Agent) installConfig(m *wire.ConfigSnapshot) {
 	if len(m.Data) == 0 {
 		return
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -15,7 +15,7 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// Capacities and intervals of the core loop.
+// Limits and intervals of the core loop.
 const (
 	inboxCapacity      = 4096
 	tickInterval       = 10 * time.Millisecond  // while attempts are queued or blocked on a full link
@@ -24,27 +24,27 @@
 	maxAttempts        = 20_000
 	maxTombstones      = 100_000
 	tombstoneRetention = 10 * time.Minute
-	// orphanTimeoutFactor times the routers' lost-link timeout is how long an
-	// attempt without a link is kept. It must be longer than any router waits
-	// to resume the attempt.
+	// An attempt without a link is kept for orphanTimeoutFactor times the routers'
+	// lost-link timeout, which must be longer than any router waits to resume the
+	// attempt.
 	orphanTimeoutFactor = 3
 )
 
-// event is a function that the core loop runs on its goroutine.
+// event is a function that the core loop runs on its own goroutine.
 type event func(now time.Time)
 
 // coreLoop is the event loop that owns the execution core. It implements
-// execution.Effects; those methods run on that goroutine.
+// execution.Effects; the core calls those methods on the loop's goroutine.
 type coreLoop struct {
-	agent      *Agent
-	inbox      chan event
-	core       *execution.Core
-	conns      map[execution.LinkID]*link.Conn
-	calls      map[runID]context.CancelFunc
-	ctx        context.Context // parent context of the calls to the backend server
-	load       atomic.Pointer[wire.Load]
-	reported   execution.Counters
-	lastLinkID atomic.Uint64
+	agent            *Agent
+	inbox            chan event
+	core             *execution.Core
+	conns            map[execution.LinkID]*link.Conn
+	cancelByRun      map[runID]context.CancelFunc
+	runCtx           context.Context // context of run: ends backend calls, claims and witness links
+	load             atomic.Pointer[wire.Load]
+	reportedCounters execution.Counters
+	lastLinkID       atomic.Uint64
 }
 
 type runID struct {
@@ -54,7 +54,7 @@
 
 func newCoreLoop(a *Agent) *coreLoop {
 	l := &coreLoop{agent: a, inbox: make(chan event, inboxCapacity), conns: map[execution.LinkID]*link.Conn{},
-		calls: map[runID]context.CancelFunc{}}
+		cancelByRun: map[runID]context.CancelFunc{}}
 	s := a.settings.Admission
 	l.core = execution.New(execution.Config{
 		Admission: admission.Config{Slots: a.settings.Server.Slots, QueueLimit: s.QueueLimit, MaxPreemptions: s.MaxPreemptions,
@@ -67,8 +67,8 @@
 	return l
 }
 
-// post queues an event for the core loop. It blocks while the inbox is full,
-// which applies back pressure to links and backend calls.
+// post queues an event for the core loop. It blocks while the inbox is full, which
+// puts backpressure on links and backend calls.
 func (l *coreLoop) post(ctx context.Context, e event) {
 	select {
 	case l.inbox <- e:
@@ -76,23 +76,24 @@
 	}
 }
 
+// run processes events and timer ticks until ctx is cancelled.
 func (l *coreLoop) run(ctx context.Context) {
-	l.ctx = ctx
+	l.runCtx = ctx
 	timer := time.NewTimer(idleTickInterval)
 	defer timer.Stop()
-	swept, soon := time.Now(), false
+	lastSweep, frequent := time.Now(), false
 	for {
 		select {
 		case e := <-l.inbox:
 			e(time.Now())
-			if !soon && l.core.NeedsFrequentTick() {
-				soon = true
+			if !frequent && l.core.NeedsFrequentTick() {
+				frequent = true
 				timer.Reset(tickInterval)
 			}
 		case <-timer.C:
 			now := time.Now()
-			l.tick(now, &swept)
-			if soon = l.core.NeedsFrequentTick(); soon {
+			l.tick(now, &lastSweep)
+			if frequent = l.core.NeedsFrequentTick(); frequent {
 				timer.Reset(tickInterval)
 			} else {
 				timer.Reset(idleTickInterval)
@@ -103,10 +104,12 @@
 	}
 }
 
-func (l *coreLoop) tick(now time.Time, swept *time.Time) {
+// tick advances the core and publishes its load. Once per sweepInterval it also sweeps
+// the core and reports the metrics.
+func (l *coreLoop) tick(now time.Time, lastSweep *time.Time) {
 	l.core.Tick(now)
-	if now.Sub(*swept) >= sweepInterval {
-		*swept = now
+	if now.Sub(*lastSweep) >= sweepInterval {
+		*lastSweep = now
 		l.core.Sweep(now)
 		l.reportMetrics()
 	}
@@ -114,16 +117,16 @@
 }
 
 // isIdle reports whether the core holds no attempts.
-func (l *coreLoop) isIdle(ctx context.Context) bool { return l.query(ctx, l.core.Idle) }
+func (l *coreLoop) isIdle(ctx context.Context) bool { return l.evaluate(ctx, l.core.Idle) }
 
 // hasAttemptFor reports whether the core holds an attempt for the target.
 func (l *coreLoop) hasAttemptFor(ctx context.Context, target string) bool {
-	return l.query(ctx, func() bool { return l.core.HasAttemptFor(target) })
+	return l.evaluate(ctx, func() bool { return l.core.HasAttemptFor(target) })
 }
 
-// query evaluates a condition on the core's goroutine. It returns false if ctx is
+// evaluate evaluates a condition on the loop's goroutine. It returns false if ctx is
 // cancelled first.
-func (l *coreLoop) query(ctx context.Context, condition func() bool) bool {
+func (l *coreLoop) evaluate(ctx context.Context, condition func() bool) bool {
 	result := make(chan bool, 1)
 	l.post(ctx, func(time.Time) { result <- condition() })
 	select {
@@ -134,40 +137,41 @@
 	}
 }
 
-// drain makes the core refuse new work and notifies all peers immediately.
+// drain makes the core refuse new work and reports that to all peers immediately.
 func (l *coreLoop) drain() {
 	l.post(context.Background(), func(time.Time) {
 		l.core.Drain()
 		l.load.Store(l.core.Load())
-		l.sendHeartbeats()
+		l.triggerHeartbeats()
 	})
 }
 
-// sendHeartbeats sends a heartbeat on every link immediately.
-func (l *coreLoop) sendHeartbeats() {
+// triggerHeartbeats sends a heartbeat on every registered link immediately.
+func (l *coreLoop) triggerHeartbeats() {
 	for _, c := range l.conns {
 		c.TriggerHeartbeat()
 	}
 }
 
-// heartbeat returns a heartbeat without the list of targets.
-func (l *coreLoop) heartbeat() *wire.Heartbeat {
+// newHeartbeat returns a heartbeat without the list of served targets.
+func (l *coreLoop) newHeartbeat() *wire.Heartbeat {
 	return &wire.Heartbeat{Revision: l.agent.config.View().Revision, Load: l.load.Load()}
 }
 
-// reportMetrics adds the changes since the previous call to the metrics.
+// reportMetrics adds the increase of the counters since the previous call to the
+// metrics, and sets the gauges.
 func (l *coreLoop) reportMetrics() {
 	c := l.core.Counters()
-	add := func(name string, now, before uint64) { telemetry.Add(name, int(now-before)) }
-	add("merlinpost_agent_accepted_total", c.Accepted, l.reported.Accepted)
-	add("merlinpost_agent_expired_total", c.Expired, l.reported.Expired)
-	add("merlinpost_agent_started_total", c.Started, l.reported.Started)
-	add("merlinpost_agent_preempted_total", c.Preempted, l.reported.Preempted)
-	add("merlinpost_agent_cancelled_total", c.Cancelled, l.reported.Cancelled)
-	add("merlinpost_agent_orphaned_total", c.Orphaned, l.reported.Orphaned)
-	add("merlinpost_agent_tokens_total", c.Tokens, l.reported.Tokens)
-	add("merlinpost_agent_tombstoned_offers_total", c.Tombstoned, l.reported.Tombstoned)
-	l.reported = c
+	add := func(name string, current, previous uint64) { telemetry.Add(name, int(current-previous)) }
+	add("merlinpost_agent_accepted_total", c.Accepted, l.reportedCounters.Accepted)
+	add("merlinpost_agent_expired_total", c.Expired, l.reportedCounters.Expired)
+	add("merlinpost_agent_started_total", c.Started, l.reportedCounters.Started)
+	add("merlinpost_agent_preempted_total", c.Preempted, l.reportedCounters.Preempted)
+	add("merlinpost_agent_cancelled_total", c.Cancelled, l.reportedCounters.Cancelled)
+	add("merlinpost_agent_orphaned_total", c.Orphaned, l.reportedCounters.Orphaned)
+	add("merlinpost_agent_tokens_total", c.Tokens, l.reportedCounters.Tokens)
+	add("merlinpost_agent_tombstoned_offers_total", c.Tombstoned, l.reportedCounters.Tombstoned)
+	l.reportedCounters = c
 	for class, n := range l.core.TakeWastedTokens() {
 		telemetry.Add("merlinpost_agent_wasted_tokens_total", int(n), "class", class)
 	}
@@ -194,9 +198,9 @@
 
 // Start implements execution.Effects.
 func (l *coreLoop) Start(r execution.Run) {
-	ctx, cancel := context.WithCancel(l.ctx)
+	ctx, cancel := context.WithCancel(l.runCtx)
 	id := runID{r.Key, r.Number}
-	l.calls[id] = cancel
+	l.cancelByRun[id] = cancel
 	if r.Offer.Kind == wire.KindService {
 		go l.callService(ctx, id, r)
 		return
@@ -206,13 +210,13 @@
 
 // Stop implements execution.Effects.
 func (l *coreLoop) Stop(k execution.AttemptKey, number int) {
-	if cancel := l.calls[runID{k, number}]; cancel != nil {
+	if cancel := l.cancelByRun[runID{k, number}]; cancel != nil {
 		cancel()
 	}
 }
 
 // Claim implements execution.Effects.
-func (l *coreLoop) Claim(k execution.AttemptKey, o *wire.Offer) { go l.agent.claimKey(l.ctx, k, o) }
+func (l *coreLoop) Claim(k execution.AttemptKey, o *wire.Offer) { go l.agent.claimKey(l.runCtx, k, o) }
 
 func (l *coreLoop) callEngine(ctx context.Context, id runID, r execution.Run) {
 	end, err := l.agent.engine.generate(ctx, r, func(data []byte) {
@@ -226,13 +230,13 @@
 	l.reportRunEnd(id, r, body, end, err)
 }
 
-// reportRunEnd reports the end of a run to the core. body is the complete response
-// of a plain service, otherwise nil.
+// reportRunEnd reports the end of a run to the core. body is the complete response of
+// a plain service, and nil for an engine, whose output was reported before.
 func (l *coreLoop) reportRunEnd(id runID, r execution.Run, body []byte, end wire.End, e *fault.Error) {
-	l.post(l.ctx, func(now time.Time) {
-		if cancel := l.calls[id]; cancel != nil {
+	l.post(l.runCtx, func(now time.Time) {
+		if cancel := l.cancelByRun[id]; cancel != nil {
 			cancel()
-			delete(l.calls, id)
+			delete(l.cancelByRun, id)
 		}
 		if body != nil {
 			l.core.Output(now, r.Key, r.Number, body, 0)
@@ -241,14 +245,15 @@
 	})
 }
 
-// decideClaim decides, from the witness's reply, whether a keyed call may start.
-// moved reports whether another agent was the key's home within its window.
+// decideClaim decides from the witness's reply whether a call with an idempotency key
+// may start. moved tells whether another agent was the key's home within the key's
+// retention period.
 func (l *coreLoop) decideClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer, reply receipt.WitnessReply, moved bool) {
 	l.post(ctx, func(now time.Time) {
-		window := time.Duration(o.KeyRetentionMS) * time.Millisecond
-		decision := l.core.Keys().Decide(now, window, reply, moved)
+		retention := time.Duration(o.KeyRetentionMS) * time.Millisecond
+		decision := l.core.Keys().Decide(now, retention, reply, moved)
 		if decision == receipt.RunAfterLogging {
-			go l.agent.logClaim(ctx, k, o)
+			go l.agent.appendClaim(ctx, k, o)
 			return
 		}
 		l.core.ClaimDecided(now, k, decision)
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -13,15 +13,15 @@
 
 // Intervals and timeouts of loading and unloading targets.
 const (
-	reconcileInterval = time.Second
-	orderTimeout      = 10 * time.Minute
-	// unloadDelay is how long a version stays loaded after the configuration
-	// dropped it. It must be longer than a router may continue to send
-	// requests for it.
+	reconcileInterval  = time.Second
+	engineOrderTimeout = 10 * time.Minute
+	// unloadDelay is how long a version stays loaded after its removal from the
+	// configuration. It must be longer than a router with an older configuration
+	// may continue to send requests for it.
 	unloadDelay = 15 * time.Second
 )
 
-// target is a model version to be loaded by the engine.
+// target is a model version that the engine is to load.
 type target struct {
 	name    string // "model@version"
 	adapter bool
@@ -49,14 +49,14 @@
 	return out
 }
 
-// reconcileTargets keeps the engine's loaded targets equal to the configured
-// ones, with one order at a time. It also reverts orders of a stale agent.
+// reconcileTargets keeps the engine's loaded targets equal to the configured ones and
+// sends one order at a time. It also reverts orders sent by an outdated agent process.
 func (a *Agent) reconcileTargets(ctx context.Context) {
-	since := map[string]time.Time{} // when each missing or unwanted target was first seen
+	mismatchSince := map[string]time.Time{} // when each missing or unwanted target was first seen
 	for ctx.Err() == nil {
 		changed := a.config.Changed()
 		if a.config.Ready() && !a.draining.Load() {
-			a.reconcileOnce(ctx, since)
+			a.reconcileOnce(ctx, mismatchSince)
 		}
 		select {
 		case <-changed:
@@ -66,7 +66,9 @@
 	}
 }
 
-func (a *Agent) reconcileOnce(ctx context.Context, since map[string]time.Time) {
+// reconcileOnce compares the engine's loaded targets with the configured ones and sends
+// the orders that are due.
+func (a *Agent) reconcileOnce(ctx context.Context, mismatchSince map[string]time.Time) {
 	v := a.config.View()
 	loaded, err := a.engine.loadedTargets(ctx)
 	if err != nil {
@@ -75,32 +77,32 @@
 	wanted := desiredTargets(v, a.settings.Name)
 	for _, t := range wanted {
 		if slices.Contains(loaded, t.name) {
-			delete(since, t.name)
-		} else if mismatchAge(since, t.name) >= a.loadDelay(v, t.name) {
-			a.sendOrder(ctx, order{Op: "load", Target: t.name, Adapter: t.adapter})
+			delete(mismatchSince, t.name)
+		} else if mismatchAge(mismatchSince, t.name) >= a.loadDelay(v, t.name) {
+			a.sendOrder(ctx, engineOrder{Op: "load", Target: t.name, Adapter: t.adapter})
 		}
 	}
 	for _, name := range loaded {
 		unwanted := len(wanted) > 0 && !slices.ContainsFunc(wanted, func(t target) bool { return t.name == name })
-		if unwanted && mismatchAge(since, name) >= unloadDelay && !a.loop.hasAttemptFor(ctx, name) {
-			a.sendOrder(ctx, order{Op: "unload", Target: name})
-			delete(since, name)
+		if unwanted && mismatchAge(mismatchSince, name) >= unloadDelay && !a.loop.hasAttemptFor(ctx, name) {
+			a.sendOrder(ctx, engineOrder{Op: "unload", Target: name})
+			delete(mismatchSince, name)
 		}
 	}
 }
 
-// mismatchAge returns how long ago a target was first seen missing or unwanted. It
-// records the current time on the first call for a target.
-func mismatchAge(since map[string]time.Time, name string) time.Duration {
-	if _, known := since[name]; !known {
-		since[name] = time.Now()
+// mismatchAge returns how long ago a target was first seen missing or unwanted. The
+// first call for a target records the current time.
+func mismatchAge(mismatchSince map[string]time.Time, name string) time.Duration {
+	if _, known := mismatchSince[name]; !known {
+		mismatchSince[name] = time.Now()
 	}
-	return time.Since(since[name])
+	return time.Since(mismatchSince[name])
 }
 
-// loadDelay returns how long this server waits before it loads a target, so that
-// the servers of a pool don't all read from the weight store at once. They load
-// in rendezvous order of the target.
+// loadDelay returns how long this server waits before it loads a target. The servers
+// of a pool load it in groups, in the target's rendezvous order, so that they don't
+// all read from the weight store at once.
 func (a *Agent) loadDelay(v *resource.View, name string) time.Duration {
 	if a.settings.Weights.TurnMS == 0 {
 		return 0
@@ -112,15 +114,15 @@
 	return time.Duration(rank/a.settings.Weights.AtOnce) * settings.Millis(a.settings.Weights.TurnMS)
 }
 
-// sendOrder sends an order to the engine if this process holds the lease. An
-// engine that supports fencing rejects orders with an outdated fencing number.
-// For other engines the lease is checked on the log just before the order, and
-// the next reconciliation corrects the effect of an order sent too late.
-func (a *Agent) sendOrder(ctx context.Context, o order) {
+// sendOrder sends an order to the engine if this process holds the lease. An engine
+// that supports fencing rejects an order with an outdated fencing token. For other
+// engines the lease is verified on the log immediately before the order; if it is lost
+// in between, the next reconciliation corrects the effect.
+func (a *Agent) sendOrder(ctx context.Context, o engineOrder) {
 	if a.lease.FencingToken() == 0 || (!a.settings.Server.Fencing && !a.lease.VerifyHeld(ctx)) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, engineOrderTimeout)
 	defer cancel()
 	o.Fence, o.By = a.lease.FencingToken(), a.incarnation
 	err := a.engine.postOrder(ctx, o)
@@ -129,8 +131,8 @@
 		telemetry.Count("merlinpost_agent_orders_failed_total", "op", o.Op)
 		return
 	}
-	a.logger.Info("engine carried out order", "op", o.Op, "target", o.Target, "fence", o.Fence)
+	a.logger.Info("engine completed order", "op", o.Op, "target", o.Target, "fence", o.Fence)
 	if err := a.refreshServing(ctx); err != nil {
-		a.logger.Debug("failed to refresh the loaded targets after an order", "error", err)
+		a.logger.Debug("failed to refresh the served targets after an order", "error", err)
 	}
 }
--- a/internal/agent/pools.go
+++ b/internal/agent/pools.go
@@ -12,16 +12,17 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// poolHistory records the current servers of each pool and the last change.
+// poolHistory records, for each pool, the current servers, those before the last change
+// and the time of that change.
 type poolHistory struct {
-	mu        sync.Mutex
-	current   map[string][]string // servers by pool
-	previous  map[string][]string
-	changedAt map[string]time.Time
+	mu              sync.Mutex
+	currentServers  map[string][]string  // by pool, sorted
+	previousServers map[string][]string  // by pool, before the last change
+	changedAt       map[string]time.Time // by pool
 }
 
-// watchPools tracks changes to the servers of this agent's pools, because they
-// change the home and witness agents of idempotency keys.
+// watchPools tracks changes to the servers of this agent's pools. Such a change may
+// assign idempotency keys to other home and witness agents.
 func (a *Agent) watchPools(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := a.config.Changed()
@@ -36,8 +37,8 @@
 	}
 }
 
-// update records the current servers of the pools that self is in and reports
-// whether those of any pool changed.
+// update records the current servers of the pools that contain self and reports
+// whether any of these pools changed.
 func (h *poolHistory) update(v *resource.View, self string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,17 +46,18 @@
 	for _, pool := range v.PoolsWithServer(self) {
 		names := serverNames(v.Pools[pool])
 		slices.Sort(names)
-		before, known := h.current[pool]
+		before, known := h.currentServers[pool]
 		if known && !slices.Equal(before, names) {
-			h.previous[pool], h.changedAt[pool] = before, time.Now()
+			h.previousServers[pool], h.changedAt[pool] = before, time.Now()
 			changed = true
 		}
-		h.current[pool] = names
+		h.currentServers[pool] = names
 	}
 	return changed
 }
 
-// homeMoved reports whether another agent was the key's home within its window.
+// homeMoved reports whether another agent was the home of the offer's idempotency key
+// within the key's retention period, or may have been.
 func (a *Agent) homeMoved(o *wire.Offer) bool {
 	h := &a.witnesses.history
 	h.mu.Lock()
@@ -64,7 +66,7 @@
 	if s == nil {
 		return true
 	}
-	before := h.previous[s.Pool]
+	before := h.previousServers[s.Pool]
 	return before != nil && time.Since(h.changedAt[s.Pool]) < settings.Millis(int(o.KeyRetentionMS)) &&
 		rendezvous.First(o.IdempotencyKey, before) != a.settings.Name
 }
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -25,9 +25,9 @@
 	http    *http.Client
 }
 
-// newServiceClient returns a client that opens a new connection for each call.
-// On a kept-alive connection that turns out to be closed, net/http resends the
-// request by itself, but a call that may not be repeated must not be sent twice.
+// newServiceClient returns a client that opens a new connection for each call. On a
+// kept-alive connection that the server has closed, net/http would resend the request
+// automatically, but a call that may not be repeated must not be sent twice.
 func newServiceClient(cfg settings.Server) *serviceClient {
 	dialer := &net.Dialer{Timeout: settings.Millis(cfg.StallMS)}
 	return &serviceClient{baseURL: "http://" + cfg.Address,
@@ -35,14 +35,14 @@
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// call sends one request and returns the complete response. An HTTP error status
-// from the service is returned as a response, not as a fault.
+// call sends one request and returns the complete response. A response with an HTTP
+// error status is returned as a response, not as a fault.
 func (c *serviceClient) call(ctx context.Context, r execution.Run) ([]byte, wire.End, *fault.Error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Offer.RunTimeoutMS)*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+r.Offer.Endpoint, bytes.NewReader(r.Offer.Body))
 	if err != nil {
-		return nil, wire.End{}, fault.New(fault.Internal, "service call: %w", err).WithOutcome(fault.NotRun)
+		return nil, wire.End{}, fault.New(fault.Internal, "create service request: %w", err).WithOutcome(fault.NotRun)
 	}
 	req.GetBody = nil // prevents a retry by net/http
 	req.Header.Set("Content-Type", r.Offer.ContentType)
--- a/internal/agent/serving.go
+++ b/internal/agent/serving.go
@@ -9,8 +9,8 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-// targetSet is the set of targets that the backend server serves. The zero value
-// is empty. It is safe for concurrent use.
+// targetSet is the set of targets that the backend server serves, in sorted order. The
+// zero value is empty. It is safe for concurrent use.
 type targetSet struct{ targets atomic.Pointer[[]string] }
 
 func (s *targetSet) list() []string {
@@ -20,8 +20,8 @@
 	return []string{}
 }
 
-// set replaces the targets and reports whether they changed. It sorts the slice
-// and keeps it.
+// set replaces the targets and reports whether they changed. It sorts the slice and
+// retains it.
 func (s *targetSet) set(targets []string) bool {
 	slices.Sort(targets)
 	changed := !slices.Equal(s.list(), targets)
@@ -34,24 +34,26 @@
 	return found
 }
 
-// servingPollInterval is how often the engine is queried for its loaded targets.
+// servingPollInterval is how often the engine is queried for its loaded targets, and
+// the timeout of such a query.
 const servingPollInterval = time.Second
 
-// watchServing keeps the served targets up to date. An engine is queried for its
-// loaded targets; a plain service serves the services of the pools it is in.
+// watchServing keeps the served targets up to date and notifies the peers of a new
+// configuration revision. An engine is queried for its loaded targets; the targets of a
+// plain service are the services of its pools.
 func (a *Agent) watchServing(ctx context.Context) {
-	up := true
+	reachable := true
 	revision := uint64(0)
 	for ctx.Err() == nil {
 		changed := a.config.Changed()
-		if now := a.config.View().Revision; now != revision {
-			revision = now
+		if current := a.config.View().Revision; current != revision {
+			revision = current
 			a.notifyPeers(ctx)
 		}
 		err := a.refreshServing(ctx)
-		if (err == nil) != up && ctx.Err() == nil {
-			up = err == nil
-			a.logger.Info("backend server reachability changed", "reached", up, "error", err)
+		if (err == nil) != reachable && ctx.Err() == nil {
+			reachable = err == nil
+			a.logger.Info("backend server reachability changed", "reached", reachable, "error", err)
 		}
 		select {
 		case <-changed:
@@ -63,16 +65,17 @@
 
 // notifyPeers sends a heartbeat on every link immediately.
 func (a *Agent) notifyPeers(ctx context.Context) {
-	a.loop.post(ctx, func(time.Time) { a.loop.sendHeartbeats() })
+	a.loop.post(ctx, func(time.Time) { a.loop.triggerHeartbeats() })
 }
 
-// updateServing sets the served targets and notifies the peers of a change.
+// updateServing sets the served targets and, if they changed, notifies the peers.
 func (a *Agent) updateServing(ctx context.Context, targets []string) {
 	if a.servingTargets.set(targets) {
 		a.notifyPeers(ctx)
 	}
 }
 
+// refreshServing determines the served targets and updates them.
 func (a *Agent) refreshServing(ctx context.Context) error {
 	if a.settings.Server.Kind == "service" {
 		a.updateServing(ctx, assignedServices(a.config.View(), a.settings.Name))
@@ -82,9 +85,9 @@
 	defer cancel()
 	loaded, err := a.engine.loadedTargets(queryCtx)
 	if err != nil {
-		// An engine that fails the query serves nothing. If the query timed out,
-		// the engine may only be frozen: it keeps its targets, and its requests
-		// fail by the stall timeout.
+		// If the query failed, the engine serves no targets. If it timed out, the
+		// engine may only be frozen: its targets are kept, and its requests fail by
+		// the stall timeout.
 		if queryCtx.Err() == nil {
 			a.updateServing(ctx, []string{})
 		}
@@ -94,6 +97,7 @@
 	return nil
 }
 
+// assignedServices lists the services whose pool contains the server.
 func assignedServices(v *resource.View, server string) []string {
 	out := []string{}
 	for name, s := range v.Services {
--- a/internal/agent/witness.go
+++ b/internal/agent/witness.go
@@ -13,7 +13,7 @@
 )
 
 // witnessClient sends claims to the agents that are witnesses of this agent's
-// keys. It keeps one link to each.
+// idempotency keys. It keeps one link to each of them.
 type witnessClient struct {
 	agent   *Agent
 	history poolHistory
@@ -21,18 +21,17 @@
 	links   map[string]*witnessLink // by address
 }
 
-// witnessLink is a link to a witness and the claims awaiting a reply on it, by
-// sequence number.
+// witnessLink is a link to a witness.
 type witnessLink struct {
 	conn    *link.Conn
 	mu      sync.Mutex
-	seq     uint64
-	pending map[uint64]chan *wire.ClaimResponse
+	seq     uint64                              // of the last claim sent
+	pending map[uint64]chan *wire.ClaimResponse // claims awaiting a reply, by sequence number
 }
 
 func newWitnessClient(a *Agent) *witnessClient {
 	return &witnessClient{agent: a, links: map[string]*witnessLink{},
-		history: poolHistory{current: map[string][]string{}, previous: map[string][]string{}, changedAt: map[string]time.Time{}}}
+		history: poolHistory{currentServers: map[string][]string{}, previousServers: map[string][]string{}, changedAt: map[string]time.Time{}}}
 }
 
 // claim sends a claim to the agent of server s and waits up to claimTimeout for
@@ -44,7 +43,7 @@
 	if l == nil {
 		return receipt.WitnessUnreachable
 	}
-	reply := l.send(c)
+	reply := l.sendClaim(c)
 	select {
 	case m, ok := <-reply:
 		if !ok {
@@ -62,8 +61,8 @@
 	}
 }
 
-// connect returns the open link to an address, dialling if there is none. It
-// returns nil if the connection fails.
+// connect returns the open link to an address and opens one if there is none. It
+// returns nil if that fails.
 func (w *witnessClient) connect(ctx context.Context, address string) *witnessLink {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,18 +78,19 @@
 	if err != nil {
 		return nil
 	}
-	conn, err := link.Open(nc, w.agent.hello("agent"), w.agent.linkOptions(w.agent.loop.heartbeat))
+	conn, err := link.Open(nc, w.agent.newHello("agent"), w.agent.linkOptions(w.agent.loop.newHeartbeat))
 	if err != nil {
 		return nil
 	}
 	l := &witnessLink{conn: conn, pending: map[uint64]chan *wire.ClaimResponse{}}
 	w.links[address] = l
-	go l.run(w.agent.loop.ctx)
+	go l.run(w.agent.loop.runCtx)
 	return l
 }
 
+// run receives replies until the link ends, and then fails the pending claims.
 func (l *witnessLink) run(ctx context.Context) {
-	_ = l.conn.Run(ctx, func(m wire.Message) { // pending claims fail when the link ends
+	_ = l.conn.Run(ctx, func(m wire.Message) { // the error is not needed: the pending claims fail below
 		if c, ok := m.(*wire.ClaimResponse); ok {
 			l.deliver(c)
 		}
@@ -103,16 +103,19 @@
 	}
 }
 
+// deliver passes a reply to the claim that waits for it.
 func (l *witnessLink) deliver(c *wire.ClaimResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ch := l.pending[c.Seq]; ch != nil {
-		ch <- c // does not block: the buffer holds the only reply
+		ch <- c // does not block: the channel has room for the only reply
 		delete(l.pending, c.Seq)
 	}
 }
 
-func (l *witnessLink) send(c *wire.ClaimRequest) <-chan *wire.ClaimResponse {
+// sendClaim sends a claim and returns the channel that receives the reply. The channel
+// is closed without a reply if the claim cannot be sent or the link ends.
+func (l *witnessLink) sendClaim(c *wire.ClaimRequest) <-chan *wire.ClaimResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seq++
