--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -189,15 +189,15 @@
 	return c != nil && c.Send(m)
 }
 
-// Use implements execution.Effects.
-func (l *coreLoop) Use(id execution.LinkID, n int) {
+// AddLinkRequests implements execution.Effects.
+func (l *coreLoop) AddLinkRequests(id execution.LinkID, n int) {
 	if c := l.conns[id]; c != nil {
 		c.AddRequests(int64(n))
 	}
 }
 
-// Start implements execution.Effects.
-func (l *coreLoop) Start(r execution.Run) {
+// StartRun implements execution.Effects.
+func (l *coreLoop) StartRun(r execution.Run) {
 	ctx, cancel := context.WithCancel(l.runCtx)
 	id := runID{r.Key, r.Number}
 	l.cancelByRun[id] = cancel
@@ -208,15 +208,17 @@
 	go l.callEngine(ctx, id, r)
 }
 
-// Stop implements execution.Effects.
-func (l *coreLoop) Stop(k execution.AttemptKey, number int) {
+// StopRun implements execution.Effects.
+func (l *coreLoop) StopRun(k execution.AttemptKey, number int) {
 	if cancel := l.cancelByRun[runID{k, number}]; cancel != nil {
 		cancel()
 	}
 }
 
-// Claim implements execution.Effects.
-func (l *coreLoop) Claim(k execution.AttemptKey, o *wire.Offer) { go l.agent.claimKey(l.runCtx, k, o) }
+// ClaimKey implements execution.Effects.
+func (l *coreLoop) ClaimKey(k execution.AttemptKey, o *wire.Offer) {
+	go l.agent.claimKey(l.runCtx, k, o)
+}
 
 func (l *coreLoop) callEngine(ctx context.Context, id runID, r execution.Run) {
 	end, err := l.agent.engine.generate(ctx, r, func(data []byte) {
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -1,17 +1,17 @@
 // Package execution implements the agent's state machine. It processes offers,
-// cancels, resumes and acknowledgements from routers and progress from the
-// backend server, and decides what to start, stop and send. It performs no I/O
+// cancels, resumes and acknowledgements from routers and the progress of runs on
+// the backend server, and decides what to start, stop and send. It performs no I/O
 // and does not read the clock: callers pass the current time, side effects go
-// through the Effects interface, and no call blocks. A Core is owned by a
+// through the Effects interface, and no call blocks. A Core must be used from a
 // single goroutine.
 //
 // Invariants:
 //
-//   - an attempt reported as not run never runs: its tombstone rejects an
-//     offer that arrives late;
+//   - an attempt that was reported as not run never runs: its tombstone makes
+//     the agent refuse an offer that arrives late;
 //   - a response is buffered until the router has acknowledged it, and can be
-//     resumed over another link from the sequence number the router requests;
-//   - work that may not be repeated is started at most once by this agent.
+//     resumed over another link from the sequence number that the router requests;
+//   - this agent starts work that may not be repeated at most once.
 package execution
 
 import (
@@ -33,14 +33,14 @@
 // LinkID identifies a link within this process; 0 means no link.
 type LinkID uint64
 
-// Run is one execution of an attempt on the backend server. A preempted attempt
-// runs again with the next Number; late output of earlier runs is discarded.
+// Run is one execution of an attempt on the backend server. A preempted attempt runs
+// again later, with the next Number; late output of its earlier runs is discarded.
 type Run struct {
 	Key    AttemptKey
 	Number int
 	Offer  *wire.Offer
 	// GeneratedTokens and GeneratedText are the output of earlier runs and
-	// attempts. Generation continues after them.
+	// attempts, after which generation continues.
 	GeneratedTokens uint32
 	GeneratedText   string
 }
@@ -50,23 +50,24 @@
 	// Send queues a message on a link. It returns false if the link's send
 	// queue is full or the link does not exist.
 	Send(link LinkID, m wire.Message) bool
-	// Start begins a run, which is reported through Output and RunEnded.
-	Start(r Run)
-	// Stop aborts a run on the backend server.
-	Stop(k AttemptKey, number int)
-	// Use adds n, which may be negative, to the number of attempts that use a
-	// link, so that a link without attempts can be maintained at lower cost.
-	Use(link LinkID, n int)
-	// Claim claims an idempotency key with its witness or, if the witness is
-	// unreachable, on the log. The result is reported through ClaimDecided.
-	Claim(k AttemptKey, o *wire.Offer)
+	// StartRun starts a run. Its progress is reported through Core.Output and
+	// Core.RunEnded.
+	StartRun(r Run)
+	// StopRun aborts a run on the backend server.
+	StopRun(k AttemptKey, number int)
+	// AddLinkRequests adds n, which may be negative, to the number of attempts
+	// that use a link. A link without attempts can be maintained at lower cost.
+	AddLinkRequests(link LinkID, n int)
+	// ClaimKey claims an idempotency key with its witness or, if the witness is
+	// unreachable, on the log. The result is reported through Core.ClaimDecided.
+	ClaimKey(k AttemptKey, o *wire.Offer)
 }
 
 // Config holds the limits of a Core.
 type Config struct {
 	Admission admission.Config
-	// MaxAttempts limits the attempts held, including finished ones whose
-	// response has not been acknowledged yet.
+	// MaxAttempts limits the number of attempts held, including finished attempts
+	// whose response has not been acknowledged yet.
 	MaxAttempts int
 	// OrphanTimeout is how long an attempt without a link is kept.
 	OrphanTimeout time.Duration
@@ -76,17 +77,18 @@
 	MaxTombstones      int
 }
 
+// phase is the state of an attempt.
 type phase uint8
 
 const (
-	phaseClaiming  phase = iota // a call with an idempotency key waits for its claim
-	phaseCoalesced              // a repeated call waits for the first call of its key
+	phaseClaiming  phase = iota // a call with an idempotency key that waits for its claim
+	phaseCoalesced              // a repeated call that waits for the first call with its key
 	phaseQueued
 	phaseRunning
 	phaseEnded
 )
 
-// attempt is an offered attempt of a request.
+// attempt is an attempt that this agent has accepted and not yet forgotten.
 type attempt struct {
 	key           AttemptKey
 	offer         *wire.Offer
@@ -94,7 +96,7 @@
 	phase         phase
 	job           *admission.Job
 	runNumber     int
-	buf           *answer.Buffer
+	buffer        *answer.Buffer
 	generatedText []byte // output so far, kept only if the request may be repeated
 	chunkCount    uint32 // chunks produced by all runs, including those before the offer
 	deadline      time.Time
@@ -113,34 +115,33 @@
 
 // Core is the state machine of an agent. Create it with New.
 type Core struct {
-	cfg           Config
-	effects       Effects
-	queue         *admission.Queue
-	keys          *receipt.Store
-	attempts      map[AttemptKey]*attempt
-	attemptsByJob map[*admission.Job]*attempt
-	coalesced     map[string][]*attempt // repeated calls waiting for the first one, by idempotency key
-	tombstones    *tombstones
-	peerByLink    map[LinkID]string     // peer process of each open link
-	linkByPeer    map[string]LinkID     // newest link of each peer process
-	blocked       map[*attempt]struct{} // messages pending, but the link's send queue is full
-	draining      bool
-	isServing     func(target string) bool
-	counters      Counters
-	// wastedTokens counts the tokens that were generated and then discarded,
-	// by class.
+	cfg            Config
+	effects        Effects
+	queue          *admission.Queue
+	keys           *receipt.Store
+	attempts       map[AttemptKey]*attempt
+	attemptsByJob  map[*admission.Job]*attempt
+	coalescedByKey map[string][]*attempt // repeated calls that wait for the first one, by idempotency key
+	tombstones     *tombstoneSet
+	peerByLink     map[LinkID]string     // peer process of each open link
+	linkByPeer     map[string]LinkID     // newest link of each peer process
+	sendBlocked    map[*attempt]struct{} // attempts with unsent messages whose link has a full send queue
+	draining       bool
+	isServing      func(target string) bool
+	counters       Counters
+	// wastedTokens counts the tokens that were generated and then discarded, by class.
 	wastedTokens map[string]uint64
 	// refusedOffers counts the refused offers by fault code.
 	refusedOffers map[fault.Code]uint64
 }
 
-// New returns a Core that starts at now. isServing reports whether the backend
-// server has a target loaded.
-func New(cfg Config, now time.Time, fx Effects, isServing func(string) bool) *Core {
-	return &Core{cfg: cfg, effects: fx, queue: admission.New(cfg.Admission), keys: receipt.NewStore(now),
+// New returns a Core without attempts. now is the current time; isServing reports
+// whether the backend server serves a target.
+func New(cfg Config, now time.Time, effects Effects, isServing func(string) bool) *Core {
+	return &Core{cfg: cfg, effects: effects, queue: admission.New(cfg.Admission), keys: receipt.NewStore(now),
 		peerByLink: map[LinkID]string{}, linkByPeer: map[string]LinkID{},
-		attempts: map[AttemptKey]*attempt{}, attemptsByJob: map[*admission.Job]*attempt{}, coalesced: map[string][]*attempt{},
-		tombstones: newTombstones(cfg.TombstoneRetention, cfg.MaxTombstones), blocked: map[*attempt]struct{}{}, isServing: isServing,
+		attempts: map[AttemptKey]*attempt{}, attemptsByJob: map[*admission.Job]*attempt{}, coalescedByKey: map[string][]*attempt{},
+		tombstones: newTombstones(cfg.TombstoneRetention, cfg.MaxTombstones), sendBlocked: map[*attempt]struct{}{}, isServing: isServing,
 		wastedTokens: map[string]uint64{}, refusedOffers: map[fault.Code]uint64{}}
 }
 
@@ -165,8 +166,8 @@
 	return out
 }
 
-// AttemptCount returns the number of attempts held, including finished ones
-// whose response has not been acknowledged yet.
+// AttemptCount returns the number of attempts held, including finished attempts whose
+// response has not been acknowledged yet.
 func (c *Core) AttemptCount() int { return len(c.attempts) }
 
 func (c *Core) TombstoneCount() int { return c.tombstones.len() }
@@ -184,19 +185,19 @@
 	return false
 }
 
-// Drain makes the Core refuse new offers. Attempts already held run to completion.
+// Drain makes the Core refuse new offers. Attempts that are already held are completed.
 func (c *Core) Drain() { c.draining = true }
 
-// Load returns the queue state that is reported to the routers.
+// Load returns the load report for the routers.
 func (c *Core) Load() *wire.Load {
 	return &wire.Load{Running: c.queue.RunningByTier(), Slots: c.cfg.Admission.Slots, Queued: c.queue.Waiting(),
 		ServiceMS: int(c.queue.ServiceTime().Milliseconds()), Draining: c.draining}
 }
 
-// LinkUp registers a new link from the named peer process and returns the older
-// link of that process, which it supersedes. Messages still arriving on the
-// superseded link are ignored, so that a delayed offer is not accepted after
-// the router was told that it did not arrive.
+// LinkUp registers a new link from the named peer process and returns the older link
+// of that process, which it supersedes, or 0. Messages that still arrive on the
+// superseded link are ignored; otherwise a delayed offer could be accepted after the
+// router was told that it had not arrived.
 func (c *Core) LinkUp(now time.Time, link LinkID, peer string) (superseded LinkID) {
 	superseded = c.linkByPeer[peer]
 	if superseded != 0 {
@@ -227,34 +228,37 @@
 	return ok
 }
 
-// Offer accepts or refuses an offered attempt and replies with an OfferResponse.
+// Offer accepts or refuses an offered attempt and replies with an OfferResponse. A
+// duplicate of an offer that is already held is accepted again without another run.
 func (c *Core) Offer(now time.Time, link LinkID, o *wire.Offer) {
 	if !c.isOpen(link) {
 		return
 	}
 	key := AttemptKey{o.ID, o.Attempt}
-	if a := c.attempts[key]; a != nil { // duplicate offer: keep the first
+	if a := c.attempts[key]; a != nil { // duplicate offer
 		c.counters.Duplicates++
 		c.attach(a, link)
-		c.sendVerdict(a.link, key, nil)
+		c.sendOfferResponse(a.link, key, nil)
 		return
 	}
 	if e := c.admit(now, link, key, o); e != nil {
 		c.refusedOffers[e.Code]++
 		c.tombstones.add(now, key, false)
-		c.sendVerdict(link, key, e)
+		c.sendOfferResponse(link, key, e)
 		return
 	}
 	c.counters.Accepted++
-	c.sendVerdict(link, key, nil)
+	c.sendOfferResponse(link, key, nil)
 	c.schedule(now)
 }
 
-func (c *Core) sendVerdict(link LinkID, key AttemptKey, e *fault.Error) {
+// sendOfferResponse reports that the attempt was accepted, or refused with fault e.
+func (c *Core) sendOfferResponse(link LinkID, key AttemptKey, e *fault.Error) {
 	c.effects.Send(link, &wire.OfferResponse{ID: key.RequestID, Attempt: key.Attempt, Fault: wire.EncodeFault(e), Load: c.Load()})
 }
 
-// admit checks an offer and, unless it refuses it, starts holding the attempt.
+// admit checks an offer and either adds it to the attempts held or returns the fault
+// with which it is refused.
 func (c *Core) admit(now time.Time, link LinkID, key AttemptKey, o *wire.Offer) *fault.Error {
 	if c.tombstones.contains(now, key) {
 		c.counters.Tombstoned++
@@ -270,7 +274,7 @@
 		return fault.New(fault.RecordsFull, "the agent already holds its maximum of %d attempts", len(c.attempts)).
 			WithOutcome(fault.NotRun).WithRetryAfter(c.queue.RetryAfter(int(o.Tier)))
 	}
-	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.ChunksDelivered, o.SendWindow), chunkCount: o.ChunksDelivered,
+	a := &attempt{key: key, offer: o, link: link, buffer: answer.NewBuffer(o.ChunksDelivered, o.SendWindow), chunkCount: o.ChunksDelivered,
 		generatedText: []byte(o.DeliveredText), deadline: now.Add(millis(o.RunTimeoutMS))}
 	if o.IdempotencyKey == "" {
 		if e := c.enqueue(now, a); e != nil {
@@ -280,22 +284,23 @@
 		return e
 	}
 	c.attempts[key] = a
-	c.effects.Use(link, 1)
+	c.effects.AddLinkRequests(link, 1)
 	return nil
 }
 
-// attach moves an attempt to a link; 0 detaches it.
+// attach assigns an attempt to a link; 0 detaches it.
 func (c *Core) attach(a *attempt, link LinkID) {
 	if a.link != 0 {
-		c.effects.Use(a.link, -1)
+		c.effects.AddLinkRequests(a.link, -1)
 	}
 	if link != 0 {
-		c.effects.Use(link, 1)
+		c.effects.AddLinkRequests(link, 1)
 	}
 	a.link = link
 	a.orphanedAt = time.Time{}
 }
 
+// enqueue adds an attempt to the admission queue.
 func (c *Core) enqueue(now time.Time, a *attempt) *fault.Error {
 	o := a.offer
 	job := &admission.Job{ID: o.ID, Tier: min(int(o.Tier), admission.Tiers-1), Flow: o.Team, Cost: float64(o.MaxTokens),
@@ -309,8 +314,8 @@
 	return nil
 }
 
-// schedule starts queued attempts while slots are free and preempts running
-// attempts in favour of higher tiers.
+// schedule starts queued attempts while slots are free, and preempts running attempts
+// in favour of higher tiers.
 func (c *Core) schedule(now time.Time) {
 	for {
 		if job, ok := c.queue.Next(now); ok {
@@ -322,12 +327,13 @@
 			return
 		}
 		a := c.attemptsByJob[victim]
-		c.effects.Stop(a.key, a.runNumber)
+		c.effects.StopRun(a.key, a.runNumber)
 		a.phase = phaseQueued
 		c.counters.Preempted++
 	}
 }
 
+// start begins the next run of an attempt.
 func (c *Core) start(a *attempt) {
 	a.phase = phaseRunning
 	a.runNumber++
@@ -335,7 +341,7 @@
 		a.keyEntry.Phase = receipt.Running
 	}
 	c.counters.Started++
-	c.effects.Start(Run{Key: a.key, Number: a.runNumber, Offer: a.offer, GeneratedTokens: a.chunkCount, GeneratedText: string(a.generatedText)})
+	c.effects.StartRun(Run{Key: a.key, Number: a.runNumber, Offer: a.offer, GeneratedTokens: a.chunkCount, GeneratedText: string(a.generatedText)})
 }
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/execution/keyed.go
+++ b/internal/execution/keyed.go
@@ -8,8 +8,8 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// admitKeyed admits a call with an idempotency key. The first call claims the
-// key; a repeated call waits for the first or gets its stored response.
+// admitKeyed admits a call with an idempotency key. The first call with a key claims
+// it; a repeated call waits for the first or receives its stored response.
 func (c *Core) admitKeyed(now time.Time, a *attempt) *fault.Error {
 	o := a.offer
 	entry, e := c.keys.Lookup(now, o.IdempotencyKey, o.BodyDigest)
@@ -24,7 +24,7 @@
 			return e
 		}
 		a.keyEntry, a.phase = entry, phaseClaiming
-		c.effects.Claim(a.key, o)
+		c.effects.ClaimKey(a.key, o)
 		return nil
 	}
 	a.phase = phaseCoalesced
@@ -34,17 +34,20 @@
 	case receipt.OutcomeUnknown:
 		return mayHaveRunFault()
 	default:
-		c.coalesced[o.IdempotencyKey] = append(c.coalesced[o.IdempotencyKey], a)
+		c.coalescedByKey[o.IdempotencyKey] = append(c.coalescedByKey[o.IdempotencyKey], a)
 	}
 	return nil
 }
 
+// mayHaveRunFault returns the fault for a call whose key may belong to a call that has
+// already run.
 func mayHaveRunFault() *fault.Error {
 	return fault.New(fault.IdempotentResultUnknown, "a call with this key may already have run; its response is unknown").
 		WithField("Idempotency-Key").WithOutcome(fault.Unknown)
 }
 
-// ClaimDecided applies the decision on a claim requested through Effects.Claim.
+// ClaimDecided applies the decision on a claim that was requested through
+// Effects.ClaimKey.
 func (c *Core) ClaimDecided(now time.Time, key AttemptKey, d receipt.Decision) {
 	a := c.attempts[key]
 	if a == nil || a.phase != phaseClaiming {
@@ -70,18 +73,18 @@
 	c.schedule(now)
 }
 
-// failKeyed ends a keyed attempt that produced no response, and the repeated
-// calls waiting for it, with the given fault.
+// failKeyed ends a keyed attempt that this agent has not started, and the repeated
+// calls that wait for it, with the given fault.
 func (c *Core) failKeyed(now time.Time, a *attempt, e *fault.Error) {
 	c.finish(now, a, &wire.End{Fault: wire.EncodeFault(e)})
 	c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)}) })
 }
 
-// releaseCoalesced calls f for each repeated call that waits for the key's first
-// call, and removes them from the waiting list.
+// releaseCoalesced calls f for each repeated call that waits for the first call with
+// the key. None of them waits afterwards.
 func (c *Core) releaseCoalesced(key string, f func(*attempt)) {
-	list := c.coalesced[key]
-	delete(c.coalesced, key)
+	list := c.coalescedByKey[key]
+	delete(c.coalescedByKey, key)
 	for _, w := range list {
 		if c.attempts[w.key] == w && w.phase == phaseCoalesced {
 			f(w)
@@ -89,14 +92,15 @@
 	}
 }
 
-// replay answers a repeated call with the stored response of the first.
+// replay sends the stored response of the first call as the response of a repeated
+// call.
 func (c *Core) replay(now time.Time, a *attempt, e *receipt.Entry) {
 	if e.Result.BodyDropped {
 		f := fault.New(fault.IdempotentResultUnknown, "the call ran, but its response was too large to store for replay").WithOutcome(fault.Unknown)
 		c.finish(now, a, &wire.End{Fault: wire.EncodeFault(f)})
 		return
 	}
-	a.buf.Append(e.Result.Body)
+	a.buffer.Append(e.Result.Body)
 	a.chunkCount++
 	c.finish(now, a, &wire.End{Status: e.Result.Status, ContentType: e.Result.ContentType})
 }
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -9,8 +9,7 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// runningAttempt returns the attempt if it is running and number is its latest
-// run, otherwise nil.
+// runningAttempt returns the attempt if number is its current run, and otherwise nil.
 func (c *Core) runningAttempt(k AttemptKey, number int) *attempt {
 	a := c.attempts[k]
 	if a == nil || a.phase != phaseRunning || a.runNumber != number {
@@ -19,8 +18,8 @@
 	return a
 }
 
-// Output appends data, generated as the given number of tokens, to the response
-// of a run.
+// Output appends data that a run has generated, and the number of its tokens, to the
+// attempt's response. Output of a run that is no longer current is discarded.
 func (c *Core) Output(now time.Time, k AttemptKey, number int, data []byte, tokens int) {
 	a := c.runningAttempt(k, number)
 	if a == nil {
@@ -28,7 +27,7 @@
 		return
 	}
 	c.counters.Tokens += uint64(tokens)
-	a.buf.Append(data)
+	a.buffer.Append(data)
 	a.chunkCount++
 	if a.offer.Retryable {
 		a.generatedText = append(a.generatedText, data...)
@@ -37,7 +36,8 @@
 	c.sendPending(a)
 }
 
-// countWasted counts output that arrives after its run was stopped.
+// countWasted counts the tokens of a run that is no longer current. The class of an
+// attempt that is no longer held is unknown; its tokens are counted as "gone".
 func (c *Core) countWasted(k AttemptKey, tokens int) {
 	class := "gone"
 	if a := c.attempts[k]; a != nil {
@@ -46,8 +46,8 @@
 	c.wastedTokens[class] += uint64(tokens)
 }
 
-// RunEnded processes the end of a run. A fault with outcome NotRun means that
-// the backend server did not start the work.
+// RunEnded processes the end of a run; e is nil if it succeeded. A fault with outcome
+// NotRun means that the backend server did not start the work.
 func (c *Core) RunEnded(now time.Time, k AttemptKey, number int, end wire.End, e *fault.Error) {
 	a := c.runningAttempt(k, number)
 	if a == nil {
@@ -61,12 +61,12 @@
 	c.schedule(now)
 }
 
-// recordKeyOutcome stores the outcome of a keyed call and completes the repeated
-// calls that wait for it.
+// recordKeyOutcome stores the outcome of a call with an idempotency key and ends the
+// repeated calls that wait for it.
 func (c *Core) recordKeyOutcome(now time.Time, a *attempt, end wire.End, e *fault.Error) {
 	switch {
 	case e == nil:
-		a.keyEntry.Complete(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
+		a.keyEntry.Complete(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buffer)})
 		c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.replay(now, w, a.keyEntry) })
 		return
 	case e.Outcome == fault.NotRun:
@@ -77,8 +77,8 @@
 	c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)}) })
 }
 
-// lastChunk returns the body of a plain service's response, which is a single
-// chunk.
+// lastChunk returns the body of a plain service's response, which is a single chunk,
+// or nil if there is none.
 func lastChunk(b *answer.Buffer) []byte {
 	if _, data, ok := b.Last(); ok {
 		return data
@@ -86,9 +86,10 @@
 	return nil
 }
 
-// finish ends an attempt and sends the rest of its response.
+// finish ends an attempt and sends the rest of its response. The attempt is held until
+// the router has acknowledged the end.
 func (c *Core) finish(now time.Time, a *attempt, end *wire.End) {
-	c.leaveQueue(now, a)
+	c.releaseJob(now, a)
 	a.phase = phaseEnded
 	end.ID, end.Attempt, end.Total = a.key.RequestID, a.key.Attempt, a.chunkCount
 	a.end = end
@@ -98,8 +99,8 @@
 	}
 }
 
-// leaveQueue releases the attempt's slot or its place in the queue.
-func (c *Core) leaveQueue(now time.Time, a *attempt) {
+// releaseJob frees the attempt's slot or its place in the queue.
+func (c *Core) releaseJob(now time.Time, a *attempt) {
 	if a.job == nil {
 		return
 	}
@@ -108,65 +109,65 @@
 	a.job = nil
 }
 
-// sendPending sends chunks, and then the End message, as far as the flow-control
-// window and the link's send queue allow.
+// sendPending sends the unsent chunks and then the End message, as far as the
+// flow-control window and the link's send queue allow.
 func (c *Core) sendPending(a *attempt) {
 	if a.link == 0 {
 		return
 	}
 	for {
-		seq, data, ok := a.buf.Peek()
+		seq, data, ok := a.buffer.Peek()
 		if !ok {
 			break
 		}
 		if !c.effects.Send(a.link, &wire.Chunk{ID: a.key.RequestID, Attempt: a.key.Attempt, Seq: seq, Data: data}) {
-			c.blocked[a] = struct{}{}
+			c.sendBlocked[a] = struct{}{}
 			return
 		}
-		a.buf.MarkSent()
+		a.buffer.MarkSent()
 	}
-	if a.end != nil && !a.endSent && a.buf.AllSent() {
+	if a.end != nil && !a.endSent && a.buffer.AllSent() {
 		a.end.Load = c.Load()
 		if !c.effects.Send(a.link, a.end) {
-			c.blocked[a] = struct{}{}
+			c.sendBlocked[a] = struct{}{}
 			return
 		}
 		a.endSent = true
 	}
-	delete(c.blocked, a)
+	delete(c.sendBlocked, a)
 }
 
-// Ack processes an acknowledgement.
+// Ack processes an acknowledgement. A final one makes the Core forget the attempt.
 func (c *Core) Ack(now time.Time, link LinkID, m *wire.Ack) {
 	a := c.attempts[AttemptKey{m.ID, m.Attempt}]
 	if a == nil || a.link != link {
 		return
 	}
-	a.buf.Ack(m.Next)
+	a.buffer.Ack(m.Next)
 	if m.Final && a.phase == phaseEnded {
-		a.buf.Ack(a.buf.EndSeq())
+		a.buffer.Ack(a.buffer.EndSeq())
 		c.remove(now, a)
 		return
 	}
 	c.sendPending(a)
 }
 
-// remove replaces an attempt by a tombstone. Generated chunks that were not
+// remove replaces an attempt by a tombstone. Generated chunks that have not been
 // acknowledged are counted as wasted tokens.
 func (c *Core) remove(now time.Time, a *attempt) {
-	if n := a.buf.Unacknowledged(); n > 0 && a.offer.Kind == wire.KindGenerate {
+	if n := a.buffer.Unacknowledged(); n > 0 && a.offer.Kind == wire.KindGenerate {
 		c.wastedTokens[a.offer.Class] += uint64(n)
 	}
-	c.leaveQueue(now, a)
+	c.releaseJob(now, a)
 	c.attach(a, 0)
 	delete(c.attempts, a.key)
-	delete(c.blocked, a)
+	delete(c.sendBlocked, a)
 	c.tombstones.add(now, a.key, a.mayHaveRun())
 }
 
-// mayHaveRun reports whether the work of the attempt may have been started. It
-// is true for a repeated call that waits for the first call of its key, because
-// the first call may have started.
+// mayHaveRun reports whether the work of the attempt may have been started. It is true
+// for a repeated call that waits for the first call with its key, because the first
+// call may have started.
 func (a *attempt) mayHaveRun() bool {
 	switch {
 	case a.runNumber > 0 || a.phase == phaseCoalesced || a.chunkCount > a.offer.ChunksDelivered:
@@ -177,7 +178,8 @@
 	return false
 }
 
-// Resume continues sending a response over a new link.
+// Resume continues a response over a new link, from the sequence number that the router
+// requests. If the attempt is not held, the reply says whether it may have run.
 func (c *Core) Resume(now time.Time, link LinkID, m *wire.Resume) {
 	if !c.isOpen(link) {
 		return
@@ -189,22 +191,22 @@
 		if c.tombstones.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombstones.add(now, key, false) {
 			outcome = fault.Unknown
 		}
-		c.sendVerdict(link, key, fault.New(fault.RequestNotHeld, "this agent does not hold the attempt").WithOutcome(outcome))
+		c.sendOfferResponse(link, key, fault.New(fault.RequestNotHeld, "this agent does not hold the attempt").WithOutcome(outcome))
 		return
 	}
 	c.attach(a, link)
 	a.endSent = false
-	if err := a.buf.Rewind(m.Next); err != nil {
-		c.sendVerdict(link, key, fault.From(err).WithOutcome(fault.Unknown))
+	if err := a.buffer.Rewind(m.Next); err != nil {
+		c.sendOfferResponse(link, key, fault.From(err).WithOutcome(fault.Unknown))
 		return
 	}
-	c.sendVerdict(link, key, nil)
+	c.sendOfferResponse(link, key, nil)
 	c.sendPending(a)
 }
 
-// Cancel cancels an attempt and replies whether its work may have been started.
-// A running call with an idempotency key is not stopped, so that a repeated call
-// can get its response.
+// Cancel cancels an attempt and replies whether its work may have been started. A
+// running call with an idempotency key is not stopped, so that a repeated call can
+// receive its response.
 func (c *Core) Cancel(now time.Time, link LinkID, m *wire.Cancel) {
 	if !c.isOpen(link) {
 		return
@@ -213,7 +215,7 @@
 	a := c.attempts[key]
 	mayHaveRun := false
 	if a == nil {
-		// Without a tombstone, a late offer could still be accepted and run.
+		// If no tombstone can be stored, a late offer could still be accepted and run.
 		mayHaveRun = c.tombstones.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombstones.add(now, key, false)
 	} else {
 		mayHaveRun = a.mayHaveRun()
@@ -223,29 +225,31 @@
 	c.schedule(now)
 }
 
+// cancel stops and forgets an attempt. A running call with an idempotency key is only
+// detached from its link.
 func (c *Core) cancel(now time.Time, a *attempt) {
 	c.counters.Cancelled++
 	switch {
 	case a.phase == phaseRunning && a.keyEntry != nil:
-		c.attach(a, 0) // keeps running; its response is stored under its key
+		c.attach(a, 0) // it continues to run, and its response is stored under its key
 		a.orphanedAt = now
 		return
 	case a.phase == phaseRunning:
-		c.effects.Stop(a.key, a.runNumber)
+		c.effects.StopRun(a.key, a.runNumber)
 	case a.keyEntry != nil && (a.phase == phaseQueued || a.phase == phaseClaiming):
 		c.promoteCoalesced(now, a)
 	}
 	c.remove(now, a)
 }
 
-// promoteCoalesced handles the cancellation of a key's first call before it was
-// started: the first repeated call that waits takes its place; without one, the
-// key is forgotten.
+// promoteCoalesced handles the cancellation of the first call with a key before it was
+// started. The repeated call that has waited longest takes its place; if there is none,
+// the key is forgotten.
 func (c *Core) promoteCoalesced(now time.Time, a *attempt) {
 	key := a.offer.IdempotencyKey
 	c.keys.Delete(key)
-	list := c.coalesced[key]
-	delete(c.coalesced, key)
+	list := c.coalescedByKey[key]
+	delete(c.coalescedByKey, key)
 	for i, w := range list {
 		if c.attempts[w.key] != w || w.phase != phaseCoalesced {
 			continue
@@ -254,15 +258,15 @@
 			c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)})
 			continue
 		}
-		c.coalesced[key] = append(c.coalesced[key], list[i+1:]...)
+		c.coalescedByKey[key] = append(c.coalescedByKey[key], list[i+1:]...)
 		return
 	}
 }
 
-// NeedsFrequentTick reports whether Tick must be called every few milliseconds,
-// because attempts are queued or blocked on a full link.
+// NeedsFrequentTick reports whether Tick must be called every few milliseconds, because
+// attempts are queued or blocked on a full link.
 func (c *Core) NeedsFrequentTick() bool {
-	if len(c.blocked) > 0 {
+	if len(c.sendBlocked) > 0 {
 		return true
 	}
 	for _, n := range c.queue.Waiting() {
@@ -273,9 +277,9 @@
 	return false
 }
 
-// Tick schedules and preempts attempts, expires queued ones and retries sends
-// that were blocked by a full link. Call it every few milliseconds while
-// NeedsFrequentTick reports true, and at a lower rate otherwise.
+// Tick starts and preempts attempts, expires queued attempts and retries sends that
+// were blocked by a full link. It must be called every few milliseconds while
+// NeedsFrequentTick reports true, and may be called less often otherwise.
 func (c *Core) Tick(now time.Time) {
 	c.schedule(now)
 	for _, job := range c.queue.Expire(now) {
@@ -290,15 +294,15 @@
 		}
 		c.finish(now, a, &wire.End{Fault: wire.EncodeFault(e)})
 	}
-	for a := range c.blocked {
+	for a := range c.sendBlocked {
 		c.sendPending(a)
 	}
 	c.schedule(now)
 }
 
-// Sweep ends attempts that are past their deadline or orphaned, and removes
-// expired tombstones. It does not end a running call that holds an idempotency
-// key. It visits every attempt held: call it about once a second.
+// Sweep ends attempts that are past their deadline or orphaned, and removes expired
+// tombstones. It does not end a running call that holds an idempotency key. It visits every
+// attempt held, so it should be called only about once a second.
 func (c *Core) Sweep(now time.Time) {
 	for _, a := range c.attempts {
 		switch {
@@ -316,6 +320,7 @@
 	c.schedule(now)
 }
 
+// failOverdue ends an attempt that is past its deadline.
 func (c *Core) failOverdue(now time.Time, a *attempt) {
 	outcome := fault.NotRun
 	if a.runNumber > 0 || a.phase == phaseCoalesced {
@@ -325,7 +330,7 @@
 		outcome = fault.Partial
 	}
 	if a.phase == phaseRunning {
-		c.effects.Stop(a.key, a.runNumber)
+		c.effects.StopRun(a.key, a.runNumber)
 	}
 	c.finish(now, a, &wire.End{Fault: wire.EncodeFault(fault.New(fault.DeadlinePassed, "the request exceeded its deadline").WithOutcome(outcome))})
 }
--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -106,7 +106,7 @@
 	return true
 }
 
-func (a *agent) Start(r execution.Run) {
+func (a *agent) StartRun(r execution.Run) {
 	a.runs = append(a.runs, &run{Run: r, tokens: int(r.GeneratedTokens)})
 	req := a.cluster.requestByID(r.Key.RequestID)
 	if req.finishCount > 0 && req.err != nil && req.err.Outcome == fault.NotRun {
@@ -118,7 +118,7 @@
 	}
 }
 
-func (a *agent) Stop(k execution.AttemptKey, number int) {
+func (a *agent) StopRun(k execution.AttemptKey, number int) {
 	for _, r := range a.runs {
 		if r.Key == k && r.Number == number {
 			r.stopped = true
@@ -126,9 +126,9 @@
 	}
 }
 
-func (a *agent) Use(execution.LinkID, int) {}
+func (a *agent) AddLinkRequests(execution.LinkID, int) {}
 
-func (a *agent) Claim(execution.AttemptKey, *wire.Offer) {}
+func (a *agent) ClaimKey(execution.AttemptKey, *wire.Offer) {}
 
 func (cl *cluster) requestByID(id string) *request {
 	for _, r := range cl.requests {
