--- a/internal/quota/home.go
+++ b/internal/quota/home.go
@@ -9,43 +9,44 @@
 )
 
 // GrantRequest asks a team's home router to admit one request of the team. The home is
-// the live router that ranks first for the team's name; its HomeLimiter decides.
+// the live router that ranks first for the team's name in the rendezvous order; its
+// HomeLimiter decides.
 type GrantRequest struct {
 	Seq    uint64 // assigned by the sending process; identifies the grant
 	Team   string
 	Router string // name and incarnation of the sending process
 }
 
-// GrantResponse is the home router's answer to a GrantRequest.
+// GrantResponse is the home router's reply to a GrantRequest.
 //
-// The datagrams encode fields by name; the tags keep the outer names of renamed fields.
+// Datagrams identify fields by name; the tags give the names that differ from the Go names.
 type GrantResponse struct {
 	Seq     uint64
 	Granted bool
-	// RateLimited tells whether a refusal is for the rate limit or for the concurrency limit.
+	// RateLimited reports whether a refusal is due to the rate limit; otherwise it is
+	// due to the concurrency limit.
 	RateLimited  bool  `msgpack:"Rate"`
 	RetryAfterMS int64 `msgpack:"WaitMS"`
 }
 
-// ReleaseNotice tells the home router that requests of a team have ended. It lists
-// the most recent ones, so that the next notice makes up for a lost datagram.
+// ReleaseNotice informs the home router that requests of a team have ended. It lists
+// the most recently ended ones, so that the next notice makes up for a lost datagram.
 type ReleaseNotice struct {
 	Team   string
 	Router string
-	Seqs   []uint64
+	Seqs   []uint64 // GrantRequest.Seq of the ended requests
 }
 
-// maxReleaseSeqs is the number of ended requests that a ReleaseNotice lists.
+// maxReleaseSeqs is the maximum number of ended requests that a ReleaseNotice lists.
 const maxReleaseSeqs = 8
 
-// HomeLimiter enforces the limits of the teams for which this router is the home.
-// A router that cannot reach the home enforces an equal share of the limits
-// itself, so the home reserves the shares of all routers it has not heard from
-// within reachableTimeout. It is safe for concurrent use.
+// HomeLimiter enforces the limits of the teams for which this router is the home. A
+// router that cannot reach the home enforces an equal share of the limits itself, so
+// the home sets aside the shares of all routers that it has not heard from within
+// reachableTimeout. It is safe for concurrent use.
 //
-// Bound: if all n routers have the same view of the membership, then those that
-// reach the home and those that do not admit together at most
-// rate*t + burst + n requests in a time t.
+// Bound: if all n routers have the same view of the membership, they admit together,
+// whether or not they reach the home, at most rate*t + burst + n requests in a time t.
 type HomeLimiter struct {
 	mu           sync.Mutex
 	start        time.Time
@@ -54,25 +55,26 @@
 	lastEviction time.Time
 }
 
+// teamState is one team's token bucket and its granted requests in flight.
 type teamState struct {
 	tokens     float64
 	lastRefill time.Time
-	// grants holds the requests in flight by router and Seq. The grants of a
-	// router that is no longer reachable are dropped.
+	// grants holds the granted requests in flight by router and Seq. The grants of a
+	// router that can no longer reach the home are dropped.
 	grants map[string]map[uint64]bool
 }
 
-// NewHomeLimiter returns a HomeLimiter whose token buckets are empty at now: a router that
-// becomes the home does not know what the previous home granted.
+// NewHomeLimiter returns a HomeLimiter whose token buckets are empty at now, because a
+// router that becomes the home does not know what the previous home granted.
 func NewHomeLimiter(now time.Time) *HomeLimiter {
 	return &HomeLimiter{start: now, teams: map[string]*teamState{}, lastSeen: map[string]time.Time{}, lastEviction: now}
 }
 
 const (
-	// PingInterval is the time between pings from a router to each other router.
+	// PingInterval is the interval at which a router pings each other router.
 	PingInterval = 30 * time.Second
-	// reachableTimeout is how long a router counts as able to reach the home after
-	// its last message. It tolerates the loss of two pings.
+	// reachableTimeout is how long after its last message a router is considered able
+	// to reach the home. It tolerates the loss of two pings.
 	reachableTimeout = 3 * PingInterval
 )
 
@@ -83,7 +85,7 @@
 	l.lastSeen[router] = now
 }
 
-// Release drops the grants of requests that have ended.
+// Release drops the grants of the ended requests that a notice lists.
 func (l *HomeLimiter) Release(n ReleaseNotice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +109,8 @@
 	return math.Min(1, float64(max(1, n))/float64(max(1, routers)))
 }
 
-// Acquire grants or refuses a request. routers is the number of live routers.
+// Acquire grants or refuses a request. routers is the number of live routers. A refusal
+// includes the time after which the caller may retry.
 func (l *HomeLimiter) Acquire(now time.Time, req GrantRequest, team *resource.Team, routers int) GrantResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +122,7 @@
 		s = &teamState{lastRefill: l.start, grants: map[string]map[uint64]bool{}}
 		l.teams[req.Team] = s
 	}
-	if team.Concurrency > 0 && l.inFlight(s) >= max(1, int(float64(team.Concurrency)*share)) {
+	if team.Concurrency > 0 && l.countInFlight(s) >= max(1, int(float64(team.Concurrency)*share)) {
 		return GrantResponse{Seq: req.Seq, RetryAfterMS: time.Second.Milliseconds()}
 	}
 	if wait := s.takeToken(now, team, share); wait > 0 {
@@ -134,8 +137,9 @@
 	return GrantResponse{Seq: req.Seq, Granted: true}
 }
 
-// inFlight counts a team's grants and drops those of unreachable routers.
-func (l *HomeLimiter) inFlight(s *teamState) int {
+// countInFlight returns the number of a team's grants. It first drops those of routers
+// that can no longer reach the home.
+func (l *HomeLimiter) countInFlight(s *teamState) int {
 	n := 0
 	for r, grants := range s.grants {
 		if _, reachable := l.lastSeen[r]; !reachable || len(grants) == 0 {
@@ -148,6 +152,7 @@
 }
 
 // takeToken takes a token from the bucket, or returns the time until one is available.
+// share is the fraction of the team's limits that the home may grant.
 func (s *teamState) takeToken(now time.Time, team *resource.Team, share float64) time.Duration {
 	if team.Rate == 0 {
 		s.lastRefill = now
@@ -165,13 +170,14 @@
 	return 0
 }
 
+// evictIdle removes idle teams, at most once per idleTimeout.
 func (l *HomeLimiter) evictIdle(now time.Time) {
 	if now.Sub(l.lastEviction) < idleTimeout {
 		return
 	}
 	l.lastEviction = now
 	for name, s := range l.teams {
-		if now.Sub(s.lastRefill) >= idleTimeout && l.inFlight(s) == 0 {
+		if now.Sub(s.lastRefill) >= idleTimeout && l.countInFlight(s) == 0 {
 			delete(l.teams, name)
 		}
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,8 +1,8 @@
 // Package quota enforces the teams' rate and concurrency limits across all routers
-// without a shared store. The home router of a team grants requests to the other
-// routers (HomeLimiter); a router that cannot reach the home enforces an equal share
-// of the limits itself (LocalLimiter). The package does no I/O and reads no clock:
-// the current time is an argument.
+// without a shared store. Each team has a home router, which grants requests to the
+// other routers (HomeLimiter). A router that cannot reach the home enforces an equal
+// share of the limits itself (LocalLimiter). The package performs no I/O and does not
+// read the clock: callers pass the current time.
 //
 // Bound for equal shares: while all routers see the same number n of routers, they
 // admit together at most rate*t + burst + n requests in a time t, and have at most
@@ -22,29 +22,29 @@
 // requests that the teams' home routers granted. It is safe for concurrent use.
 type LocalLimiter struct {
 	mu           sync.Mutex
-	teams        map[string]*usage
+	teams        map[string]*teamUsage
 	lastEviction time.Time
 }
 
-// usage is one team's token bucket and number of requests in flight.
-type usage struct {
-	tokens     float64
-	lastRefill time.Time
-	inFlight   int
-	released   []uint64 // the most recently ended grants of the home
+// teamUsage is one team's token bucket and number of requests in flight.
+type teamUsage struct {
+	tokens         float64
+	lastRefill     time.Time
+	inFlight       int
+	recentReleases []uint64 // sequence numbers of the grants that ended most recently
 }
 
-// idleTimeout is how long the state of an idle team is kept. The bucket is full again
+// idleTimeout is how long the state of an idle team is kept. The token bucket is full
 // long before, so eviction does not change any decision.
 const idleTimeout = 10 * time.Minute
 
 func NewLocalLimiter(now time.Time) *LocalLimiter {
-	return &LocalLimiter{teams: map[string]*usage{}, lastEviction: now}
+	return &LocalLimiter{teams: map[string]*teamUsage{}, lastEviction: now}
 }
 
-// Admit admits a request under this router's share of the team's limits. routers is
-// the number of live routers. The caller must call the returned function when the
-// request has ended.
+// Admit admits or refuses a request under this router's share of the team's limits.
+// routers is the number of live routers. If the request is admitted, the caller must
+// call the returned function when it has ended.
 func (l *LocalLimiter) Admit(now time.Time, name string, team *resource.Team, routers int) (func(), *fault.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,7 +53,7 @@
 	u := l.teams[name]
 	burst := math.Max(1, float64(team.Burst)*share)
 	if u == nil {
-		u = &usage{tokens: burst, lastRefill: now}
+		u = &teamUsage{tokens: burst, lastRefill: now}
 		l.teams[name] = u
 	}
 	if e := u.checkConcurrency(team, share); e != nil {
@@ -66,13 +66,13 @@
 	return func() { l.release(u) }, nil
 }
 
-// StartGranted counts a request that the team's home router granted.
-func (l *LocalLimiter) StartGranted(now time.Time, name string) {
+// BeginGranted counts the start of a request that the team's home router granted.
+func (l *LocalLimiter) BeginGranted(now time.Time, name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evictIdle(now)
-	u := l.usageOf(name)
-	u.lastRefill = now // if the home becomes unreachable, the local bucket refills from here
+	u := l.usageFor(name)
+	u.lastRefill = now // if the home becomes unreachable, the local bucket refills from this time
 	u.inFlight++
 }
 
@@ -81,37 +81,40 @@
 func (l *LocalLimiter) EndGranted(name string, seq uint64) []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := l.usageOf(name)
+	u := l.usageFor(name)
 	u.inFlight--
 	return u.recordReleased(seq)
 }
 
-// DiscardGrant records a grant that was not used, and returns the sequence numbers for
-// the ReleaseNotice.
+// DiscardGrant records that a grant will not be used, and returns the sequence numbers
+// for the ReleaseNotice.
 func (l *LocalLimiter) DiscardGrant(name string, seq uint64) []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usageOf(name).recordReleased(seq)
+	return l.usageFor(name).recordReleased(seq)
 }
 
-func (l *LocalLimiter) usageOf(name string) *usage {
+// usageFor returns the state of a team. It creates an empty one if there is none.
+func (l *LocalLimiter) usageFor(name string) *teamUsage {
 	u := l.teams[name]
 	if u == nil {
-		u = &usage{}
+		u = &teamUsage{}
 		l.teams[name] = u
 	}
 	return u
 }
 
-func (u *usage) recordReleased(seq uint64) []uint64 {
-	u.released = append(u.released, seq)
-	if len(u.released) > maxReleaseSeqs {
-		u.released = u.released[len(u.released)-maxReleaseSeqs:]
+// recordReleased adds a sequence number to the most recent releases and returns a copy
+// of them.
+func (u *teamUsage) recordReleased(seq uint64) []uint64 {
+	u.recentReleases = append(u.recentReleases, seq)
+	if len(u.recentReleases) > maxReleaseSeqs {
+		u.recentReleases = u.recentReleases[len(u.recentReleases)-maxReleaseSeqs:]
 	}
-	return append([]uint64(nil), u.released...)
+	return append([]uint64(nil), u.recentReleases...)
 }
 
-// RefusalError converts a refusal by the home router to a typed error.
+// RefusalError converts the home router's refusal to a fault.
 func RefusalError(resp GrantResponse, team *resource.Team) *fault.Error {
 	wait := time.Duration(resp.RetryAfterMS) * time.Millisecond
 	if resp.RateLimited {
@@ -121,7 +124,9 @@
 		WithOutcome(fault.NotRun).WithRetryAfter(wait)
 }
 
-func (u *usage) checkConcurrency(team *resource.Team, share float64) *fault.Error {
+// checkConcurrency returns a fault if the team has reached this router's share of its
+// concurrency limit.
+func (u *teamUsage) checkConcurrency(team *resource.Team, share float64) *fault.Error {
 	if team.Concurrency == 0 {
 		return nil
 	}
@@ -133,7 +138,8 @@
 		WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 }
 
-func (u *usage) takeToken(now time.Time, team *resource.Team, share, burst float64) *fault.Error {
+// takeToken takes a token from the bucket, or returns a fault if it is empty.
+func (u *teamUsage) takeToken(now time.Time, team *resource.Team, share, burst float64) *fault.Error {
 	if team.Rate == 0 {
 		u.lastRefill = now
 		return nil
@@ -152,7 +158,7 @@
 	return nil
 }
 
-func (l *LocalLimiter) release(u *usage) {
+func (l *LocalLimiter) release(u *teamUsage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u.inFlight--
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,7 +13,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Checks the bound on what n routers admit together, over random arrivals.
+// With random arrivals, n routers that enforce equal shares stay within the bounds on
+// the requests that they admit together and have in flight.
 func TestRoutersTogetherStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -72,7 +73,7 @@
 	g.Expect(q.teams).To(HaveLen(1))
 }
 
-// cluster is a set of routers of which some can reach the home.
+// cluster is a set of routers, some of which are partitioned from the home.
 type cluster struct {
 	n           int
 	home        *HomeLimiter
@@ -81,6 +82,7 @@
 	seq         uint64
 }
 
+// admit lets router i admit a request. The returned function ends the request.
 func (c *cluster) admit(now time.Time, i int, team *resource.Team) (func(), bool) {
 	r := c.routers[i]
 	if c.partitioned[i] {
@@ -92,7 +94,7 @@
 	if !c.home.Acquire(now, req, team, c.n).Granted {
 		return nil, false
 	}
-	r.StartGranted(now, "team")
+	r.BeginGranted(now, "team")
 	return func() {
 		notice := ReleaseNotice{Team: "team", Router: req.Router, Seqs: r.EndGranted("team", req.Seq)}
 		if !c.partitioned[i] { // otherwise the notice is lost
@@ -101,8 +103,8 @@
 	}, true
 }
 
-// While all routers reach the home, a request is admitted exactly if the team is below
-// its concurrency limit, for any order of starts and ends.
+// While all routers reach the home, a request is admitted if and only if the team is
+// below its concurrency limit, for any order of starts and ends.
 func TestConcurrencyHoldsOverRouters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "routers")
@@ -129,8 +131,8 @@
 	})
 }
 
-// Routers that reach the home and partitioned routers together stay within the bound,
-// and a restarted home does not grant the same burst again.
+// Partitioned routers and those that reach the home stay within the bound together, and
+// a restarted home does not grant the same burst again.
 func TestLendingStaysWithinTheBoundUnderLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -158,18 +160,18 @@
 				}
 			}
 		}
-		// Each partition or heal moves a share of the burst between home and
-		// router, and until reachableTimeout a partitioned router's share
-		// counts twice. So each change costs at most one burst and
-		// reachableTimeout of one router's rate.
-		change := float64(team.Burst) + 1 + team.Rate/float64(n)*reachableTimeout.Seconds()
-		bound := team.Rate*now.Sub(epoch).Seconds() + float64(team.Burst) + float64(n) + float64(changes)*change
+		// Each change (a partition, its end or a restart of the home) moves a share
+		// of the burst between home and router, and a partitioned router's share is
+		// granted twice until reachableTimeout has passed. So each change adds at most
+		// one burst and one router's share of the rate during reachableTimeout.
+		perChange := float64(team.Burst) + 1 + team.Rate/float64(n)*reachableTimeout.Seconds()
+		bound := team.Rate*now.Sub(epoch).Seconds() + float64(team.Burst) + float64(n) + float64(changes)*perChange
 		g.Expect(float64(admitted)).To(BeNumerically("<=", bound+1e-6))
 	})
 }
 
-// The home grants the full rate of a team with a low limit and many routers, where
-// equal shares refuse too early.
+// With many routers and a team with a low rate limit, the home grants the full rate,
+// whereas equal shares of the limit refuse most of it.
 func TestTheHomeServesALowRateOverManyRouters(t *testing.T) {
 	g := NewWithT(t)
 	const n = 390
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -38,7 +38,7 @@
 		r.reportEnded(name, home, r.localLimiter.DiscardGrant(name, request.Seq)) // the home may have granted it
 		return r.localLimiter.Admit(time.Now(), name, team, len(peers))
 	case reply.Granted:
-		r.localLimiter.StartGranted(time.Now(), name)
+		r.localLimiter.BeginGranted(time.Now(), name)
 		return func() { r.reportEnded(name, home, r.localLimiter.EndGranted(name, request.Seq)) }, nil
 	}
 	return nil, quota.RefusalError(reply, team)
