--- a/internal/admission/measure.go
+++ b/internal/admission/measure.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ewmaWeight is the weight of a new sample.
+// ewmaWeight is the weight of a new sample in an ewma.
 const ewmaWeight = 0.1
 
 // ewma is an exponentially weighted moving average of durations.
@@ -24,25 +24,26 @@
 
 func (e *ewma) duration() time.Duration { return time.Duration(e.mean * float64(time.Second)) }
 
-// tokenShares measures each tier's share of the generated tokens. The sums decay
-// exponentially, by a factor of e per window.
+// tokenShares measures each tier's share of the recently generated tokens. The token
+// counts decay exponentially, by a factor of e per window.
 type tokenShares struct {
-	window time.Duration
-	last   time.Time
-	sums   [Tiers]float64
+	window    time.Duration
+	lastDecay time.Time
+	sums      [Tiers]float64 // decayed token counts
 }
 
+// decay applies the decay up to now.
 func (s *tokenShares) decay(now time.Time) {
-	if s.last.IsZero() {
-		s.last = now
+	if s.lastDecay.IsZero() {
+		s.lastDecay = now
 		return
 	}
-	if dt := now.Sub(s.last); dt > 0 {
+	if dt := now.Sub(s.lastDecay); dt > 0 {
 		k := math.Exp(-dt.Seconds() / max(s.window.Seconds(), 1e-3))
 		for i := range s.sums {
 			s.sums[i] *= k
 		}
-		s.last = now
+		s.lastDecay = now
 	}
 }
 
@@ -51,7 +52,7 @@
 	s.sums[tier] += tokens
 }
 
-// share returns the tier's share, from 0 to 1; 0 when no tokens were counted.
+// share returns the tier's share, from 0 to 1. It is 0 if no tokens were counted.
 func (s *tokenShares) share(now time.Time, tier int) float64 {
 	s.decay(now)
 	total := 0.0
--- a/internal/admission/preempt.go
+++ b/internal/admission/preempt.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// deadlineMargin is how long before its start deadline a waiting job becomes
-// urgent. It covers a few ticks of the agent's timer.
+// deadlineMargin is how long before its start deadline a waiting job becomes urgent. It
+// is long enough for a few ticks of the agent's timer.
 const deadlineMargin = 50 * time.Millisecond
 
-// Preempt moves one running job of a lower tier back to the front of its queue
-// to free a slot for a waiting job of a higher tier, and returns the preempted job.
-// The caller stops that job at the backend server and calls Next. Preempt returns nil
-// when there is nothing to preempt; the caller repeats both calls until then.
+// Preempt moves one running job of a lower tier back to the front of its tier's queue,
+// to free a slot for a waiting job of a higher tier, and returns the preempted job. The
+// caller must stop that job at the backend server and call Next, and repeat both calls
+// until Preempt returns nil because there is nothing to preempt.
 func (q *Queue) Preempt(now time.Time) *Job {
 	if !q.cfg.Preemption || q.cfg.FIFO || len(q.running) < q.cfg.Slots {
 		return nil
@@ -21,32 +21,35 @@
 			continue
 		}
 		waitingAhead += q.tiers[t].order.Len()
-		if v := q.findVictim(now, t, head, waitingAhead); v != nil {
-			q.requeue(v)
+		if victim := q.victimForTier(now, t, head, waitingAhead); victim != nil {
+			q.requeue(victim)
 			q.slotReserved = true
-			return v
+			return victim
 		}
 	}
 	return nil
 }
 
-func (q *Queue) findVictim(now time.Time, t int, head *Job, waitingAhead int) *Job {
-	urgent := q.urgent(now, t)
+// victimForTier returns the running job to preempt for tier t, whose first waiting job is
+// head. It returns nil if the tier need not or cannot preempt a job. waitingAhead is the
+// number of jobs that wait in tier t and above.
+func (q *Queue) victimForTier(now time.Time, t int, head *Job, waitingAhead int) *Job {
+	urgent := q.hasUrgentJob(now, t)
 	if !urgent && !q.willMissFirstToken(now, head, waitingAhead) {
 		return nil
 	}
 	return q.selectVictim(t, urgent)
 }
 
-// urgent reports whether a job of tier t is about to be shed: its start deadline
-// is near, or its queue is over the limit.
-func (q *Queue) urgent(now time.Time, t int) bool {
+// hasUrgentJob reports whether a job of tier t is about to be shed, because its start
+// deadline is near or the tier's queue is over its limit.
+func (q *Queue) hasUrgentJob(now time.Time, t int) bool {
 	deadline, ok := q.tiers[t].earliestDeadline()
 	return (ok && deadline.Sub(now) < deadlineMargin) || q.tiers[t].order.Len() > q.cfg.QueueLimit
 }
 
-// willMissFirstToken reports whether the head job would wait for more than half of its
-// first-token target before a slot becomes free without preemption.
+// willMissFirstToken reports whether the job head would wait longer than half of its
+// first-token target for a slot to become free without preemption.
 func (q *Queue) willMissFirstToken(now time.Time, head *Job, waitingAhead int) bool {
 	if head.FirstTokenTarget <= 0 {
 		return false
@@ -55,11 +58,12 @@
 	return now.Sub(head.arrived)+untilFree > head.FirstTokenTarget/2
 }
 
-// selectVictim chooses the running job to preempt for tier t: in the lowest tier, the
-// job that has generated the fewest tokens. A job that was started by its floor, or
-// that has reached MaxPreemptions, is preempted only for an urgent job.
+// selectVictim chooses the running job to preempt for tier t: in the lowest tier with a
+// preemptible job, the one that has generated the fewest tokens. A job that was started
+// by its floor or has reached MaxPreemptions is preempted only for an urgent job. The
+// result is nil if no job can be preempted.
 func (q *Queue) selectVictim(t int, urgent bool) *Job {
-	var best *Job
+	var victim *Job
 	for j := range q.running {
 		if j.Tier <= t || !j.Preemptible {
 			continue
@@ -67,12 +71,12 @@
 		if !urgent && (j.startedByFloor || j.preemptions >= q.cfg.MaxPreemptions) {
 			continue
 		}
-		if best == nil || j.Tier > best.Tier ||
-			(j.Tier == best.Tier && (j.tokens < best.tokens || (j.tokens == best.tokens && j.seq > best.seq))) {
-			best = j
+		if victim == nil || j.Tier > victim.Tier ||
+			(j.Tier == victim.Tier && (j.tokens < victim.tokens || (j.tokens == victim.tokens && j.seq > victim.seq))) {
+			victim = j
 		}
 	}
-	return best
+	return victim
 }
 
 // countVictims counts the running jobs that an urgent job of tier t may preempt.
@@ -89,6 +93,7 @@
 	return n
 }
 
+// requeue moves a running job back to the front of its tier's queue.
 func (q *Queue) requeue(j *Job) {
 	q.releaseSlot(j)
 	j.state = Waiting
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,17 +1,17 @@
-// Package admission decides which waiting request an agent starts next at its
-// backend server. It does no I/O, does not block and reads no clock: the current time
-// is an argument.
+// Package admission decides which waiting request an agent starts next on its backend
+// server. It performs no I/O, does not block and does not read the clock: callers pass
+// the current time.
 //
-// Tiers have strict priority; within a tier, teams share by start-time fair queueing.
-// A floor guarantees a lower tier a share of the tokens, but yields to a higher tier
-// that is about to be shed. The following invariant holds by construction, and the
-// property tests check it at each refusal and expiry:
+// Tiers have strict priority. Within a tier, the slots are shared between teams by
+// start-time fair queueing. A floor guarantees a lower tier a share of the generated
+// tokens, but yields to a higher tier that is about to be shed. The following invariant
+// holds by construction, and the property tests check it at each refusal and expiry:
 //
 //	A request is refused or expires only while no preemptible request of a
 //	lower tier is running on this backend server.
 //
-// So no helpline call is shed to serve a report, and reports keep their floor as long
-// as no higher tier is about to be shed.
+// For example, no helpline call is shed to serve a preemptible report of a lower tier,
+// and reports keep their floor as long as no higher tier is about to be shed.
 package admission
 
 import (
@@ -24,16 +24,16 @@
 // Tiers is the number of priority tiers; tier 0 is the highest.
 const Tiers = 5
 
-// Config is the size and policy of a Queue.
+// Config holds the limits and the policy of a Queue.
 type Config struct {
-	Slots          int // requests that run concurrently
-	QueueLimit     int // waiting requests per tier
-	MaxPreemptions int // preemptions of one request, not counting those for urgent jobs
-	FloorWindow    time.Duration
+	Slots          int           // requests that run concurrently
+	QueueLimit     int           // waiting requests per tier
+	MaxPreemptions int           // preemptions of one request; only an urgent job may exceed the limit
+	FloorWindow    time.Duration // decay time of the token counts that floors are compared with
 
 	// FIFO selects the baseline policy: a single queue in order of arrival.
 	FIFO bool
-	// The parts of the policy, each of which can be disabled.
+	// The parts of the policy can be enabled individually.
 	Preemption   bool
 	Floors       bool
 	Fairness     bool
@@ -41,21 +41,21 @@
 }
 
 // Job is one request in the queue or in a slot. The caller sets the exported fields
-// before Enqueue and does not change them afterwards.
+// before it calls Enqueue and must not change them afterwards.
 type Job struct {
 	ID               string
 	Tier             int
-	Flow             string        // team name
-	Cost             float64       // expected tokens, for fairness
-	Floor            float64       // minimum share of tokens guaranteed to the tier
-	FirstTokenTarget time.Duration // 0: no target
+	Flow             string        // team name, for fairness
+	Cost             float64       // expected number of tokens, for fairness
+	Floor            float64       // share of the tokens guaranteed to the tier, from 0 to 1
+	FirstTokenTarget time.Duration // 0 if there is no target
 	Preemptible      bool
-	StartDeadline    time.Time
+	StartDeadline    time.Time // zero if there is no deadline
 
 	arrived        time.Time
 	started        time.Time // start of the current run
 	seq            uint64
-	startTag       float64 // fair queueing start tag
+	startTag       float64 // start tag of fair queueing
 	preemptions    int
 	tokens         int
 	state          State
@@ -64,7 +64,7 @@
 	deadlineIndex  int // in the tier's deadline heap, -1 if absent
 }
 
-// State is the state of a Job.
+// State is the position of a Job in its life cycle.
 type State uint8
 
 const (
@@ -82,23 +82,25 @@
 // safe for concurrent use.
 type Queue struct {
 	cfg         Config
-	tiers       [Tiers]tier
+	tiers       [Tiers]tierQueue
 	running     map[*Job]struct{}
-	seq         uint64
+	lastSeq     uint64 // sequence number of the last job added
 	tokenShares tokenShares
-	// serviceTime is the mean time in a slot by tier, serviceTimeAll over all tiers.
-	serviceTime    [Tiers]ewma
-	serviceTimeAll ewma
-	floorRuns      int // running jobs that were started by a floor
-	// slotReserved is set when preemption has freed a slot for the waiting job of
-	// highest priority, so that floors do not take it.
+	// serviceTime is the mean time that a job holds its slot, by tier; serviceTimeAll is
+	// the mean over all tiers.
+	serviceTime      [Tiers]ewma
+	serviceTimeAll   ewma
+	floorStartedJobs int // running jobs that were started by a floor
+	// slotReserved is set when a preemption has freed a slot for the waiting job of
+	// highest priority. It prevents a job of a lower tier from taking that slot by its
+	// floor.
 	slotReserved bool
 }
 
 func New(cfg Config) *Queue {
 	q := &Queue{cfg: cfg, running: map[*Job]struct{}{}, tokenShares: tokenShares{window: cfg.FloorWindow}}
 	for i := range q.tiers {
-		q.tiers[i] = tier{order: newOrderHeap(), deadlines: newDeadlineHeap(), flows: map[string]*flow{}}
+		q.tiers[i] = tierQueue{order: newOrderHeap(), deadlines: newDeadlineHeap(), flows: map[string]*flowState{}}
 	}
 	return q
 }
@@ -124,10 +126,11 @@
 	return out
 }
 
-// ServiceTime returns the mean time of a job in a slot; 0 until a job has finished.
+// ServiceTime returns the mean time that a job holds its slot. It is 0 until a job has
+// ended.
 func (q *Queue) ServiceTime() time.Duration { return q.serviceTimeAll.duration() }
 
-// queueIndex returns the index of the tier queue for the job. FIFO uses only the first.
+// queueIndex returns the index in tiers of the queue for the job. FIFO uses only the first.
 func (q *Queue) queueIndex(j *Job) int {
 	if q.cfg.FIFO {
 		return 0
@@ -135,8 +138,8 @@
 	return j.Tier
 }
 
-// Enqueue adds a job to the queue or refuses it. A refusal is a typed error with
-// outcome NotRun and a retry delay.
+// Enqueue adds a job to the queue or refuses it. A refusal is a fault with outcome
+// NotRun and a retry delay.
 func (q *Queue) Enqueue(now time.Time, j *Job) *fault.Error {
 	t := q.queueIndex(j)
 	victims := q.countVictims(t)
@@ -149,13 +152,13 @@
 		return fault.New(fault.WaitTooLong, "expected queue wait of %s exceeds the start deadline", wait.Round(time.Millisecond)).
 			WithOutcome(fault.NotRun).WithRetryAfter(q.RetryAfter(j.Tier))
 	}
-	q.seq++
-	j.seq, j.arrived, j.state = q.seq, now, Waiting
+	q.lastSeq++
+	j.seq, j.arrived, j.state = q.lastSeq, now, Waiting
 	q.tiers[t].push(j, q.cfg)
 	return nil
 }
 
-// expectedWait estimates how long a new job in queue t would wait for a slot.
+// expectedWait estimates how long a new job in the queue with index t would wait for a slot.
 func (q *Queue) expectedWait(t int) time.Duration {
 	if len(q.running) < q.cfg.Slots && q.tiers[t].order.Len() == 0 {
 		return 0
@@ -170,8 +173,8 @@
 // minRetryAfter is the shortest retry delay in a refusal.
 const minRetryAfter = time.Second
 
-// RetryAfter returns the retry delay for a refused job of the tier: the time until the
-// queue ahead of it has drained, estimated from the measured service times.
+// RetryAfter returns the retry delay for a refused job of the tier. It is the time until
+// the queue ahead of the job is empty, estimated from the measured service times.
 func (q *Queue) RetryAfter(tier int) time.Duration {
 	if q.cfg.FIFO {
 		tier = 0
@@ -179,7 +182,8 @@
 	return max(minRetryAfter, q.expectedWait(tier))
 }
 
-// Next returns the job to start now, if a slot is free and a job is waiting.
+// Next moves the job to start now from the queue to a slot and returns it. It returns
+// false if no slot is free or no job is waiting.
 func (q *Queue) Next(now time.Time) (*Job, bool) {
 	if len(q.running) >= q.cfg.Slots {
 		return nil, false
@@ -199,12 +203,14 @@
 	q.tiers[q.queueIndex(j)].remove(j)
 	j.state, j.started, j.startedByFloor = Running, now, byFloor
 	if byFloor {
-		q.floorRuns++
+		q.floorStartedJobs++
 	}
 	q.running[j] = struct{}{}
 	return j, true
 }
 
+// priorityCandidate returns the first job of the highest tier that has a waiting job, or
+// nil if no job is waiting.
 func (q *Queue) priorityCandidate() *Job {
 	for i := range q.tiers {
 		if j := q.tiers[i].head(); j != nil {
@@ -214,9 +220,9 @@
 	return nil
 }
 
-// floorCandidate returns a job of a tier that is below its floor and gets a slot even
-// though a higher tier is waiting. It must not bring a job of a higher tier close to
-// its start deadline.
+// floorCandidate returns a job of a tier that is below its floor, to be started although
+// a higher tier is waiting. It returns nil if there is none, or if starting it could
+// bring a job of a higher tier close to its start deadline.
 func (q *Queue) floorCandidate(now time.Time) *Job {
 	if !q.cfg.Floors || q.cfg.FIFO {
 		return nil
@@ -226,13 +232,14 @@
 		if j == nil || j.Floor <= 0 || !q.higherTierWaiting(t) || q.tokenShares.share(now, t) >= j.Floor {
 			continue
 		}
-		if q.floorRuns < q.floorSlots(j.Floor) && q.hasSlack(now, t) {
+		if q.floorStartedJobs < q.maxFloorStartedJobs(j.Floor) && q.higherTiersHaveSlack(now, t) {
 			return j
 		}
 	}
 	return nil
 }
 
+// higherTierWaiting reports whether a job above tier t is waiting.
 func (q *Queue) higherTierWaiting(t int) bool {
 	for u := range t {
 		if q.tiers[u].order.Len() > 0 {
@@ -242,17 +249,17 @@
 	return false
 }
 
-// floorSlots returns the limit on slots held by jobs that were started by a floor.
-func (q *Queue) floorSlots(floor float64) int {
+// maxFloorStartedJobs returns how many running jobs may have been started by a floor.
+func (q *Queue) maxFloorStartedJobs(floor float64) int {
 	return max(1, int(math.Ceil(floor*float64(q.cfg.Slots))))
 }
 
-// hasSlack reports whether every waiting job above tier t would still start within
-// half of its remaining time if a job of tier t took a slot now.
-func (q *Queue) hasSlack(now time.Time, t int) bool {
-	left := q.cfg.Slots - q.floorRuns - 1
+// higherTiersHaveSlack reports whether every job that waits above tier t would still
+// start within half of its remaining time if a job of tier t took a slot now.
+func (q *Queue) higherTiersHaveSlack(now time.Time, t int) bool {
+	remainingSlots := q.cfg.Slots - q.floorStartedJobs - 1
 	for u := range t {
-		if q.urgent(now, u) {
+		if q.hasUrgentJob(now, u) {
 			return false
 		}
 		deadline, ok := q.tiers[u].earliestDeadline()
@@ -260,8 +267,8 @@
 			continue
 		}
 		wait := q.expectedWait(u)
-		if left > 0 {
-			wait = wait * time.Duration(q.cfg.Slots) / time.Duration(left)
+		if remainingSlots > 0 {
+			wait = wait * time.Duration(q.cfg.Slots) / time.Duration(remainingSlots)
 		} else {
 			wait += q.serviceTime[t].duration()
 		}
@@ -278,31 +285,33 @@
 	q.tokenShares.add(now, j.Tier, float64(tokens))
 }
 
-// Remove permanently removes a job from its slot or from the queue.
+// Remove permanently removes a job from its slot or from the queue. The time that it
+// held the slot is included in the service times.
 func (q *Queue) Remove(now time.Time, j *Job) {
 	switch j.state {
 	case Waiting:
 		q.tiers[q.queueIndex(j)].remove(j)
 	case Running:
 		q.releaseSlot(j)
-		took := now.Sub(j.started)
-		q.serviceTime[q.queueIndex(j)].add(took)
-		q.serviceTimeAll.add(took)
+		serviceTime := now.Sub(j.started)
+		q.serviceTime[q.queueIndex(j)].add(serviceTime)
+		q.serviceTimeAll.add(serviceTime)
 	}
 	j.state = Removed
 }
 
+// releaseSlot frees the slot of a running job.
 func (q *Queue) releaseSlot(j *Job) {
 	delete(q.running, j)
 	if j.startedByFloor {
-		q.floorRuns--
+		q.floorStartedJobs--
 		j.startedByFloor = false
 	}
 }
 
-// Expire removes and returns the jobs whose start deadline has passed. A job that has
-// started once does not expire. Call Preempt first: it frees slots for jobs that are
-// about to expire while a lower tier is running.
+// Expire removes and returns the waiting jobs whose start deadline has passed. A job that
+// has been started once does not expire. Preempt must be called first: it frees slots
+// for jobs that would otherwise expire while a lower tier is running.
 func (q *Queue) Expire(now time.Time) []*Job {
 	var out []*Job
 	for i := range q.tiers {
--- a/internal/admission/tier.go
+++ b/internal/admission/tier.go
@@ -9,37 +9,38 @@
 // preemptedTag sorts a preempted job before all other jobs of its tier.
 const preemptedTag = -1
 
-// flow is the fair queueing state of one team in a tier.
-type flow struct {
-	finishTag float64 // finish tag of its last job
-	waiting   int
+// flowState is the fair queueing state of one team in a tier.
+type flowState struct {
+	finishTag float64 // of the last job added
+	waiting   int     // number of waiting jobs
 }
 
-// tier holds the waiting jobs of one tier.
-type tier struct {
-	order       jobHeap
-	deadlines   jobHeap
-	flows       map[string]*flow
-	virtualTime float64 // highest start tag of the jobs taken so far
+// tierQueue holds the waiting jobs of one tier.
+type tierQueue struct {
+	order       jobHeap // all jobs, in the order in which they are started
+	deadlines   jobHeap // the jobs with a start deadline, earliest first
+	flows       map[string]*flowState
+	virtualTime float64 // highest start tag of the jobs removed so far
 }
 
-// push assigns the job its start tag and inserts it.
-func (t *tier) push(j *Job, cfg Config) {
+// push assigns a start tag to a new job and inserts it.
+func (t *tierQueue) push(j *Job, cfg Config) {
 	if cfg.Fairness && !cfg.FIFO {
 		f := t.flows[j.Flow]
 		if f == nil {
-			f = &flow{}
+			f = &flowState{}
 			t.flows[j.Flow] = f
 		}
 		j.startTag = math.Max(t.virtualTime, f.finishTag)
 		f.finishTag = j.startTag + math.Max(1, j.Cost)
 	} else {
-		j.startTag = 0 // jobs with equal tags keep their order of arrival
+		j.startTag = 0 // jobs with equal tags are started in order of arrival
 	}
 	t.insert(j)
 }
 
-func (t *tier) insert(j *Job) {
+// insert adds a job that has a start tag.
+func (t *tierQueue) insert(j *Job) {
 	if f := t.flows[j.Flow]; f != nil {
 		f.waiting++
 	}
@@ -50,9 +51,9 @@
 	}
 }
 
-// remove takes the job out. A flow with no waiting jobs whose finish tag has passed is
-// deleted, so that the map holds only active teams.
-func (t *tier) remove(j *Job) {
+// remove removes a job. The state of a flow without waiting jobs is deleted when its
+// finish tag has passed or the queue is empty, so that the map holds only active teams.
+func (t *tierQueue) remove(j *Job) {
 	heap.Remove(&t.order, j.orderIndex)
 	if j.deadlineIndex >= 0 {
 		heap.Remove(&t.deadlines, j.deadlineIndex)
@@ -68,18 +69,20 @@
 	}
 }
 
-func (t *tier) head() *Job { return t.order.first() }
+// head returns the job to start next, or nil if none is waiting.
+func (t *tierQueue) head() *Job { return t.order.first() }
 
-// earliestDeadline returns the earliest start deadline of the waiting jobs.
-func (t *tier) earliestDeadline() (time.Time, bool) {
+// earliestDeadline returns the earliest start deadline of the waiting jobs. It returns
+// false if none of them has a deadline.
+func (t *tierQueue) earliestDeadline() (time.Time, bool) {
 	if j := t.deadlines.first(); j != nil {
 		return j.StartDeadline, true
 	}
 	return time.Time{}, false
 }
 
-// jobHeap is a heap of jobs that store their index in it, so that any job can be
-// removed.
+// jobHeap is a heap of jobs. Each job stores its index in the heap, so that any job can
+// be removed.
 type jobHeap struct {
 	jobs []*Job
 	less func(a, b *Job) bool
