--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch chooses a backend server for a request: a filter excludes servers that
-// cannot take the request, a score ranks the others, and a Picker chooses one of them. The
-// package does no I/O.
+// Package dispatch chooses a backend server for a request. A filter excludes servers that
+// cannot take the request, and a Picker chooses one of the others, for example by a score.
+// The package performs no I/O.
 package dispatch
 
 import (
@@ -9,36 +9,37 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
-// Candidate is what a router knows of one backend server.
+// Candidate describes one backend server as a router knows it.
 type Candidate struct {
 	Name          string
 	FailureDomain string
-	// Connected: the link to the agent is up. Draining: the agent reports that it is
-	// draining, or the membership list says that it is leaving.
+	// Connected is set while the link to the agent is up. Draining is set if the agent
+	// reports that it is draining or the membership list marks it as leaving.
 	Connected, Draining bool
-	TargetLoaded        bool // has the requested model version or service loaded
-	// Queued, Running and Slots are from the agent's last load report. SentSinceReport
-	// counts the offers that this router has sent since then.
+	TargetLoaded        bool // the server has the requested model version or service loaded
+	// Queued, Running and Slots are from the agent's latest load report. SentSinceReport
+	// is the number of offers that this router has sent to the agent since then.
 	Queued, Running, Slots, SentSinceReport int
-	// ServiceMS is the measured mean time of a request in a slot.
+	// ServiceMS is the mean time that a request holds a slot, as measured by the agent.
 	ServiceMS float64
-	// FirstTokenMS is the mean time to first token as measured by this router, or 0 if
-	// unknown. It reveals a slow server independently of the agent's reports.
+	// FirstTokenMS is the mean time to first token as measured by this router, or 0 if it
+	// is unknown. It reveals a slow server independently of the agent's reports.
 	FirstTokenMS float64
 	// CachedPrefixShare is the fraction of the prompt, from 0 to 1, that is probably in
 	// the server's prefix cache.
 	CachedPrefixShare float64
-	// Excluded: the request must not go to this server, for example because it was
-	// offered there before.
+	// Excluded is set if the request must not be sent to this server, for example because
+	// it was offered there before.
 	Excluded bool
 }
 
 // Request holds the properties of a request that affect the choice.
 type Request struct {
-	FailureDomain string // of the router
+	FailureDomain string // failure domain of the router
 }
 
-// Options enables parts of the score, so that the effect of each can be measured.
+// Options enables the parts of the score individually, so that the effect of each can be
+// measured.
 type Options struct {
 	PrefixAffinity, DomainAffinity, StragglerPenalty, CountUnreported bool
 }
@@ -66,100 +67,100 @@
 	return nil, fault.New(fault.BadSettings, "unknown policy %q", name).WithField("policy.choice")
 }
 
-// eligible is the filter that every Picker applies.
-func eligible(c *Candidate) bool {
+// isEligible reports whether a server can take the request. Every Picker applies this filter.
+func isEligible(c *Candidate) bool {
 	return c.Connected && !c.Draining && c.TargetLoaded && !c.Excluded
 }
 
-// roundRobinPicker is a baseline: it picks the eligible servers in turn.
+// roundRobinPicker picks the eligible servers in turn. It serves as a baseline.
 type roundRobinPicker struct{ next int }
 
 // Pick implements Picker.
-func (p *roundRobinPicker) Pick(_ Request, cs []Candidate, _ Rand) (int, bool) {
-	for range cs {
-		i := p.next % len(cs)
+func (p *roundRobinPicker) Pick(_ Request, candidates []Candidate, _ Rand) (int, bool) {
+	for range candidates {
+		i := p.next % len(candidates)
 		p.next++
-		if eligible(&cs[i]) {
+		if isEligible(&candidates[i]) {
 			return i, true
 		}
 	}
 	return 0, false
 }
 
-// leastLoadedPicker is a baseline: it picks the server with the fewest requests by the
-// agents' last reports.
+// leastLoadedPicker picks the server with the fewest requests according to the agents'
+// latest load reports. It serves as a baseline.
 type leastLoadedPicker struct{}
 
 // Pick implements Picker.
-func (leastLoadedPicker) Pick(_ Request, cs []Candidate, _ Rand) (int, bool) {
+func (leastLoadedPicker) Pick(_ Request, candidates []Candidate, _ Rand) (int, bool) {
 	best, found := 0, false
-	for i := range cs {
-		if eligible(&cs[i]) && (!found || cs[i].Queued+cs[i].Running < cs[best].Queued+cs[best].Running) {
+	for i := range candidates {
+		if isEligible(&candidates[i]) && (!found || candidates[i].Queued+candidates[i].Running < candidates[best].Queued+candidates[best].Running) {
 			best, found = i, true
 		}
 	}
 	return best, found
 }
 
-// scoredPicker scores two random eligible servers and all servers that have a prefix of
-// the prompt cached, and picks the best of these. It does not score all servers, because
-// routers with the same outdated load reports would then all pick the same server.
+// scoredPicker scores two random eligible servers and all eligible servers that have a
+// prefix of the prompt cached, and picks the one with the lowest score. If it scored all
+// servers, routers with the same outdated load reports would all pick the same one.
 type scoredPicker struct{ opts Options }
 
 // Pick implements Picker.
-func (p *scoredPicker) Pick(req Request, cs []Candidate, rnd Rand) (int, bool) {
-	count := 0
-	for i := range cs {
-		if eligible(&cs[i]) {
-			count++
+func (p *scoredPicker) Pick(req Request, candidates []Candidate, rnd Rand) (int, bool) {
+	eligible := 0
+	for i := range candidates {
+		if isEligible(&candidates[i]) {
+			eligible++
 		}
 	}
-	if count == 0 {
+	if eligible == 0 {
 		return 0, false
 	}
-	a := nthEligible(cs, rnd.IntN(count))
-	if count == 1 {
+	a := nthEligible(candidates, rnd.IntN(eligible))
+	if eligible == 1 {
 		return a, true
 	}
-	k := rnd.IntN(count - 1)
-	b := nthEligible(cs, k)
-	if b >= a { // b is chosen among the eligible servers other than a
-		b = nthEligible(cs, k+1)
+	k := rnd.IntN(eligible - 1)
+	b := nthEligible(candidates, k)
+	if b >= a { // skips a, so that b is another server
+		b = nthEligible(candidates, k+1)
 	}
-	mean := 0.0
+	meanFirstToken := 0.0
 	if p.opts.StragglerPenalty {
-		mean = meanFirstTokenMS(cs)
+		meanFirstToken = meanFirstTokenMS(candidates)
 	}
 	best := a
-	for i := range cs {
-		cached := p.opts.PrefixAffinity && cs[i].CachedPrefixShare > 0 && eligible(&cs[i])
-		if (i == b || cached) && p.score(req, &cs[i], mean) < p.score(req, &cs[best], mean) {
+	for i := range candidates {
+		cached := p.opts.PrefixAffinity && candidates[i].CachedPrefixShare > 0 && isEligible(&candidates[i])
+		if (i == b || cached) && p.score(req, &candidates[i], meanFirstToken) < p.score(req, &candidates[best], meanFirstToken) {
 			best = i
 		}
 	}
 	return best, true
 }
 
-// nthEligible returns the index of the n-th eligible server, counted from 0.
-func nthEligible(cs []Candidate, n int) int {
-	for i := range cs {
-		if eligible(&cs[i]) {
+// nthEligible returns the index of the n-th eligible server; n starts at 0.
+func nthEligible(candidates []Candidate, n int) int {
+	for i := range candidates {
+		if isEligible(&candidates[i]) {
 			if n == 0 {
 				return i
 			}
 			n--
 		}
 	}
-	return len(cs) - 1 // unreachable: n is less than the number of eligible servers
+	return len(candidates) - 1 // unreachable: n is less than the number of eligible servers
 }
 
-// meanFirstTokenMS returns the mean time to first token over the servers for which it is
-// known, or 0 if there are none.
-func meanFirstTokenMS(cs []Candidate) float64 {
+// meanFirstTokenMS returns the mean of the known times to first token, or 0 if none is
+// known.
+func meanFirstTokenMS(candidates []Candidate) float64 {
 	sum, n := 0.0, 0
-	for i := range cs {
-		if cs[i].FirstTokenMS > 0 {
-			sum += cs[i].FirstTokenMS
+	for i := range candidates {
+		if candidates[i].FirstTokenMS > 0 {
+			sum += candidates[i].FirstTokenMS
 			n++
 		}
 	}
@@ -169,38 +170,40 @@
 	return sum / float64(n)
 }
 
-// Parameters of the score. Penalty and bonus are in units of a request's service time.
+// Parameters of the score. The penalty and the bonus are multiples of a request's service
+// time.
 const (
-	// domainPenalty is added for a server in another failure domain. The additional
+	// crossDomainPenalty is added for a server in another failure domain. The additional
 	// network latency of a few milliseconds is small compared with the service time, so
 	// the penalty decides only between servers with otherwise similar scores.
-	domainPenalty = 0.1
-	// prefixBonus is subtracted for a fully cached prompt. A cached prefix saves its
+	crossDomainPenalty = 0.1
+	// cachedPrefixBonus is subtracted for a fully cached prompt. A cached prefix saves its
 	// prefill, which takes at most about half of a short request's service time.
-	prefixBonus = 0.5
-	// stragglerFactor is the ratio of a server's time to first token to the mean above
-	// which the server is a straggler, and not only busy.
+	cachedPrefixBonus = 0.5
+	// A server is a straggler, and not only busy, if its time to first token exceeds
+	// stragglerFactor times the mean.
 	stragglerFactor = 3.0
 	minServiceMS    = 1.0
 )
 
-// score estimates the time until the request would be complete; lower is better.
+// score estimates the time in milliseconds until the request would be complete, adjusted
+// by the enabled parts of the score. The lowest score is the best.
 func (p *scoredPicker) score(req Request, c *Candidate, meanFirstToken float64) float64 {
 	load := float64(c.Queued + c.Running)
 	if p.opts.CountUnreported {
-		// Requests sent since the last report are not yet included in Queued or Running.
+		// Queued and Running do not include the requests sent since the last report.
 		load += float64(c.SentSinceReport)
 	}
-	s := load / math.Max(1, float64(c.Slots))
+	relative := load / math.Max(1, float64(c.Slots))
 	if p.opts.PrefixAffinity {
-		s -= prefixBonus * c.CachedPrefixShare
+		relative -= cachedPrefixBonus * c.CachedPrefixShare
 	}
 	if p.opts.DomainAffinity && c.FailureDomain != req.FailureDomain {
-		s += domainPenalty
+		relative += crossDomainPenalty
 	}
-	s = (s + 1) * math.Max(minServiceMS, c.ServiceMS)
+	score := (relative + 1) * math.Max(minServiceMS, c.ServiceMS)
 	if meanFirstToken > 0 && c.FirstTokenMS > stragglerFactor*meanFirstToken {
-		s *= c.FirstTokenMS / meanFirstToken
+		score *= c.FirstTokenMS / meanFirstToken
 	}
-	return s
+	return score
 }
