--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -7,20 +7,21 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-// shareResolution is the number of hash buckets. A bucket is 0.01 percent of the requests.
-const shareResolution = 10000
+// hashBuckets is the number of hash buckets. A bucket holds 0.01 percent of the requests.
+const hashBuckets = 10000
 
-// Choose returns the version for a request. The rollouts get their shares in the order
-// given, which must be by version; the base version gets the rest. For given rollouts the
-// choice depends only on the request ID, so a repeated offer goes to the same version.
+// Choose returns the model version for a request. Each rollout receives its share of the
+// requests, and the base version the rest. The rollouts must be sorted by version. For the
+// same rollouts the choice depends only on the request ID, so that a repeated offer of a
+// request goes to the same version.
 func Choose(rollouts []*resource.Rollout, requestID string) string {
 	if len(rollouts) == 0 {
 		return resource.BaseVersion
 	}
-	percentile := float64(xxhash.Sum64String(requestID)%shareResolution) * 100 / shareResolution
-	cumulative := 0.0
+	hashPercent := float64(xxhash.Sum64String(requestID)%hashBuckets) * 100 / hashBuckets
+	cumulative := 0.0 // percent of the requests
 	for _, r := range rollouts {
-		if cumulative += r.SharePercent; percentile < cumulative {
+		if cumulative += r.SharePercent; hashPercent < cumulative {
 			return r.Version
 		}
 	}
