--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -8,24 +8,24 @@
 	"pgregory.net/rapid"
 )
 
-// With any sequence of sends, losses, duplicates, delayed acknowledgements and
-// resumes, each chunk is delivered exactly once and in order.
+// Each chunk is delivered exactly once and in order under any sequence of sends, losses,
+// duplicates, delayed acknowledgements and resumes.
 func TestAnswerArrivesWholeOverLossyLinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		total := rapid.IntRange(0, 40).Draw(t, "total")
 		window := rapid.Uint32Range(1, 8).Draw(t, "window")
 		buf, asm := NewBuffer(0, window), &Assembler{}
-		made := 0
-		var got, inFlight []uint32
-		var old []uint32 // chunks still in flight on replaced links
+		appended := 0
+		var delivered, inFlight []uint32
+		var delayed []uint32 // chunks still in flight on replaced links
 		for steps := 0; asm.NextSeq() < uint32(total); steps++ {
 			g.Expect(steps).To(BeNumerically("<", 100000))
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				if made < total {
-					buf.Append([]byte(fmt.Sprint(made)))
-					made++
+				if appended < total {
+					buf.Append([]byte(fmt.Sprint(appended)))
+					appended++
 				}
 			case 1:
 				if seq, data, ok := buf.Peek(); ok {
@@ -36,28 +36,28 @@
 			case 2:
 				if len(inFlight) > 0 {
 					if asm.Accept(inFlight[0]) == InOrder {
-						got = append(got, inFlight[0])
+						delivered = append(delivered, inFlight[0])
 					}
 					inFlight = inFlight[1:]
 				}
 			case 3: // the link breaks and the response resumes on another
-				old, inFlight = append(old, inFlight...), nil
+				delayed, inFlight = append(delayed, inFlight...), nil
 				g.Expect(buf.Rewind(asm.NextSeq())).To(Succeed())
 			case 4:
 				buf.Ack(rapid.Uint32Range(0, asm.NextSeq()).Draw(t, "ack"))
-			case 5: // a delayed chunk from an old link
-				if len(old) > 0 && old[0] < asm.NextSeq() {
-					g.Expect(asm.Accept(old[0])).To(Equal(Duplicate))
-					old = old[1:]
+			case 5: // a delayed chunk arrives from a replaced link
+				if len(delayed) > 0 && delayed[0] < asm.NextSeq() {
+					g.Expect(asm.Accept(delayed[0])).To(Equal(Duplicate))
+					delayed = delayed[1:]
 				}
 			}
-			if len(inFlight) == 0 { // lets the window advance
+			if len(inFlight) == 0 { // acknowledges everything, so that the window advances
 				buf.Ack(asm.NextSeq())
 			}
 			g.Expect(buf.nextSeq - buf.firstSeq).To(BeNumerically("<=", window))
 		}
-		g.Expect(got).To(HaveLen(total))
-		for i, seq := range got {
+		g.Expect(delivered).To(HaveLen(total))
+		for i, seq := range delivered {
 			g.Expect(seq).To(Equal(uint32(i)))
 		}
 	})
