--- a/internal/agent/witness.go
+++ b/internal/agent/witness.go
@@ -55,7 +55,7 @@
 		case wire.ClaimTaken:
 			return receipt.WitnessTaken
 		}
-		return receipt.WitnessCannotVouch
+		return receipt.WitnessNotReady
 	case <-ctx.Done():
 		return receipt.WitnessUnreachable
 	}
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -91,7 +91,7 @@
 	className     string
 	class         *resource.Class
 	streamStarted bool // errors are sent as stream events from now on
-	observation   *telemetry.Observation
+	observation   *telemetry.RequestObservation
 }
 
 // serve authenticates the caller, runs the handler and writes its error, if any.
@@ -211,7 +211,7 @@
 		code, outcome = string(e.Code), string(e.Outcome)
 	}
 	if x.observation != nil {
-		x.observation.End(time.Now(), code, outcome)
+		x.observation.RecordEnd(time.Now(), code, outcome)
 		return
 	}
 	if e != nil {
--- a/internal/execution/keyed.go
+++ b/internal/execution/keyed.go
@@ -29,7 +29,7 @@
 	}
 	a.phase = phaseCoalesced
 	switch entry.Phase {
-	case receipt.Done:
+	case receipt.Completed:
 		c.replay(now, a, entry)
 	case receipt.OutcomeUnknown:
 		return mayHaveRunFault()
@@ -57,7 +57,7 @@
 	switch d {
 	case receipt.Run, receipt.RunAfterLogging:
 		e = c.enqueue(now, a)
-	case receipt.AlreadyRan:
+	case receipt.MayHaveRun:
 		e = mayHaveRunFault()
 		a.keyEntry.Phase = receipt.OutcomeUnknown
 		c.failKeyed(now, a, e)
--- a/internal/simulate/engine.go
+++ b/internal/simulate/engine.go
@@ -59,7 +59,7 @@
 // from another engine, so that it needs no prefill.
 func (e *engine) enqueue(j *job, rank int, fetched bool, now time.Time) {
 	r := &activeRequest{job: j, rank: rank, prefillRemaining: j.prompt.Tokens, started: now}
-	shared, tokens := j.prompt.Shared()
+	shared, tokens := j.prompt.SharedPrefix()
 	if e.hasPrefix(shared, now) || fetched {
 		r.prefillRemaining -= tokens
 	} else {
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -241,7 +241,7 @@
 	case NoPermits:
 		s.dispatch(j, gateway, placement.ChooseEngine(req, candidates), now)
 	default:
-		prefix, _ := j.prompt.Shared()
+		prefix, _ := j.prompt.SharedPrefix()
 		s.requestPermit(&permitRequest{job: j, gateway: gateway, groups: placement.RankGroups(prefix, placement.GroupCount(len(candidates)))}, now)
 	}
 }
@@ -258,7 +258,7 @@
 // requestPermit requests a permit from the current group of engines.
 func (s *simulation) requestPermit(p *permitRequest, now time.Time) {
 	j := p.job
-	prefix, shared := j.prompt.Shared()
+	prefix, shared := j.prompt.SharedPrefix()
 	elapsed := now.Sub(j.arrived)
 	answer := s.permits.Submit(p.group(), permit.Ask{ID: j.id, Priority: s.rank(j), UniqueTokens: j.prompt.Tokens - shared, PrefixID: prefix, PrefixTokens: shared,
 		OutputTokens: j.prompt.OutputTokens, MaxEventGap: j.class.MaxEventGap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.FirstTokenTarget - elapsed,
@@ -305,7 +305,7 @@
 func (s *simulation) dispatch(j *job, gateway int, c placement.Choice, now time.Time) {
 	e, b := s.engines[c.Candidate.Server.ID], c.Candidate.Backend
 	fetched := c.FetchFrom != "" && s.engines[c.FetchFrom].hasPrefix(sharedPrefixID(j), now)
-	_, shared := j.prompt.Shared()
+	_, shared := j.prompt.SharedPrefix()
 	prefillTokens := j.prompt.Tokens - shared
 	b.BeginRequest(prefillTokens)
 	e.enqueue(j, s.rank(j), fetched, now)
@@ -361,6 +361,6 @@
 }
 
 func sharedPrefixID(j *job) string {
-	id, _ := j.prompt.Shared()
+	id, _ := j.prompt.SharedPrefix()
 	return id
 }
