--- a/internal/notice/days_test.go
+++ b/internal/notice/days_test.go
@@ -400,3 +400,16 @@
 		}
 	})
 }
+
+// Guards against a burst of requests at the end of a backoff. The gateways learn a rate limit that the server
+// has stated since from its first response after the backoff; requests sent at the same time are not limited.
+func TestRateLimitAppliesAfterABackoff(t *testing.T) {
+	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+	d := scenario{route: "again", gateways: 5, servers: 4, limitedServers: 4, limitFrom: ms(2407), limitUntil: ms(9077),
+		drainingServers: 1, drainFrom: ms(736), backoffServers: 1, refuseFrom: ms(537), refuseFor: ms(51), backoff: ms(6000),
+		requestInterval: ms(5), oneGateway: true, faults: []fault{{ms(500), ms(201), "store partition", 1},
+			{ms(1766), ms(202), "join", 4}, {ms(4292), ms(2116), "partition in two", 4}}}
+	if failure := d.run(); failure != "" {
+		t.Fatalf("%s\n%+v", failure, d)
+	}
+}
