--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -32,7 +32,7 @@
 func desiredTargets(v *resource.View, server string) []target {
 	var out []target
 	for name, m := range v.Models {
-		if pool := v.Pools[m.Pool]; pool == nil || !pool.Has(server) {
+		if pool := v.Pools[m.Pool]; pool == nil || !pool.HasServer(server) {
 			continue
 		}
 		out = append(out, target{name + "@" + resource.BaseVersion, false})
--- a/internal/agent/serving.go
+++ b/internal/agent/serving.go
@@ -97,7 +97,7 @@
 func assignedServices(v *resource.View, server string) []string {
 	out := []string{}
 	for name, s := range v.Services {
-		if pool := v.Pools[s.Pool]; pool != nil && pool.Has(server) {
+		if pool := v.Pools[s.Pool]; pool != nil && pool.HasServer(server) {
 			out = append(out, name)
 		}
 	}
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -120,7 +120,7 @@
 	if !ok {
 		return fault.New(fault.Unauthorized, "missing bearer token: a team's API key is required").WithField("Authorization").WithOutcome(fault.NotRun)
 	}
-	if x.teamName, ok = x.view.TeamByKey(key); !ok {
+	if x.teamName, ok = x.view.TeamByAPIKey(key); !ok {
 		return fault.New(fault.Unauthorized, "unknown API key").WithField("Authorization").WithOutcome(fault.NotRun)
 	}
 	x.team = x.view.Teams[x.teamName]
--- a/internal/resource/document.go
+++ b/internal/resource/document.go
@@ -27,8 +27,8 @@
 	Spec json.RawMessage
 }
 
-// ParseDocument decodes and validates a TOML document. Errors are prefixed with
-// name, the document's file name.
+// ParseDocument decodes and validates a TOML document. name is the document's file
+// name; errors contain it.
 func ParseDocument(name string, data []byte) ([]Desired, error) {
 	var doc Document
 	if err := toml.Unmarshal(data, &doc); err != nil {
--- a/internal/resource/references.go
+++ b/internal/resource/references.go
@@ -6,11 +6,15 @@
 	"github.com/merlinpost/merlinpost/internal/fault"
 )
 
+// isLive reports whether the resource exists and is not deleted.
 func (s *State) isLive(ref Ref) bool {
 	r := s.resources[ref]
 	return r != nil && !r.Deleted()
 }
 
+// checkReferences verifies the configuration after the changes: every changed
+// resource refers only to live ones, the shares of the rollouts are valid, and no
+// live resource refers to a deleted one.
 func (s *State) checkReferences(changes []Change) *fault.Error {
 	deleted := map[Ref]bool{}
 	for _, c := range changes {
@@ -25,19 +29,20 @@
 			}
 		}
 	}
-	if e := s.checkShares(changes); e != nil {
+	if e := s.checkRolloutShares(changes); e != nil {
 		return e
 	}
 	if len(deleted) == 0 {
 		return nil
 	}
-	return s.checkInUse(deleted)
+	return s.checkNotReferenced(deleted)
 }
 
-// checkInUse reports the deleted resource that is still referenced. If there
-// are several it reports the first by name, so that the result does not depend
-// on the map's iteration order.
-func (s *State) checkInUse(deleted map[Ref]bool) *fault.Error {
+// checkNotReferenced returns an error if a live resource refers to one of the
+// deleted resources. If several are still referenced it names the first in order
+// of kind and name, so that the result does not depend on the map's iteration
+// order.
+func (s *State) checkNotReferenced(deleted map[Ref]bool) *fault.Error {
 	first := ""
 	for _, r := range s.resources {
 		if r.Deleted() {
@@ -75,26 +80,26 @@
 // shareTolerancePercent allows for rounding errors in the sum of shares.
 const shareTolerancePercent = 1e-9
 
-// checkShares verifies that the shares of a model's rollouts add up to at most
+// checkRolloutShares verifies that the shares of a model's rollouts add up to at most
 // 100 percent and that no two of them have the same version.
-func (s *State) checkShares(changes []Change) *fault.Error {
+func (s *State) checkRolloutShares(changes []Change) *fault.Error {
 	for _, c := range changes {
 		changed, ok := s.resources[Ref{c.Kind, c.Name}]
 		if !ok || changed.Deleted() || c.Kind != KindRollout {
 			continue
 		}
 		rollout := changed.spec.(*Rollout)
-		sum, same := 0.0, 0
+		sum, sameVersion := 0.0, 0
 		for _, r := range s.rolloutsOf(rollout.Model) {
 			sum += r.SharePercent
 			if r.Version == rollout.Version {
-				same++
+				sameVersion++
 			}
 		}
 		if sum > 100+shareTolerancePercent {
 			return invalid(fieldPath(&c, "share_percent"), "the rollouts of model %q take %.4g percent together", rollout.Model, sum)
 		}
-		if same > 1 {
+		if sameVersion > 1 {
 			return invalid(fieldPath(&c, "version"), "another rollout of model %q has version %q", rollout.Model, rollout.Version)
 		}
 	}
--- a/internal/resource/spec.go
+++ b/internal/resource/spec.go
@@ -52,7 +52,8 @@
 
 // Class is a request class with its service level.
 type Class struct {
-	// Tier is the priority of the class under load; 0 is the highest.
+	// Tier is the service tier, which sets the priority under load; 0 is the
+	// highest.
 	Tier int `json:"tier" validate:"min=0,max=4"`
 	// FirstTokenMS, BetweenTokensMS and TotalMS are latency targets in
 	// milliseconds; 0 means no target.
@@ -65,11 +66,11 @@
 	// MaxRunMS limits the total duration of a request, in milliseconds.
 	MaxRunMS int `json:"max_run_ms" validate:"min=10,max=86400000"`
 	// Floor is the minimum share of a backend server's tokens that the class
-	// gets while it has requests waiting, as long as no request of a higher
-	// tier would be rejected because of it.
+	// gets while it has queued requests. It is not enforced where a request of
+	// a higher tier would be rejected because of it.
 	Floor float64 `json:"floor" validate:"min=0,max=0.5"`
-	// Preemptible allows a higher tier to preempt a running request, which is
-	// resumed later where it stopped.
+	// Preemptible allows a higher tier to preempt a running request. A preempted
+	// request is resumed later from where it stopped.
 	Preemptible bool `json:"preemptible"`
 	// MaxTokens limits the length of a response.
 	MaxTokens int `json:"max_tokens" validate:"min=1,max=1000000"`
@@ -83,7 +84,7 @@
 	// Classes are the classes that the team may request besides DefaultClass.
 	Classes []string `json:"classes,omitempty" validate:"max=64"`
 	// Rate limits requests per second across all routers; 0 means no limit.
-	// Burst is the burst size of the limit.
+	// Burst is the size of the token bucket that enforces it.
 	Rate  float64 `json:"rate" validate:"min=0,max=1000000"`
 	Burst int     `json:"burst" validate:"min=0,max=1000000"`
 	// Concurrency limits requests in progress across all routers; 0 means no
@@ -109,26 +110,27 @@
 	Pool string `json:"pool" validate:"required"`
 }
 
-// Service is an HTTP service, not a model, that requests are routed to.
+// Service is an HTTP service other than a model, to which calls are routed.
 type Service struct {
 	Pool string `json:"pool" validate:"required"`
 	// Path is the URL path of the service on the backend server.
 	Path string `json:"path" validate:"required,startswith=/"`
-	// MayRepeat marks calls of the service as idempotent: a call may run more
-	// than once.
+	// MayRepeat marks the service as idempotent: a call may run more than once.
+	// Calls of other services need an idempotency key.
 	MayRepeat bool `json:"may_repeat"`
-	// KeyWindowMS is how long an idempotency key is remembered.
+	// KeyWindowMS is the retention period of idempotency keys, in milliseconds.
 	KeyWindowMS int `json:"key_window_ms" validate:"min=0,max=86400000"`
 }
 
-// Rollout assigns a share of a model's traffic to a version or an adapter.
+// Rollout assigns a share of a model's traffic to one of its versions, which may
+// be an adapter.
 type Rollout struct {
 	Model   string `json:"model" validate:"required"`
 	Version string `json:"version" validate:"required,max=64,ne=base"`
 	// Adapter marks a version that is an adapter applied to the base weights.
 	Adapter bool `json:"adapter"`
-	// SharePercent is the version's share of the model's requests; with 0 the
-	// version stays loaded but gets no traffic.
+	// SharePercent is the version's share of the model's requests. With 0 the
+	// version is loaded but gets no requests.
 	SharePercent float64 `json:"share_percent" validate:"min=0,max=100"`
 }
 
--- a/internal/resource/state.go
+++ b/internal/resource/state.go
@@ -25,7 +25,7 @@
 	Delete Verb = "delete"
 )
 
-// Change requests that one resource be set or deleted.
+// Change sets or deletes one resource.
 type Change struct {
 	Verb Verb   `json:"verb"`
 	Kind Kind   `json:"kind"`
@@ -70,7 +70,8 @@
 // Spec returns the decoded spec, or nil if the resource is deleted.
 func (r *Resource) Spec() Spec { return r.spec }
 
-// Result is the outcome of an operation.
+// Result is the outcome of an operation. Results are stored in snapshots, with the
+// text of their messages.
 type Result struct {
 	Operation string `json:"operation"`
 	Revision  uint64 `json:"revision"` // the log offset of its record
@@ -79,7 +80,8 @@
 	Code    fault.Code `json:"code,omitempty"`
 	Field   string     `json:"field,omitempty"`
 	Message string     `json:"message,omitempty"`
-	// Winner is the operation that the rejected one conflicted with.
+	// Winner is the operation that had already changed the resource, if this one
+	// was rejected with code RevisionConflict.
 	Winner string `json:"winner,omitempty"`
 }
 
@@ -97,7 +99,7 @@
 type State struct {
 	revision          uint64
 	resources         map[Ref]*Resource
-	liveCount         int
+	liveCount         int   // number of resources that are not deleted
 	deleted           []Ref // oldest first
 	operations        []Result
 	operationIndex    map[string]int // index in operations plus operationsDropped
@@ -122,11 +124,11 @@
 	return s.operations[i-s.operationsDropped], true
 }
 
-// Apply applies the record at offset. A record at or below the current
-// revision has no effect: the state never goes back. A record that can't be
-// decoded changes no resource; an invalid or conflicting one doesn't either,
-// but its result is kept. The second return value is false if the record was
-// already applied or its operation was already known.
+// Apply applies the record at offset. An offset at or below the current revision
+// is ignored, so that the revision never decreases. Malformed, invalid and
+// conflicting records change no resource; except for malformed ones, their
+// results are kept. The second return value is false if the offset was ignored or
+// the state already has a result for the operation.
 func (s *State) Apply(offset uint64, data []byte) (Result, bool) {
 	if offset <= s.revision {
 		return Result{}, false
@@ -134,7 +136,7 @@
 	s.revision = offset
 	var rec Record
 	if err := json.Unmarshal(data, &rec); err != nil || rec.Operation == "" {
-		return Result{Revision: offset, Code: fault.InvalidConfig, Message: "the log entry is not a configuration record"}, true
+		return Result{Revision: offset, Code: fault.InvalidConfig, Message: "the log entry is not a valid configuration record"}, true
 	}
 	if known, ok := s.Operation(rec.Operation); ok {
 		return known, false
@@ -171,13 +173,14 @@
 	return nil
 }
 
-// undoLog restores the resources that a record changed.
+// undoLog holds what is needed to revert the changes of a record that turns out to
+// be invalid.
 type undoLog struct {
 	refs      []Ref
-	previous  []*Resource
+	previous  []*Resource // the resources of refs before the change; nil if there was none
 	liveCount int
 	deleted   []Ref
-	started   bool
+	started   bool // liveCount and deleted have been saved
 }
 
 func (u *undoLog) save(s *State, ref Ref) {
@@ -297,6 +300,8 @@
 	}
 }
 
+// evictDeleted removes the history of the resources that were deleted first, down
+// to MaxDeleted.
 func (s *State) evictDeleted() {
 	for len(s.deleted) > MaxDeleted {
 		delete(s.resources, s.deleted[0])
--- a/internal/resource/state_test.go
+++ b/internal/resource/state_test.go
@@ -28,7 +28,7 @@
 	g.Expect(res.Err()).NotTo(HaveOccurred())
 }
 
-func TestRacingChangesHaveOneWinner(t *testing.T) {
+func TestConflictingChangeIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	s := NewState()
 	mustApply(g, s, 1, "op1", put(KindClass, "helpline", 0, fmt.Sprintf(classSpec, 0)))
@@ -39,7 +39,7 @@
 	g.Expect(s.View().Classes["helpline"].Tier).To(Equal(1))
 }
 
-func TestRecordIsAppliedWholeOrNotAtAll(t *testing.T) {
+func TestRecordIsAppliedAtomically(t *testing.T) {
 	g := NewWithT(t)
 	s := NewState()
 	mustApply(g, s, 1, "op1", put(KindClass, "a", 0, fmt.Sprintf(classSpec, 0)))
@@ -76,8 +76,8 @@
 		"ill-typed":     {KindClass, `{"tier":"top"}`, "tier"},
 		"out of range":  {KindClass, `{"tier":9,"max_wait_ms":10,"max_run_ms":10,"max_tokens":1}`, "tier"},
 		"nested":        {KindPool, `{"servers":[{"name":"s","agent":"host:1","failure_domain":"a"}]}`, "servers[0].agent"},
-		"no window":     {KindService, `{"pool":"p","path":"/x"}`, "key_window_ms"},
-		"preempt top":   {KindClass, `{"tier":0,"preemptible":true,"max_wait_ms":10,"max_run_ms":10,"max_tokens":1}`, "preemptible"},
+		"no key window": {KindService, `{"pool":"p","path":"/x"}`, "key_window_ms"},
+		"top tier":      {KindClass, `{"tier":0,"preemptible":true,"max_wait_ms":10,"max_run_ms":10,"max_tokens":1}`, "preemptible"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -88,9 +88,10 @@
 	}
 }
 
-// drawRecord generates records: conflicting, repeated, malformed and deleting ones.
-func drawRecord(t *rapid.T, revision uint64) []byte {
-	if rapid.IntRange(0, 19).Draw(t, "broken") == 0 {
+// randomRecord generates a record. Some are malformed, conflict with the state, repeat an
+// operation or delete resources.
+func randomRecord(t *rapid.T, revision uint64) []byte {
+	if rapid.IntRange(0, 19).Draw(t, "malformed") == 0 {
 		return []byte("{")
 	}
 	var changes []Change
@@ -106,9 +107,9 @@
 	return record(fmt.Sprintf("op%d", rapid.IntRange(0, 40).Draw(t, "op")), changes...)
 }
 
-// Restoring a snapshot taken at any offset and applying the records after it
-// gives the same state as applying all records, even if records from before the
-// snapshot are delivered again.
+// A state restored from a snapshot at any offset, with the later records applied,
+// must equal the state after all records, even if records from before the snapshot
+// are delivered again.
 func TestSnapshotAndTailEqualTheWholeFold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -117,7 +118,7 @@
 		whole, part := NewState(), NewState()
 		var records [][]byte
 		for i := range n {
-			records = append(records, drawRecord(t, uint64(i)))
+			records = append(records, randomRecord(t, uint64(i)))
 			whole.Apply(uint64(i+1), records[i])
 		}
 		for i := range cut {
@@ -139,15 +140,15 @@
 	})
 }
 
-func TestCheckChangesNothing(t *testing.T) {
+func TestCheckLeavesStateUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		for i := range rapid.IntRange(0, 10).Draw(t, "records") {
-			s.Apply(uint64(i+1), drawRecord(t, uint64(i)))
+			s.Apply(uint64(i+1), randomRecord(t, uint64(i)))
 		}
 		before, _ := s.Snapshot()
 		var rec Record
-		if json.Unmarshal(drawRecord(t, s.Revision()), &rec) == nil {
+		if json.Unmarshal(randomRecord(t, s.Revision()), &rec) == nil {
 			checkErr := s.Check(rec)
 			after, _ := s.Snapshot()
 			NewWithT(t).Expect(string(after)).To(Equal(string(before)))
--- a/internal/resource/view.go
+++ b/internal/resource/view.go
@@ -26,20 +26,20 @@
 
 // View returns a View of the current state. Its cost is linear in the number of
 // resources: call it once per batch of records, not once per record.
-func (f *State) View() *View {
-	v := &View{Revision: f.revision,
+func (s *State) View() *View {
+	v := &View{Revision: s.revision,
 		Classes: map[string]*Class{}, Teams: map[string]*Team{}, Pools: map[string]*Pool{},
 		Models: map[string]*Model{}, Services: map[string]*Service{}, Rollouts: map[string]*Rollout{},
 		teamByKeyHash: map[string]string{}, rolloutsByModel: map[string][]*Rollout{},
-		resources: make(map[Ref]*Resource, len(f.resources)), operations: make(map[string]Result, len(f.operations))}
-	for ref, r := range f.resources {
-		v.resources[ref] = r // a Resource is never changed in place
+		resources: make(map[Ref]*Resource, len(s.resources)), operations: make(map[string]Result, len(s.operations))}
+	for ref, r := range s.resources {
+		v.resources[ref] = r // shared with the state, which never modifies a Resource
 		v.index(r)
 	}
 	for _, list := range v.rolloutsByModel {
 		sort.Slice(list, func(i, j int) bool { return list[i].Version < list[j].Version })
 	}
-	for _, op := range f.operations {
+	for _, op := range s.operations {
 		v.operations[op.Operation] = op
 	}
 	return v
@@ -52,8 +52,8 @@
 	case *Team:
 		v.Teams[r.Name] = s
 		for _, k := range s.KeysSHA256 {
-			// If two teams have the same key, it belongs to the first by name,
-			// in every process.
+			// If two teams have the same key it belongs to the first by name,
+			// so that all processes agree.
 			if other, taken := v.teamByKeyHash[k]; !taken || r.Name < other {
 				v.teamByKeyHash[k] = r.Name
 			}
@@ -70,14 +70,15 @@
 	}
 }
 
-// HashAPIKey returns the hash of an API key in the form of Team.KeysSHA256.
+// HashAPIKey returns the SHA-256 hash of an API key in hexadecimal, as in
+// Team.KeysSHA256.
 func HashAPIKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// TeamByKey returns the name of the team that the API key belongs to.
-func (v *View) TeamByKey(key string) (string, bool) {
+// TeamByAPIKey returns the name of the team that the API key belongs to.
+func (v *View) TeamByAPIKey(key string) (string, bool) {
 	name, ok := v.teamByKeyHash[HashAPIKey(key)]
 	return name, ok
 }
@@ -94,7 +95,7 @@
 	return r, true
 }
 
-// History returns a resource even if it is deleted.
+// History returns a resource with its versions. It also returns deleted resources.
 func (v *View) History(ref Ref) (*Resource, bool) {
 	r, ok := v.resources[ref]
 	return r, ok
@@ -141,8 +142,8 @@
 	return out
 }
 
-// Has reports whether the pool declares the backend server.
-func (p *Pool) Has(server string) bool { return p.Server(server).Name != "" }
+// HasServer reports whether the pool declares the backend server.
+func (p *Pool) HasServer(server string) bool { return p.Server(server).Name != "" }
 
 // Server returns the declared backend server, or the zero Server if there is none.
 func (p *Pool) Server(name string) Server {
