--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -17,7 +17,7 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// Backoff between reads while the log is unavailable.
+// Exponential backoff between reads while the log is unavailable.
 const (
 	initialRetryDelay = 100 * time.Millisecond
 	maxRetryDelay     = 2 * time.Second
@@ -27,14 +27,14 @@
 // must be called once; the other methods are safe for concurrent use.
 type Follower struct {
 	log            Log
-	set            settings.Log
+	settings       settings.Log
 	logger         *slog.Logger
-	takesSnapshots bool
+	takesSnapshots bool // this process writes snapshots to the log
 
 	view             atomic.Pointer[resource.View]
 	ready            atomic.Bool
 	logUp            atomic.Bool
-	lastRead         atomic.Int64 // monotonic time of the last successful read, ns since start
+	lastRead         atomic.Int64 // time of the last successful read, in ns after start
 	start            time.Time
 	mu               sync.Mutex // guards state, changed, snapshotRevision, snapshotTime and rand
 	state            *resource.State
@@ -47,13 +47,13 @@
 // NewFollower returns a Follower with an empty configuration. If takesSnapshots
 // is true, as in routers, it writes snapshots to the log.
 func NewFollower(log Log, set settings.Log, takesSnapshots bool, logger *slog.Logger, rnd *rand.Rand) *Follower {
-	f := &Follower{log: log, set: set, logger: logger, takesSnapshots: takesSnapshots, start: time.Now(),
+	f := &Follower{log: log, settings: set, logger: logger, takesSnapshots: takesSnapshots, start: time.Now(),
 		state: resource.NewState(), changed: make(chan struct{}), rand: rnd}
 	f.view.Store(f.state.View())
 	return f
 }
 
-// View returns the current configuration. It is empty until Ready returns true.
+// View returns the current configuration, which is empty until Ready returns true.
 func (f *Follower) View() *resource.View { return f.view.Load() }
 
 // Ready reports whether a configuration has been loaded, from the log or from a
@@ -80,7 +80,7 @@
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = initialRetryDelay, maxRetryDelay
 	for ctx.Err() == nil {
-		err := f.readOnce(ctx)
+		err := f.readBatch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -96,16 +96,16 @@
 	}
 }
 
-// readOnce reads and applies one batch. If there is no configuration yet it first
+// readBatch reads and applies one batch. If there is no configuration yet it first
 // loads a snapshot.
-func (f *Follower) readOnce(ctx context.Context) error {
+func (f *Follower) readBatch(ctx context.Context) error {
 	if !f.Ready() {
 		if err := f.loadSnapshot(ctx); err != nil {
 			return err
 		}
 	}
 	from := f.revision() + 1
-	wait := settings.Millis(f.set.PollMS)
+	wait := settings.Millis(f.settings.PollMS)
 	if !f.Ready() {
 		wait = 0
 	}
@@ -191,12 +191,12 @@
 	return nil
 }
 
-// EncodeSnapshot returns the revision of the state, and a snapshot of it if that
-// revision is greater than above; nil otherwise.
-func (f *Follower) EncodeSnapshot(above uint64) (uint64, []byte, error) {
+// EncodeSnapshot returns the revision of the state. If it is greater than known, the
+// revision that the receiver already has, it also returns a snapshot of the state.
+func (f *Follower) EncodeSnapshot(known uint64) (uint64, []byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.state.Revision() <= above {
+	if f.state.Revision() <= known {
 		return f.state.Revision(), nil, nil
 	}
 	data, err := f.state.Snapshot()
@@ -210,10 +210,10 @@
 	return f.state.Check(rec)
 }
 
-// Submit appends rec to the log and returns its result once this process has
-// read it back and applied it. LogUnavailable means that rec was not written.
-// LogWriteUnconfirmed, with outcome Unknown, means that rec may have been
-// written but was not read back before ctx was done.
+// Submit appends rec to the log and returns its result once this process has read
+// it back and applied it. Error code LogUnavailable means that rec was not written.
+// LogWriteUnconfirmed, with outcome Unknown, means that rec may have been written
+// but was not read back before ctx was done.
 func (f *Follower) Submit(ctx context.Context, rec resource.Record) (resource.Result, error) {
 	if err := f.Check(rec); err != nil {
 		e := fault.From(err)
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -18,11 +18,11 @@
 	"github.com/merlinpost/merlinpost/internal/settings"
 )
 
-// fakeLog is an in-memory Log with injected failures.
+// fakeLog is an in-memory Log with fault injection.
 type fakeLog struct {
 	streams       map[string][][]byte
 	first         map[string]uint64
-	down          bool
+	unavailable   bool
 	loseResponses bool // appends take effect but their responses are lost
 	afterAppend   func()
 }
@@ -34,7 +34,7 @@
 func (l *fakeLog) firstOffset(stream string) uint64 { return max(1, l.first[stream]) }
 
 func (l *fakeLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
-	if l.down {
+	if l.unavailable {
 		return 0, fault.New(fault.LogUnavailable, "down").WithOutcome(fault.NotRun)
 	}
 	l.streams[stream] = append(l.streams[stream], data)
@@ -48,7 +48,7 @@
 }
 
 func (l *fakeLog) Read(_ context.Context, stream string, from uint64, _ time.Duration) (Batch, error) {
-	if l.down {
+	if l.unavailable {
 		return Batch{}, fault.New(fault.LogUnavailable, "down")
 	}
 	first := l.firstOffset(stream)
@@ -81,50 +81,50 @@
 		Name: name, Base: base, Spec: json.RawMessage(spec)}}}
 }
 
-// Submits conflicting changes through several processes while the log is
-// unavailable, loses responses, and processes restart. Accepted changes must be
-// applied exactly once everywhere, changes rejected as not run nowhere, all
-// processes must converge to the same state, and no revision may decrease.
+// Several processes submit conflicting changes while the log becomes unavailable or
+// loses responses and processes restart. Every process must apply an accepted change
+// exactly once and a change rejected with outcome NotRun never, all processes must
+// converge to the same state, and no revision may decrease.
 func TestWhatIsAcceptedIsInForceEverywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		l := newFakeLog()
 		followers := []*Follower{newTestFollower(l, true), newTestFollower(l, true), newTestFollower(l, false)}
 		ctx := context.Background()
-		done, cancel := context.WithCancel(ctx)
+		expired, cancel := context.WithCancel(ctx) // Submit does not wait
 		cancel()
 		step := func(f *Follower) {
 			before := f.View().Revision
-			f.updateLogStatus(f.readOnce(ctx)) // failures are part of the test
+			f.updateLogStatus(f.readBatch(ctx)) // read errors are injected on purpose
 			g.Expect(f.View().Revision).To(BeNumerically(">=", before))
 		}
-		accepted, refused := map[string]bool{}, map[string]bool{}
-		var late []byte
-		var unsettled *resource.Record
+		accepted, rejected := map[string]bool{}, map[string]bool{}
+		var peerSnapshot []byte
+		var unconfirmed *resource.Record
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			k := rapid.IntRange(0, len(followers)-1).Draw(t, "process")
 			f := followers[k]
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 8: // a possibly stale snapshot from a peer
 				peer := followers[rapid.IntRange(0, len(followers)-1).Draw(t, "peer")]
-				if late == nil || rapid.Bool().Draw(t, "newly encoded") {
-					_, late, _ = peer.EncodeSnapshot(0)
+				if peerSnapshot == nil || rapid.Bool().Draw(t, "newly encoded") {
+					_, peerSnapshot, _ = peer.EncodeSnapshot(0)
 				}
 				before := f.View().Revision
-				if late != nil && f.InstallSnapshot(late) == nil {
+				if peerSnapshot != nil && f.InstallSnapshot(peerSnapshot) == nil {
 					g.Expect(f.View().Revision).To(BeNumerically(">=", before))
 				}
 			case 9: // the operator retries a change whose outcome is unknown
-				if unsettled != nil && f.Ready() {
+				if unconfirmed != nil && f.Ready() {
 					l.afterAppend = func() { step(f) }
-					if _, err := f.Submit(done, *unsettled); err == nil {
-						accepted[unsettled.Operation] = true
-						unsettled = nil
+					if _, err := f.Submit(expired, *unconfirmed); err == nil {
+						accepted[unconfirmed.Operation] = true
+						unconfirmed = nil
 					}
 					l.afterAppend = nil
 				}
 			case 0:
-				l.down = !l.down
+				l.unavailable = !l.unavailable
 			case 1:
 				l.loseResponses = !l.loseResponses
 			case 2: // a restart; if the log is down it gets the state from a peer
@@ -155,20 +155,20 @@
 					l.afterAppend = func() { step(f) }
 				}
 				rec := classRecord(operation, name, base, i%5)
-				_, err := f.Submit(done, rec)
+				_, err := f.Submit(expired, rec)
 				l.afterAppend = nil
 				switch {
 				case err == nil:
 					accepted[operation] = true
 				case fault.From(err).Outcome == fault.NotRun:
-					refused[operation] = true
+					rejected[operation] = true
 				default:
 					g.Expect(fault.Is(err, fault.LogWriteUnconfirmed)).To(BeTrue(), "%v", err)
-					unsettled = &rec
+					unconfirmed = &rec
 				}
 			}
 		}
-		l.down, l.loseResponses = false, false
+		l.unavailable, l.loseResponses = false, false
 		var want string
 		for i, f := range followers {
 			for range 3 {
@@ -186,7 +186,7 @@
 				res, ok := f.View().Operation(op)
 				g.Expect(ok && res.Applied).To(BeTrue(), op)
 			}
-			for op := range refused {
+			for op := range rejected {
 				res, ok := f.View().Operation(op)
 				g.Expect(ok && res.Applied).To(BeFalse(), op)
 			}
@@ -202,29 +202,29 @@
 	l := newFakeLog()
 	ctx := context.Background()
 	router := newTestFollower(l, true)
-	g.Expect(router.readOnce(ctx)).To(Succeed())
+	g.Expect(router.readBatch(ctx)).To(Succeed())
 	base := uint64(0)
 	for i := range 30 {
 		data, err := json.Marshal(classRecord(fmt.Sprint("op", i), "a", base, i%5))
 		g.Expect(err).NotTo(HaveOccurred())
 		base, err = l.Append(ctx, StreamConfig, data)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(router.readOnce(ctx)).To(Succeed())
+		g.Expect(router.readBatch(ctx)).To(Succeed())
 	}
 	g.Expect(l.streams[StreamSnapshots]).NotTo(BeEmpty())
 	g.Expect(len(l.streams[StreamSnapshots])).To(BeNumerically("<=", 8), "snapshots must not be taken too often")
 
 	l.truncate(StreamConfig, 3)
-	g.Expect(router.readOnce(ctx)).To(Succeed()) // detects that records after its snapshot have been truncated
-	newcomer := newTestFollower(l, false)
-	g.Expect(newcomer.readOnce(ctx)).To(Succeed())
-	g.Expect(newcomer.Ready()).To(BeTrue())
-	g.Expect(newcomer.View().Revision).To(Equal(uint64(30)))
+	g.Expect(router.readBatch(ctx)).To(Succeed()) // detects that records after its snapshot have been truncated
+	newProcess := newTestFollower(l, false)
+	g.Expect(newProcess.readBatch(ctx)).To(Succeed())
+	g.Expect(newProcess.Ready()).To(BeTrue())
+	g.Expect(newProcess.View().Revision).To(Equal(uint64(30)))
 
 	delete(l.streams, StreamSnapshots)
-	lost := newTestFollower(l, false)
-	g.Expect(fault.Is(lost.readOnce(ctx), fault.LogTruncated)).To(BeTrue())
-	g.Expect(lost.Ready()).To(BeFalse())
+	withoutSnapshot := newTestFollower(l, false)
+	g.Expect(fault.Is(withoutSnapshot.readBatch(ctx), fault.LogTruncated)).To(BeTrue())
+	g.Expect(withoutSnapshot.Ready()).To(BeFalse())
 }
 
 // A snapshot larger than one record is split and reassembled; corrupt or
@@ -245,11 +245,11 @@
 	}
 	add(splitSnapshot("one", 5, data))
 	g.Expect(a.data).To(Equal(data))
-	add(splitSnapshot("unfinished", 9, data)[:3])
-	broken := splitSnapshot("broken", 8, data)
-	broken[1].Data = append([]byte(nil), broken[1].Data...)
-	broken[1].Data[0]++
-	add(broken)
+	add(splitSnapshot("incomplete", 9, data)[:3])
+	corrupt := splitSnapshot("corrupt", 8, data)
+	corrupt[1].Data = append([]byte(nil), corrupt[1].Data...)
+	corrupt[1].Data[0]++
+	add(corrupt)
 	add(splitSnapshot("older", 4, data[:10]))
 	a.add([]byte("{"))
 	g.Expect(a.revision).To(Equal(uint64(5)))
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -32,7 +32,8 @@
 func ClaimStream(agent string) string { return "claims." + agent }
 
 // ReadAll calls f with every record that is still in a stream. It returns the
-// next offset, and whether the stream has been truncated at its start.
+// offset after the newest record, and whether the oldest records of the stream have
+// been truncated.
 func ReadAll(ctx context.Context, l Log, stream string, f func(Entry)) (next uint64, truncated bool, err error) {
 	for next = 1; ; {
 		batch, err := l.Read(ctx, stream, next, 0)
@@ -74,16 +75,16 @@
 	// have been.
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 	// Read returns the records from an offset on. If there are none it waits
-	// up to wait for one. Error code LogTruncated means that the offset is no
+	// for one, up to the duration wait. Error code LogTruncated means that the offset is no
 	// longer in the stream; First and Next of the Batch are valid nevertheless.
 	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (Batch, error)
 }
 
-// Client implements Log over the log service's HTTP protocol.
+// Client implements Log with the log service's HTTP API.
 type Client struct {
-	base    string
-	timeout time.Duration
-	http    *http.Client
+	streamsURL string
+	timeout    time.Duration
+	http       *http.Client
 }
 
 const (
@@ -93,11 +94,11 @@
 	maxReadDuration = 15 * time.Second
 )
 
-// NewClient returns a Client of the log at an IP address and port. timeout limits
-// an append as a whole, and the time for which a read receives no data, in
-// addition to its wait.
+// NewClient returns a Client of the log at an IP address and port. timeout is the
+// time limit of a whole append. For a read it limits the time without received data,
+// not counting the wait for a new record.
 func NewClient(address string, timeout time.Duration) *Client {
-	return &Client{base: "http://" + address + "/v1/streams/", timeout: timeout,
+	return &Client{streamsURL: "http://" + address + "/v1/streams/", timeout: timeout,
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}}
 }
 
@@ -105,7 +106,7 @@
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	target := c.base + url.PathEscape(stream) + "/records"
+	target := c.streamsURL + url.PathEscape(stream) + "/records"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(data))
 	if err != nil {
 		return 0, fault.New(fault.Internal, "log append: %w", err)
@@ -137,7 +138,7 @@
 // Read implements Log.
 func (c *Client) Read(ctx context.Context, stream string, from uint64, wait time.Duration) (Batch, error) {
 	q := url.Values{"from": {strconv.FormatUint(from, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	target := c.base + url.PathEscape(stream) + "/records?" + q.Encode()
+	target := c.streamsURL + url.PathEscape(stream) + "/records?" + q.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return Batch{}, fault.New(fault.Internal, "log read: %w", err)
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	if a.data == nil {
-		return f.checkNoGap(ctx)
+		return f.checkNotTruncated(ctx)
 	}
 	restored, err := resource.Restore(a.data)
 	if err != nil {
@@ -95,9 +95,9 @@
 	return nil
 }
 
-// checkNoGap returns an error if the record after the current revision has been
-// truncated. Without a snapshot the state could then not be built.
-func (f *Follower) checkNoGap(ctx context.Context) error {
+// checkNotTruncated returns an error if the record after the current revision has
+// been truncated from the log. Without a snapshot the state then can't be built.
+func (f *Follower) checkNotTruncated(ctx context.Context) error {
 	_, err := f.log.Read(ctx, StreamConfig, f.revision()+1, 0)
 	if fault.Is(err, fault.LogTruncated) {
 		return fault.New(fault.LogTruncated, "the records after revision %d have been truncated and the log has no complete snapshot", f.revision())
@@ -105,28 +105,29 @@
 	return err
 }
 
-// maxSnapshotJitter is the largest random delay of a snapshot, as a fraction of
-// the record count or age at which it is due. It makes it likely that one router
-// takes the snapshot and the others find it in the log.
+// maxSnapshotJitter is the maximum random delay of a snapshot, as a fraction of the
+// record count or age at which it is due. The jitter makes it likely that one router
+// writes the snapshot and the others find it in the log.
 const maxSnapshotJitter = 0.5
 
 // takeSnapshotIfDue appends a snapshot if enough records have been applied since
 // the last one, the last one is too old, or records after it have been truncated.
-// It does nothing if another router has taken one in the meantime.
-func (f *Follower) takeSnapshotIfDue(ctx context.Context, first uint64) {
-	if !f.takesSnapshots || !f.snapshotDue(first) {
+// It does nothing if another router has appended one in the meantime. oldest is the
+// oldest offset that is still in the config stream.
+func (f *Follower) takeSnapshotIfDue(ctx context.Context, oldest uint64) {
+	if !f.takesSnapshots || !f.snapshotDue(oldest) {
 		return
 	}
 	if err := f.loadSnapshot(ctx); err != nil { // picks up a snapshot of another router
 		return
 	}
-	if f.snapshotRecentEnough(first) {
+	if f.snapshotRecentEnough(oldest) {
 		return
 	}
 	f.takeSnapshot(ctx)
 }
 
-func (f *Follower) snapshotDue(first uint64) bool {
+func (f *Follower) snapshotDue(oldest uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.snapshotTime.IsZero() {
@@ -137,31 +138,31 @@
 	switch {
 	case since == 0:
 		return false
-	case first > f.snapshotRevision+1: // a new process could not build the state
+	case oldest > f.snapshotRevision+1: // a new process could not build the state
 		return true
-	case float64(since) >= float64(f.set.SnapshotEvery)*jitter:
+	case float64(since) >= float64(f.settings.SnapshotEvery)*jitter:
 		return true
 	}
-	return time.Since(f.snapshotTime) > time.Duration(float64(settings.Millis(f.set.SnapshotAgeMS))*jitter)
+	return time.Since(f.snapshotTime) > time.Duration(float64(settings.Millis(f.settings.SnapshotAgeMS))*jitter)
 }
 
 // snapshotRecentEnough reports whether the newest known snapshot makes another
 // one unnecessary.
-func (f *Follower) snapshotRecentEnough(first uint64) bool {
+func (f *Follower) snapshotRecentEnough(oldest uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	since := f.state.Revision() - min(f.snapshotRevision, f.state.Revision())
-	return f.snapshotRevision+1 >= first && since < uint64(f.set.SnapshotEvery+1)/2 &&
-		time.Since(f.snapshotTime) < settings.Millis(f.set.SnapshotAgeMS)
+	return f.snapshotRevision+1 >= oldest && since < uint64(f.settings.SnapshotEvery+1)/2 &&
+		time.Since(f.snapshotTime) < settings.Millis(f.settings.SnapshotAgeMS)
 }
 
 func (f *Follower) takeSnapshot(ctx context.Context) {
-	at, data, err := f.EncodeSnapshot(0)
+	revision, data, err := f.EncodeSnapshot(0)
 	if err != nil {
 		f.logger.Error("failed to encode snapshot", "error", err)
 		return
 	}
-	for _, chunk := range splitSnapshot(NewID(), at, data) {
+	for _, chunk := range splitSnapshot(NewID(), revision, data) {
 		record, err := json.Marshal(chunk)
 		if err == nil {
 			_, err = f.log.Append(ctx, StreamSnapshots, record)
@@ -173,6 +174,6 @@
 	}
 	telemetry.Count("merlinpost_config_snapshots_total")
 	f.mu.Lock()
-	f.snapshotRevision, f.snapshotTime = max(f.snapshotRevision, at), time.Now()
+	f.snapshotRevision, f.snapshotTime = max(f.snapshotRevision, revision), time.Now()
 	f.mu.Unlock()
 }
