--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,7 +1,7 @@
-// Package adminapi implements the HTTP API of a router for operators, with iris.
-// It holds what the command and query handlers share: authentication, errors and
-// the router. The handlers that change the configuration are in package command,
-// those that only read are in package query.
+// Package adminapi implements the HTTP API of a router for operators, based on the
+// iris framework. It provides what all handlers share: authentication, error
+// responses and the routing of requests. The handlers that change the configuration
+// are in package command, the read-only ones in package query.
 package adminapi
 
 import (
@@ -19,17 +19,18 @@
 	"github.com/merlinpost/merlinpost/internal/settings"
 )
 
-// Handler registers routes. The command and query packages each provide one.
+// Handler registers routes below /v1. It is implemented by command.Handlers and
+// query.Handlers.
 type Handler interface{ Register(api iris.Party) }
 
 const actorContextKey = "actor"
 
-// New returns the operator API. open registers the routes that need no key.
-func New(keys []settings.OperatorKey, open func(app *iris.Application), handlers ...Handler) (http.Handler, error) {
+// New returns the operator API. registerPublic registers the routes that need no key.
+func New(keys []settings.OperatorKey, registerPublic func(app *iris.Application), handlers ...Handler) (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
 	app.Configure(iris.WithoutStartupLog, iris.WithoutBodyConsumptionOnUnmarshal, iris.WithPathEscape)
-	open(app)
+	registerPublic(app)
 	api := app.Party("/v1", authenticate(keys))
 	for _, h := range handlers {
 		h.Register(api)
@@ -45,7 +46,8 @@
 	return app, nil
 }
 
-// authenticate accepts only the keys of operators, not those of teams.
+// authenticate requires a bearer token that is the key of an operator. Keys of teams
+// are not accepted.
 func authenticate(keys []settings.OperatorKey) iris.Handler {
 	return func(ctx iris.Context) {
 		key, _ := strings.CutPrefix(ctx.GetHeader("Authorization"), "Bearer ")
@@ -63,7 +65,7 @@
 	}
 }
 
-// Actor returns the name of the operator.
+// Actor returns the name of the authenticated operator.
 func Actor(ctx iris.Context) string { return ctx.Values().GetString(actorContextKey) }
 
 // ErrorBody is the JSON form of an error in the operator API.
@@ -78,7 +80,8 @@
 // WriteError writes err as the response.
 func WriteError(ctx iris.Context, err error) { WriteOperationError(ctx, err, "") }
 
-// WriteOperationError writes the error of an operation as the response.
+// WriteOperationError writes err as the response, with the ID of the operation that
+// failed.
 func WriteOperationError(ctx iris.Context, err error, operation string) {
 	e := fault.From(err)
 	if s := e.RetrySeconds(); s > 0 {
@@ -88,7 +91,7 @@
 	_ = ctx.JSON(ErrorBody{e.Code, e.Outcome, e.Field, e.Message, operation}) // an error means that the client has disconnected
 }
 
-// RefFromPath returns the resource given by the path parameters of a request.
+// RefFromPath returns the reference given by the path parameters kind and name.
 func RefFromPath(ctx iris.Context) (resource.Ref, error) {
 	kind, err := resource.ParseKind(ctx.Params().Get("kind"))
 	return resource.Ref{Kind: kind, Name: ctx.Params().Get("name")}, err
@@ -97,8 +100,8 @@
 // ETag formats a revision as an entity tag.
 func ETag(revision uint64) string { return `"` + strconv.FormatUint(revision, 10) + `"` }
 
-// ParseETag parses an entity tag or a plain number as a revision. field is the
-// name of the header or parameter for errors.
+// ParseETag parses a revision, given as an entity tag or a plain number. field is the
+// name of the header or parameter, for errors.
 func ParseETag(field, tag string) (uint64, error) {
 	revision, err := strconv.ParseUint(strings.Trim(strings.TrimPrefix(tag, "W/"), `"`), 10, 64)
 	if err != nil {
