--- a/internal/adminapi/command/command.go
+++ b/internal/adminapi/command/command.go
@@ -1,6 +1,6 @@
 // Package command implements the handlers of the operator API that change the
-// configuration. A change is reported as accepted only after this router has
-// read it back from the log.
+// configuration. A change is reported as accepted only after this router has read it
+// back from the log and applied it.
 package command
 
 import (
@@ -22,9 +22,9 @@
 	// submitTimeout limits the wait for a change to be read back from the log.
 	submitTimeout = 5 * time.Second
 	maxBodyBytes  = 1 << 20
-	// HeaderOperation is the header with the client's ID for an operation. With
-	// it a client that got no response can query the result, or retry without
-	// the change being applied twice.
+	// HeaderOperation is the request header with an operation ID chosen by the
+	// client. A client that got no response can query the result by this ID, or
+	// retry with it without the change being applied twice.
 	HeaderOperation = "Merlinpost-Operation"
 )
 
@@ -45,7 +45,7 @@
 	api.Put("/{kind:string}/{name:string}", h.put)
 	api.Delete("/{kind:string}/{name:string}", h.delete)
 	api.Post("/{kind:string}/{name:string}/withdraw", h.withdraw)
-	api.Post("/changes", h.changes)
+	api.Post("/changes", h.applyChangeSet)
 }
 
 // Accepted is the response to a change that this router has applied.
@@ -70,7 +70,7 @@
 		adminapi.WriteError(ctx, err)
 		return
 	}
-	h.change(ctx, resource.Change{Verb: resource.Put, Kind: ref.Kind, Name: ref.Name, Spec: spec})
+	h.changeResource(ctx, resource.Change{Verb: resource.Put, Kind: ref.Kind, Name: ref.Name, Spec: spec})
 }
 
 func (h *Handlers) delete(ctx iris.Context) {
@@ -79,12 +79,12 @@
 		adminapi.WriteError(ctx, err)
 		return
 	}
-	h.change(ctx, resource.Change{Verb: resource.Delete, Kind: ref.Kind, Name: ref.Name})
+	h.changeResource(ctx, resource.Change{Verb: resource.Delete, Kind: ref.Kind, Name: ref.Name})
 }
 
-// change submits a change of one resource, based on the revision in If-Match or
-// else on this router's current one.
-func (h *Handlers) change(ctx iris.Context, c resource.Change) {
+// changeResource submits a change of one resource. It is based on the revision in the
+// If-Match header or, without one, on the revision known to this router.
+func (h *Handlers) changeResource(ctx iris.Context, c resource.Change) {
 	base, err := h.baseRevision(ctx, resource.Ref{Kind: c.Kind, Name: c.Name})
 	if err != nil {
 		adminapi.WriteError(ctx, err)
@@ -111,7 +111,7 @@
 	return 0
 }
 
-// withdraw reverts a resource to an earlier version by means of a new change.
+// withdraw reverts a resource to an earlier version by submitting a new change.
 func (h *Handlers) withdraw(ctx iris.Context) {
 	ref, err := adminapi.RefFromPath(ctx)
 	if err != nil {
@@ -132,11 +132,11 @@
 	if spec == nil {
 		c.Verb = resource.Delete
 	}
-	h.change(ctx, c)
+	h.changeResource(ctx, c)
 }
 
-// previousSpec returns the spec at revision to, or if that is empty the one
-// before the latest. It is nil if the resource did not exist or was deleted then.
+// previousSpec returns the spec at revision to or, if to is empty, the one before the
+// latest. It is nil if the resource did not exist or was deleted at that revision.
 func previousSpec(r *resource.Resource, to string) (json.RawMessage, error) {
 	if to == "" {
 		if len(r.Versions) == 1 {
@@ -153,17 +153,17 @@
 			return v.Spec, nil
 		}
 	}
-	return nil, fault.New(fault.NotFound, "revision %d is not in the kept history of this resource", revision).WithField("to")
+	return nil, fault.New(fault.NotFound, "revision %d is not in the retained history of this resource", revision).WithField("to")
 }
 
 // ChangeSet is the body of POST /v1/changes: a set of changes applied atomically.
-// A change without base is based on this router's current revision.
+// A change without base is based on the resource's revision known to this router.
 type ChangeSet struct {
 	DryRun  bool               `json:"dry_run"`
 	Changes []ChangeSetElement `json:"changes"`
 }
 
-// ChangeSetElement is one change of a set.
+// ChangeSetElement is one change of a ChangeSet.
 type ChangeSetElement struct {
 	Verb resource.Verb   `json:"verb"`
 	Kind resource.Kind   `json:"kind"`
@@ -172,7 +172,7 @@
 	Spec json.RawMessage `json:"spec,omitempty"`
 }
 
-func (h *Handlers) changes(ctx iris.Context) {
+func (h *Handlers) applyChangeSet(ctx iris.Context) {
 	data, err := readBody(ctx)
 	if err != nil {
 		adminapi.WriteError(ctx, err)
@@ -195,8 +195,8 @@
 	h.submit(ctx, changes, set.DryRun)
 }
 
-// submit appends the changes to the log as one record and responds when it has
-// been applied, was rejected or the wait for it has timed out.
+// submit appends the changes to the log as one record. It responds when the record has
+// been applied or rejected, or after submitTimeout.
 func (h *Handlers) submit(ctx iris.Context, changes []resource.Change, dryRun bool) {
 	if !h.config.Ready() {
 		adminapi.WriteError(ctx, fault.New(fault.NotReady, "this router has no configuration yet").WithOutcome(fault.NotRun).WithRetryAfter(time.Second))
