--- a/internal/adminapi/query/query.go
+++ b/internal/adminapi/query/query.go
@@ -1,5 +1,6 @@
-// Package query implements the read-only handlers of the operator API: resources,
-// their history, operations, and the configuration revision of each process.
+// Package query implements the read-only handlers of the operator API. They return
+// resources and their history, the results of operations, and the status of each
+// process with its configuration revision.
 package query
 
 import (
@@ -30,7 +31,7 @@
 // Register implements adminapi.Handler.
 func (h *Handlers) Register(api iris.Party) {
 	api.Get("/status", h.getStatus)
-	api.Get("/operations/{id:string}", h.operation)
+	api.Get("/operations/{id:string}", h.getOperation)
 	api.Get("/{kind:string}", h.list)
 	api.Get("/{kind:string}/{name:string}", h.get)
 	api.Get("/{kind:string}/{name:string}/history", h.history)
@@ -68,7 +69,7 @@
 // disconnected, so it is ignored.
 func writeJSON(ctx iris.Context, v any) { _ = ctx.JSON(v) }
 
-func (h *Handlers) operation(ctx iris.Context) {
+func (h *Handlers) getOperation(ctx iris.Context) {
 	res, ok := h.config.View().Operation(ctx.Params().Get("id"))
 	if !ok {
 		adminapi.WriteError(ctx, fault.New(fault.NotFound, "unknown operation: it is not in the log, has not been read from it yet, or its result is no longer kept").WithField("id"))
@@ -132,17 +133,18 @@
 	return fault.New(fault.NotFound, "there is no %s %q", ref.Kind, ref.Name)
 }
 
-// keepAliveInterval is how often a watch without changes sends an empty line.
+// keepAliveInterval is the interval at which a watch without changes sends an empty
+// line.
 const keepAliveInterval = 15 * time.Second
 
-// watch streams the resources of a kind as newline-delimited JSON: first all that
-// exist, then each one that changes.
+// watch streams the resources of a kind as newline-delimited JSON: first all existing
+// ones, then each resource that is changed or deleted.
 func (h *Handlers) watch(ctx iris.Context, kind resource.Kind) {
 	ctx.ContentType("application/x-ndjson")
-	seen := map[string]uint64{}
+	sent := map[string]uint64{} // resource name -> last revision sent
 	for {
 		changed := h.config.Changed()
-		if !h.sendChanges(ctx, kind, seen) {
+		if !h.sendChanges(ctx, kind, sent) {
 			return
 		}
 		select {
@@ -157,13 +159,15 @@
 	}
 }
 
-func (h *Handlers) sendChanges(ctx iris.Context, kind resource.Kind, seen map[string]uint64) bool {
+// sendChanges writes the resources whose revision differs from the last one sent. It
+// returns false if the stream has failed.
+func (h *Handlers) sendChanges(ctx iris.Context, kind resource.Kind, sent map[string]uint64) bool {
 	for _, r := range h.config.View().ListWithDeleted(kind) {
 		revision := r.Latest().Revision
-		if seen[r.Name] == revision || (seen[r.Name] == 0 && r.Deleted()) {
+		if sent[r.Name] == revision || (sent[r.Name] == 0 && r.Deleted()) {
 			continue
 		}
-		seen[r.Name] = revision
+		sent[r.Name] = revision
 		line, err := json.Marshal(newResource(r))
 		if err != nil {
 			return false
