--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -1,7 +1,6 @@
 // Package callerapi implements the HTTP API of a router for callers: chat
-// completions, completions, the list of models and service calls. Completions
-// and models use the OpenAI-compatible format that common client libraries
-// support.
+// completions, completions, the list of models and service calls. Completions and
+// the list of models are OpenAI-compatible, so that common client libraries work.
 package callerapi
 
 import (
@@ -24,80 +23,86 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// Headers of the API that are not part of the OpenAI-compatible format.
+// Headers of the API that the OpenAI-compatible format does not define.
 const (
-	HeaderClass          = "Merlinpost-Class"
-	HeaderRequestID      = "Merlinpost-Request-Id"
-	HeaderServed         = "Merlinpost-Served"
-	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderClass          = "Merlinpost-Class"      // request: name of the class
+	HeaderRequestID      = "Merlinpost-Request-Id" // response: ID of the request
+	HeaderServed         = "Merlinpost-Served"     // response: model@version
+	HeaderIdempotencyKey = "Idempotency-Key"       // request: required for calls that must not be repeated
 )
 
 const maxIdempotencyKeyBytes = 256
 
 // Backend runs requests. It is implemented by *router.Router.
 type Backend interface {
+	// Do runs a request to completion and passes each chunk of the response to
+	// deliver, whose error means that the caller has disconnected.
 	Do(ctx context.Context, req *router.Request, deliver func([]byte) error) (*wire.End, *fault.Error)
+	// Admit checks a request against the limits of its team. The returned function
+	// must be called when the request has ended.
 	Admit(ctx context.Context, team string, t *resource.Team) (func(), *fault.Error)
+	// Serves reports whether a reachable agent of the pool has the target loaded.
 	Serves(pool, target string) bool
+	// Ready reports whether the router has a configuration and is not draining.
 	Ready() bool
 }
 
 // API handles the requests of callers.
 type API struct {
-	backend Backend
-	view    func() *resource.View
-	set     settings.Callers
-	logger  *slog.Logger
+	backend  Backend
+	view     func() *resource.View
+	settings settings.Callers
+	logger   *slog.Logger
 }
 
 // New returns an API that runs requests on backend; view returns the current
 // configuration.
 func New(backend Backend, view func() *resource.View, set settings.Callers, logger *slog.Logger) *API {
-	return &API{backend: backend, view: view, set: set, logger: logger}
+	return &API{backend: backend, view: view, settings: set, logger: logger}
 }
 
-// Handler returns the API's routes.
+// Handler returns the HTTP handler with the API's routes.
 func (a *API) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", a.serve(a.chat))
+	mux.HandleFunc("POST /v1/chat/completions", a.serve(a.chatCompletion))
 	mux.HandleFunc("POST /v1/completions", a.serve(a.completion))
-	mux.HandleFunc("POST /v1/services/{service}", a.serve(a.service))
-	mux.HandleFunc("GET /v1/models", a.serve(a.models))
+	mux.HandleFunc("POST /v1/services/{service}", a.serve(a.callService))
+	mux.HandleFunc("GET /v1/models", a.serve(a.listModels))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	mux.HandleFunc("GET /readyz", a.ready)
+	mux.HandleFunc("GET /readyz", a.readiness)
 	mux.HandleFunc("/", a.serve(func(*exchange) *fault.Error {
 		return fault.New(fault.NotFound, "no such path").WithOutcome(fault.NotRun)
 	}))
 	return mux
 }
 
-func (a *API) ready(w http.ResponseWriter, _ *http.Request) {
+func (a *API) readiness(w http.ResponseWriter, _ *http.Request) {
 	if !a.backend.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// exchange is the state of one HTTP request and its response.
+// exchange holds one HTTP request and the state of its response.
 type exchange struct {
-	api   *API
-	w     http.ResponseWriter
-	r     *http.Request
-	id    string
-	start time.Time
-	view  *resource.View
+	api       *API
+	w         http.ResponseWriter
+	r         *http.Request
+	id        string
+	startTime time.Time
+	view      *resource.View
 
 	teamName      string
 	team          *resource.Team
 	className     string
 	class         *resource.Class
-	streamStarted bool // errors are sent as stream events from now on
-	observation   *telemetry.Observation
+	streamStarted bool                   // errors must be sent as stream events
+	observation   *telemetry.Observation // nil until the request is known to be valid
 }
 
 // serve authenticates the caller, runs the handler and writes its error, if any.
 func (a *API) serve(h func(*exchange) *fault.Error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		x := &exchange{api: a, w: w, r: r, id: configlog.NewID(), start: time.Now(), view: a.view()}
+		x := &exchange{api: a, w: w, r: r, id: configlog.NewID(), startTime: time.Now(), view: a.view()}
 		w.Header().Set(HeaderRequestID, x.id)
 		e := x.authenticate()
 		if e == nil {
@@ -110,8 +115,8 @@
 	}
 }
 
-// authenticate finds the team by its API key, and the class by the header or the
-// team's default.
+// authenticate sets the team by the API key and the class by the header, or else the
+// team's default class. It fails if the team may not use the class.
 func (x *exchange) authenticate() *fault.Error {
 	if x.view.Revision == 0 && !x.api.backend.Ready() {
 		return fault.New(fault.NotReady, "this router has no configuration yet").WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
@@ -138,14 +143,14 @@
 	return nil
 }
 
-// readBody reads the request body, subject to the limits on its size and time.
+// readBody reads the request body. It enforces MaxBodyBytes and BodyTimeoutMS.
 func (x *exchange) readBody() ([]byte, *fault.Error) {
 	control := http.NewResponseController(x.w)
-	_ = control.SetReadDeadline(time.Now().Add(settings.Millis(x.api.set.BodyTimeoutMS))) // fails only for test recorders
-	data, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, x.api.set.MaxBodyBytes))
+	_ = control.SetReadDeadline(time.Now().Add(settings.Millis(x.api.settings.BodyTimeoutMS))) // fails only for test recorders
+	data, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, x.api.settings.MaxBodyBytes))
 	if err != nil {
 		if strings.Contains(err.Error(), "too large") {
-			return nil, fault.New(fault.TooLarge, "the request body exceeds %d bytes", x.api.set.MaxBodyBytes).WithField("body").WithOutcome(fault.NotRun)
+			return nil, fault.New(fault.TooLarge, "the request body exceeds %d bytes", x.api.settings.MaxBodyBytes).WithField("body").WithOutcome(fault.NotRun)
 		}
 		return nil, fault.New(fault.BadRequest, "read request body: %w", err).WithField("body").WithOutcome(fault.NotRun)
 	}
@@ -153,7 +158,7 @@
 	return data, nil
 }
 
-// errorBody is an OpenAI-compatible error with the outcome added.
+// errorBody is an OpenAI-compatible error response, extended by the outcome.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -174,8 +179,8 @@
 	return errorBody{errorDetail{e.Message, kind, e.Field, string(e.Code), string(e.Outcome)}}
 }
 
-// writeError writes the error as the response, or as an event if the response
-// stream has started.
+// writeError writes the error as the response, or as a stream event if the response
+// is a stream that has started.
 func (x *exchange) writeError(e *fault.Error) {
 	data, err := json.Marshal(newErrorBody(e))
 	if err != nil {
@@ -193,9 +198,9 @@
 	_, _ = x.w.Write(data) // an error means that the caller has disconnected
 }
 
-// retryAfterSeconds returns the value of the Retry-After header; 0 means none. If
-// a request was not run for lack of capacity or of a server and no better
-// estimate is known, it is 1.
+// retryAfterSeconds returns the value of the Retry-After header; 0 means that the
+// header is omitted. The default for a request that was not run because of a limit
+// or a server-side failure is 1.
 func retryAfterSeconds(e *fault.Error) int {
 	s := e.RetrySeconds()
 	status := e.HTTPStatus()
@@ -219,14 +224,15 @@
 	}
 }
 
-// startObservation starts the metrics of a valid request.
+// startObservation starts recording the metrics of a valid request. Requests that
+// fail before are only counted as rejected.
 func (x *exchange) startObservation() {
 	c := x.class
-	x.observation = telemetry.RequestMetricsFor(x.teamName, x.className).Observe(x.start, telemetry.LatencyTargets{
+	x.observation = telemetry.RequestMetricsFor(x.teamName, x.className).Observe(x.startTime, telemetry.LatencyTargets{
 		FirstToken: settings.Millis(c.FirstTokenMS), BetweenTokens: settings.Millis(c.BetweenTokensMS), Total: settings.Millis(c.TotalMS)})
 }
 
-// modelEntry is an entry of the OpenAI-compatible list of models.
+// modelEntry is one model in the OpenAI-compatible list of models.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -234,7 +240,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-func (a *API) models(x *exchange) *fault.Error {
+func (a *API) listModels(x *exchange) *fault.Error {
 	out := struct {
 		Object string       `json:"object"`
 		Data   []modelEntry `json:"data"`
--- a/internal/callerapi/api_test.go
+++ b/internal/callerapi/api_test.go
@@ -20,16 +20,16 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// fakeBackend is a Backend that records the request and returns a fixed response.
+// fakeBackend records the request and returns a fixed response.
 type fakeBackend struct {
-	got    *router.Request
-	chunks []string
-	end    *wire.End
-	err    *fault.Error
+	request *router.Request
+	chunks  []string
+	end     *wire.End
+	err     *fault.Error
 }
 
 func (b *fakeBackend) Do(_ context.Context, req *router.Request, deliver func([]byte) error) (*wire.End, *fault.Error) {
-	b.got = req
+	b.request = req
 	for _, c := range b.chunks {
 		if deliver([]byte(c)) != nil {
 			return nil, fault.New(fault.Cancelled, "caller disconnected").WithOutcome(fault.Partial)
@@ -46,7 +46,7 @@
 
 func (b *fakeBackend) Ready() bool { return true }
 
-func view(t *testing.T) *resource.View {
+func testView(t *testing.T) *resource.View {
 	f := resource.NewState()
 	put := func(kind resource.Kind, name, spec string) resource.Change {
 		return resource.Change{Verb: resource.Put, Kind: kind, Name: name, Spec: json.RawMessage(spec)}
@@ -73,7 +73,7 @@
 func serve(t *testing.T, b *fakeBackend, path, body string, header map[string]string) *httptest.ResponseRecorder {
 	set := settings.DefaultRouter().Callers
 	set.MaxBodyBytes = 2048
-	v := view(t)
+	v := testView(t)
 	api := New(b, func() *resource.View { return v }, set, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	req := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer key")
@@ -85,7 +85,7 @@
 	return w
 }
 
-const goodChat = `{"model":"m","messages":[{"role":"user","content":"x"}]}`
+const validChatBody = `{"model":"m","messages":[{"role":"user","content":"x"}]}`
 
 func TestInvalidInputNamesField(t *testing.T) {
 	const chat = "/v1/chat/completions"
@@ -96,12 +96,12 @@
 		code       fault.Code
 		field      string
 	}{
-		"no key":            {chat, goodChat, map[string]string{"Authorization": ""}, 401, fault.Unauthorized, "Authorization"},
-		"unknown key":       {chat, goodChat, map[string]string{"Authorization": "Bearer no"}, 401, fault.Unauthorized, "Authorization"},
-		"unknown class":     {chat, goodChat, map[string]string{HeaderClass: "no"}, 400, fault.UnknownClass, HeaderClass},
-		"class not allowed": {chat, goodChat, map[string]string{HeaderClass: "other"}, 403, fault.Forbidden, HeaderClass},
+		"no key":            {chat, validChatBody, map[string]string{"Authorization": ""}, 401, fault.Unauthorized, "Authorization"},
+		"unknown key":       {chat, validChatBody, map[string]string{"Authorization": "Bearer no"}, 401, fault.Unauthorized, "Authorization"},
+		"unknown class":     {chat, validChatBody, map[string]string{HeaderClass: "no"}, 400, fault.UnknownClass, HeaderClass},
+		"class not allowed": {chat, validChatBody, map[string]string{HeaderClass: "other"}, 403, fault.Forbidden, HeaderClass},
 		"not JSON":          {chat, "{", nil, 400, fault.BadRequest, "body"},
-		"ill-typed":         {chat, `{"model":7}`, nil, 400, fault.BadRequest, "model"},
+		"wrong type":        {chat, `{"model":7}`, nil, 400, fault.BadRequest, "model"},
 		"oversize":          {chat, `{"model":"` + strings.Repeat("x", 4096) + `"}`, nil, 413, fault.TooLarge, "body"},
 		"no model":          {chat, `{"messages":[]}`, nil, 400, fault.BadRequest, "model"},
 		"unknown model":     {chat, `{"model":"no","messages":[]}`, nil, 404, fault.UnknownModel, "model"},
@@ -125,20 +125,20 @@
 			g.Expect(got.Error.Code).To(Equal(string(c.code)))
 			g.Expect(got.Error.Param).To(Equal(c.field))
 			g.Expect(got.Error.Outcome).To(Equal(string(fault.NotRun)))
-			g.Expect(b.got).To(BeNil(), "the request must not reach the backend")
+			g.Expect(b.request).To(BeNil(), "the request must not reach the backend")
 		})
 	}
 }
 
 func TestRejectionSetsRetryAfter(t *testing.T) {
 	g := NewWithT(t)
-	w := serve(t, &fakeBackend{err: fault.New(fault.QueueFull, "full").WithOutcome(fault.NotRun).WithRetryAfter(1500 * time.Millisecond)}, "/v1/chat/completions", goodChat, nil)
+	w := serve(t, &fakeBackend{err: fault.New(fault.QueueFull, "full").WithOutcome(fault.NotRun).WithRetryAfter(1500 * time.Millisecond)}, "/v1/chat/completions", validChatBody, nil)
 	g.Expect(w.Code).To(Equal(http.StatusTooManyRequests))
 	g.Expect(w.Header().Get("Retry-After")).To(Equal("2"))
 	g.Expect(w.Header().Get(HeaderRequestID)).NotTo(BeEmpty())
-	w = serve(t, &fakeBackend{err: fault.New(fault.Draining, "leaving").WithOutcome(fault.NotRun)}, "/v1/chat/completions", goodChat, nil)
+	w = serve(t, &fakeBackend{err: fault.New(fault.Draining, "leaving").WithOutcome(fault.NotRun)}, "/v1/chat/completions", validChatBody, nil)
 	g.Expect(w.Header().Get("Retry-After")).To(Equal("1"), "the default if the error has no retry time")
-	w = serve(t, &fakeBackend{err: fault.New(fault.EngineFailed, "gone").WithOutcome(fault.Unknown)}, "/v1/chat/completions", goodChat, nil)
+	w = serve(t, &fakeBackend{err: fault.New(fault.EngineFailed, "gone").WithOutcome(fault.Unknown)}, "/v1/chat/completions", validChatBody, nil)
 	g.Expect(w.Header().Get("Retry-After")).To(BeEmpty(), "no Retry-After if the request may have run")
 }
 
@@ -153,15 +153,15 @@
 func TestRequestHasClassAndTokenLimit(t *testing.T) {
 	g := NewWithT(t)
 	b := &fakeBackend{chunks: []string{"hi"}, end: &wire.End{FinishReason: "stop", PromptTokens: 3, OutputTokens: 1}}
-	w := serve(t, b, "/v1/chat/completions", goodChat, nil)
+	w := serve(t, b, "/v1/chat/completions", validChatBody, nil)
 	g.Expect(w.Code).To(Equal(http.StatusOK))
 	g.Expect(w.Body.String()).To(ContainSubstring(`"content":"hi"`))
-	g.Expect(b.got.Target).To(Equal("m@base"))
-	g.Expect(b.got.ClassName).To(Equal("top"))
-	g.Expect(string(b.got.Body)).To(ContainSubstring(`"max_tokens":50`))
+	g.Expect(b.request.Target).To(Equal("m@base"))
+	g.Expect(b.request.ClassName).To(Equal("top"))
+	g.Expect(string(b.request.Body)).To(ContainSubstring(`"max_tokens":50`))
 	b = &fakeBackend{chunks: []string{"ok"}, end: &wire.End{Status: 201, ContentType: "text/plain"}}
 	w = serve(t, b, "/v1/services/receipts", "x", map[string]string{HeaderIdempotencyKey: "k"})
 	g.Expect(w.Code).To(Equal(201))
-	g.Expect(b.got.IdempotencyKey).To(Equal("receipts\x00t\x00k"))
-	g.Expect(b.got.MayRepeat).To(BeFalse())
+	g.Expect(b.request.IdempotencyKey).To(Equal("receipts\x00t\x00k"))
+	g.Expect(b.request.MayRepeat).To(BeFalse())
 }
--- a/internal/callerapi/completion.go
+++ b/internal/callerapi/completion.go
@@ -16,7 +16,7 @@
 )
 
 // completionRequest holds the fields of a completion request that the router
-// interprets. The others are passed through to the engine.
+// interprets. All other fields are passed through to the engine.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
@@ -35,19 +35,19 @@
 	Echo      bool            `json:"echo"`
 }
 
-// maxPrefixBytes is the maximum length of the prompt prefix by which the backend
-// servers that cache it are chosen.
+// maxPrefixBytes is the maximum length of the prompt prefix used for prefix-affinity
+// routing to backend servers that have the prefix in their cache.
 const maxPrefixBytes = 512
 
-func (a *API) chat(x *exchange) *fault.Error {
-	return x.complete(&format{chat: true, endpoint: "/v1/chat/completions"})
+func (a *API) chatCompletion(x *exchange) *fault.Error {
+	return x.runCompletion(&responseFormat{chat: true, endpoint: "/v1/chat/completions"})
 }
 
 func (a *API) completion(x *exchange) *fault.Error {
-	return x.complete(&format{endpoint: "/v1/completions"})
+	return x.runCompletion(&responseFormat{endpoint: "/v1/completions"})
 }
 
-func (x *exchange) complete(f *format) *fault.Error {
+func (x *exchange) runCompletion(f *responseFormat) *fault.Error {
 	data, e := x.readBody()
 	if e != nil {
 		return e
@@ -73,15 +73,15 @@
 	if version != resource.BaseVersion && !x.api.backend.Serves(model.Pool, in.Model+"@"+version) {
 		version = resource.BaseVersion // no reachable agent has the version loaded
 	}
-	f.id, f.model, f.created, f.includeUsage = x.id, in.Model, x.start.Unix(), in.StreamOptions.IncludeUsage
+	f.id, f.model, f.created, f.includeUsage = x.id, in.Model, x.startTime.Unix(), in.StreamOptions.IncludeUsage
 	x.w.Header().Set(HeaderServed, in.Model+"@"+version)
 	req := &router.Request{ID: x.id, Kind: wire.KindGenerate, Endpoint: f.endpoint, Team: x.teamName, ClassName: x.className,
 		Class: x.class, Pool: model.Pool, Target: in.Model + "@" + version, MayRepeat: true, Resumable: true,
 		MaxTokens: in.tokenLimit(x.class), Prefix: in.promptPrefix(), ContentType: "application/json", Body: withTokenLimit(data, &in, x.class)}
 	if in.Stream {
-		return x.stream(f, req)
+		return x.streamResponse(f, req)
 	}
-	return x.respond(f, req)
+	return x.writeResponse(f, req)
 }
 
 func decodeError(err error) *fault.Error {
@@ -92,19 +92,19 @@
 	return e
 }
 
-// isSet reports whether a field has a value other than null, false or an empty array.
+// isSet reports whether a field has a value other than null, false and an empty array.
 func isSet(raw json.RawMessage) bool {
 	return len(raw) > 0 && !bytes.Equal(raw, []byte("null")) && !bytes.Equal(raw, []byte("false")) && !bytes.Equal(raw, []byte("[]"))
 }
 
-// validate checks the fields. It rejects requests whose response the router can't
-// relay completely: those for several choices, or for anything but text.
+// validate checks the fields. It rejects requests for several choices or for anything
+// but text, because the router could not relay the whole response.
 func (in *completionRequest) validate(chat bool, class *resource.Class) *fault.Error {
 	unsupported := map[string]bool{"n": in.N != nil && *in.N != 1, "best_of": in.BestOf != nil && *in.BestOf != 1,
 		"tools": isSet(in.Tools), "functions": isSet(in.Functions), "logprobs": isSet(in.Logprobs), "echo": in.Echo}
 	for _, field := range []string{"n", "best_of", "tools", "functions", "logprobs", "echo"} {
 		if unsupported[field] {
-			return fault.New(fault.UnsupportedField, "this field is not supported").WithField(field).WithOutcome(fault.NotRun)
+			return fault.New(fault.UnsupportedField, "field is not supported").WithField(field).WithOutcome(fault.NotRun)
 		}
 	}
 	if in.Model == "" {
@@ -125,7 +125,8 @@
 	return nil
 }
 
-// tokenLimit returns the maximum number of tokens in the response.
+// tokenLimit returns the maximum number of tokens in the response: that of the
+// request or else that of the class.
 func (in *completionRequest) tokenLimit(class *resource.Class) int {
 	switch {
 	case in.MaxCompletionTokens != nil:
@@ -136,7 +137,8 @@
 	return class.MaxTokens
 }
 
-// withTokenLimit adds the token limit of the class to a body that sets none.
+// withTokenLimit returns the request body with the token limit of the class added if
+// the request sets none.
 func withTokenLimit(data []byte, in *completionRequest, class *resource.Class) []byte {
 	if in.MaxTokens != nil || in.MaxCompletionTokens != nil {
 		return data
@@ -157,6 +159,8 @@
 	return out
 }
 
+// promptPrefix returns the beginning of the JSON-encoded messages or prompt, at most
+// maxPrefixBytes.
 func (in *completionRequest) promptPrefix() string {
 	text := in.Messages
 	if len(text) == 0 {
@@ -165,8 +169,8 @@
 	return string(text[:min(len(text), maxPrefixBytes)])
 }
 
-// stream relays the response as server-sent events, one per chunk.
-func (x *exchange) stream(f *format, req *router.Request) *fault.Error {
+// streamResponse relays the response as server-sent events, one per chunk.
+func (x *exchange) streamResponse(f *responseFormat, req *router.Request) *fault.Error {
 	deliver := func(data []byte) error {
 		if !x.streamStarted {
 			x.startStream(f)
@@ -189,7 +193,7 @@
 	return nil
 }
 
-func (x *exchange) startStream(f *format) {
+func (x *exchange) startStream(f *responseFormat) {
 	x.streamStarted = true
 	x.w.Header().Set("Content-Type", "text/event-stream")
 	x.w.Header().Set("Cache-Control", "no-cache")
@@ -203,7 +207,7 @@
 // caller has disconnected or reads nothing for the stall timeout.
 func (x *exchange) writeEvent(data []byte) error {
 	control := http.NewResponseController(x.w)
-	_ = control.SetWriteDeadline(time.Now().Add(settings.Millis(x.api.set.StallTimeoutMS))) // fails only for test recorders
+	_ = control.SetWriteDeadline(time.Now().Add(settings.Millis(x.api.settings.StallTimeoutMS))) // fails only for test recorders
 	buf := make([]byte, 0, len(data)+8)
 	buf = append(buf, "data: "...)
 	buf = append(buf, data...)
@@ -214,8 +218,8 @@
 	return control.Flush()
 }
 
-// respond collects the response and writes it as one JSON object.
-func (x *exchange) respond(f *format, req *router.Request) *fault.Error {
+// writeResponse collects the response and writes it as one JSON object.
+func (x *exchange) writeResponse(f *responseFormat, req *router.Request) *fault.Error {
 	var text strings.Builder
 	end, e := x.api.backend.Do(x.r.Context(), req, func(data []byte) error {
 		x.observation.Token(time.Now())
--- a/internal/callerapi/format.go
+++ b/internal/callerapi/format.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// format encodes responses in the OpenAI-compatible format of one endpoint.
-type format struct {
+// responseFormat encodes responses in the OpenAI-compatible format of one endpoint.
+type responseFormat struct {
 	chat         bool
 	endpoint     string
 	id           string
@@ -13,9 +13,9 @@
 }
 
 type usage struct {
-	Prompt     int `json:"prompt_tokens"`
-	Completion int `json:"completion_tokens"`
-	Total      int `json:"total_tokens"`
+	PromptTokens     int `json:"prompt_tokens"`
+	CompletionTokens int `json:"completion_tokens"`
+	TotalTokens      int `json:"total_tokens"`
 }
 
 type message struct {
@@ -24,14 +24,14 @@
 }
 
 type choice struct {
-	Index   int      `json:"index"`
-	Delta   *message `json:"delta,omitempty"`
-	Message *message `json:"message,omitempty"`
-	Text    *string  `json:"text,omitempty"`
-	Finish  *string  `json:"finish_reason"`
+	Index        int      `json:"index"`
+	Delta        *message `json:"delta,omitempty"`
+	Message      *message `json:"message,omitempty"`
+	Text         *string  `json:"text,omitempty"`
+	FinishReason *string  `json:"finish_reason"`
 }
 
-type completion struct {
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -40,7 +40,7 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (f *format) newCompletion(object string, choices ...choice) completion {
+func (f *responseFormat) newCompletion(object string, choices ...choice) completionResponse {
 	prefix := "cmpl-"
 	if f.chat {
 		prefix = "chatcmpl-"
@@ -48,10 +48,10 @@
 	if choices == nil {
 		choices = []choice{}
 	}
-	return completion{ID: prefix + f.id, Object: object, Created: f.created, Model: f.model, Choices: choices}
+	return completionResponse{ID: prefix + f.id, Object: object, Created: f.created, Model: f.model, Choices: choices}
 }
 
-// encode marshals the types of this file, for which marshalling can't fail.
+// encode marshals a type of this file. Marshalling can't fail for these types.
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -60,31 +60,32 @@
 	return data
 }
 
-// roleChunk returns the first event of a chat stream, which has the role only.
-func (f *format) roleChunk() []byte {
+// roleChunk returns the first event of a chat stream, which contains only the role.
+func (f *responseFormat) roleChunk() []byte {
 	empty := ""
 	return encode(f.newCompletion("chat.completion.chunk", choice{Delta: &message{Role: "assistant", Content: &empty}}))
 }
 
-// chunk returns one event of a stream: text, the finish reason, or the usage.
-func (f *format) chunk(text, finish string, use *usage) []byte {
+// chunk returns one event of a stream, with either text, the finish reason or the
+// usage.
+func (f *responseFormat) chunk(text, finishReason string, u *usage) []byte {
 	object := "text_completion"
 	if f.chat {
 		object = "chat.completion.chunk"
 	}
-	if use != nil {
-		a := f.newCompletion(object)
-		a.Usage = use
-		return encode(a)
+	if u != nil {
+		resp := f.newCompletion(object)
+		resp.Usage = u
+		return encode(resp)
 	}
 	c := choice{}
-	if finish != "" {
-		c.Finish = &finish
+	if finishReason != "" {
+		c.FinishReason = &finishReason
 	}
 	switch {
 	case !f.chat:
 		c.Text = &text
-	case finish != "":
+	case finishReason != "":
 		c.Delta = &message{}
 	default:
 		c.Delta = &message{Content: &text}
@@ -93,15 +94,15 @@
 }
 
 // response returns the body of a response that is not streamed.
-func (f *format) response(text, finish string, use *usage) []byte {
-	object, c := "text_completion", choice{Finish: &finish}
+func (f *responseFormat) response(text, finishReason string, u *usage) []byte {
+	object, c := "text_completion", choice{FinishReason: &finishReason}
 	if f.chat {
 		object = "chat.completion"
 		c.Message = &message{Role: "assistant", Content: &text}
 	} else {
 		c.Text = &text
 	}
-	a := f.newCompletion(object, c)
-	a.Usage = use
-	return encode(a)
+	resp := f.newCompletion(object, c)
+	resp.Usage = u
+	return encode(resp)
 }
--- a/internal/callerapi/service.go
+++ b/internal/callerapi/service.go
@@ -11,9 +11,9 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-// service forwards a call to a service. Calls of services that are not idempotent
-// need an idempotency key, so that a caller that got no response can retry.
-func (a *API) service(x *exchange) *fault.Error {
+// callService forwards a call to a service. Calls of services that are not idempotent
+// need an idempotency key, so that a caller that got no response can retry safely.
+func (a *API) callService(x *exchange) *fault.Error {
 	name := x.r.PathValue("service")
 	s := x.view.Services[name]
 	if s == nil {
@@ -55,8 +55,9 @@
 	return nil
 }
 
-// idempotencyKey returns the idempotency key, scoped to the service and team so
-// that keys of different ones can't collide. It is empty for idempotent services.
+// idempotencyKey returns the idempotency key of the request, prefixed with the service
+// and the team so that keys of different services or teams can't collide. It is empty
+// for idempotent services.
 func (x *exchange) idempotencyKey(service string, s *resource.Service) (string, *fault.Error) {
 	if s.MayRepeat {
 		return "", nil
