--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -7,8 +7,9 @@
 	"sort"
 )
 
-// specDiff lists the top-level fields that differ between two specs, with a line
-// for each removed and each added value. It returns nil if the specs are equal.
+// specDiff compares the top-level fields of two specs. For each field that differs it
+// returns a line with the removed value and one with the added value, where present.
+// It returns nil if the specs are equal.
 func specDiff(before, after json.RawMessage) []string {
 	var a, b map[string]any
 	_ = json.Unmarshal(before, &a) // an absent spec is treated as empty
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,4 @@
-// Package operator provides the client of the operators' API for the command
-// line.
+// Package operator provides a client of the operator API, for the command line.
 package operator
 
 import (
@@ -20,22 +19,25 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-// Client calls one router's operators' API.
+// Client calls the operator API of one router.
 type Client struct {
-	baseURL string
-	key     string
-	http    *http.Client
+	baseURL    string
+	key        string
+	httpClient *http.Client
 }
 
-// callTimeout is the time limit of a call. It must be longer than a change may
-// take to complete.
+// callTimeout is the time limit of a call. It must be longer than the router may take
+// to respond to a change.
 const callTimeout = 15 * time.Second
 
-// New returns a client of the API at the given IP address and port.
+// New returns a client of the API at the given IP address and port. key is the
+// operator's key.
 func New(address, key string) *Client {
-	return &Client{baseURL: "http://" + address + "/v1/", key: key, http: &http.Client{}}
+	return &Client{baseURL: "http://" + address + "/v1/", key: key, httpClient: &http.Client{}}
 }
 
+// send sends a request and returns the response if its status is below 300. The
+// caller must close its body. Any other response is returned as an error.
 func (c *Client) send(ctx context.Context, method, path string, body any, header http.Header) (*http.Response, error) {
 	var in io.Reader
 	if body != nil {
@@ -53,7 +55,7 @@
 		req.Header[k] = v
 	}
 	req.Header.Set("Authorization", "Bearer "+c.key)
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return nil, fault.New(fault.LinkLost, "%s %s: %w", method, path, err).WithOutcome(fault.Unknown)
 	}
@@ -109,8 +111,8 @@
 	return out, c.call(ctx, http.MethodDelete, resourcePath(kind, name), nil, &out, nil)
 }
 
-// Withdraw restores a resource to its content at the revision to, or to the
-// version before the last if to is empty.
+// Withdraw restores a resource to its spec at the revision to or, if to is empty, to
+// the version before the latest.
 func (c *Client) Withdraw(ctx context.Context, kind, name, to string) (out command.Accepted, err error) {
 	path := resourcePath(kind, name) + "/withdraw"
 	if to != "" {
@@ -119,7 +121,8 @@
 	return out, c.call(ctx, http.MethodPost, path, nil, &out, nil)
 }
 
-// Change submits a change set. The operation id may be empty.
+// Change submits a change set. If operation is empty the router generates the
+// operation's ID.
 func (c *Client) Change(ctx context.Context, set command.ChangeSet, operation string) (out command.Accepted, err error) {
 	header := http.Header{}
 	if operation != "" {
@@ -133,12 +136,13 @@
 	return out, c.call(ctx, http.MethodGet, "operations/"+url.PathEscape(id), nil, &out, nil)
 }
 
-// Status returns the state of all processes as known to the router.
+// Status returns the status of all processes as known to the router.
 func (c *Client) Status(ctx context.Context) (out query.Status, err error) {
 	return out, c.call(ctx, http.MethodGet, "status", nil, &out, nil)
 }
 
-// Watch calls f for each change to a resource of a kind until ctx ends.
+// Watch calls f for each existing resource of a kind and then for each change to one,
+// until ctx ends.
 func (c *Client) Watch(ctx context.Context, kind string, f func(query.Resource)) error {
 	resp, err := c.send(ctx, http.MethodGet, url.PathEscape(kind)+"?watch", nil, nil)
 	if err != nil {
@@ -158,8 +162,8 @@
 	return fault.New(fault.LinkLost, "watch of kind %q ended: %v", kind, lines.Err())
 }
 
-// Plan compares the desired resources with the configuration in force. It returns
-// the changes that are needed and a description of them, line by line.
+// Plan compares the desired resources with the current configuration. It returns the
+// changes that are needed and the lines of their description.
 func (c *Client) Plan(ctx context.Context, desired []resource.Desired) (command.ChangeSet, []string, error) {
 	var set command.ChangeSet
 	var lines []string
@@ -174,11 +178,11 @@
 		if len(diff) == 0 {
 			continue
 		}
-		sign := "~"
+		marker := "~" // an existing resource is changed
 		if current.Revision == 0 {
-			sign = "+"
+			marker = "+" // a resource is added
 		}
-		lines = append(lines, fmt.Sprintf("%s %s/%s", sign, d.Kind, d.Name))
+		lines = append(lines, fmt.Sprintf("%s %s/%s", marker, d.Kind, d.Name))
 		lines = append(lines, diff...)
 		set.Changes = append(set.Changes, change)
 	}
