--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli implements the command line of the two binaries: argument parsing
-// with go-arg, signals and exit codes. The commands themselves are implemented in
-// other packages.
+// Package cli implements the command lines of merlinpost and merlinpost-agent:
+// argument parsing, signals, output and exit codes. The work of the commands is
+// implemented in other packages.
 package cli
 
 import (
@@ -24,29 +24,29 @@
 	exitUsage  = 2
 )
 
-// OperatorFlags select the router that an operator's command calls.
+// OperatorFlags are the flags of all commands that call the operator API.
 type OperatorFlags struct {
-	Operators string `arg:"--operators,env:MERLINPOST_OPERATORS" default:"127.0.0.1:8081" help:"IP address and port of a router's operators' API"`
-	Key       string `arg:"--key,env:MERLINPOST_OPERATOR_KEY" default:"dev-operator" help:"operator's key"`
+	Operators string `arg:"--operators,env:MERLINPOST_OPERATORS" default:"127.0.0.1:8081" help:"IP address and port of a router's operator API"`
+	Key       string `arg:"--key,env:MERLINPOST_OPERATOR_KEY" default:"dev-operator" help:"operator key"`
 }
 
 type arguments struct {
 	Router    *routerCmd    `arg:"subcommand:router" help:"run a router"`
 	Gateway   *gatewayCmd   `arg:"subcommand:gateway" help:"run a gateway on the platform, in front of backend servers without an agent"`
-	Dev       *devCmd       `arg:"subcommand:dev" help:"run a complete deployment in one process, with stand-ins for the outside systems"`
+	Dev       *devCmd       `arg:"subcommand:dev" help:"run a complete deployment in one process, with stand-ins for the external systems"`
 	Validate  *validateCmd  `arg:"subcommand:validate" help:"validate settings and resource files"`
-	HashKey   *hashKeyCmd   `arg:"subcommand:hash-key" help:"print the hash under which a key is configured"`
-	Apply     *applyCmd     `arg:"subcommand:apply" help:"apply all resources of a file, or none of them"`
+	HashKey   *hashKeyCmd   `arg:"subcommand:hash-key" help:"print the SHA-256 hash of a key, as it is used in the configuration"`
+	Apply     *applyCmd     `arg:"subcommand:apply" help:"apply the resources of a file atomically"`
 	Get       *getCmd       `arg:"subcommand:get" help:"show resources"`
 	Delete    *deleteCmd    `arg:"subcommand:delete" help:"delete a resource"`
 	Watch     *watchCmd     `arg:"subcommand:watch" help:"show changes to resources of a kind as they take effect"`
 	History   *historyCmd   `arg:"subcommand:history" help:"show the versions of a resource"`
 	Withdraw  *withdrawCmd  `arg:"subcommand:withdraw" help:"restore an earlier version of a resource as a new change"`
 	Operation *operationCmd `arg:"subcommand:operation" help:"show the result of an operation"`
-	Status    *statusCmd    `arg:"subcommand:status" help:"show the processes and the revision that each has in force"`
+	Status    *statusCmd    `arg:"subcommand:status" help:"show the status of the processes and their configuration revisions"`
 	Load      *loadCmd      `arg:"subcommand:load" help:"run a load scenario and report the results"`
-	Simulate  *simulateCmd  `arg:"subcommand:simulate" help:"simulate a load on the scheduling of prompts"`
-	Standin   *standinCmd   `arg:"subcommand:standin" help:"run a stand-in for an outside system"`
+	Simulate  *simulateCmd  `arg:"subcommand:simulate" help:"simulate the scheduling of prompts under load"`
+	Standin   *standinCmd   `arg:"subcommand:standin" help:"run a stand-in for an external system"`
 }
 
 // Description implements arg.Described.
@@ -59,6 +59,7 @@
 	run(ctx context.Context, out io.Writer) error
 }
 
+// selectedCommand returns the subcommand that was given, or nil.
 func (a *arguments) selectedCommand() command {
 	for _, c := range []struct {
 		selected bool
@@ -89,6 +90,8 @@
 	return parseAndRun(&a, "merlinpost-agent", args, out, errOut, func() command { return &a })
 }
 
+// parseAndRun parses args into dest, runs the command that selected returns and
+// returns the exit code.
 func parseAndRun(dest any, program string, args []string, out, errOut io.Writer, selected func() command) int {
 	parser, err := arg.NewParser(arg.Config{Program: program, Out: out}, dest)
 	if err != nil {
@@ -111,8 +114,8 @@
 	return reportError(errOut, c.run(context.Background(), out))
 }
 
-// reportError prints err, if any, with its code and outcome, and returns the exit
-// code.
+// reportError prints err with its code and outcome and returns the exit code. A nil
+// err is a success.
 func reportError(errOut io.Writer, err error) int {
 	if err == nil {
 		return exitOK
@@ -126,8 +129,8 @@
 	return exitFailed
 }
 
-// notifyStop returns a channel that is closed at the first SIGTERM or SIGINT, for
-// a graceful stop, and a context that is cancelled at the second.
+// notifyStop returns a channel that is closed at the first SIGTERM or SIGINT, to start
+// a graceful shutdown, and a context that is cancelled at the second.
 func notifyStop(ctx context.Context) (context.Context, <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	signals := make(chan os.Signal, 2)
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -22,12 +22,11 @@
 
 type gatewayCmd struct {
 	MetricsPort int    `arg:"--metrics-port" default:"9464" help:"port of the metrics endpoint on the host's address; 0 disables it"`
-	LogOneIn    uint64 `arg:"--log-one-in" default:"16" help:"log one in this many plain successes"`
+	LogOneIn    uint64 `arg:"--log-one-in" default:"16" help:"log one in this many of the successful requests that needed no retry"`
 }
 
-// memoryLimitRatio is the fraction of the host's memory that is set as the Go
-// memory limit. The rest is for memory that the garbage collector does not see,
-// such as socket buffers.
+// memoryLimitRatio is the Go memory limit as a fraction of the host's memory. The rest
+// is for memory that the Go runtime does not account for, such as socket buffers.
 const memoryLimitRatio = 0.7
 
 func setMemoryLimit(megabytes float64) {
@@ -37,7 +36,7 @@
 }
 
 func (c *gatewayCmd) run(ctx context.Context, _ io.Writer) error {
-	// Must come first, so that a SIGHUP during the start does not end the process.
+	// Must come first: a SIGHUP before this call terminates the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	set, err := platform.ReadSettings()
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -33,7 +33,7 @@
 	}()
 	logger := telemetry.NewLogger(os.Stderr, settings.Logging{Format: "text", Level: "error"})
 	reports, err := load.RunExperiment(ctx, s, load.ExperimentPlan{Factors: c.Factors, Seeds: c.Seeds, VariantNames: c.Variants}, logger, func(r *load.Report) {
-		_, _ = fmt.Fprintf(os.Stderr, "done: variant %q factor %.2f seed %d\n", r.Variant, r.Factor, r.Seed) // an error is ignored: the line only shows progress
+		_, _ = fmt.Fprintf(os.Stderr, "done: variant %q factor %.2f seed %d\n", r.Variant, r.Factor, r.Seed) // progress output; errors are ignored
 	})
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 		return err
 	}
 	if err := load.WriteJSON(f, reports); err != nil {
-		_ = f.Close() // the error of the write is reported
+		_ = f.Close() // the write error is the one to report
 		return err
 	}
 	return f.Close()
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -30,7 +30,7 @@
 	OperatorFlags
 	File      string `arg:"-f,--file,required" help:"TOML file of [[resource]] tables"`
 	DryRun    bool   `arg:"--dry-run" help:"show and validate the changes without applying them"`
-	Operation string `arg:"--operation" help:"operation id, to repeat a change whose response was lost"`
+	Operation string `arg:"--operation" help:"operation ID, to retry a change whose response was lost"`
 }
 
 func (c *applyCmd) run(ctx context.Context, out io.Writer) error {
@@ -55,7 +55,7 @@
 	}
 	accepted, err := c.client().Change(ctx, set, c.Operation)
 	if err != nil {
-		return c.explain(ctx, out, desired, fault.From(err))
+		return c.reportChangeError(ctx, out, desired, fault.From(err))
 	}
 	if accepted.DryRun {
 		_, err = fmt.Fprintln(out, "valid; nothing was changed")
@@ -65,10 +65,10 @@
 	return err
 }
 
-// explain adds to a failed change what the operator needs to continue: how to
-// repeat it if its outcome is unknown, or, after a conflict, the differences from
-// the configuration now in force.
-func (c *applyCmd) explain(ctx context.Context, out io.Writer, desired []resource.Desired, e *fault.Error) error {
+// reportChangeError returns the error of a failed change with what the operator needs
+// to continue. If the outcome is unknown, the message says how to retry. After a
+// conflict, the differences from the current configuration are printed.
+func (c *applyCmd) reportChangeError(ctx context.Context, out io.Writer, desired []resource.Desired, e *fault.Error) error {
 	switch {
 	case e.Outcome == fault.Unknown:
 		e.Message += "; repeat with --operation " + c.Operation
@@ -116,6 +116,7 @@
 	return enc.Encode(v)
 }
 
+// writeTable writes a header and rows of tab-separated cells as an aligned table.
 func writeTable(out io.Writer, header string, rows func(io.Writer) error) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	if _, err := fmt.Fprintln(w, header); err != nil {
@@ -160,7 +161,7 @@
 		if r.Deleted {
 			content = "deleted"
 		}
-		_, _ = fmt.Fprintf(out, "%d %s/%s %s\n", r.Revision, r.Kind, r.Name, content) // writing to a closed pipe ends the process by SIGPIPE
+		_, _ = fmt.Fprintf(out, "%d %s/%s %s\n", r.Revision, r.Kind, r.Name, content) // if out is a closed pipe, SIGPIPE terminates the process
 	})
 }
 
@@ -193,7 +194,7 @@
 	OperatorFlags
 	Kind string `arg:"positional,required"`
 	Name string `arg:"positional,required"`
-	To   string `arg:"--to" help:"revision to restore (default the one before the last)"`
+	To   string `arg:"--to" help:"revision to restore (default the one before the latest)"`
 }
 
 func (c *withdrawCmd) run(ctx context.Context, out io.Writer) error {
@@ -220,7 +221,7 @@
 
 type statusCmd struct {
 	OperatorFlags
-	MoreRouters []string `arg:"--also,separate" help:"IP address and port of another router's operators' API; repeat for several"`
+	MoreRouters []string `arg:"--also,separate" help:"IP address and port of another router's operator API; repeat for several"`
 }
 
 func (c *statusCmd) run(ctx context.Context, out io.Writer) error {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -64,8 +64,8 @@
 }
 
 type devCmd struct {
-	Callers   string `arg:"--callers" default:"127.0.0.1:8080" help:"address of the callers' API"`
-	Operators string `arg:"--operators" default:"127.0.0.1:8081" help:"address of the operators' API"`
+	Callers   string `arg:"--callers" default:"127.0.0.1:8080" help:"address of the caller API"`
+	Operators string `arg:"--operators" default:"127.0.0.1:8081" help:"address of the operator API"`
 	LogLevel  string `arg:"--log-level" default:"warn" help:"debug, info, warn or error"`
 }
 
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -26,7 +26,7 @@
 
 func (c *simulateCmd) run(_ context.Context, out io.Writer) error {
 	if c.Engines < 1 || c.Gateways < 1 || c.Factor <= 0 || c.Length <= 0 || c.Seeds < 1 {
-		return fault.New(fault.BadSettings, "engines, gateways, factor, length and seeds must be above 0").WithField("simulate")
+		return fault.New(fault.BadSettings, "engines, gateways, factor, length and seeds must be greater than 0").WithField("simulate")
 	}
 	scenario, found := simulate.FindScenario(c.Scenario)
 	if !found {
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -39,20 +39,20 @@
 	case c.Service != nil:
 		return c.Service.run(ctx, out)
 	}
-	return fault.New(fault.BadRequest, "no stand-in given; use log, members, weights, engine or service")
+	return fault.New(fault.BadRequest, "no stand-in given: must be log, members, weights, engine or service")
 }
 
-// serveUntilStopped serves a stand-in at an address, prints the address that it
-// listens on and returns at the first stop signal.
+// serveUntilStopped serves a stand-in at an address and prints the address, with the
+// chosen port if that of address is 0. It returns at the first SIGTERM or SIGINT.
 func serveUntilStopped(ctx context.Context, out io.Writer, address string, h http.Handler) error {
 	ctx, stop := notifyStop(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	actual, err := standin.Serve(ctx, address, h)
+	listenAddress, err := standin.Serve(ctx, address, h)
 	if err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintln(out, actual); err != nil {
+	if _, err := fmt.Fprintln(out, listenAddress); err != nil {
 		return err
 	}
 	select {
@@ -87,7 +87,7 @@
 		role, rest, _ := strings.Cut(m, ",")
 		name, address, ok := strings.Cut(rest, ",")
 		if !ok {
-			return fault.New(fault.BadRequest, "member %q does not have the form role,name,address", m).WithField("--member")
+			return fault.New(fault.BadRequest, "invalid member %q: must have the form role,name,address", m).WithField("--member")
 		}
 		memberList.Set(membership.Member{Name: name, Role: role, Address: address, State: membership.Live}, false)
 	}
