--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -54,7 +54,7 @@
 // its socket is opened here.
 func New(set settings.Router, logger *slog.Logger) (*Router, error) {
 	p := set.Policy
-	picker, err := dispatch.New(p.Choice, dispatch.Options{PrefixAffinity: p.Prefix, DomainAffinity: p.Domain, StragglerPenalty: p.Straggler, CountUnreported: p.Corrected})
+	picker, err := dispatch.New(p.Choice, dispatch.Options{PrefixAffinity: p.PrefixAffinity, DomainAffinity: p.DomainAffinity, StragglerPenalty: p.StragglerPenalty, CountUnreported: p.CountUnreported})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -1,7 +1,6 @@
-// Package settings reads and validates the TOML settings files of the two
-// binaries and of the load tool. Decoding is strict: an unknown key, a value of
-// the wrong type or a value out of range is an error that names the file, the
-// line if known, and the key.
+// Package settings reads and validates the TOML settings files of the two binaries
+// and of the load tool. Unknown keys, values of the wrong type and values out of range
+// are errors that name the file, the key and, if known, the line.
 package settings
 
 import (
@@ -19,8 +18,8 @@
 )
 
 // NewValidator returns a validator that reports fields by their name in the
-// given struct tag ("toml" or "json"). It adds the rule "ipport", which accepts
-// an IP address with a port and no host names.
+// given struct tag ("toml" or "json"). It adds the rule "ipport", which accepts an IP
+// address with a port but no host name.
 func NewValidator(tag string) *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -57,8 +56,9 @@
 	return fault.New(code, "value %v breaks the rule %q", first.Value(), rule).WithField(path)
 }
 
-// ReadFile decodes the TOML file at path into target, which holds the defaults,
-// and validates the result. Errors have code BadSettings.
+// ReadFile decodes the TOML file at path into target and validates the result. Keys
+// that the file does not set keep their value in target. Errors have code
+// BadSettings.
 func ReadFile(path string, target any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -67,8 +67,7 @@
 	return Decode(path, data, target)
 }
 
-// Decode is like ReadFile for data in memory. name stands for the file name in
-// errors.
+// Decode is like ReadFile for data in memory. Errors contain name as the file name.
 func Decode(name string, data []byte, target any) error {
 	dec := toml.NewDecoder(strings.NewReader(string(data))).DisallowUnknownFields()
 	if err := dec.Decode(target); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,9 +13,9 @@
 	Address string `toml:"address" validate:"required,ipport"`
 	// TimeoutMS is the time limit of one append or read.
 	TimeoutMS int `toml:"timeout_ms" validate:"min=50,max=60000"`
-	// PollMS is how long a long-polling read waits for a new record.
+	// PollMS is how long a read waits for a new record (long polling).
 	PollMS int `toml:"poll_ms" validate:"min=100,max=60000"`
-	// SnapshotEvery is the number of records after which a snapshot of the
+	// SnapshotEvery is the number of records after which a new snapshot of the
 	// configuration is written. Only routers write snapshots.
 	SnapshotEvery int `toml:"snapshot_every" validate:"min=1,max=100000"`
 	// SnapshotAgeMS is the age after which a new snapshot is written even if
@@ -26,24 +26,27 @@
 
 // Members configures the connection to the platform's membership list.
 type Members struct {
-	// Address may be empty; only the declared pools are used then.
+	// Address may be empty; then only the backend servers declared in pools are
+	// used.
 	Address string `toml:"address" validate:"omitempty,ipport"`
-	PollMS  int    `toml:"poll_ms" validate:"min=100,max=60000"`
+	// PollMS is the polling interval.
+	PollMS int `toml:"poll_ms" validate:"min=100,max=60000"`
 }
 
 // Link configures the timing of a link between a router and an agent.
 type Link struct {
-	// HeartbeatMS is the interval between heartbeats on a link that has
-	// requests in progress but nothing else to send. A link without requests
-	// sends a twentieth as many.
+	// HeartbeatMS is the interval of heartbeats on a link with requests in
+	// progress that has nothing else to send. Without requests in progress the
+	// interval is 20 times as long.
 	HeartbeatMS int `toml:"heartbeat_ms" validate:"min=50,max=60000"`
-	// SilentMS is how long nothing may be received on a link before it is
+	// SilentMS is the time without received data after which a link is
 	// replaced.
 	SilentMS int `toml:"silent_ms" validate:"min=100,max=120000,gtfield=HeartbeatMS"`
-	// LostMS is how long a request waits for the link to its agent to be
+	// LostMS is how long a request waits for a lost link to its agent to be
 	// restored before the attempt counts as lost. LostRepeatableMS is the same
-	// for work that may continue on another backend server: there, waiting costs
-	// the caller more than a repeated prefill costs the pool.
+	// for requests that may continue on another backend server. Its default is
+	// shorter, because waiting costs the caller more than a repeated prefill costs
+	// the pool.
 	LostMS           int `toml:"lost_ms" validate:"min=100,max=600000"`
 	LostRepeatableMS int `toml:"lost_repeatable_ms" validate:"min=100,max=600000"`
 }
@@ -62,61 +65,68 @@
 	Logging       Logging   `toml:"logging"`
 }
 
-// Callers configures the callers' API of a router.
+// Callers configures the caller API of a router.
 type Callers struct {
 	Listen string `toml:"listen" validate:"required,ipport"`
 	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64 `toml:"max_body_bytes" validate:"min=1024,max=4194304"`
-	// BalancerLagMS is how long a stopping router still accepts requests after
-	// its readiness check has begun to fail, until the load balancer has
-	// noticed.
+	// BalancerLagMS is how long a router that shuts down still accepts requests
+	// after its readiness check has begun to fail, to give the load balancer time
+	// to notice.
 	BalancerLagMS int `toml:"balancer_lag_ms" validate:"min=0,max=600000"`
-	// HeaderTimeoutMS and BodyTimeoutMS are the time limits for reading a
-	// request, against slow clients.
+	// HeaderTimeoutMS and BodyTimeoutMS limit the time for reading a request, to
+	// protect the router from slow clients.
 	HeaderTimeoutMS int `toml:"header_timeout_ms" validate:"min=100,max=600000"`
 	BodyTimeoutMS   int `toml:"body_timeout_ms" validate:"min=100,max=600000"`
-	// StallTimeoutMS is how long a client may read nothing of its response.
+	// StallTimeoutMS is how long a client may stop reading its response before it
+	// counts as disconnected.
 	StallTimeoutMS int `toml:"stall_timeout_ms" validate:"min=100,max=600000"`
 	// MaxRequests is the maximum number of requests in progress at this router.
 	MaxRequests int `toml:"max_requests" validate:"min=1,max=1000000"`
 }
 
-// Operators configures the operators' API of a router.
+// Operators configures the operator API of a router.
 type Operators struct {
 	Listen string `toml:"listen" validate:"required,ipport"`
-	// Keys are SHA-256 hashes of operator keys, in hexadecimal.
+	// Keys are the keys that the API accepts.
 	Keys []OperatorKey `toml:"keys" validate:"dive"`
 }
 
-// Peers configures how routers share the teams' limits.
+// Peers configures how the routers enforce the limits of the teams together.
 type Peers struct {
-	// Listen is the UDP address for requests from other routers. It must be the
-	// router's address in the membership list. If it is empty, each router gets
-	// an equal share.
+	// Listen is the UDP address for messages from other routers. It must be the
+	// router's address in the membership list. If it is empty, each router
+	// enforces an equal share of the limits.
 	Listen string `toml:"listen" validate:"omitempty,ipport"`
 }
 
-// OperatorKey grants access to one operator.
+// OperatorKey is the API key of one operator.
 type OperatorKey struct {
-	Name   string `toml:"name" validate:"required"`
+	Name string `toml:"name" validate:"required"`
+	// SHA256 is the hash of the key, in hexadecimal.
 	SHA256 string `toml:"sha256" validate:"len=64,hexadecimal"`
 }
 
-// Policy selects how a router chooses backend servers and retries.
+// Policy configures how a router chooses backend servers and retries requests.
 type Policy struct {
-	// Choice is "scored", or one of the baselines "round_robin" and
-	// "least_loaded".
+	// Choice is the load-balancing algorithm: "scored", or one of "round_robin"
+	// and "least_loaded", which serve as baselines.
 	Choice string `toml:"choice" validate:"oneof=scored round_robin least_loaded"`
-	// Subset is how many agents of a pool this router keeps links to.
+	// Subset is the maximum number of agents of a pool that the router keeps
+	// links to.
 	Subset int `toml:"subset" validate:"min=1,max=4096"`
-	// Prefix, Domain, Straggler and Corrected enable parts of the score.
-	Prefix    bool `toml:"prefix"`
-	Domain    bool `toml:"domain"`
-	Straggler bool `toml:"straggler"`
-	Corrected bool `toml:"corrected"`
-	// RetryShare is the retry budget, as retries per first attempt.
+	// The following enable parts of the score: a preference for servers that have
+	// the prompt prefix in their cache, a preference for servers of the router's
+	// failure domain, a penalty for slow servers, and counting the requests sent
+	// since a server's last load report.
+	PrefixAffinity   bool `toml:"prefix"`
+	DomainAffinity   bool `toml:"domain"`
+	StragglerPenalty bool `toml:"straggler"`
+	CountUnreported  bool `toml:"corrected"`
+	// RetryShare is the retry budget as the number of retries per first attempt.
 	RetryShare float64 `toml:"retry_share" validate:"min=0,max=1"`
-	// RetryBurst is the number of retries allowed without recent traffic.
+	// RetryBurst is the number of retries that are allowed without recent first
+	// attempts.
 	RetryBurst float64 `toml:"retry_burst" validate:"min=0,max=10000"`
 	// MaxAttempts is the maximum number of attempts per request.
 	MaxAttempts int `toml:"max_attempts" validate:"min=1,max=100"`
@@ -138,14 +148,14 @@
 	Logging       Logging   `toml:"logging"`
 }
 
-// Server configures the backend server that an agent runs beside.
+// Server configures the backend server of an agent.
 type Server struct {
 	Kind    string `toml:"kind" validate:"oneof=engine service"`
 	Address string `toml:"address" validate:"required,ipport"`
 	// Slots is the maximum number of requests running on the server at once.
 	Slots int `toml:"slots" validate:"min=1,max=4096"`
-	// Fencing states that the engine rejects orders from the agent, such as to
-	// load a model, that carry an outdated fencing token.
+	// Fencing states that the engine rejects orders with an outdated fencing
+	// token, such as the order to load a model.
 	Fencing bool `toml:"fencing"`
 	// StallMS is how long an engine may produce no output before the call fails.
 	StallMS int `toml:"stall_ms" validate:"min=100,max=600000"`
@@ -153,13 +163,14 @@
 
 // Admission configures the queue of an agent.
 type Admission struct {
-	// Order is "tiers", or the baseline "fifo".
+	// Order is the queue order: "tiers" or, as a baseline, "fifo".
 	Order string `toml:"order" validate:"oneof=tiers fifo"`
 	// QueueLimit is the maximum number of waiting requests in each tier.
 	QueueLimit int `toml:"queue_limit" validate:"min=1,max=1000000"`
 	// MaxPreemptions is the maximum number of preemptions of one request.
 	MaxPreemptions int `toml:"max_preemptions" validate:"min=0,max=100"`
-	// Preemption, Floors, Fairness and EarlyRefusal enable parts of the policy.
+	// Preemption, Floors, Fairness and EarlyRefusal enable parts of the admission
+	// policy.
 	Preemption   bool `toml:"preemption"`
 	Floors       bool `toml:"floors"`
 	Fairness     bool `toml:"fairness"`
@@ -168,8 +179,8 @@
 	FloorWindowMS int `toml:"floor_window_ms" validate:"min=100,max=3600000"`
 }
 
-// Weights limits how many backend servers of a pool load weights at once from
-// the platform's rate-limited store. Servers load in time slots.
+// Weights limits how many backend servers of a pool load model weights at once from
+// the platform's rate-limited store. The servers take turns in time slots.
 type Weights struct {
 	// TurnMS is the length of a time slot; 0 disables time slots.
 	TurnMS int `toml:"turn_ms" validate:"min=0,max=3600000"`
@@ -177,7 +188,7 @@
 	AtOnce int `toml:"at_once" validate:"min=1,max=4096"`
 }
 
-// Default link timing; docs/OPERATIONS.md describes when to change it.
+// Default timing of links. docs/OPERATIONS.md describes when to change it.
 const (
 	defaultHeartbeatMS = 1000
 	defaultSilentMS    = 2500
@@ -205,7 +216,7 @@
 		Log:       defaultLog(),
 		Members:   Members{PollMS: 2000},
 		Link:      defaultLink(),
-		Policy: Policy{Choice: "scored", Subset: 16, Prefix: true, Domain: true, Straggler: true, Corrected: true,
+		Policy: Policy{Choice: "scored", Subset: 16, PrefixAffinity: true, DomainAffinity: true, StragglerPenalty: true, CountUnreported: true,
 			RetryShare: 0.1, RetryBurst: 10, MaxAttempts: 4},
 		Logging: Logging{Format: "text", Level: "info"},
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -58,8 +58,8 @@
 	})
 }
 
-// The example files list every key with its default value. Decoding one into a
-// zero value must give the defaults, except for the required settings.
+// The example files must list every key with its default value, so decoding one into
+// a zero value gives the defaults, except for required settings without a default.
 func TestExampleFilesListTheDefaults(t *testing.T) {
 	g := NewWithT(t)
 	var router Router
