--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -267,7 +267,7 @@
 		return fault.New(fault.NoBackendServer, "target %q is not loaded on this backend server", o.Target).WithOutcome(fault.NotRun)
 	}
 	if len(c.attempts) >= c.cfg.MaxAttempts {
-		return fault.New(fault.RecordsFull, "the agent already holds its maximum of %d attempts", len(c.attempts)).
+		return fault.New(fault.IdempotencyStoreFull, "the agent already holds its maximum of %d attempts", len(c.attempts)).
 			WithOutcome(fault.NotRun).WithRetryAfter(c.queue.RetryAfter(int(o.Tier)))
 	}
 	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.ChunksDelivered, o.SendWindow), chunkCount: o.ChunksDelivered,
--- a/internal/execution/core_test.go
+++ b/internal/execution/core_test.go
@@ -144,10 +144,10 @@
 	}
 	c.Offer(epoch, 1, offer("one more", 0))
 	f := last[*wire.OfferResponse](g, r).Fault
-	g.Expect(f.Code).To(Equal(string(fault.RecordsFull)))
+	g.Expect(f.Code).To(Equal(string(fault.IdempotencyStoreFull)))
 	g.Expect(f.Outcome).To(Equal(string(fault.NotRun)))
 	g.Expect(f.RetryAfterMS).To(BeNumerically(">", 0))
-	g.Expect(c.TakeRefusedOffers()).To(Equal(map[fault.Code]uint64{fault.RecordsFull: 1}))
+	g.Expect(c.TakeRefusedOffers()).To(Equal(map[fault.Code]uint64{fault.IdempotencyStoreFull: 1}))
 }
 
 func TestOrphanedAttemptEndsAndCountsWastedTokens(t *testing.T) {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,6 @@
 // Package fault defines the error type used across package, process and API
-// boundaries. Every error has a Code that identifies the kind of failure. Errors
-// of requests also have an Outcome that says whether the request was run.
+// boundaries. Every error has a Code, which identifies the kind of failure. Errors of
+// requests also have an Outcome, which says whether the request was run.
 package fault
 
 import (
@@ -13,7 +13,7 @@
 // Code identifies a kind of failure. Codes are part of the public API.
 type Code string
 
-// The codes, grouped by who can resolve the failure.
+// The codes, grouped by cause.
 const (
 	// Invalid input of a caller or operator.
 	BadRequest             Code = "bad_request"
@@ -38,12 +38,14 @@
 	QueueFull            Code = "queue_full"
 	WaitTooLong          Code = "wait_too_long"
 	RetryBudgetSpent     Code = "retry_budget_spent"
-	RecordsFull          Code = "records_full"
-	LinkBusy             Code = "link_busy"
-	// ServerRateLimit: the backend servers' own rate limits are reached.
+	// IdempotencyStoreFull: an agent can't store another idempotency key.
+	IdempotencyStoreFull Code = "records_full"
+	// LinkBusy: a link, a peer or the memory for request bodies has no capacity now.
+	LinkBusy Code = "link_busy"
+	// ServerRateLimit: the rate limits of the backend servers are reached.
 	ServerRateLimit Code = "server_rate_limit"
-	// ServersInBackoff: all backend servers have asked for no requests for some
-	// time.
+	// ServersInBackoff: all backend servers have asked to receive no requests for
+	// some time.
 	ServersInBackoff Code = "servers_rest"
 	// Quarantined: backend servers terminated each time they ran the request.
 	Quarantined Code = "quarantined"
@@ -54,7 +56,8 @@
 	Draining                  Code = "draining"
 	NotReady                  Code = "not_ready"
 	LinkLost                  Code = "link_lost"
-	// RequestNotHeld: the agent does not have the request's attempt.
+	// RequestNotHeld: the agent does not have the attempt, for example because it was
+	// cancelled or has finished.
 	RequestNotHeld Code = "request_not_held"
 	// StartDeadlinePassed: the request was not started in time.
 	StartDeadlinePassed Code = "start_bound_passed"
@@ -66,7 +69,7 @@
 	// result is not available.
 	IdempotentResultUnknown Code = "cannot_vouch"
 	LogUnavailable          Code = "log_unavailable"
-	// LogWriteUnconfirmed: it is not known whether a record was written.
+	// LogWriteUnconfirmed: the record may or may not have been written.
 	LogWriteUnconfirmed Code = "log_unsettled"
 	LogTruncated        Code = "log_truncated"
 	// LogRestored: the log was restored from an older copy.
@@ -77,7 +80,8 @@
 	Internal    Code = "internal"
 )
 
-// Outcome says whether a request was run. It is reported to callers.
+// Outcome says whether a request was run. It is part of the error responses to callers
+// and operators.
 type Outcome string
 
 const (
@@ -89,15 +93,14 @@
 	Partial Outcome = "partial"
 )
 
-// Error is an error with a code. A zero RetryAfter means that no retry time is
-// known.
+// Error is an error with a code.
 type Error struct {
 	Code       Code
 	Outcome    Outcome
 	Field      string // invalid input field, or empty
 	Message    string
-	RetryAfter time.Duration
-	Err        error // cause, or nil
+	RetryAfter time.Duration // 0 if unknown
+	Err        error         // cause, or nil
 }
 
 // New returns an Error with a formatted message. %w in format sets its cause.
@@ -112,7 +115,7 @@
 // WithOutcome sets the outcome and returns e.
 func (e *Error) WithOutcome(o Outcome) *Error { e.Outcome = o; return e }
 
-// WithRetryAfter sets the time after which to retry and returns e.
+// WithRetryAfter sets the time after which the request may be retried and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error { e.RetryAfter = d; return e }
 
 // Error implements error.
@@ -145,6 +148,10 @@
 	return errors.As(err, &e) && e.Code == code
 }
 
+// statusClientClosedRequest is the non-standard status that nginx introduced for
+// requests whose client has disconnected.
+const statusClientClosedRequest = 499
+
 var statusByCode = map[Code]int{
 	BadRequest: http.StatusBadRequest, UnsupportedField: http.StatusBadRequest,
 	IdempotencyKeyRequired: http.StatusBadRequest, InvalidConfig: http.StatusUnprocessableEntity,
@@ -155,18 +162,18 @@
 	RevisionConflict: http.StatusPreconditionFailed, InUse: http.StatusConflict,
 	TeamRateLimit: http.StatusTooManyRequests, ServerRateLimit: http.StatusTooManyRequests, TeamConcurrencyLimit: http.StatusTooManyRequests,
 	QueueFull: http.StatusTooManyRequests, WaitTooLong: http.StatusTooManyRequests,
-	RetryBudgetSpent: http.StatusServiceUnavailable, RecordsFull: http.StatusServiceUnavailable,
+	RetryBudgetSpent: http.StatusServiceUnavailable, IdempotencyStoreFull: http.StatusServiceUnavailable,
 	Quarantined: http.StatusServiceUnavailable, ServersInBackoff: http.StatusServiceUnavailable,
 	LinkBusy: http.StatusServiceUnavailable, NoBackendServer: http.StatusServiceUnavailable, BackendServersUnreachable: http.StatusServiceUnavailable,
 	Draining: http.StatusServiceUnavailable, NotReady: http.StatusServiceUnavailable,
 	LinkLost: http.StatusBadGateway, RequestNotHeld: http.StatusBadGateway,
 	StartDeadlinePassed: http.StatusServiceUnavailable, DeadlinePassed: http.StatusGatewayTimeout,
-	Cancelled: 499, EngineFailed: http.StatusBadGateway, IncompleteResponse: http.StatusBadGateway,
+	Cancelled: statusClientClosedRequest, EngineFailed: http.StatusBadGateway, IncompleteResponse: http.StatusBadGateway,
 	IdempotentResultUnknown: http.StatusServiceUnavailable, LogUnavailable: http.StatusServiceUnavailable,
 	LogWriteUnconfirmed: http.StatusGatewayTimeout,
 }
 
-// HTTPStatus returns the HTTP status code for e.
+// HTTPStatus returns the HTTP status code for e; 500 for codes without one of their own.
 func (e *Error) HTTPStatus() int {
 	if s, ok := statusByCode[e.Code]; ok {
 		return s
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -141,7 +141,7 @@
 // Reserve adds an entry for a key that is about to be claimed.
 func (s *Store) Reserve(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
 	if s.Len() >= MaxEntries {
-		return nil, fault.New(fault.RecordsFull, "idempotency store is full: %d keys", s.Len()).
+		return nil, fault.New(fault.IdempotencyStoreFull, "idempotency store is full: %d keys", s.Len()).
 			WithOutcome(fault.NotRun).WithRetryAfter(window)
 	}
 	e := &Entry{Digest: digest, expires: now.Add(window)}
--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -40,7 +40,7 @@
 		g.Expect(err).To(BeNil())
 	}
 	_, err := s.Reserve(epoch, "one more", 1, window)
-	g.Expect(err.Code).To(Equal(fault.RecordsFull))
+	g.Expect(err.Code).To(Equal(fault.IdempotencyStoreFull))
 	g.Expect(err.Outcome).To(Equal(fault.NotRun))
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -237,7 +237,7 @@
 
 // IsOverload reports whether a code is a refusal because of load.
 func IsOverload(c fault.Code) bool {
-	return c == fault.QueueFull || c == fault.WaitTooLong || c == fault.RecordsFull
+	return c == fault.QueueFull || c == fault.WaitTooLong || c == fault.IdempotencyStoreFull
 }
 
 // HandleChunk processes a chunk of the answer.
