--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,5 +1,5 @@
-// Package decisionlog writes structured log lines without blocking the caller.
-// Lines go through a bounded queue; when the queue is full they are dropped and
+// Package decisionlog writes structured log lines without blocking the caller. Lines
+// are written from a bounded queue. While the queue is full, new lines are dropped and
 // counted.
 package decisionlog
 
@@ -19,11 +19,11 @@
 // 300 bytes per line a full queue takes 150 KB.
 const queueCapacity = 512
 
-// Writer is an io.Writer whose Write never blocks. Each call to Write is one
+// Writer is an io.Writer whose Write never blocks. Each call of Write must pass one
 // line.
 type Writer struct {
-	lines chan []byte
-	done  chan struct{}
+	lines chan []byte   // a nil line stops the writer
+	done  chan struct{} // closed when the writer has stopped
 }
 
 // NewWriter starts a goroutine that writes queued lines to dst until Close is
@@ -57,8 +57,7 @@
 	return len(line), nil
 }
 
-// Close writes the queued lines and stops the writer. Lines written after Close
-// are dropped.
+// Close writes the queued lines and stops the writer. Later lines are never written.
 func (w *Writer) Close() {
 	w.lines <- nil
 	<-w.done
@@ -76,8 +75,8 @@
 
 const (
 	// maxLinesPerSecond and maxLineBurst limit the log lines for failures of one
-	// kind. Otherwise many callers with an outdated key would use up resources
-	// needed to serve the other callers.
+	// kind. Without a limit, many callers with an outdated key would use up
+	// resources that are needed to serve the other callers.
 	maxLinesPerSecond = 20
 	maxLineBurst      = 100
 )
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -33,18 +33,18 @@
 	lines := strings.Count(out.String(), "\n")
 	g.Expect(lines).To(BeNumerically(">=", queueCapacity))
 	g.Expect(lines).To(BeNumerically("<=", queueCapacity+1))
-	logger.Info("after close") // dropped without a panic
+	logger.Info("after close") // must not panic
 }
 
 func TestAllProcessesSampleTheSameIDs(t *testing.T) {
 	g := NewWithT(t)
-	kept := 0
+	sampled := 0
 	for i := range 16000 {
 		if Sampled(fmt.Sprint("id", i), 16) {
-			kept++
+			sampled++
 		}
 	}
-	g.Expect(kept).To(BeNumerically("~", 1000, 150))
+	g.Expect(sampled).To(BeNumerically("~", 1000, 150))
 	g.Expect(Sampled("x", 1)).To(BeTrue())
 }
 
