--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,5 +1,5 @@
-// Package assembly builds a router from its settings. It is used by the command
-// line and by the deployment in one process (package dev).
+// Package assembly builds a router with its HTTP APIs from its settings, for the command
+// line (package cli) and for deployments in one process (package dev).
 package assembly
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/merlinpost/merlinpost/internal/telemetry"
 )
 
-// Router is a router with its HTTP APIs and listening sockets.
+// Router is a router with its HTTP APIs and their listening sockets.
 type Router struct {
 	*router.Router
 	listeners router.Listeners
-	pages     router.Handlers
+	handlers  router.Handlers
 }
 
 // NewRouter builds a router and opens its listening sockets.
@@ -45,7 +45,8 @@
 	return &Router{r, listeners, router.Handlers{Callers: callers, Operators: operators}}, nil
 }
 
-// publicRoutes registers the routes of the operators' API that need no key.
+// publicRoutes returns a function that registers the routes of the operator API that
+// need no key.
 func publicRoutes(r *router.Router) func(app *iris.Application) {
 	return func(app *iris.Application) {
 		app.Get("/metrics", iris.FromStd(telemetry.Handler()))
@@ -58,14 +59,14 @@
 	}
 }
 
-// CallersAddress returns the address of the callers' API.
+// CallersAddress returns the listen address of the caller API.
 func (r *Router) CallersAddress() string { return r.listeners.Callers.Addr().String() }
 
-// OperatorsAddress returns the address of the operators' API.
+// OperatorsAddress returns the listen address of the operator API.
 func (r *Router) OperatorsAddress() string { return r.listeners.Operators.Addr().String() }
 
-// Serve runs the router until ctx ends, or until the graceful shutdown that
-// begins when stop is closed is complete.
+// Serve runs the router until ctx ends. Closing stop starts a graceful shutdown, and
+// Serve returns when it is complete.
 func (r *Router) Serve(ctx context.Context, stop <-chan struct{}) error {
-	return r.Router.Serve(ctx, stop, r.listeners, r.pages)
+	return r.Router.Serve(ctx, stop, r.listeners, r.handlers)
 }
