--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,6 +1,6 @@
-// Package dev runs a complete deployment in one process: stand-ins for the
-// outside systems, stand-in backend servers with an agent each, and a router. They
-// communicate over real sockets on the loopback interface.
+// Package dev runs a complete deployment in one process: stand-ins for the external
+// systems, stand-in backend servers with an agent each, and a router. They communicate
+// over sockets on the loopback interface.
 package dev
 
 import (
@@ -25,35 +25,36 @@
 	"github.com/merlinpost/merlinpost/internal/standin/plain"
 )
 
-// Keys for the APIs of the deployment.
+// Keys for the APIs of the deployment: of the default team and of the operator.
 const (
 	TeamKey     = "dev"
 	OperatorKey = "dev-operator"
 )
 
 const (
-	failureDomains    = 2
-	ephemeralAddress  = "127.0.0.1:0"
-	readyTimeout      = 15 * time.Second
-	readyPollInterval = 20 * time.Millisecond
-	defaultStep       = 3 * time.Millisecond
-	defaultSlots      = 16
-	defaultServers    = 2
-	keyWindowMS       = 10 * 60 * 1000
+	failureDomains      = 2
+	ephemeralAddress    = "127.0.0.1:0"
+	readyTimeout        = 15 * time.Second
+	readyPollInterval   = 20 * time.Millisecond
+	defaultStepDuration = 3 * time.Millisecond
+	defaultSlots        = 16
+	defaultServers      = 2
+	idempotencyWindowMS = 10 * 60 * 1000
 )
 
 // Options configures a deployment.
 type Options struct {
-	// Callers and Operators are the addresses of the router's APIs.
+	// Callers and Operators are the listen addresses of the router's APIs.
 	Callers, Operators string
-	// Engines and Services are the numbers of backend servers (default 2 each).
+	// Engines and Services are the numbers of backend servers that are model engines
+	// and services (default 2 each).
 	Engines, Services int
-	// Step is the duration of an engine's decoding step (default 3 ms).
+	// Step is the duration of a decoding step of an engine (default 3 ms).
 	Step time.Duration
 	// Slots is the batch size of the engines and the number of slots of each
 	// agent (default 16).
 	Slots int
-	// Classes and Teams replace the default ones if not nil.
+	// Classes and Teams replace the default classes and teams if not nil.
 	Classes map[string]*resource.Class
 	Teams   map[string]*resource.Team
 	// ConfigureAgent, if not nil, modifies an agent's settings before it starts.
@@ -63,23 +64,23 @@
 	ConfigureRouter func(*settings.Router)
 }
 
-// Deployment is a running deployment.
+// Deployment is a running deployment. The embedded Router is its only router.
 type Deployment struct {
 	*assembly.Router
 	Log     *logservice.Service
 	Members *members.List
 	Engines []*engine.Engine
-	// EngineAddresses are the engines' own addresses, for calls that bypass the
-	// router and the agents.
+	// EngineAddresses are the addresses of the engines themselves, for calls that
+	// bypass the router and the agents.
 	EngineAddresses []string
 	Services        []*plain.Service
 	Agents          []*agent.Agent
 
 	logAddress, membersAddress string
-	servers                    map[string][]resource.Server
+	servers                    map[string][]resource.Server // by pool
 	cancel                     context.CancelFunc
 	stopRouter                 chan struct{}
-	tasks                      sync.WaitGroup
+	goroutines                 sync.WaitGroup
 }
 
 // Start starts a deployment and returns when it is ready to serve requests.
@@ -101,7 +102,7 @@
 		opts.Services = defaultServers
 	}
 	if opts.Step == 0 {
-		opts.Step = defaultStep
+		opts.Step = defaultStepDuration
 	}
 	if opts.Slots == 0 {
 		opts.Slots = defaultSlots
@@ -113,7 +114,7 @@
 		opts.Teams = map[string]*resource.Team{"dev": {KeysSHA256: []string{resource.HashAPIKey(TeamKey)}, DefaultClass: "alert",
 			Classes: []string{"helpline", "report"}}}
 	}
-	if err := d.startPlatform(ctx); err != nil {
+	if err := d.startPlatformServices(ctx); err != nil {
 		return err
 	}
 	for i := range opts.Engines {
@@ -135,7 +136,8 @@
 	return d.waitReady(ctx)
 }
 
-func (d *Deployment) startPlatform(ctx context.Context) (err error) {
+// startPlatformServices starts the stand-ins of the log service and the membership list.
+func (d *Deployment) startPlatformServices(ctx context.Context) (err error) {
 	d.Log, d.Members = logservice.New(), members.New(time.Second)
 	if d.logAddress, err = standin.Serve(ctx, ephemeralAddress, d.Log.Handler()); err != nil {
 		return err
@@ -146,6 +148,7 @@
 
 func failureDomain(i int) string { return string(rune('a' + i%failureDomains)) }
 
+// addEngine starts an engine and its agent. Only every second engine has fencing.
 func (d *Deployment) addEngine(ctx context.Context, i int, opts Options, logger *slog.Logger) error {
 	e := engine.New(engine.Config{Name: fmt.Sprint("engine-", i), Step: opts.Step, StepPerSeq: opts.Step / 150,
 		PrefillPerBlock: opts.Step / 6, MaxBatch: opts.Slots, CacheBlocks: 4096, Fencing: i%2 == 0, ReportLag: time.Second,
@@ -154,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	d.tasks.Go(func() { e.Run(ctx) })
+	d.goroutines.Go(func() { e.Run(ctx) })
 	d.Engines = append(d.Engines, e)
 	d.EngineAddresses = append(d.EngineAddresses, address)
 	return d.addAgent(ctx, "engines", settings.Server{Kind: "engine", Address: address, Slots: opts.Slots, Fencing: i%2 == 0, StallMS: 10000}, i, opts, logger)
@@ -183,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	d.tasks.Go(func() {
+	d.goroutines.Go(func() {
 		if err := a.Run(ctx); err != nil {
 			logger.Error("agent failed", "error", err)
 		}
@@ -201,13 +204,13 @@
 	}
 }
 
-// writeInitialConfig appends the initial configuration to the log.
+// writeInitialConfig appends the initial configuration to the log as one record.
 func (d *Deployment) writeInitialConfig(opts Options) error {
 	rec := resource.Record{Operation: "seed", Actor: "dev"}
 	put := func(kind resource.Kind, name string, spec resource.Spec) {
 		data, err := json.Marshal(spec)
 		if err != nil {
-			data = nil // reported by the check below
+			data = nil // rejected by the check below
 		}
 		rec.Changes = append(rec.Changes, resource.Change{Verb: resource.Put, Kind: kind, Name: name, Spec: data})
 	}
@@ -220,7 +223,7 @@
 	put(resource.KindPool, "engines", &resource.Pool{Servers: d.servers["engines"]})
 	put(resource.KindPool, "workers", &resource.Pool{Servers: d.servers["workers"]})
 	put(resource.KindModel, "advisory", &resource.Model{Pool: "engines"})
-	put(resource.KindService, "receipts", &resource.Service{Pool: "workers", Path: "/receipts", KeyWindowMS: keyWindowMS})
+	put(resource.KindService, "receipts", &resource.Service{Pool: "workers", Path: "/receipts", KeyWindowMS: idempotencyWindowMS})
 	put(resource.KindService, "status", &resource.Service{Pool: "workers", Path: "/status", MayRepeat: true})
 	if err := resource.NewState().Check(rec); err != nil {
 		return err
@@ -250,7 +253,7 @@
 	}
 	d.Router = r
 	d.Members.Set(membership.Member{Name: set.Name, Role: "router", Address: r.PeersAddress(), FailureDomain: set.FailureDomain, State: membership.Live}, false)
-	d.tasks.Go(func() {
+	d.goroutines.Go(func() {
 		if err := r.Serve(ctx, d.stopRouter); err != nil {
 			logger.Error("router failed", "error", err)
 		}
@@ -258,8 +261,7 @@
 	return nil
 }
 
-// waitReady waits until the router is ready and has a link to every agent, and
-// every agent is serving.
+// waitReady waits until the router is ready and every agent is connected and serving.
 func (d *Deployment) waitReady(ctx context.Context) error {
 	deadline := time.NewTimer(readyTimeout)
 	defer deadline.Stop()
@@ -285,9 +287,9 @@
 	return d.Ready() && serving == len(d.Agents)
 }
 
-// Wait waits until stop is closed and then shuts down gracefully: the router
-// completes its requests before the agents are stopped. If ctx ends, requests in
-// progress are cut off.
+// Wait waits until stop is closed and then shuts down gracefully: the router completes
+// the requests in progress before the agents are stopped. If ctx ends, requests in
+// progress are aborted.
 func (d *Deployment) Wait(ctx context.Context, stop <-chan struct{}) error {
 	select {
 	case <-stop:
@@ -304,8 +306,9 @@
 	return nil
 }
 
-// Close stops the router, the agents and the stand-ins at once and waits for them.
+// Close stops the router, the agents and the stand-ins immediately and waits until they
+// have stopped.
 func (d *Deployment) Close() {
 	d.cancel()
-	d.tasks.Wait()
+	d.goroutines.Wait()
 }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -28,8 +28,8 @@
 	return d
 }
 
-// post sends a request to the callers' API and returns the status and the body of
-// the response.
+// post sends a request to the caller API and returns the status and the body of the
+// response. header alternates names and values.
 func post(d *Deployment, path, class, body string, header ...string) (int, string, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+d.CallersAddress()+path, strings.NewReader(body))
 	if err != nil {
@@ -49,7 +49,8 @@
 	return resp.StatusCode, string(data), err
 }
 
-// The deployment serves models and services and shuts down gracefully.
+// The deployment must serve models and services, run a call that is repeated with the
+// same idempotency key only once, and shut down gracefully.
 func TestDeploymentServesModelsAndServices(t *testing.T) {
 	g := NewWithT(t)
 	d := startDeployment(t, Options{})
