--- a/cmd/merlinpost-agent/main.go
+++ b/cmd/merlinpost-agent/main.go
@@ -1,4 +1,5 @@
-// Command merlinpost-agent runs beside a backend server, as its only client.
+// Command merlinpost-agent runs the agent of a backend server, which is the only client of the
+// server.
 package main
 
 import (
--- a/cmd/merlinpost/main.go
+++ b/cmd/merlinpost/main.go
@@ -1,5 +1,5 @@
-// Command merlinpost runs a router on an entry host, or a gateway, and provides the
-// command line for operators.
+// Command merlinpost runs a router or a gateway, provides the commands for operators,
+// and includes tools for development and load tests.
 package main
 
 import (
