--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -43,7 +43,7 @@
 			}
 		}
 		for i := range c.Engines {
-			var r engine.Report
+			var r engine.LoadReport
 			if err := c.getJSON(fmt.Sprintf("http://%s:7100/v1/load", c.address(fmt.Sprint("engine-", i))), &r); err != nil {
 				return err
 			}
@@ -154,10 +154,10 @@
 	ts.Check(c.getJSON("http://"+c.address(args[0])+":7100/standin/orders", &orders))
 	last := uint64(0)
 	for _, o := range orders {
-		if o.Fence < last {
-			ts.Fatalf("an order with fencing token %d came after one with %d: %+v", o.Fence, last, orders)
+		if o.FencingToken < last {
+			ts.Fatalf("an order with fencing token %d came after one with %d: %+v", o.FencingToken, last, orders)
 		}
-		last = o.Fence
+		last = o.FencingToken
 	}
 	if len(orders) == 0 {
 		ts.Fatalf("the engine accepted no orders")
@@ -202,8 +202,8 @@
 			continue
 		}
 		ts.Logf("%s: sent %d, answered %d, failures %v", c.Class, c.Sent, c.Answered, c.Failures)
-		if c.Wrong+c.Short+c.NoRetryAfter > 0 {
-			ts.Fatalf("%d wrong, %d short, %d refused without Retry-After", c.Wrong, c.Short, c.NoRetryAfter)
+		if c.WrongContent+c.WrongLength+c.NoRetryAfter > 0 {
+			ts.Fatalf("%d wrong, %d short, %d refused without Retry-After", c.WrongContent, c.WrongLength, c.NoRetryAfter)
 		}
 		if want := intOption(ts, o, "answered", c.Sent); c.Answered < want {
 			ts.Fatalf("%d of %d answered: %v", c.Answered, c.Sent, c.Failures)
--- a/internal/agent/serving.go
+++ b/internal/agent/serving.go
@@ -63,7 +63,7 @@
 
 // notifyPeers sends a heartbeat on every link immediately.
 func (a *Agent) notifyPeers(ctx context.Context) {
-	a.loop.post(ctx, func(time.Time) { a.loop.sendHeartbeats() })
+	a.loop.post(ctx, func(time.Time) { a.loop.triggerHeartbeats() })
 }
 
 // updateServing sets the served targets and notifies the peers of a change.
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -95,8 +95,8 @@
 	team          *resource.Team
 	className     string
 	class         *resource.Class
-	streamStarted bool                   // errors must be sent as stream events
-	observation   *telemetry.Observation // nil until the request is known to be valid
+	streamStarted bool                          // errors must be sent as stream events
+	observation   *telemetry.RequestObservation // nil until the request is known to be valid
 }
 
 // serve authenticates the caller, runs the handler and writes its error, if any.
@@ -216,7 +216,7 @@
 		code, outcome = string(e.Code), string(e.Outcome)
 	}
 	if x.observation != nil {
-		x.observation.End(time.Now(), code, outcome)
+		x.observation.RecordEnd(time.Now(), code, outcome)
 		return
 	}
 	if e != nil {
--- a/internal/callerapi/completion.go
+++ b/internal/callerapi/completion.go
@@ -175,7 +175,7 @@
 		if !x.streamStarted {
 			x.startStream(f)
 		}
-		x.observation.Token(time.Now())
+		x.observation.RecordToken(time.Now())
 		return x.writeEvent(f.chunk(string(data), "", nil))
 	}
 	end, e := x.api.backend.Do(x.r.Context(), req, deliver)
@@ -222,7 +222,7 @@
 func (x *exchange) writeResponse(f *responseFormat, req *router.Request) *fault.Error {
 	var text strings.Builder
 	end, e := x.api.backend.Do(x.r.Context(), req, func(data []byte) error {
-		x.observation.Token(time.Now())
+		x.observation.RecordToken(time.Now())
 		text.Write(data)
 		return nil
 	})
