--- a/internal/simulate/engine.go
+++ b/internal/simulate/engine.go
@@ -1,6 +1,7 @@
-// Package simulate is a discrete-event simulation of model requests. It runs the production
-// placement and permit code against a simplified model of batching engines, so that a policy
-// change can be evaluated in seconds. Networks, processes and failures are not modelled.
+// Package simulate is a discrete-event simulation of model inference requests. It runs the
+// production placement and permit code against a simplified model of engines with continuous
+// batching, so that a policy change can be evaluated in seconds. Networks, processes and
+// failures are not modelled.
 package simulate
 
 import (
@@ -11,28 +12,28 @@
 	"github.com/merlinpost/merlinpost/internal/placement"
 )
 
-// EngineModel holds the performance parameters of an engine.
+// EngineModel holds the performance parameters of a simulated engine.
 type EngineModel struct {
 	BaseStep           time.Duration // duration of a step without prefill
-	StepPerRequest     time.Duration // added for each running request
+	StepPerRequest     time.Duration // added to a step for each running request
 	PrefillTokensPerMs float64       // prefill throughput
 	PrefillChunk       int           // maximum prompt tokens processed in a step
 	// AttentionMsPerMillionPairs is the attention cost of prefill, for each million pairs of a
 	// prompt token and a preceding token.
 	AttentionMsPerMillionPairs float64
-	Slots                      int
-	KVCacheTokens              int // KV cache capacity; step counts only the prompts of running requests
-	EventTokens                int // generated tokens for each stream event
-	FirstTokenDelay            time.Duration
+	Slots                      int           // maximum number of running requests
+	KVCacheTokens              int           // KV cache capacity; only the prompts of running requests count against it
+	EventTokens                int           // generated tokens per stream event
+	FirstTokenDelay            time.Duration // from the end of the prefill to the first token
 }
 
-// activeRequest is a request that is waiting or running at an engine.
+// activeRequest is a job that is waiting or running at an engine.
 type activeRequest struct {
 	*job
 	rank             int
 	prefillRemaining int // prompt tokens not yet processed
 	generated        int // tokens generated so far
-	started          time.Time
+	enqueuedAt       time.Time
 }
 
 // engine is the state of a simulated engine.
@@ -40,11 +41,11 @@
 	model            EngineModel
 	id               string
 	waiting          []*activeRequest
-	running          []*activeRequest
+	running          []*activeRequest     // the current batch
 	prefixLastUsed   map[string]time.Time // by the ID of the shared prefix
 	kvTokensUsed     int
-	busy             bool
-	prefixMissTokens int // shared prompt tokens that were neither cached nor fetched
+	busy             bool // a batch step is running
+	prefixMissTokens int  // tokens of shared prefixes that were neither cached nor fetched
 }
 
 func newEngine(id string, m EngineModel) *engine {
@@ -55,10 +56,10 @@
 // finished requests, whose memory use is not modelled.
 const prefixCacheTTL = 12 * time.Second
 
-// enqueue adds a request to the waiting queue. fetched means that the shared prefix was copied
-// from another engine, so that it needs no prefill.
+// enqueue adds a job to the waiting queue. If fetched is set, the KV cache entries of its shared
+// prefix were copied from another engine and need no prefill.
 func (e *engine) enqueue(j *job, rank int, fetched bool, now time.Time) {
-	r := &activeRequest{job: j, rank: rank, prefillRemaining: j.prompt.Tokens, started: now}
+	r := &activeRequest{job: j, rank: rank, prefillRemaining: j.prompt.Tokens, enqueuedAt: now}
 	shared, tokens := j.prompt.Shared()
 	if e.hasPrefix(shared, now) || fetched {
 		r.prefillRemaining -= tokens
@@ -71,6 +72,7 @@
 	e.waiting = append(e.waiting, r)
 }
 
+// hasPrefix reports whether the shared prefix is cached.
 func (e *engine) hasPrefix(id string, now time.Time) bool {
 	at, ok := e.prefixLastUsed[id]
 	return ok && now.Sub(at) <= prefixCacheTTL
@@ -92,34 +94,34 @@
 }
 
 // step runs one batch step that starts at now and returns its duration, or 0 if the engine is
-// idle. first and end are called with the times of first tokens and of completed responses,
-// which lie at or after the end of the step.
-func (e *engine) step(now time.Time, first func(*job, time.Time), end func(*job, time.Time)) time.Duration {
+// idle. onFirstToken and onComplete are called with the times of first tokens and of completed
+// responses, which are at or after the end of the step.
+func (e *engine) step(now time.Time, onFirstToken, onComplete func(*job, time.Time)) time.Duration {
 	e.admit()
 	if len(e.running) == 0 {
 		return 0
 	}
 	duration := e.model.BaseStep
-	budget := e.model.PrefillChunk
-	pairs := 0.0
+	prefillBudget := e.model.PrefillChunk
+	attentionPairs := 0.0
 	var prefilled []*activeRequest
 	for _, r := range e.runningByRank() {
-		n := min(r.prefillRemaining, budget)
+		n := min(r.prefillRemaining, prefillBudget)
 		if n > 0 {
-			pairs += float64(n) * float64(r.prompt.Tokens-r.prefillRemaining)
+			attentionPairs += float64(n) * float64(r.prompt.Tokens-r.prefillRemaining)
 			r.prefillRemaining -= n
-			budget -= n
+			prefillBudget -= n
 			if r.prefillRemaining == 0 {
 				prefilled = append(prefilled, r)
 			}
 		}
 	}
-	duration += time.Duration(float64(e.model.PrefillChunk-budget) / e.model.PrefillTokensPerMs * float64(time.Millisecond))
-	duration += time.Duration(pairs / 1e6 * e.model.AttentionMsPerMillionPairs * float64(time.Millisecond))
+	duration += time.Duration(float64(e.model.PrefillChunk-prefillBudget) / e.model.PrefillTokensPerMs * float64(time.Millisecond))
+	duration += time.Duration(attentionPairs / 1e6 * e.model.AttentionMsPerMillionPairs * float64(time.Millisecond))
 	duration += time.Duration(len(e.running)) * e.model.StepPerRequest
 	stepEnd := now.Add(duration)
 	for _, r := range prefilled {
-		first(r.job, stepEnd.Add(e.model.FirstTokenDelay))
+		onFirstToken(r.job, stepEnd.Add(e.model.FirstTokenDelay))
 	}
 	e.running = slices.DeleteFunc(e.running, func(r *activeRequest) bool {
 		if r.expired {
@@ -137,7 +139,7 @@
 			return false
 		}
 		e.kvTokensUsed -= r.prompt.Tokens
-		end(r.job, stepEnd)
+		onComplete(r.job, stepEnd)
 		return true
 	})
 	e.waiting = slices.DeleteFunc(e.waiting, func(r *activeRequest) bool { return r.expired })
@@ -152,29 +154,29 @@
 
 // job is a client request and its outcome.
 type job struct {
-	id           string
-	class        *Class
-	prompt       placement.Prompt
-	outputTokens int
-	arrived      time.Time
-	sent         time.Time
-	first, done  time.Time
-	refused      bool
-	expired      bool // the deadline has passed and the client has disconnected
-	group        permit.Group
-	onFirst      func(now time.Time)
-	onEnd        func(now time.Time)
-	ended        bool
-	streamStats  permit.StreamStats
-	lastEvent    time.Time // time of the last stream event
+	id                        string
+	class                     *Class
+	prompt                    placement.Prompt
+	outputTokens              int // tokens to generate
+	arrivedAt                 time.Time
+	dispatchedAt              time.Time
+	firstTokenAt, completedAt time.Time
+	refused                   bool
+	expired                   bool         // the deadline has passed and the client has disconnected
+	group                     permit.Group // that granted the permit
+	onFirst                   func(now time.Time)
+	onEnd                     func(now time.Time)
+	ended                     bool // onEnd has run
+	streamStats               permit.StreamStats
+	lastEventAt               time.Time
 }
 
 // recordEvent adds an event of the response stream to the job's statistics.
 func (j *job) recordEvent(at time.Time) {
 	if j.streamStats.Events > 0 {
-		j.streamStats.Duration += at.Sub(j.lastEvent)
-		j.streamStats.LongestGap = max(j.streamStats.LongestGap, at.Sub(j.lastEvent))
+		j.streamStats.Duration += at.Sub(j.lastEventAt)
+		j.streamStats.LongestGap = max(j.streamStats.LongestGap, at.Sub(j.lastEventAt))
 	}
 	j.streamStats.Events++
-	j.lastEvent = at
+	j.lastEventAt = at
 }
--- a/internal/simulate/result.go
+++ b/internal/simulate/result.go
@@ -7,18 +7,18 @@
 
 // results aggregates the outcomes of the jobs by class.
 func (s *simulation) results() []ClassResult {
-	prefixMisses := 0
+	prefixMissTokens := 0
 	for _, e := range s.engines {
-		prefixMisses += e.prefixMissTokens
+		prefixMissTokens += e.prefixMissTokens
 	}
 	out := make([]ClassResult, len(s.Classes))
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		r := ClassResult{Name: class.Name, PrefixMissTokens: prefixMisses}
+		r := ClassResult{Name: class.Name, PrefixMissTokens: prefixMissTokens}
 		var firstTokens []time.Duration
 		for _, j := range s.jobs {
 			if j.class == class {
-				firstTokens = r.add(j, firstTokens)
+				firstTokens = r.addJob(j, firstTokens)
 			}
 		}
 		r.LongPromptServedShare = longPromptServedShare(s.jobs, class)
@@ -29,11 +29,11 @@
 	return out
 }
 
-// longPromptDivisor defines the long prompts of a class: the longest tenth.
+// longPromptDivisor makes the longest tenth of a class's prompts its long prompts.
 const longPromptDivisor = 10
 
-// longPromptServedShare returns the share of a class's long prompts that were answered by
-// their deadline.
+// longPromptServedShare returns the share of a class's long prompts that were answered by their
+// deadline.
 func longPromptServedShare(jobs []*job, class *Class) float64 {
 	var classJobs []*job
 	for _, j := range jobs {
@@ -54,17 +54,17 @@
 
 // metDeadline reports whether the response was complete by the deadline.
 func (j *job) metDeadline() bool {
-	return !j.done.IsZero() && j.done.Sub(j.arrived) <= j.class.Deadline
+	return !j.completedAt.IsZero() && j.completedAt.Sub(j.arrivedAt) <= j.class.Deadline
 }
 
-// add counts the job and appends its time to first token, if it has one, to firstTokens.
-func (r *ClassResult) add(j *job, firstTokens []time.Duration) []time.Duration {
+// addJob counts the job and appends its time to first token, if it has one, to firstTokens.
+func (r *ClassResult) addJob(j *job, firstTokens []time.Duration) []time.Duration {
 	r.Requests++
-	if !j.first.IsZero() {
-		firstTokens = append(firstTokens, j.first.Sub(j.arrived))
+	if !j.firstTokenAt.IsZero() {
+		firstTokens = append(firstTokens, j.firstTokenAt.Sub(j.arrivedAt))
 	}
 	switch {
-	case j.metDeadline() && j.first.Sub(j.arrived) <= j.class.FirstTokenTarget && (j.class.MaxEventGap == 0 || j.streamStats.LongestGap <= j.class.MaxEventGap):
+	case j.metDeadline() && j.firstTokenAt.Sub(j.arrivedAt) <= j.class.FirstTokenTarget && (j.class.MaxEventGap == 0 || j.streamStats.LongestGap <= j.class.MaxEventGap):
 		r.OnTime++
 	case j.metDeadline():
 		r.Late++
@@ -76,6 +76,7 @@
 	return firstTokens
 }
 
+// percentile returns a percentile of sorted durations in milliseconds, or 0 if there are none.
 func percentile(sorted []time.Duration, p float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/simulate/scenario.go
+++ b/internal/simulate/scenario.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Scenario is an engine model with a workload.
+// Scenario combines an engine model with a workload.
 type Scenario struct {
 	Name   string
 	Engine EngineModel
@@ -11,8 +11,8 @@
 	Classes func(engines int, factor float64) []Class
 }
 
-// Scenarios are the workloads of three deployments, as their users describe them, and of one
-// with much slower engines. The bursts of the classes follow one another.
+// Scenarios holds the workloads of three deployments, as their users describe them, and one for
+// much slower engines. Within a scenario, the bursts of the classes follow one another.
 var Scenarios = []Scenario{
 	{Name: "advisory", Engine: advisoryEngine(), Classes: advisoryClasses},
 	{Name: "routes", Engine: routesEngine, Classes: routesClasses},
@@ -30,14 +30,14 @@
 	return Scenario{}, false
 }
 
-// advisoryEngine models an engine with two accelerators that serves a model of 120 billion
-// parameters, as described by the users of the advisory deployment.
+// advisoryEngine returns the model of an engine with two accelerators that serves a model with
+// 120 billion parameters, as described by the users of the advisory deployment.
 func advisoryEngine() EngineModel {
 	return EngineModel{BaseStep: 3090 * time.Microsecond, StepPerRequest: 102 * time.Microsecond, PrefillTokensPerMs: 56.9, PrefillChunk: 1024,
 		Slots: 64, KVCacheTokens: 579000, EventTokens: 6, FirstTokenDelay: 13 * time.Millisecond}
 }
 
-// advisoryClasses returns the request classes of the advisory deployment.
+// advisoryClasses returns the request classes of the advisory deployment, which has 38 engines.
 func advisoryClasses(engines int, factor float64) []Class {
 	scale := factor * float64(engines) / 38
 	return []Class{
@@ -55,6 +55,7 @@
 var routesEngine = EngineModel{BaseStep: 3790 * time.Microsecond, StepPerRequest: 102 * time.Microsecond, PrefillTokensPerMs: 56.6, PrefillChunk: 1024,
 	Slots: 64, KVCacheTokens: 596000, EventTokens: 5, FirstTokenDelay: 13 * time.Millisecond}
 
+// routesClasses returns the request classes of the routes deployment, which has 50 engines.
 func routesClasses(engines int, factor float64) []Class {
 	scale := factor * float64(engines) / 50
 	return []Class{
@@ -72,6 +73,7 @@
 var reviewsEngine = EngineModel{BaseStep: 5230 * time.Microsecond, StepPerRequest: 4 * time.Microsecond, PrefillTokensPerMs: 38.4, PrefillChunk: 4096,
 	AttentionMsPerMillionPairs: 0.647, Slots: 48, KVCacheTokens: 357000, EventTokens: 4}
 
+// reviewsClasses returns the request classes of the reviews deployment, which has 18 engines.
 func reviewsClasses(engines int, factor float64) []Class {
 	scale := factor * float64(engines) / 18
 	return []Class{
@@ -84,10 +86,11 @@
 	}
 }
 
-// slowEngine is about ten times slower than the other engines and has small prefill chunks.
+// slowEngine has about ten times the step time of the other engines and small prefill chunks.
 var slowEngine = EngineModel{BaseStep: 40 * time.Millisecond, StepPerRequest: 500 * time.Microsecond, PrefillTokensPerMs: 4, PrefillChunk: 256,
 	Slots: 16, KVCacheTokens: 60000, EventTokens: 2, FirstTokenDelay: 20 * time.Millisecond}
 
+// slowClasses returns request classes for 12 slow engines.
 func slowClasses(engines int, factor float64) []Class {
 	scale := factor * float64(engines) / 12
 	return []Class{
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -17,49 +17,49 @@
 // Class is a class of requests with its arrival process, prompt lengths and latency targets.
 type Class struct {
 	Name               string
-	PerSecond          float64
-	Rank               int
+	PerSecond          float64 // mean rate of the Poisson arrivals outside of the burst
+	Rank               int     // scheduling rank at the engines; 0 is the most urgent
 	SharedPrefixes     int     // number of distinct shared prompt prefixes
 	SharedPrefixTokens int     // length of a shared prefix
-	UniqueTokens       float64 // mean prompt tokens that are unique to a request
-	UniqueTokensSigma  float64 // log-normal sigma of UniqueTokens
-	OutputTokens       float64 // scale of the log-normal number of generated tokens
+	UniqueTokens       float64 // mean number of prompt tokens that are unique to a request
+	UniqueTokensSigma  float64 // sigma of the log-normal distribution of these tokens
+	OutputTokens       float64 // median of the log-normal number of generated tokens
 	FirstTokenTarget   time.Duration
-	MaxEventGap        time.Duration // longest pause between stream events that is on time; 0 means no limit
+	MaxEventGap        time.Duration // longest gap between stream events that meets the target; 0 means no target
 	Deadline           time.Duration
 	// BurstFactor multiplies the rate from BurstStart for BurstDuration.
 	BurstFactor               float64
 	BurstStart, BurstDuration time.Duration
 }
 
-// Variant names a placement policy to simulate.
+// Variant is the name of a policy to simulate.
 type Variant string
 
 // The variants are the production policy, the production policy with one mechanism disabled,
 // and a baseline that sends each request to the engine with the fewest requests in flight from
 // the same gateway.
 const (
-	Product       Variant = "product"
-	NoPermits     Variant = "no_permits"  // gateways place requests without permits, by their own view
-	NoHarm        Variant = "no_harm"     // the effect of a prefill on running streams is ignored
-	NoPacing      Variant = "no_pacing"   // the time that running streams need to finish is ignored
-	NoOrder       Variant = "no_order"    // no engine is preferred for short or long prompts
-	Together      Variant = "together"    // an engine may get further prompts during a prefill
-	NoLearning    Variant = "no_learning" // engine performance estimates keep their initial values
-	NoFetch       Variant = "no_fetch"    // missing prefixes are recomputed rather than fetched
-	ByArrival     Variant = "by_arrival"  // requests that can no longer be on time keep their place
-	Patient       Variant = "patient"     // requests are not refused before their wait limit
-	NoRanks       Variant = "no_ranks"    // all requests have the same rank
-	LeastRequests Variant = "least_requests"
+	Production             Variant = "product"
+	NoPermits              Variant = "no_permits"  // each gateway places requests by its own load estimates, without permits
+	IgnoreInterference     Variant = "no_harm"     // prompts are placed regardless of the running streams that their prefill disrupts
+	IgnoreResponseTimeouts Variant = "no_pacing"   // only the event gaps of running streams are protected, not their response timeouts
+	NoEnginePreference     Variant = "no_order"    // short and long prompts are not separated by engine
+	ConcurrentPrefills     Variant = "together"    // an engine may get further prompts while it runs a prefill
+	NoLearning             Variant = "no_learning" // performance estimates of the engines keep their initial values
+	NoFetch                Variant = "no_fetch"    // missing shared prefixes are recomputed rather than fetched from another engine
+	IgnoreLateness         Variant = "by_arrival"  // late requests are not ordered behind those that can still be on time
+	NoEarlyRefusal         Variant = "patient"     // requests are refused only after their timeout
+	NoRanks                Variant = "no_ranks"    // all requests have rank 0
+	LeastRequests          Variant = "least_requests"
 )
 
 // Variants lists all variants.
-var Variants = []Variant{Product, NoPermits, NoHarm, NoPacing, NoOrder, Together, NoLearning, NoFetch, ByArrival, Patient, NoRanks, LeastRequests}
+var Variants = []Variant{Production, NoPermits, IgnoreInterference, IgnoreResponseTimeouts, NoEnginePreference, ConcurrentPrefills, NoLearning, NoFetch, IgnoreLateness, NoEarlyRefusal, NoRanks, LeastRequests}
 
-// permitPolicies holds the variants that change permit decisions.
+// permitPolicies holds the permit policies of the variants that differ from the production one.
 var permitPolicies = map[Variant]permit.Policy{
-	NoHarm: {IgnoreInterference: true}, NoPacing: {IgnoreResponseTimeouts: true}, NoOrder: {NoEnginePreference: true}, Together: {ConcurrentPrefills: true},
-	NoLearning: {NoLearning: true}, NoFetch: {NoFetch: true}, ByArrival: {IgnoreLateness: true}, Patient: {NoEarlyRefusal: true},
+	IgnoreInterference: {IgnoreInterference: true}, IgnoreResponseTimeouts: {IgnoreResponseTimeouts: true}, NoEnginePreference: {NoEnginePreference: true}, ConcurrentPrefills: {ConcurrentPrefills: true},
+	NoLearning: {NoLearning: true}, NoFetch: {NoFetch: true}, IgnoreLateness: {IgnoreLateness: true}, NoEarlyRefusal: {NoEarlyRefusal: true},
 }
 
 // Config describes one simulation.
@@ -67,7 +67,7 @@
 	Engines, Gateways int
 	Engine            EngineModel
 	Classes           []Class
-	Duration          time.Duration // simulated time during which requests arrive
+	Duration          time.Duration // simulated time for which requests arrive
 	Seed              uint64
 	Variant           Variant
 }
@@ -77,7 +77,7 @@
 	Name                             string
 	Requests, OnTime, Late, Refused  int
 	Failed                           int     // neither refused nor answered by the deadline
-	PrefixMissTokens                 int     // of all classes together
+	PrefixMissTokens                 int     // recomputed tokens of shared prefixes, of all classes together
 	LongPromptServedShare            float64 // of the tenth of the requests with the longest prompts
 	FirstTokenP50Ms, FirstTokenP95Ms float64
 }
@@ -93,7 +93,7 @@
 // event is a callback that is due at a simulated time.
 type event struct {
 	at  time.Time
-	seq int
+	seq int // order of events that are due at the same time
 	run func(now time.Time)
 }
 
@@ -125,11 +125,11 @@
 	jobs       []*job
 }
 
-// permitRequest is a job that waits for a permit decision.
+// permitRequest is a permit request for a job.
 type permitRequest struct {
 	job     *job
 	gateway int
-	groups  []int // groups still to try, the current one first
+	groups  []int // engine groups still to try, the current one first
 }
 
 func (p *permitRequest) group() permit.Group {
@@ -139,21 +139,35 @@
 const (
 	// serviceName is the only service of a simulation.
 	serviceName = "s"
-	// maxGroups is the number of groups that are tried for a request, as gateways do.
+	// maxGroups is the number of engine groups that are tried for a request, as in gateways.
 	maxGroups = 2
+	// failureDomains is the number of failure domains over which the engines are distributed.
+	failureDomains = 4
+	// permitPollInterval is the time between two polls of the permit queue.
+	permitPollInterval = 20 * time.Millisecond
+	// permitPollDrain is how long the permit queue is polled after the last arrival.
+	permitPollDrain = 20 * time.Second
+	// minUniqueTokens is a lower bound of the tokens that are unique to a request.
+	minUniqueTokens = 16
+	// outputTokensSigma is the sigma of the log-normal distribution of generated tokens.
+	outputTokensSigma = 0.4
+	// firstTokenTimeoutTargets is the wait limit for the first token as a multiple of its target.
+	firstTokenTimeoutTargets = 4
+	// minFirstTokenTimeout is a lower bound of this limit, as in gateways.
+	minFirstTokenTimeout = 500 * time.Millisecond
 )
 
-// Run runs a simulation. It is deterministic: the same Config gives the same result.
+// Run runs a simulation. The result depends only on c.
 func Run(c Config) []ClassResult {
 	s := &simulation{Config: c, now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(c.Seed, 7)),
 		engines: map[string]*engine{}}
-	s.permits = permit.NewScheduler[*permitRequest](s.groupEngines, func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false },
+	s.permits = permit.NewScheduler[*permitRequest](s.enginesOfGroup, func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false },
 		ratelimit.New(s.rng.Float64), permitPolicies[c.Variant])
 	var servers []registry.Server
 	for i := range c.Engines {
 		id := fmt.Sprintf("e%03d", i)
 		s.engines[id] = newEngine(id, c.Engine)
-		servers = append(servers, registry.Server{ID: id, Service: serviceName, Address: id, FailureDomain: fmt.Sprint("d", i%4), Slots: c.Engine.Slots})
+		servers = append(servers, registry.Server{ID: id, Service: serviceName, Address: id, FailureDomain: fmt.Sprint("d", i%failureDomains), Slots: c.Engine.Slots})
 	}
 	for range c.Gateways {
 		r := registry.New()
@@ -178,7 +192,7 @@
 	heap.Push(&s.eventQueue, event{t, s.seq, callback})
 }
 
-// scheduleArrivals schedules all arrivals and the periodic processing of the permit queue.
+// scheduleArrivals schedules all arrivals and the polls of the permit queue.
 func (s *simulation) scheduleArrivals() {
 	start := s.now
 	for i := range s.Classes {
@@ -191,21 +205,21 @@
 			t += time.Duration(s.rng.ExpFloat64() / rate * float64(time.Second))
 			j := s.newJob(class)
 			s.jobs = append(s.jobs, j)
-			s.scheduleAt(start.Add(t), func(now time.Time) { s.arrive(j, now) })
+			s.scheduleAt(start.Add(t), func(now time.Time) { s.handleArrival(j, now) })
 		}
 	}
-	var tick func(time.Time)
-	tick = func(now time.Time) {
-		s.handleDue(s.permits.Poll(now))
-		if now.Sub(start) < s.Duration+20*time.Second {
-			s.scheduleAfter(20*time.Millisecond, tick)
+	var poll func(time.Time)
+	poll = func(now time.Time) {
+		s.handleNotifications(s.permits.Poll(now))
+		if now.Sub(start) < s.Duration+permitPollDrain {
+			s.scheduleAfter(permitPollInterval, poll)
 		}
 	}
-	s.scheduleAfter(0, tick)
+	s.scheduleAfter(0, poll)
 }
 
 // groupEngines returns the engines of a group as seen by the first gateway.
-func (s *simulation) groupEngines(group permit.Group) []permit.Engine {
+func (s *simulation) enginesOfGroup(group permit.Group) []permit.Engine {
 	candidates := s.candidates(0, s.now)
 	groups := placement.GroupCount(len(candidates))
 	var out []permit.Engine
@@ -218,19 +232,20 @@
 	return out
 }
 
+// newJob draws a job of the class.
 func (s *simulation) newJob(class *Class) *job {
 	uniqueTokens := int(class.UniqueTokens * math.Exp(class.UniqueTokensSigma*s.rng.NormFloat64()-class.UniqueTokensSigma*class.UniqueTokensSigma/2))
-	uniqueTokens = max(uniqueTokens, 16)
+	uniqueTokens = max(uniqueTokens, minUniqueTokens)
 	id := fmt.Sprint("r", len(s.jobs))
 	prefix := fmt.Sprint(class.Name, s.rng.IntN(class.SharedPrefixes))
-	return &job{id: id, class: class, outputTokens: max(1, int(class.OutputTokens*math.Exp(0.4*s.rng.NormFloat64()))),
+	return &job{id: id, class: class, outputTokens: max(1, int(class.OutputTokens*math.Exp(outputTokensSigma*s.rng.NormFloat64()))),
 		prompt: placement.Prompt{Tokens: class.SharedPrefixTokens + uniqueTokens, OutputTokens: int(class.OutputTokens),
 			Parts: []placement.Part{{ID: prefix, Tokens: class.SharedPrefixTokens}, {ID: id, Tokens: uniqueTokens}}}}
 }
 
 // arrive handles the arrival of a request at a random gateway.
-func (s *simulation) arrive(j *job, now time.Time) {
-	j.arrived = now
+func (s *simulation) handleArrival(j *job, now time.Time) {
+	j.arrivedAt = now
 	s.scheduleAt(now.Add(j.class.Deadline), func(time.Time) { j.expired = true })
 	gateway := s.rng.IntN(s.Gateways)
 	req := placement.Request{Prompt: j.prompt, Key: j.id, Draw: s.rng.Float64()}
@@ -246,6 +261,7 @@
 	}
 }
 
+// candidates returns the engines with their load as known to a gateway.
 func (s *simulation) candidates(gateway int, now time.Time) []placement.Candidate {
 	backends := s.registries[gateway].Ready(serviceName)
 	out := make([]placement.Candidate, len(backends))
@@ -255,22 +271,24 @@
 	return out
 }
 
-// requestPermit requests a permit from the current group of engines.
+// requestPermit requests a permit for the current engine group.
 func (s *simulation) requestPermit(p *permitRequest, now time.Time) {
 	j := p.job
 	prefix, shared := j.prompt.Shared()
-	elapsed := now.Sub(j.arrived)
-	answer := s.permits.Submit(p.group(), permit.Ask{ID: j.id, Priority: s.rank(j), UniqueTokens: j.prompt.Tokens - shared, PrefixID: prefix, PrefixTokens: shared,
+	elapsed := now.Sub(j.arrivedAt)
+	decision := s.permits.Submit(p.group(), permit.Ask{ID: j.id, Priority: s.rank(j), UniqueTokens: j.prompt.Tokens - shared, PrefixID: prefix, PrefixTokens: shared,
 		OutputTokens: j.prompt.OutputTokens, MaxEventGap: j.class.MaxEventGap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.FirstTokenTarget - elapsed,
-		FirstTokenTimeout: max(4*j.class.FirstTokenTarget-elapsed, 500*time.Millisecond)}, p, now)
-	s.handleAnswer(p, answer, now)
+		FirstTokenTimeout: max(firstTokenTimeoutTargets*j.class.FirstTokenTarget-elapsed, minFirstTokenTimeout)}, p, now)
+	s.handleDecision(p, decision, now)
 }
 
-func (s *simulation) handleAnswer(p *permitRequest, answer permit.Decision, now time.Time) {
-	switch answer.Verdict {
+// handleDecision dispatches a job whose permit was granted. After a refusal it tries the next
+// engine group; if there is none, the job is refused.
+func (s *simulation) handleDecision(p *permitRequest, decision permit.Decision, now time.Time) {
+	switch decision.Verdict {
 	case permit.Granted:
 		p.job.group = p.group()
-		s.dispatch(p.job, p.gateway, s.grantedChoice(p, answer, now), now)
+		s.dispatch(p.job, p.gateway, s.grantedPlacement(p, decision, now), now)
 	case permit.Refused, permit.NoEngine:
 		if p.job.refused = len(p.groups) == 1; !p.job.refused {
 			p.groups = p.groups[1:min(len(p.groups), maxGroups)]
@@ -280,11 +298,11 @@
 }
 
 // grantedChoice returns the placement named by a granted permit.
-func (s *simulation) grantedChoice(p *permitRequest, answer permit.Decision, now time.Time) placement.Choice {
-	out := placement.Choice{FetchFrom: answer.FetchFrom, Reason: placement.Decided}
+func (s *simulation) grantedPlacement(p *permitRequest, decision permit.Decision, now time.Time) placement.Choice {
+	out := placement.Choice{FetchFrom: decision.FetchFrom, Reason: placement.Decided}
 	candidates := s.candidates(p.gateway, now)
 	for i := range candidates {
-		if candidates[i].Server.ID == answer.Engine {
+		if candidates[i].Server.ID == decision.Engine {
 			out.Candidate = &candidates[i]
 		}
 	}
@@ -293,63 +311,65 @@
 
 // handleDue handles the decisions on queued permit requests, except those whose deadline has
 // passed.
-func (s *simulation) handleDue(due []permit.Notification[*permitRequest]) {
-	for _, d := range due {
-		if !d.To.job.expired {
-			s.handleAnswer(d.To, d.Decision, s.now)
+func (s *simulation) handleNotifications(notifications []permit.Notification[*permitRequest]) {
+	for _, n := range notifications {
+		if !n.To.job.expired {
+			s.handleDecision(n.To, n.Decision, s.now)
 		}
 	}
 }
 
-// dispatch sends the request to the chosen engine.
+// dispatch sends a job to the chosen engine. The job ends when its response is complete or, at
+// the latest, at its deadline.
 func (s *simulation) dispatch(j *job, gateway int, c placement.Choice, now time.Time) {
-	e, b := s.engines[c.Candidate.Server.ID], c.Candidate.Backend
+	e, backend := s.engines[c.Candidate.Server.ID], c.Candidate.Backend
 	fetched := c.FetchFrom != "" && s.engines[c.FetchFrom].hasPrefix(sharedPrefixID(j), now)
 	_, shared := j.prompt.Shared()
 	prefillTokens := j.prompt.Tokens - shared
-	b.BeginRequest(prefillTokens)
+	backend.BeginRequest(prefillTokens)
 	e.enqueue(j, s.rank(j), fetched, now)
-	first := func(f *job, at time.Time) {
-		f.first = at
-		s.scheduleAt(at, func(now time.Time) { s.firstToken(f, now) })
+	onFirstToken := func(j *job, at time.Time) {
+		j.firstTokenAt = at
+		s.scheduleAt(at, func(now time.Time) { s.handleFirstToken(j, now) })
 	}
-	end := func(f *job, at time.Time) {
-		f.done = at
-		s.scheduleAt(at, func(now time.Time) { f.onEnd(now) })
+	onComplete := func(j *job, at time.Time) {
+		j.completedAt = at
+		s.scheduleAt(at, func(now time.Time) { j.onEnd(now) })
 	}
 	j.onEnd = func(now time.Time) {
 		if j.ended {
 			return
 		}
 		j.ended = true
-		b.EndRequest()
+		backend.EndRequest()
 		s.permits.Finish(j.group, j.id, j.streamStats, now)
-		s.handleDue(s.permits.Poll(now))
+		s.handleNotifications(s.permits.Poll(now))
 	}
-	s.scheduleAt(j.arrived.Add(j.class.Deadline), func(now time.Time) { j.onEnd(now) })
-	j.sent = now
+	s.scheduleAt(j.arrivedAt.Add(j.class.Deadline), func(now time.Time) { j.onEnd(now) })
+	j.dispatchedAt = now
 	j.onFirst = func(now time.Time) {
-		b.RecordFirstToken(prefillTokens)
+		backend.RecordFirstToken(prefillTokens)
 	}
 	if !e.busy {
 		e.busy = true
-		s.runStep(e, first, end)
+		s.runStep(e, onFirstToken, onComplete)
 	}
 }
 
-func (s *simulation) firstToken(j *job, now time.Time) {
+func (s *simulation) handleFirstToken(j *job, now time.Time) {
 	j.onFirst(now)
-	s.permits.RecordFirstToken(j.group, j.id, now.Sub(j.sent), now)
-	s.handleDue(s.permits.Poll(now))
+	s.permits.RecordFirstToken(j.group, j.id, now.Sub(j.dispatchedAt), now)
+	s.handleNotifications(s.permits.Poll(now))
 }
 
-func (s *simulation) runStep(e *engine, first, end func(*job, time.Time)) {
-	duration := e.step(s.now, first, end)
+// runStep runs batch steps of an engine until it is idle.
+func (s *simulation) runStep(e *engine, onFirstToken, onComplete func(*job, time.Time)) {
+	duration := e.step(s.now, onFirstToken, onComplete)
 	if duration == 0 {
 		e.busy = false
 		return
 	}
-	s.scheduleAfter(duration, func(time.Time) { s.runStep(e, first, end) })
+	s.scheduleAfter(duration, func(time.Time) { s.runStep(e, onFirstToken, onComplete) })
 }
 
 // rank returns the job's scheduling rank at the engine; 0 is the most urgent.
