--- a/internal/simulate/chart/chart.go
+++ b/internal/simulate/chart/chart.go
@@ -1,5 +1,5 @@
 // Package chart draws simulation results as text bar charts. It uses no graphics library,
-// because that would add 3 MiB to the memory of every gateway, which runs the same binary.
+// because one would add 3 MiB to the memory of every gateway, which runs the same binary.
 package chart
 
 import (
@@ -17,7 +17,7 @@
 	OnTimeShares []float64
 }
 
-// barLength is the length of the bar for a share of 1, in characters.
+// barLength is the length in characters of the bar for a share of 1.
 const barLength = 50
 
 // Write draws one group of bars for each class, with one bar for each variant. The shares of
@@ -25,7 +25,7 @@
 func Write(out io.Writer, classes []string, series []Series) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for i, class := range classes {
-		_, _ = fmt.Fprintf(table, "\n%s: share in time\n", class) // Flush reports a write error
+		_, _ = fmt.Fprintf(table, "\n%s: share on time\n", class) // Flush reports a write error
 		for _, s := range series {
 			share := min(max(s.OnTimeShares[i], 0), 1)
 			_, _ = fmt.Fprintf(table, "%s\t%s\t%.3f\n", s.Variant, strings.Repeat("#", int(share*barLength+0.5)), s.OnTimeShares[i])
--- a/internal/simulate/chart/chart_test.go
+++ b/internal/simulate/chart/chart_test.go
@@ -19,6 +19,6 @@
 	g.Expect(s.OnTimeShares[1]).To(BeNumerically("~", 1, 1e-9))
 	var text strings.Builder
 	g.Expect(Write(&text, ClassNames(result(1)), []Series{s})).To(Succeed())
-	g.Expect(text.String()).To(ContainSubstring("report: share in time\nproduct  " + strings.Repeat("#", 30) + "  0.600\n"))
-	g.Expect(text.String()).To(ContainSubstring("advice: share in time\nproduct  " + strings.Repeat("#", barLength) + "  1.000\n"))
+	g.Expect(text.String()).To(ContainSubstring("report: share on time\nproduct  " + strings.Repeat("#", 30) + "  0.600\n"))
+	g.Expect(text.String()).To(ContainSubstring("advice: share on time\nproduct  " + strings.Repeat("#", barLength) + "  1.000\n"))
 }
