--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -202,8 +202,8 @@
 			continue
 		}
 		ts.Logf("%s: sent %d, answered %d, failures %v", c.Class, c.Sent, c.Answered, c.Failures)
-		if c.Wrong+c.Short+c.NoRetryAfter > 0 {
-			ts.Fatalf("%d wrong, %d short, %d refused without Retry-After", c.Wrong, c.Short, c.NoRetryAfter)
+		if c.WrongContent+c.WrongLength+c.NoRetryAfter > 0 {
+			ts.Fatalf("%d wrong, %d short, %d refused without Retry-After", c.WrongContent, c.WrongLength, c.NoRetryAfter)
 		}
 		if want := intOption(ts, o, "answered", c.Sent); c.Answered < want {
 			ts.Fatalf("%d of %d answered: %v", c.Answered, c.Sent, c.Failures)
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -16,30 +16,30 @@
 
 // result is the outcome of one request.
 type result struct {
-	req           *request
-	firstToken    time.Duration // from the intended send time to the first token
-	total         time.Duration // from the intended send time to the end of the response
-	tokenGaps     []time.Duration
-	tokens        int // tokens received
-	code          string
-	outcome       string
-	hasRetryAfter bool // the refusal had a Retry-After header
-	wrongContent  bool // the content is not the one expected for the prompt
-	wrongLength   bool // the response ended normally, with too few or too many tokens
+	req               *request
+	firstTokenLatency time.Duration // from the intended send time to the first token
+	totalLatency      time.Duration // from the intended send time to the end of the response
+	tokenGaps         []time.Duration
+	tokens            int    // tokens received
+	code              string // error code, empty if there was no error
+	outcome           string // outcome stated in the error response
+	hasRetryAfter     bool   // the refusal had a Retry-After header
+	wrongContent      bool   // a token differs from the one expected for the prompt
+	wrongLength       bool   // the response ended normally but with too few or too many tokens
 }
 
 // answered reports whether the response was complete and correct.
 func (r *result) answered() bool { return r.code == "" && !r.wrongContent && !r.wrongLength }
 
-// maxSlowGapShare is the share of the gaps between tokens that may exceed the target.
+// maxSlowGapShare is the share of a response's gaps between tokens that may exceed the target.
 const maxSlowGapShare = 0.05
 
-// metTargets reports whether the response was complete and correct and met the targets of its
-// stream.
+// metTargets reports whether the response was complete and correct and met the latency targets
+// of its request stream.
 func (r *result) metTargets() bool {
 	s := r.req.stream
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	if !r.answered() || (s.FirstTokenMS > 0 && r.firstToken > ms(s.FirstTokenMS)) || (s.TotalMS > 0 && r.total > ms(s.TotalMS)) {
+	if !r.answered() || (s.FirstTokenMS > 0 && r.firstTokenLatency > ms(s.FirstTokenMS)) || (s.TotalMS > 0 && r.totalLatency > ms(s.TotalMS)) {
 		return false
 	}
 	slow := 0
@@ -51,18 +51,21 @@
 	return float64(slow) <= maxSlowGapShare*float64(len(r.tokenGaps))
 }
 
-// client sends requests to the routers in turn.
+// client distributes requests over the routers in round-robin order.
 type client struct {
 	http    *http.Client
 	routers []string
 }
 
+// maxIdleConns is the number of idle connections kept per router.
+const maxIdleConns = 4096
+
 func newClient(routers []string) *client {
-	return &client{routers: routers, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}}
+	return &client{routers: routers, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}}
 }
 
-// send sends a request and reads the response. Latencies are measured from the intended time,
-// not from the actual time of sending.
+// send sends a request and reads the response. Latencies are measured from the intended send
+// time, not from the actual one.
 func (c *client) send(ctx context.Context, r *request, intended time.Time) *result {
 	out := &result{req: r}
 	path, body := "/v1/chat/completions", chatBody(r)
@@ -72,7 +75,7 @@
 	router := c.routers[r.number%len(c.routers)]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+path, bytes.NewReader(body))
 	if err != nil {
-		return out.fail("bad_request", err)
+		return out.setError("bad_request", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+r.team.Key)
 	req.Header.Set("Merlinpost-Class", r.stream.Class)
@@ -82,28 +85,31 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return out.fail("connection", err)
+		return out.setError("connection", err)
 	}
 	defer resp.Body.Close()
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		out.hasRetryAfter = resp.Header.Get("Retry-After") != ""
-		data, _ := io.ReadAll(resp.Body) // without a readable body, the status code is recorded
+		data, _ := io.ReadAll(resp.Body) // if the body can't be read, the status code is recorded
 		out.recordError(data, resp.StatusCode)
 	case r.stream.Service != "":
 		out.readServiceReply(resp.Body, intended)
 	default:
 		out.readStream(resp.Body, intended)
 	}
-	out.total = time.Since(intended)
+	out.totalLatency = time.Since(intended)
 	return out
 }
 
-func (r *result) fail(code string, _ error) *result {
+// setError records an error that the client detected itself.
+func (r *result) setError(code string, _ error) *result {
 	r.code = code
 	return r
 }
 
+// chatBody returns the body of a chat completion request for a response of exactly
+// r.outputTokens tokens.
 func chatBody(r *request) []byte {
 	data, err := json.Marshal(map[string]any{"model": r.stream.Model, "stream": true, "min_tokens": r.outputTokens, "max_tokens": r.outputTokens,
 		"messages": []map[string]string{{"role": "user", "content": r.prompt}}})
@@ -113,6 +119,8 @@
 	return data
 }
 
+// recordError records the error code and outcome of an error response, or its status if the body
+// has no error code.
 func (r *result) recordError(data []byte, status int) {
 	var e struct {
 		Error struct {
@@ -127,17 +135,17 @@
 }
 
 // readServiceReply reads the reply of a plain service, which must echo the request and report
-// one execution.
+// exactly one execution of it.
 func (r *result) readServiceReply(body io.Reader, intended time.Time) {
 	var reply struct {
 		Run  int    `json:"run"`
 		Echo string `json:"echo"`
 	}
 	if err := json.NewDecoder(body).Decode(&reply); err != nil {
-		r.fail("connection", err)
+		r.setError("connection", err)
 		return
 	}
-	r.firstToken = time.Since(intended)
+	r.firstTokenLatency = time.Since(intended)
 	r.wrongContent = reply.Echo != r.req.prompt || reply.Run != 1
 }
 
@@ -146,10 +154,11 @@
 	contentField = []byte(`"content":"`)
 )
 
-// readStream reads a streamed response and compares each token with the expected one.
+// readStream reads a streamed response, records its token latencies and compares each token with
+// the expected one.
 func (r *result) readStream(body io.Reader, intended time.Time) {
-	last := time.Time{}
-	ended := false
+	lastToken := time.Time{}
+	ended := false // the end marker of the stream was received
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, ok := bytes.CutPrefix(lines.Bytes(), dataPrefix)
@@ -170,11 +179,11 @@
 		}
 		now := time.Now()
 		if r.tokens == 0 {
-			r.firstToken = now.Sub(intended)
+			r.firstTokenLatency = now.Sub(intended)
 		} else {
-			r.tokenGaps = append(r.tokenGaps, now.Sub(last))
+			r.tokenGaps = append(r.tokenGaps, now.Sub(lastToken))
 		}
-		last = now
+		lastToken = now
 		if token != engine.Token(r.req.prompt, r.tokens) {
 			r.wrongContent = true
 		}
@@ -182,14 +191,14 @@
 	}
 	switch {
 	case !ended:
-		r.fail("connection", lines.Err())
+		r.setError("connection", lines.Err())
 	case r.tokens != r.req.outputTokens:
 		r.wrongLength = true
 	}
 }
 
-// tokenText extracts the token from a stream event. It searches for the field rather than
-// decoding JSON, to keep the load generator cheap; the tokens of the stand-in engine contain
+// tokenText extracts the token from a stream event. To save CPU time it searches for the field
+// instead of decoding the JSON, which is safe because the tokens of the stand-in engine contain
 // no escape sequences.
 func tokenText(data []byte) string {
 	i := bytes.Index(data, contentField)
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -15,8 +15,8 @@
 	VariantNames []string
 }
 
-// RunExperiment makes the runs of a plan one after another and calls onReport after each. If
-// ctx is cancelled, it returns the reports so far, the interrupted run included.
+// RunExperiment executes the runs of a plan one after another and calls onReport after each. If
+// ctx is cancelled, it returns the reports so far, including that of the interrupted run.
 func RunExperiment(ctx context.Context, s *Scenario, p ExperimentPlan, logger *slog.Logger, onReport func(*Report)) ([]*Report, error) {
 	if len(p.Factors) == 0 {
 		p.Factors = []float64{1}
@@ -46,10 +46,13 @@
 	return out, nil
 }
 
+// ownVariant is the name of the variant with the scenario's own policy.
+const ownVariant = "merlinpost"
+
 // selectVariants returns the variants to run, the scenario's own policy first. An empty list of
 // names selects all.
 func (s *Scenario) selectVariants(names []string) []Variant {
-	all := []Variant{{Name: "merlinpost"}}
+	all := []Variant{{Name: ownVariant}}
 	if s.Deployment != nil {
 		all[0].Policy = s.Deployment.Policy
 		all = append(all, s.Variants...)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -42,8 +42,9 @@
 	g.Expect(len(planRequests(scenario(), 2))).To(BeNumerically("~", 2800, 250))
 }
 
-// events returns a response of n tokens as streamed by a router.
-func events(prompt string, n int, done bool) *bytes.Buffer {
+// streamedResponse returns a response of n tokens as a router streams it, with the end marker if
+// done is set.
+func streamedResponse(prompt string, n int, done bool) *bytes.Buffer {
 	var b bytes.Buffer
 	for i := range n {
 		fmt.Fprintf(&b, "data: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", engine.Token(prompt, i))
@@ -62,11 +63,11 @@
 		wrongContent, wrongLength bool
 		code                      string
 	}{
-		"complete":      {body: events("p", 5, true), answered: true},
-		"too short":     {body: events("p", 4, true), wrongLength: true},
-		"too long":      {body: events("p", 6, true), wrongLength: true},
-		"wrong content": {body: events("q", 5, true), wrongContent: true},
-		"truncated":     {body: events("p", 5, false), code: "connection"},
+		"complete":      {body: streamedResponse("p", 5, true), answered: true},
+		"too short":     {body: streamedResponse("p", 4, true), wrongLength: true},
+		"too long":      {body: streamedResponse("p", 6, true), wrongLength: true},
+		"wrong content": {body: streamedResponse("q", 5, true), wrongContent: true},
+		"truncated":     {body: streamedResponse("p", 5, false), code: "connection"},
 		"error event":   {body: bytes.NewBufferString("data: {\"error\":{\"code\":\"engine_failed\",\"outcome\":\"partial\"}}\n\n"), code: "engine_failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -90,9 +91,9 @@
 		return &request{sendOffset: at, stream: &s.Streams[0], outputTokens: 2}
 	}
 	rep := buildReport(s, []*result{
-		{req: req(0), firstToken: time.Second, tokens: 2},                                        // warm-up
-		{req: req(2 * time.Second), firstToken: 50 * time.Millisecond, tokens: 2},                // met
-		{req: req(3 * time.Second), firstToken: 150 * time.Millisecond, tokens: 2},               // missed
+		{req: req(0), firstTokenLatency: time.Second, tokens: 2},                                 // warm-up
+		{req: req(2 * time.Second), firstTokenLatency: 50 * time.Millisecond, tokens: 2},         // met
+		{req: req(3 * time.Second), firstTokenLatency: 150 * time.Millisecond, tokens: 2},        // missed
 		{req: req(4 * time.Second), code: "queue_full", outcome: "not_run", hasRetryAfter: true}, // refused
 	}, 10*time.Second)
 	c := rep.Classes[0]
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	defer d.Close()
-	slowed := false
+	slowed := false // engine 0 has been slowed down
 	rep := sendRequests(ctx, s, []string{d.CallersAddress()}, factor, func(at time.Duration) {
 		if dep := s.Deployment; dep.Slow > 1 && !slowed && at >= settings.Millis(dep.SlowFromMS) {
 			slowed = true
@@ -40,7 +40,15 @@
 	return rep, nil
 }
 
-// startDeployment starts the embedded deployment of a scenario.
+// Limits of an embedded deployment. They are far above the load of a scenario, so that the
+// policies under test decide which requests are refused.
+const (
+	queueLimit  = 100_000
+	maxRequests = 1_000_000
+	maxRunMS    = 3_600_000
+)
+
+// startDeployment starts the embedded deployment of a scenario with the given policy.
 func startDeployment(ctx context.Context, s *Scenario, policy Policy, logger *slog.Logger) (*dev.Deployment, error) {
 	dep := s.Deployment
 	classes, teams := map[string]*resource.Class{}, map[string]*resource.Team{}
@@ -56,7 +64,7 @@
 	for _, t := range s.Teams {
 		teams[t.Name] = &resource.Team{KeysSHA256: []string{resource.HashAPIKey(t.Key)}, DefaultClass: names[0], Classes: names}
 	}
-	disabled := func(part string) bool { return slices.Contains(policy.Without, part) }
+	enabled := func(part string) bool { return !slices.Contains(policy.Without, part) }
 	return dev.Start(ctx, dev.Options{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Engines: dep.Engines, Slots: dep.Slots,
 		Step: time.Duration(dep.StepMS * float64(time.Millisecond)), Classes: classes, Teams: teams,
 		ConfigureAgent: func(a *settings.Agent) {
@@ -66,27 +74,31 @@
 			if policy.MaxPreemptions != nil {
 				a.Admission.MaxPreemptions = *policy.MaxPreemptions
 			}
-			a.Admission.QueueLimit = 100_000
-			a.Admission.Preemption, a.Admission.Floors = !disabled("preemption"), !disabled("floors")
-			a.Admission.Fairness, a.Admission.EarlyRefusal = !disabled("fairness"), !disabled("early_refusal")
+			a.Admission.QueueLimit = queueLimit
+			a.Admission.Preemption, a.Admission.Floors = enabled("preemption"), enabled("floors")
+			a.Admission.Fairness, a.Admission.EarlyRefusal = enabled("fairness"), enabled("early_refusal")
 		},
 		ConfigureRouter: func(r *settings.Router) {
 			if policy.Choice != "" {
 				r.Policy.Choice = policy.Choice
 			}
-			r.Policy.Prefix, r.Policy.Domain = !disabled("prefix"), !disabled("domain")
-			r.Policy.Straggler, r.Policy.Corrected = !disabled("straggler"), !disabled("corrected")
-			r.Callers.MaxRequests = 1_000_000
+			r.Policy.Prefix, r.Policy.Domain = enabled("prefix"), enabled("domain")
+			r.Policy.Straggler, r.Policy.Corrected = enabled("straggler"), enabled("corrected")
+			r.Callers.MaxRequests = maxRequests
 		}}, logger)
 }
 
+// defaultMaxWaitMS is the MaxWaitMS of streams that set none.
+const defaultMaxWaitMS = 60_000
+
+// resourceClass returns the class of a stream for the embedded deployment.
 func resourceClass(s *Stream) *resource.Class {
 	wait := s.MaxWaitMS
 	if wait == 0 {
-		wait = 60_000
+		wait = defaultMaxWaitMS
 	}
 	return &resource.Class{Tier: s.Tier, FirstTokenMS: s.FirstTokenMS, BetweenTokensMS: s.BetweenTokensMS, TotalMS: s.TotalMS,
-		MaxWaitMS: wait, MaxRunMS: max(wait, 3_600_000), Floor: s.Floor, Preemptible: s.Preemptible, MaxTokens: max(s.TokensMax, 1)}
+		MaxWaitMS: wait, MaxRunMS: max(wait, maxRunMS), Floor: s.Floor, Preemptible: s.Preemptible, MaxTokens: max(s.TokensMax, 1)}
 }
 
 func validateClass(c *resource.Class) error {
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -1,7 +1,7 @@
-// Package load is an open-loop load generator and experiment runner. It sends requests at
-// times planned in advance, independent of the responses, and checks each response against the
-// one expected for its prompt. Latencies are measured from the intended send time, which avoids
-// coordinated omission: a slow system can't hide its own delays.
+// Package load is an open-loop load generator and experiment runner. It sends requests at times
+// planned in advance, regardless of the responses, and checks each response against the one
+// expected for its prompt. Latencies are measured from the intended send time. This avoids
+// coordinated omission, in which a slow system delays the requests that would show its latency.
 package load
 
 import (
@@ -13,6 +13,7 @@
 // Scenario is a scenario file (TOML).
 type Scenario struct {
 	Name string `toml:"name" validate:"required"`
+	// Seed determines the planned requests.
 	Seed uint64 `toml:"seed"`
 	// DurationMS is how long requests are sent. Requests planned before WarmupMS are sent but
 	// not included in the results of the classes.
@@ -28,7 +29,7 @@
 	Variants []Variant `toml:"variant" validate:"dive"`
 }
 
-// Deployment configures an embedded deployment.
+// Deployment configures an embedded deployment, which runs in the process of the load generator.
 type Deployment struct {
 	Engines int     `toml:"engines" validate:"min=1,max=64"`
 	Slots   int     `toml:"slots" validate:"min=1,max=256"`
@@ -58,14 +59,14 @@
 	Policy Policy `toml:"policy"`
 }
 
-// Team sends a share of the requests in proportion to its Weight.
+// Team is a team whose share of the requests is proportional to Weight.
 type Team struct {
 	Name   string  `toml:"name" validate:"required"`
 	Key    string  `toml:"key" validate:"required"`
 	Weight float64 `toml:"weight" validate:"gt=0"`
 }
 
-// Stream is a stream of similar requests with its arrival process.
+// Stream describes a sequence of similar requests and its arrival process.
 type Stream struct {
 	Class string `toml:"class" validate:"required"`
 	Model string `toml:"model" validate:"required_without=Service"`
@@ -96,7 +97,8 @@
 	Preemptible bool    `toml:"preemptible"`
 }
 
-// Burst multiplies a stream's rate by Factor for a period. Overlapping bursts multiply.
+// Burst multiplies a stream's rate by Factor for a period. The factors of overlapping bursts are
+// multiplied.
 type Burst struct {
 	FromMS int     `toml:"from_ms" validate:"min=0"`
 	ForMS  int     `toml:"for_ms" validate:"min=1"`
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -16,11 +16,12 @@
 	team         *Team
 	prompt       string
 	outputTokens int
-	number       int
+	number       int // position in the order of send times
 }
 
-// planRequests plans all requests of a scenario in the order of their send times. The result
-// depends only on the scenario with its seed and on factor, which multiplies every rate.
+// planRequests plans all requests of a scenario, in the order of their send times. The result
+// depends only on the scenario, which includes the seed, and on factor, which multiplies every
+// rate.
 func planRequests(s *Scenario, factor float64) []request {
 	var out []request
 	for i := range s.Streams {
@@ -34,8 +35,8 @@
 	return out
 }
 
-// poissonArrivals samples a non-homogeneous Poisson process by thinning a homogeneous one of the
-// peak rate.
+// poissonArrivals samples the stream's arrivals, a non-homogeneous Poisson process, by thinning a
+// homogeneous process with the peak rate.
 func poissonArrivals(s *Scenario, stream *Stream, index int, factor float64, rng *rand.Rand) []request {
 	var out []request
 	peak := stream.peakRate()
@@ -52,6 +53,7 @@
 	}
 }
 
+// drawTeam draws a team with a probability proportional to its weight.
 func drawTeam(teams []Team, rng *rand.Rand) *Team {
 	sum := 0.0
 	for i := range teams {
@@ -66,6 +68,7 @@
 	return &teams[len(teams)-1]
 }
 
+// drawTokens draws the length of a response.
 func (s *Stream) drawTokens(rng *rand.Rand) int {
 	if !s.LongTail {
 		return s.TokensMin + rng.IntN(s.TokensMax-s.TokensMin+1)
