--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,7 @@
-// Package standin provides helpers shared by the stand-ins for external
-// systems: JSON over HTTP, context-aware sleeping and an HTTP server on a given
-// address. The subpackages implement the stand-ins, one per external system.
+// Package standin provides helpers for the stand-ins, the fakes of external systems
+// that tests and demos run against: JSON over HTTP, a sleep that a context can
+// cancel, and an HTTP server on a given address. The subpackages implement the
+// stand-ins, one per external system.
 package standin
 
 import (
@@ -31,7 +32,7 @@
 	return err == nil
 }
 
-// SleepContext waits for d. It returns false if ctx is done before that.
+// SleepContext waits for d. It returns false if ctx is done earlier.
 func SleepContext(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -46,8 +47,8 @@
 	}
 }
 
-// Serve listens on address and serves h in the background until ctx is done. It
-// returns the actual listen address. Port 0 selects a free port.
+// Serve listens on address and serves h in the background until ctx is done. Port
+// 0 selects a free port. Serve returns the address on which it listens.
 func Serve(ctx context.Context, address string, h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
