--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -43,7 +43,7 @@
 			}
 		}
 		for i := range c.Engines {
-			var r engine.Report
+			var r engine.LoadReport
 			if err := c.getJSON(fmt.Sprintf("http://%s:7100/v1/load", c.address(fmt.Sprint("engine-", i))), &r); err != nil {
 				return err
 			}
@@ -154,10 +154,10 @@
 	ts.Check(c.getJSON("http://"+c.address(args[0])+":7100/standin/orders", &orders))
 	last := uint64(0)
 	for _, o := range orders {
-		if o.Fence < last {
-			ts.Fatalf("an order with fencing token %d came after one with %d: %+v", o.Fence, last, orders)
+		if o.FencingToken < last {
+			ts.Fatalf("an order with fencing token %d came after one with %d: %+v", o.FencingToken, last, orders)
 		}
-		last = o.Fence
+		last = o.FencingToken
 	}
 	if len(orders) == 0 {
 		ts.Fatalf("the engine accepted no orders")
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -1,10 +1,11 @@
 // Package engine is a stand-in for a model engine. It simulates continuous
-// batching with a step time, a prompt-prefix cache of limited size, priorities,
-// cancellation and resumption of streams, KV export and import, delayed and lossy
-// cache events, delayed load reports, and orders with or without fencing.
+// batching with a configurable step time, a prompt-prefix cache of limited size,
+// priorities, cancellation and resumption of streams, export and import of KV
+// blocks, delayed and lossy cache events, delayed load reports, and orders with or
+// without fencing tokens.
 //
-// Answers are a deterministic function of the prompt, so that a test can verify
-// which prompt an answer belongs to and whether it is complete.
+// Answers are a deterministic function of the prompt and the length limits, so that
+// a test can verify which prompt an answer belongs to and whether it is complete.
 package engine
 
 import (
@@ -26,6 +27,7 @@
 	return token(xxhash.Sum64String(prompt), i)
 }
 
+// token returns token i of the answer to the prompt with the hash seed.
 func token(seed uint64, i int) string {
 	x := (seed ^ uint64(i)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	return fmt.Sprintf("w%04x ", uint16(x>>32))
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -12,17 +12,17 @@
 
 // prefixCache is an LRU set of prompt prefixes, stored as block hashes.
 type prefixCache struct {
-	limit  int        // in blocks
-	lru    *list.List // of uint64, most recently used first
-	byHash map[uint64]*list.Element
+	maxBlocks int
+	lru       *list.List // of uint64, most recently used first
+	byHash    map[uint64]*list.Element
 }
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, lru: list.New(), byHash: map[uint64]*list.Element{}}
+	return &prefixCache{maxBlocks: limit, lru: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
 // blockHashes returns a hash for each complete block of the prompt. Each hash
-// covers the prompt up to the end of its block.
+// covers the prompt from its start to the end of the block.
 func blockHashes(prompt string) []uint64 {
 	words := strings.Fields(prompt)
 	var out []uint64
@@ -37,8 +37,8 @@
 	return out
 }
 
-// insert counts the leading blocks that are cached and then caches all blocks. It
-// returns this count, the blocks that were added and those that were evicted.
+// insert adds blocks to the cache. It returns the number of leading blocks that were
+// already cached, the blocks that were added and those that were evicted.
 func (c *prefixCache) insert(blocks []uint64) (hit int, added, evicted []uint64) {
 	for hit < len(blocks) && c.byHash[blocks[hit]] != nil {
 		hit++
@@ -51,7 +51,7 @@
 		c.byHash[b] = c.lru.PushFront(b)
 		added = append(added, b)
 	}
-	for c.lru.Len() > c.limit {
+	for c.lru.Len() > c.maxBlocks {
 		oldest := c.lru.Back()
 		b := oldest.Value.(uint64)
 		c.lru.Remove(oldest)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -21,13 +21,13 @@
 	// PrefillPerBlock is the time that each prompt block that is not cached
 	// adds to the step in which its request starts.
 	PrefillPerBlock time.Duration
-	MaxBatch        int
-	CacheBlocks     int
-	// Fencing rejects orders with an outdated fencing token.
+	MaxBatch        int // maximum number of running sequences
+	CacheBlocks     int // capacity of the prefix cache
+	// Fencing rejects orders with a fencing token lower than one accepted earlier.
 	Fencing bool
-	// ReportLag is the age of load reports and cache events.
+	// ReportLag is the minimum age of the load reports and cache events returned.
 	ReportLag time.Duration
-	// EventLossRate is the probability that a cache event is dropped.
+	// EventLossRate is the probability that a response omits a cache event.
 	EventLossRate  float64
 	WeightsAddress string // address of the weight store; if empty, loading takes no time
 	LoadedModels   []string
@@ -38,7 +38,7 @@
 type Faults struct {
 	// StepTimeFactor multiplies the step time; values up to 1 have no effect.
 	StepTimeFactor float64 `json:"slow"`
-	// Frozen suspends all steps.
+	// Frozen prevents further steps.
 	Frozen bool `json:"frozen"`
 	// NoReports rejects requests for load reports and cache events with 503.
 	NoReports bool `json:"no_reports"`
@@ -49,27 +49,27 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	id           string
-	model        string
-	seed         uint64
-	priority     int
-	arrival      uint64
-	generated    int // tokens generated so far, including resumed ones
-	totalTokens  int
-	blocks       []uint64
-	promptWords  int // length of the prompt
-	cachedBlocks int // leading blocks found in the cache
-	out          chan string
-	done         chan struct{} // closed when the HTTP handler returns
-	err          error
+	id            string
+	model         string
+	seed          uint64        // hash of the prompt, which determines the tokens
+	priority      int           // lower values are scheduled first
+	arrivalNumber uint64        // position in the order of arrival
+	generated     int           // tokens generated so far, including resumed ones
+	totalTokens   int           // length of the answer
+	blocks        []uint64      // block hashes of the prompt
+	promptWords   int           // length of the prompt
+	cachedBlocks  int           // leading blocks found in the cache
+	tokens        chan string   // generated tokens; closed when the answer ends
+	handlerDone   chan struct{} // closed when the HTTP handler returns
+	err           error         // why the answer failed; set before tokens is closed
 }
 
-// Execution records how often and how far the engine executed a request.
+// Execution counts the executions of a request and the tokens generated in them.
 type Execution struct {
 	RequestID string `json:"request_id"`
-	Starts    int    `json:"starts"`
+	Starts    int    `json:"starts"` // executions started
 	Tokens    int    `json:"tokens"`
-	Finished  int    `json:"finished"`
+	Finished  int    `json:"finished"` // executions completed
 }
 
 // Engine is the stand-in. It must be created with New and processes requests
@@ -77,33 +77,33 @@
 type Engine struct {
 	cfg Config
 
-	mu           sync.Mutex
-	faults       Faults
-	waiting      []*sequence
-	running      []*sequence
-	arrivalCount uint64
-	cache        *prefixCache
-	executions   map[string]*Execution
-	loaded       map[string]bool
-	role         string
-	fence        uint64
-	orders       []Order
-	events       []CacheEvent
-	reports      []Report
-	tokensTotal  uint64
-	wake         chan struct{}
-	rng          *rand.Rand
-	exports      map[string][]uint64
+	mu            sync.Mutex
+	faults        Faults
+	waiting       []*sequence
+	running       []*sequence
+	arrivalCount  uint64
+	cache         *prefixCache
+	executions    map[string]*Execution // by request ID
+	loaded        map[string]bool       // models and adapters
+	role          string
+	fencingToken  uint64  // highest accepted
+	orders        []Order // accepted so far
+	cacheEvents   []CacheEvent
+	loadReports   []LoadReport
+	tokensTotal   uint64
+	workAvailable chan struct{}
+	rng           *rand.Rand
+	exports       map[string][]uint64
 }
 
 // Report is a load report.
-type Report struct {
-	At      time.Time `json:"at"`
-	Running int       `json:"running"`
-	Waiting int       `json:"waiting"`
-	StepMS  float64   `json:"step_ms"`
-	Tokens  uint64    `json:"tokens_total"`
-	Cached  int       `json:"cached_blocks"`
+type LoadReport struct {
+	At           time.Time `json:"at"`
+	Running      int       `json:"running"`
+	Waiting      int       `json:"waiting"`
+	StepMS       float64   `json:"step_ms"` // duration of the last step; 0 if the engine is idle
+	TokensTotal  uint64    `json:"tokens_total"`
+	CachedBlocks int       `json:"cached_blocks"`
 }
 
 // CacheEvent reports prefix blocks that were stored or evicted.
@@ -117,7 +117,7 @@
 // New returns an engine in which cfg.LoadedModels are loaded.
 func New(cfg Config) *Engine {
 	e := &Engine{cfg: cfg, cache: newPrefixCache(cfg.CacheBlocks), executions: map[string]*Execution{},
-		loaded: map[string]bool{}, role: "mixed", wake: make(chan struct{}, 1),
+		loaded: map[string]bool{}, role: "mixed", workAvailable: make(chan struct{}, 1),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 1)), exports: map[string][]uint64{}}
 	for _, m := range cfg.LoadedModels {
 		e.loaded[m] = true
@@ -130,13 +130,13 @@
 	e.mu.Lock()
 	e.faults = f
 	e.mu.Unlock()
-	e.wakeUp()
+	e.signalWork()
 }
 
-// wakeUp signals Run that there may be work.
-func (e *Engine) wakeUp() {
+// signalWork wakes Run if it is idle.
+func (e *Engine) signalWork() {
 	select {
-	case e.wake <- struct{}{}:
+	case e.workAvailable <- struct{}{}:
 	default:
 	}
 }
@@ -146,61 +146,64 @@
 func (e *Engine) enqueue(s *sequence) {
 	e.mu.Lock()
 	e.arrivalCount++
-	s.arrival = e.arrivalCount
+	s.arrivalNumber = e.arrivalCount
 	e.waiting = append(e.waiting, s)
 	sort.SliceStable(e.waiting, func(i, j int) bool { return e.waiting[i].priority < e.waiting[j].priority })
 	e.mu.Unlock()
-	e.wakeUp()
+	e.signalWork()
 }
 
-// Run executes steps until ctx is done.
+// Run executes steps and records load reports until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
 		d, busy := e.beginStep()
 		if !busy {
 			select {
-			case <-e.wake:
+			case <-e.workAvailable:
 			case <-ctx.Done():
-			case <-time.After(reportInterval):
+			case <-time.After(loadReportInterval):
 			}
-			e.recordReport(0)
+			e.recordLoadReport(0)
 			next = time.Now()
 			continue
 		}
 		next = next.Add(d)
 		if lag := time.Since(next); lag > d {
-			next = time.Now() // after a scheduling delay, do not catch up with a burst of steps
+			next = time.Now() // skip the steps missed in a scheduling delay instead of running a burst of them
 		}
 		if !standin.SleepContext(ctx, time.Until(next)) {
 			return
 		}
 		e.endStep()
-		e.recordReport(d)
+		e.recordLoadReport(d)
 	}
 }
 
-// reportEvery is the time between load reports.
-const reportInterval = 50 * time.Millisecond
+// loadReportInterval is the minimum time between load reports.
+const loadReportInterval = 50 * time.Millisecond
+
+// maxLoadReports is the maximum number of retained load reports.
+const maxLoadReports = 1000
 
-// recordReport appends a load report unless the last one is more recent than
-// reportInterval.
-func (e *Engine) recordReport(step time.Duration) {
+// recordLoadReport appends a load report unless less than loadReportInterval has
+// passed since the last one.
+func (e *Engine) recordLoadReport(step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if n := len(e.reports); n > 0 && now.Sub(e.reports[n-1].At) < reportInterval {
+	if n := len(e.loadReports); n > 0 && now.Sub(e.loadReports[n-1].At) < loadReportInterval {
 		return
 	}
-	e.reports = append(e.reports, Report{now, len(e.running), len(e.waiting),
+	e.loadReports = append(e.loadReports, LoadReport{now, len(e.running), len(e.waiting),
 		float64(step) / float64(time.Millisecond), e.tokensTotal, e.cache.lru.Len()})
-	if len(e.reports) > 1000 {
-		e.reports = append([]Report(nil), e.reports[500:]...)
+	if len(e.loadReports) > maxLoadReports {
+		e.loadReports = append([]LoadReport(nil), e.loadReports[maxLoadReports/2:]...)
 	}
 }
 
-// beginStep fills the batch and returns the duration of the step. It returns
-// false if there is nothing to execute.
+// beginStep fills the batch and returns the duration of the step. It returns false
+// if there is nothing to execute or the engine is frozen.
 func (e *Engine) beginStep() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -208,16 +211,16 @@
 		return 0, false
 	}
 	e.removeCancelled()
-	prefill := 0
+	prefillBlocks := 0
 	for len(e.running) < e.cfg.MaxBatch && len(e.waiting) > 0 {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		prefill += e.startSequence(s)
+		prefillBlocks += e.startSequence(s)
 	}
 	if len(e.running) == 0 {
 		return 0, false
 	}
-	d := e.cfg.Step + time.Duration(len(e.running))*e.cfg.StepPerSeq + time.Duration(prefill)*e.cfg.PrefillPerBlock
+	d := e.cfg.Step + time.Duration(len(e.running))*e.cfg.StepPerSeq + time.Duration(prefillBlocks)*e.cfg.PrefillPerBlock
 	if e.faults.StepTimeFactor > 1 {
 		d = time.Duration(float64(d) * e.faults.StepTimeFactor)
 	}
@@ -243,17 +246,17 @@
 }
 
 // maxEvents is the maximum number of retained cache events.
-const maxEvents = 4096
+const maxCacheEvents = 4096
 
 // recordCacheEvent assigns the next sequence number to an event and retains it.
 func (e *Engine) recordCacheEvent(ev CacheEvent) {
 	ev.Seq = 1
-	if n := len(e.events); n > 0 {
-		ev.Seq = e.events[n-1].Seq + 1
+	if n := len(e.cacheEvents); n > 0 {
+		ev.Seq = e.cacheEvents[n-1].Seq + 1
 	}
-	e.events = append(e.events, ev)
-	if len(e.events) > maxEvents {
-		e.events = append([]CacheEvent(nil), e.events[maxEvents/2:]...)
+	e.cacheEvents = append(e.cacheEvents, ev)
+	if len(e.cacheEvents) > maxCacheEvents {
+		e.cacheEvents = append([]CacheEvent(nil), e.cacheEvents[maxCacheEvents/2:]...)
 	}
 }
 
@@ -263,7 +266,7 @@
 		out := list[:0]
 		for _, s := range list {
 			select {
-			case <-s.done:
+			case <-s.handlerDone:
 			default:
 				out = append(out, s)
 			}
@@ -282,19 +285,19 @@
 	for _, s := range e.running {
 		x := e.executions[s.id]
 		if e.faults.FailAfterTokens > 0 && x.Tokens >= e.faults.FailAfterTokens {
-			s.err = errInjected
-			close(s.out)
+			s.err = errSimulatedFailure
+			close(s.tokens)
 			continue
 		}
 		if s.generated < s.totalTokens {
-			s.out <- token(s.seed, s.generated) // never blocks: buffered for the whole answer
+			s.tokens <- token(s.seed, s.generated) // never blocks, because the buffer holds the whole answer
 			s.generated++
 			x.Tokens++
 			e.tokensTotal++
 		}
 		if s.generated >= s.totalTokens {
 			x.Finished++
-			close(s.out)
+			close(s.tokens)
 			continue
 		}
 		remaining = append(remaining, s)
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -15,11 +15,10 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
-var errInjected = errors.New("injected failure")
+var errSimulatedFailure = errors.New("answer aborted (simulated fault)")
 
-// Request is the body of a completion request. The first group of fields are
-// those of the public API that the stand-in supports, the second group are
-// extensions of the engine.
+// Request is the body of a completion request. The first group of fields is the
+// supported part of the public API, the second group holds extensions of the engine.
 type Request struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
@@ -39,7 +38,7 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// Resume requests the rest of an answer after the tokens already generated.
+// Resume requests the continuation of an answer after the tokens already received.
 type Resume struct {
 	Tokens int    `json:"tokens"`
 	Text   string `json:"text"` // the text of these tokens
@@ -66,7 +65,7 @@
 	var list []struct {
 		Text string `json:"text"`
 	}
-	_ = json.Unmarshal(m.Content, &list) // content of any other form is treated as empty
+	_ = json.Unmarshal(m.Content, &list) // content in any other form is treated as empty
 	for _, part := range list {
 		s += part.Text
 	}
@@ -81,7 +80,7 @@
 	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { e.handleCompletion(w, r, false) })
 	mux.HandleFunc("GET /v1/models", e.handleModels)
 	mux.HandleFunc("GET /v1/load", e.handleLoad)
-	mux.HandleFunc("GET /v1/cache_events", e.handleEvents)
+	mux.HandleFunc("GET /v1/cache_events", e.handleCacheEvents)
 	mux.HandleFunc("POST /v1/orders", e.handleOrder)
 	mux.HandleFunc("GET /v1/kv/{id}", e.handleExport)
 	mux.HandleFunc("POST /v1/kv", e.handleImport)
@@ -102,7 +101,7 @@
 	return mux
 }
 
-// Executions returns what the engine has executed, sorted by request ID.
+// Executions returns the executions of all requests so far, sorted by request ID.
 func (e *Engine) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,7 +131,7 @@
 		return
 	}
 	e.enqueue(s)
-	defer close(s.done)
+	defer close(s.handlerDone)
 	out := &completionWriter{w: w, chat: chat, req: &req, seq: s}
 	if req.Stream {
 		out.writeStream(r)
@@ -141,26 +140,28 @@
 	out.writeFull(r)
 }
 
+// newSequence returns the sequence for a request. It returns an error if the text to
+// resume after does not belong to the answer.
 func newSequence(req *Request) (*sequence, error) {
 	prompt := req.PromptText()
 	s := &sequence{id: req.RequestID, model: req.Model, seed: xxhash.Sum64String(prompt), priority: req.Priority,
 		totalTokens: AnswerLength(prompt, req.MinTokens, req.MaxTokens), blocks: blockHashes(prompt), promptWords: len(strings.Fields(prompt)),
-		done: make(chan struct{})}
+		handlerDone: make(chan struct{})}
 	if req.Resume != nil {
-		var want strings.Builder
+		var expected strings.Builder
 		for i := range req.Resume.Tokens {
-			want.WriteString(token(s.seed, i))
+			expected.WriteString(token(s.seed, i))
 		}
-		if want.String() != req.Resume.Text {
+		if expected.String() != req.Resume.Text {
 			return nil, fmt.Errorf("resume: text does not match the first %d tokens of the answer", req.Resume.Tokens)
 		}
 		s.generated = min(req.Resume.Tokens, s.totalTokens)
 	}
-	s.out = make(chan string, s.totalTokens-s.generated+1)
+	s.tokens = make(chan string, s.totalTokens-s.generated+1)
 	return s, nil
 }
 
-// completionWriter writes an answer in the format of the public API.
+// completionWriter writes an answer to the client in the format of the public API.
 type completionWriter struct {
 	w    http.ResponseWriter
 	chat bool
@@ -182,9 +183,9 @@
 }
 
 type usage struct {
-	Prompt     int `json:"prompt_tokens"`
-	Completion int `json:"completion_tokens"`
-	Total      int `json:"total_tokens"`
+	PromptTokens     int `json:"prompt_tokens"`
+	CompletionTokens int `json:"completion_tokens"`
+	TotalTokens      int `json:"total_tokens"`
 }
 
 type completion struct {
@@ -196,7 +197,8 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (o *completionWriter) completion(streaming bool, text string, finish string, use *usage) completion {
+// completion returns a response document or, if streaming is set, a stream event.
+func (o *completionWriter) completion(streaming bool, text string, finishReason string, use *usage) completion {
 	b := completion{ID: o.seq.id, Object: "text_completion", Created: time.Now().Unix(), Model: o.req.Model, Usage: use}
 	c := choice{}
 	switch {
@@ -207,8 +209,8 @@
 	default:
 		c.Text = &text
 	}
-	if finish != "" {
-		c.FinishReason = &finish
+	if finishReason != "" {
+		c.FinishReason = &finishReason
 	}
 	b.Choices = []choice{c}
 	return b
@@ -218,8 +220,7 @@
 	return &usage{o.seq.promptWords, o.seq.generated, o.seq.promptWords + o.seq.generated}
 }
 
-// finishReason returns the reason why the answer ended, as defined by the public
-// API.
+// finishReason returns the public API's code for why the answer ended.
 func (o *completionWriter) finishReason() string {
 	if o.req.MaxTokens > 0 && o.seq.totalTokens == o.req.MaxTokens {
 		return "length"
@@ -244,7 +245,7 @@
 	flusher.Flush()
 	for {
 		select {
-		case text, ok := <-o.seq.out:
+		case text, ok := <-o.seq.tokens:
 			if !ok {
 				o.finishStream()
 				return
@@ -271,7 +272,7 @@
 	var text strings.Builder
 	for {
 		select {
-		case t, ok := <-o.seq.out:
+		case t, ok := <-o.seq.tokens:
 			if ok {
 				text.WriteString(t)
 				continue
@@ -296,7 +297,7 @@
 		names = append(names, m)
 	}
 	sort.Strings(names)
-	standin.WriteJSON(w, http.StatusOK, map[string]any{"loaded": names, "role": e.role, "fence": e.fence})
+	standin.WriteJSON(w, http.StatusOK, map[string]any{"loaded": names, "role": e.role, "fence": e.fencingToken})
 }
 
 // handleLoad returns the latest load report that is at least ReportLag old.
@@ -307,10 +308,10 @@
 		http.Error(w, "load reports unavailable (simulated fault)", http.StatusServiceUnavailable)
 		return
 	}
-	limit := time.Now().Add(-e.cfg.ReportLag)
-	var out Report
-	for _, r := range e.reports {
-		if r.At.After(limit) {
+	newest := time.Now().Add(-e.cfg.ReportLag)
+	var out LoadReport
+	for _, r := range e.loadReports {
+		if r.At.After(newest) {
 			break
 		}
 		out = r
@@ -318,9 +319,9 @@
 	standin.WriteJSON(w, http.StatusOK, out)
 }
 
-// handleEvents returns the cache events that are older than ReportLag. Each event
-// is dropped with probability EventLossRate.
-func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
+// handleCacheEvents returns the cache events that are older than ReportLag. It omits
+// each with probability EventLossRate.
+func (e *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -328,10 +329,10 @@
 		http.Error(w, "cache events unavailable (simulated fault)", http.StatusServiceUnavailable)
 		return
 	}
-	limit := time.Now().Add(-e.cfg.ReportLag)
+	newest := time.Now().Add(-e.cfg.ReportLag)
 	out := []CacheEvent{}
-	for _, ev := range e.events {
-		if ev.Seq >= from && ev.At.Before(limit) && e.rng.Float64() >= e.cfg.EventLossRate {
+	for _, ev := range e.cacheEvents {
+		if ev.Seq >= from && ev.At.Before(newest) && e.rng.Float64() >= e.cfg.EventLossRate {
 			out = append(out, ev)
 		}
 	}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,12 +10,12 @@
 
 // Order is a control command for the engine.
 type Order struct {
-	Op      string `json:"op"` // "load", "unload" or "role"
-	Target  string `json:"target"`
-	Adapter bool   `json:"adapter"`
-	Role    string `json:"role"`
-	Fence   uint64 `json:"fence"` // fencing token of the sender
-	By      string `json:"by"`
+	Op           string `json:"op"`      // "load", "unload" or "role"
+	Target       string `json:"target"`  // model to load or unload
+	Adapter      bool   `json:"adapter"` // Target is an adapter rather than a model
+	Role         string `json:"role"`
+	FencingToken uint64 `json:"fence"` // of the sender; higher values are newer
+	IssuedBy     string `json:"by"`    // incarnation of the sending agent
 }
 
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
@@ -46,8 +46,8 @@
 	standin.WriteJSON(w, http.StatusOK, o)
 }
 
-// acceptOrder validates an order and its fencing token and records it. It
-// returns the HTTP status and an error message.
+// acceptOrder checks an order and its fencing token and records the order. It returns
+// the HTTP status and, for a rejected order, the error message.
 func (e *Engine) acceptOrder(o Order) (int, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,16 +55,16 @@
 		return http.StatusBadRequest, `op: must be "load", "unload" or "role"`
 	}
 	if e.cfg.Fencing {
-		if o.Fence < e.fence {
-			return http.StatusConflict, fmt.Sprintf("fence %d is older than %d", o.Fence, e.fence)
+		if o.FencingToken < e.fencingToken {
+			return http.StatusConflict, fmt.Sprintf("fencing token %d is older than %d", o.FencingToken, e.fencingToken)
 		}
-		e.fence = o.Fence
+		e.fencingToken = o.FencingToken
 	}
 	e.orders = append(e.orders, o)
 	return http.StatusOK, ""
 }
 
-// handleExport returns the cached blocks. The id in the path is only echoed.
+// handleExport returns all cached blocks. The ID in the path has no effect and is echoed.
 func (e *Engine) handleExport(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -8,8 +8,8 @@
 	"net/url"
 )
 
-// fetchWeights downloads a target's weights from the weight store and discards
-// them, so that loading takes as long as the download.
+// fetchWeights downloads a target's weights from the weight store and discards them,
+// so that loading takes as long as the download.
 func fetchWeights(ctx context.Context, store, target string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+store+"/v1/weights/"+url.PathEscape(target), nil)
 	if err != nil {
