--- a/internal/standin/logservice/file.go
+++ b/internal/standin/logservice/file.go
@@ -7,16 +7,16 @@
 	"os"
 )
 
-// fileRecord is one line of the file that persists the records across restarts,
-// as the platform's service does.
+// fileRecord is one line of the file that keeps the records across restarts, as the
+// platform's service does.
 type fileRecord struct {
 	Stream string `json:"stream"`
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// Open returns a log that persists its records in the file at path and loads
-// those already in it. If path is empty, the log is in memory only.
+// Open returns a log that persists its records in the file at path, which it creates
+// if needed, and loads the records in it. If path is empty, the log is in memory only.
 func Open(path string) (*Service, error) {
 	s := New()
 	if path == "" {
@@ -31,7 +31,7 @@
 	for lines.Scan() {
 		var rec fileRecord
 		if json.Unmarshal(lines.Bytes(), &rec) != nil {
-			continue // partial write of a killed process; it was never acknowledged
+			continue // incomplete write of a killed process, which was never acknowledged
 		}
 		st := s.stream(rec.Stream)
 		if len(st.records) == 0 {
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -1,6 +1,6 @@
-// Package logservice is a stand-in for the platform's append-only log service.
-// It speaks the same protocol, keeps its records in memory and optionally in a
-// file, and simulates faults that are switched on by tests or in demos.
+// Package logservice is a stand-in for the platform's append-only log service. It
+// implements the same protocol, keeps its records in memory and optionally in a file,
+// and simulates faults that tests and demos switch on.
 package logservice
 
 import (
@@ -24,10 +24,10 @@
 type Faults struct {
 	// Unavailable rejects every call with status 503.
 	Unavailable bool `json:"down"`
-	// Unresponsive accepts calls and never responds to them.
+	// Unresponsive accepts calls but does not respond to them.
 	Unresponsive bool `json:"silent"`
-	// DropResponses closes the connection after a record has been appended,
-	// without a response.
+	// DropResponses closes the connection without a response after a record has been
+	// appended.
 	DropResponses bool `json:"lose_answers"`
 	// DelayMS is the delay of every response, in milliseconds.
 	DelayMS int `json:"slow_ms"`
@@ -43,7 +43,8 @@
 	appended    chan struct{} // closed and replaced at each append
 }
 
-// Service is the log. The zero value is not usable; call New.
+// Service is the stand-in, which holds any number of streams. It is safe for
+// concurrent use and must be created with New or Open.
 type Service struct {
 	mu      sync.Mutex
 	streams map[string]*stream
@@ -99,9 +100,9 @@
 	return offset, nil
 }
 
-// read returns a batch that starts at offset from, whether that offset has been
+// readBatch returns a batch that starts at offset from, whether that offset has been
 // trimmed, and a channel that is closed at the next append.
-func (s *Service) read(name string, from uint64) (configlog.Batch, bool, <-chan struct{}) {
+func (s *Service) readBatch(name string, from uint64) (configlog.Batch, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stream(name)
@@ -173,17 +174,20 @@
 	standin.WriteJSON(w, http.StatusOK, map[string]uint64{"offset": offset})
 }
 
+// handleRead returns a batch of records. If there are none at the requested offset, it
+// waits for the next append for up to wait_ms. If the offset has been trimmed, it
+// responds with 410 and the range of retained offsets.
 func (s *Service) handleRead(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		http.Error(w, "query parameter from: not an unsigned integer", http.StatusBadRequest)
 		return
 	}
-	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	deadline := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
-	defer deadline.Stop()
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait_ms")) // 0 if absent
+	timeout := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
+	defer timeout.Stop()
 	for {
-		b, trimmed, appended := s.read(r.PathValue("stream"), from)
+		b, trimmed, appended := s.readBatch(r.PathValue("stream"), from)
 		if trimmed {
 			standin.WriteJSON(w, http.StatusGone, b)
 			return
@@ -194,7 +198,7 @@
 		}
 		select {
 		case <-appended:
-		case <-deadline.C:
+		case <-timeout.C:
 			standin.WriteJSON(w, http.StatusOK, b)
 			return
 		case <-r.Context().Done():
