--- a/internal/standin/members/members.go
+++ b/internal/standin/members/members.go
@@ -1,6 +1,6 @@
-// Package members is a stand-in for the platform's membership list. Like the
-// real list it is eventually consistent: a change becomes visible only after a
-// delay, and the list may be wrong.
+// Package members is a stand-in for the platform's membership list. Like the real
+// list it is eventually consistent: a change becomes visible only after a delay, and
+// the entries may be wrong.
 package members
 
 import (
@@ -19,6 +19,7 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
+// pendingChange is a change that becomes visible at visibleAt.
 type pendingChange struct {
 	member    membership.Member
 	visibleAt time.Time
@@ -29,8 +30,8 @@
 type List struct {
 	mu      sync.Mutex
 	lag     time.Duration
-	visible map[string]membership.Member
-	pending []pendingChange
+	visible map[string]membership.Member // by name
+	pending []pendingChange              // in the order in which they become visible
 }
 
 // New returns an empty list whose changes become visible after lag.
@@ -38,8 +39,8 @@
 	return &List{lag: lag, visible: map[string]membership.Member{}}
 }
 
-// Set adds or updates a member, or removes it if removed is set. The change
-// becomes visible after the list's lag.
+// Set adds or updates a member or, if removed is set, removes it. The change becomes
+// visible after the list's lag.
 func (l *List) Set(m membership.Member, removed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,8 +87,8 @@
 	return mux
 }
 
-// handleList returns all members or, with ?name=, only that one. The ETag lets
-// a client revalidate its copy and receive 304 if the list has not changed.
+// handleList returns all members or, with ?name=, only that one. Clients revalidate
+// their copy with the ETag and receive 304 if it is still current.
 func (l *List) handleList(w http.ResponseWriter, r *http.Request) {
 	list := l.Members()
 	if name := r.URL.Query().Get("name"); name != "" {
