--- a/internal/follow/deployment_test.go
+++ b/internal/follow/deployment_test.go
@@ -232,7 +232,7 @@
 		}
 		before := map[string]int{}
 		for _, h := range d.hosts {
-			before[h.name] = h.link.Received()
+			before[h.name] = h.link.ReceivedBytes()
 		}
 		d.store.SetResponseDelay(240 * time.Millisecond)
 		d.write(configOfSize(2, 900_000))
@@ -240,7 +240,7 @@
 		for i, h := range d.hosts {
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(2), h.name)
 			if specs[i].rate == 10e6 {
-				g.Expect(h.link.Received()-before[h.name]).To(BeNumerically("<", 100_000), h.name)
+				g.Expect(h.link.ReceivedBytes()-before[h.name]).To(BeNumerically("<", 100_000), h.name)
 			}
 		}
 	})
--- a/internal/standin/memnet/memnet_test.go
+++ b/internal/standin/memnet/memnet_test.go
@@ -13,7 +13,7 @@
 const delay = time.Millisecond
 
 // Two connections to a host share the bandwidth of its link, and the slower of the two hosts'
-// links limits them.
+// links limits their rate.
 func TestConnectionsShareLinkBandwidth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
