--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,6 +1,6 @@
-// Package plain is a stand-in for an HTTP service that is not a model engine,
-// such as one that prints receipts or sends alerts. It records every call that
-// it executes, so that a test can detect duplicate executions.
+// Package plain is a stand-in for an HTTP service that is not a model engine, such as
+// one that prints receipts or sends alerts. It counts the executions of each call, so
+// that a test can detect duplicates.
 package plain
 
 import (
@@ -13,38 +13,41 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
+const maxRequestBytes = 1 << 20
+
 // Faults are the failures that the stand-in simulates.
 type Faults struct {
-	// DelayMS is the delay, in milliseconds, between executing a call and
+	// ResponseDelayMS is the delay, in milliseconds, between executing a call and
 	// responding to it.
-	DelayMS int `json:"slow_ms"`
-	// DropResponses closes the connection after a call has been executed,
-	// without a response.
+	ResponseDelayMS int `json:"slow_ms"`
+	// DropResponses closes the connection without a response after a call has been
+	// executed.
 	DropResponses bool `json:"lose_answers"`
 }
 
-// Service responds to each call with the request body and the number of times
-// this body has been executed.
+// Service is the stand-in. It responds to each call with the request body and the
+// number of executions of this body so far. It is safe for concurrent use.
 type Service struct {
-	mu     sync.Mutex
-	name   string
-	runs   map[string]int // executions by request body
-	total  int
-	faults Faults
+	mu         sync.Mutex
+	name       string
+	executions map[string]int // by request body
+	total      int
+	faults     Faults
 }
 
-// New returns a service that has executed no calls.
-func New(name string) *Service { return &Service{name: name, runs: map[string]int{}} }
+// New returns a service with the given name.
+func New(name string) *Service { return &Service{name: name, executions: map[string]int{}} }
 
 // Response is the response to a call.
 type Response struct {
-	Service string `json:"service"`
-	Run     int    `json:"run"` // number of executions of this body so far
-	Echo    string `json:"echo"`
+	Service         string `json:"service"`
+	ExecutionNumber int    `json:"run"` // 1 for the first execution of this body
+	Echo            string `json:"echo"`
 }
 
-// Handler serves POST on any path, PUT /standin/faults and GET /standin/runs,
-// which returns the executions by request body.
+// Handler serves calls as POST on any path and, to control and inspect the stand-in,
+// PUT /standin/faults and GET /standin/runs, which returns the number of executions
+// by request body.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /standin/faults", func(w http.ResponseWriter, r *http.Request) {
@@ -56,41 +59,41 @@
 		}
 	})
 	mux.HandleFunc("GET /standin/runs", func(w http.ResponseWriter, _ *http.Request) {
-		standin.WriteJSON(w, http.StatusOK, s.Runs())
+		standin.WriteJSON(w, http.StatusOK, s.Executions())
 	})
 	mux.HandleFunc("POST /", s.handleCall)
 	return mux
 }
 
-// Runs returns the number of executions by request body.
-func (s *Service) Runs() map[string]int {
+// Executions returns the number of executions by request body.
+func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]int, len(s.runs))
-	for k, n := range s.runs {
+	out := make(map[string]int, len(s.executions))
+	for k, n := range s.executions {
 		out[k] = n
 	}
 	return out
 }
 
 func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	s.runs[string(data)]++
+	s.executions[string(data)]++
 	s.total++
-	run, f := s.runs[string(data)], s.faults
+	number, f := s.executions[string(data)], s.faults
 	s.mu.Unlock()
-	if !standin.SleepContext(r.Context(), time.Duration(f.DelayMS)*time.Millisecond) {
+	if !standin.SleepContext(r.Context(), time.Duration(f.ResponseDelayMS)*time.Millisecond) {
 		return
 	}
 	if f.DropResponses {
 		panic(http.ErrAbortHandler)
 	}
-	response, err := json.Marshal(Response{s.name, run, string(data)})
+	response, err := json.Marshal(Response{s.name, number, string(data)})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
