--- a/internal/standin/platformstore/store.go
+++ b/internal/standin/platformstore/store.go
@@ -1,7 +1,7 @@
-// Package platformstore is a stand-in for the platform's metadata store: keyed
-// topics with a single partition, which are read by offset or as the latest
-// record of each key. Tests write to it in place of the operator and the backend
-// servers, and inject failures.
+// Package platformstore is a stand-in for the platform's metadata store, which holds
+// keyed topics with a single partition. A topic is read from an offset on or as the
+// latest record of each key. Tests write to the store in place of the operator and the
+// backend servers, and simulate faults.
 package platformstore
 
 import (
@@ -43,9 +43,9 @@
 }
 
 type topic struct {
-	first   int64 // offset of the oldest retained record
-	records []record
-	latest  map[string]latestRecord // by key
+	firstOffset int64 // offset of the oldest retained record
+	records     []record
+	latest      map[string]latestRecord // by key
 }
 
 type latestRecord struct {
@@ -61,30 +61,29 @@
 	topics       map[string]*topic
 	mode         Mode
 	changed      chan struct{} // closed and replaced at each change
-	era          int           // sent with all responses; incremented by Restore
+	era          int           // number of calls of Restore; sent with all responses
 	requestCount int
 	// PageSize is the maximum number of latest records per page.
 	PageSize      int
 	chunked       bool // responses use chunked encoding, without Content-Length
 	responseDelay time.Duration
-	linkMu        sync.Mutex // held while a chunk of a response crosses the link
+	linkMu        sync.Mutex // held while the link transmits a chunk of a response
 	// appendMu is held from the check of an append's condition until the append is complete.
-	appendMu  sync.Mutex
-	chunkTime time.Duration
+	appendMu      sync.Mutex
+	chunkDuration time.Duration // transmission time of a chunk; 0 means unlimited bandwidth
 }
 
-// chunkBytes is the size of the chunks in which a response crosses a link of
-// limited bandwidth.
+// chunkBytes is the size of the chunks in which a link of limited bandwidth transmits
+// a response.
 const chunkBytes = 8 << 10
 
-// SetBandwidth limits the bandwidth that all responses together use; 0 means no
-// limit.
+// SetBandwidth limits the bandwidth that all responses share; 0 means no limit.
 func (s *Store) SetBandwidth(bitsPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.chunkTime = 0
+	s.chunkDuration = 0
 	if bitsPerSecond > 0 {
-		s.chunkTime = time.Duration(8 * chunkBytes / bitsPerSecond * float64(time.Second))
+		s.chunkDuration = time.Duration(8 * chunkBytes / bitsPerSecond * float64(time.Second))
 	}
 }
 
@@ -107,7 +106,7 @@
 // configured bandwidth.
 func (s *Store) writeResponse(w http.ResponseWriter, r *http.Request, body []byte) {
 	s.mu.Lock()
-	perPiece, chunked, delay := s.chunkTime, s.chunked, s.responseDelay
+	chunkDuration, chunked, delay := s.chunkDuration, s.chunked, s.responseDelay
 	s.mu.Unlock()
 	if !standin.SleepContext(r.Context(), delay) {
 		return
@@ -115,19 +114,19 @@
 	if !chunked {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	flusher := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	for len(body) > 0 {
 		n := len(body)
-		if perPiece > 0 {
+		if chunkDuration > 0 {
 			n = min(n, chunkBytes)
 			s.linkMu.Lock()
-			ok := standin.SleepContext(r.Context(), perPiece*time.Duration(n)/chunkBytes)
+			ok := standin.SleepContext(r.Context(), chunkDuration*time.Duration(n)/chunkBytes)
 			s.linkMu.Unlock()
 			if !ok {
 				return
 			}
 		}
-		if _, err := w.Write(body[:n]); err != nil || flusher.Flush() != nil {
+		if _, err := w.Write(body[:n]); err != nil || controller.Flush() != nil {
 			return // the caller has disconnected
 		}
 		body = body[n:]
@@ -146,7 +145,7 @@
 	return &Store{topics: map[string]*topic{}, changed: make(chan struct{}), PageSize: 500}
 }
 
-// Handler serves the store's protocol.
+// Handler serves the store's protocol. All responses carry the era.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /merlinpost/log-read", s.handleRead)
@@ -178,29 +177,29 @@
 func copyTopics(topics map[string]*topic) map[string]*topic {
 	out := map[string]*topic{}
 	for name, t := range topics {
-		out[name] = &topic{first: t.first, records: slices.Clone(t.records), latest: maps.Clone(t.latest)}
+		out[name] = &topic{firstOffset: t.firstOffset, records: slices.Clone(t.records), latest: maps.Clone(t.latest)}
 	}
 	return out
 }
 
-// Restore replaces the contents with a snapshot, like a recovery from a backup: records written since the
-// snapshot are lost, their offsets are reused, and the era is incremented.
+// Restore replaces the contents with a snapshot, as a recovery from a backup does: records written since
+// the snapshot are lost, their offsets are reused, and the era is incremented.
 func (s *Store) Restore(snapshot Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics = copyTopics(snapshot.topics)
 	s.era++
-	s.notifyChange()
+	s.notifyReaders()
 }
 
 // Address returns the IP:PORT of the store.
 func (s *Store) Address() string { return s.Listener.Addr().String() }
 
-// SetMode changes how the store responds to calls.
+// SetMode sets how the store responds to calls from now on.
 func (s *Store) SetMode(m Mode) {
 	s.mu.Lock()
 	s.mode = m
-	s.notifyChange()
+	s.notifyReaders()
 	s.mu.Unlock()
 }
 
@@ -211,8 +210,8 @@
 	return s.requestCount
 }
 
-// notifyChange wakes the readers that wait for new records. The caller holds mu.
-func (s *Store) notifyChange() {
+// notifyReaders wakes the readers that wait for a change. The caller holds mu.
+func (s *Store) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -232,14 +231,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
-	offset := t.first + int64(len(t.records))
+	offset := t.firstOffset + int64(len(t.records))
 	t.records = append(t.records, record{key, value})
 	if value == nil {
 		delete(t.latest, key)
 	} else {
 		t.latest[key] = latestRecord{value, offset}
 	}
-	s.notifyChange()
+	s.notifyReaders()
 }
 
 // PutJSON appends a record whose value is v as JSON.
@@ -251,15 +250,15 @@
 	s.Put(name, key, value)
 }
 
-// Truncate deletes the records of a topic. The latest record of each key remains
-// available to calls for the latest records.
+// Truncate deletes the records of a topic. The latest record of each key can still be
+// read with a call for the latest records.
 func (s *Store) Truncate(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
-	t.first += int64(len(t.records))
+	t.firstOffset += int64(len(t.records))
 	t.records = nil
-	s.notifyChange()
+	s.notifyReaders()
 }
 
 // applyMode counts the call and applies the mode. It returns false if the call must not be processed further.
@@ -279,6 +278,8 @@
 	return true
 }
 
+// handleRead returns the records from an offset on. If there are none, it waits for them for up to wait_ms.
+// An offset that has been truncated or does not exist yet gives status 410.
 func (s *Store) handleRead(w http.ResponseWriter, r *http.Request) {
 	if !s.applyMode(w, r) {
 		return
@@ -289,20 +290,20 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	wait, _ := strconv.Atoi(query.Get("wait_ms")) // 0 if absent
-	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	waitMS, _ := strconv.Atoi(query.Get("wait_ms")) // 0 if absent
+	timer := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timer.Stop()
 	for timedOut := false; ; {
 		s.mu.Lock()
 		t := s.topic(query.Get("topic"))
-		changed, end := s.changed, t.first+int64(len(t.records))
+		changed, end := s.changed, t.firstOffset+int64(len(t.records))
 		switch {
-		case from < t.first || from > end:
+		case from < t.firstOffset || from > end:
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		case from < end || timedOut:
-			body := encodeRecords(end, t.first, t.records[min(from-t.first, int64(len(t.records))):], maxReadBytes(query))
+			body := encodeRecords(end, t.firstOffset, t.records[min(from-t.firstOffset, int64(len(t.records))):], maxReadBytes(query))
 			s.mu.Unlock()
 			s.writeResponse(w, r, body)
 			return
@@ -318,8 +319,11 @@
 	}
 }
 
-// handleAppend appends keyed records to a topic. It rejects the topics that only the operator and the backend
-// servers may write.
+// handleAppend appends keyed records to a topic, provided that its next offset is the one in the parameter
+// "at", if given. It rejects the topics that only the operator and the backend servers may write.
+//
+// A record is encoded as its length in 4 bytes, the length of its key in 1 byte, the key and the value. An
+// empty value deletes the key.
 func (s *Store) handleAppend(w http.ResponseWriter, r *http.Request) {
 	// net/http detects that the caller has disconnected only after the body has been read.
 	body, err := io.ReadAll(r.Body)
@@ -347,12 +351,12 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		record := body[4 : 4+n]
+		encoded := body[4 : 4+n]
 		var value []byte
 		if 1+keyLen < n {
-			value = record[1+keyLen:]
+			value = encoded[1+keyLen:]
 		}
-		s.Put(name, string(record[1:1+keyLen]), value)
+		s.Put(name, string(encoded[1:1+keyLen]), value)
 		body = body[4+n:]
 	}
 	_, _ = io.WriteString(w, `{"offset":0,"end_offset":1}`)
@@ -363,7 +367,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
-	return t.first + int64(len(t.records))
+	return t.firstOffset + int64(len(t.records))
 }
 
 // maxReadBytes returns the maximum size of a read's response, 1 MiB by default.
@@ -375,7 +379,8 @@
 	return kb << 10
 }
 
-// encodeRecords encodes records up to about limit bytes. The first record is included whatever its size.
+// encodeRecords encodes a read's response: the topic's end offset and first offset in 8 bytes each, then
+// records up to about limit bytes. The first record is included whatever its size.
 func encodeRecords(end, first int64, records []record, limit int) []byte {
 	out := binary.BigEndian.AppendUint64(nil, uint64(end))
 	out = binary.BigEndian.AppendUint64(out, uint64(first))
@@ -391,7 +396,8 @@
 	return out
 }
 
-// handleLatest returns one page of the latest records, sorted by key.
+// handleLatest returns one page of the latest records of all keys, sorted by key. The page starts after the
+// key in the parameter "after".
 func (s *Store) handleLatest(w http.ResponseWriter, r *http.Request) {
 	if !s.applyMode(w, r) {
 		return
@@ -408,7 +414,7 @@
 	}{Items: []item{}}
 	s.mu.Lock()
 	t := s.topic(r.URL.Query().Get("topic"))
-	page.End = t.first + int64(len(t.records))
+	page.End = t.firstOffset + int64(len(t.records))
 	keys := make([]string, 0, len(t.latest))
 	for key := range t.latest {
 		if key > r.URL.Query().Get("after") {
@@ -420,13 +426,13 @@
 		keys, page.More = keys[:s.PageSize], true
 	}
 	for _, key := range keys {
-		n := t.latest[key]
-		page.Items = append(page.Items, item{key, base64.StdEncoding.EncodeToString(n.value), n.offset})
+		latest := t.latest[key]
+		page.Items = append(page.Items, item{key, base64.StdEncoding.EncodeToString(latest.value), latest.offset})
 	}
 	s.mu.Unlock()
 	body, err := json.Marshal(page)
 	if err != nil {
-		panic(err) // cannot fail: page holds only strings, integers and booleans
+		panic(err) // can't fail: page holds only strings, integers and booleans
 	}
 	s.writeResponse(w, r, body)
 }
