--- a/e2e/gatewaysoak_checks_test.go
+++ b/e2e/gatewaysoak_checks_test.go
@@ -211,7 +211,7 @@
 				requests = append(requests, a.At)
 			}
 		}
-		if w := retryrule.Worst(rule, requests, repeats); w.Excess() > 0 {
+		if w := retryrule.WorstWindow(rule, requests, repeats); w.Excess() > 0 {
 			s.addViolation("%d repeats to %s within %s, %.0f are allowed", w.Retries, service, retryWindow, w.Allowed)
 		}
 	}
--- a/e2e/retrybudget_test.go
+++ b/e2e/retrybudget_test.go
@@ -116,7 +116,7 @@
 			first[a.ID] = true
 		}
 	}
-	r.worst = retryrule.Worst(retryrule.Rule{Ratio: retryRatio, Window: retryWindow, Slack: budgetSlack}, r.requests, r.repeats)
+	r.worst = retryrule.WorstWindow(retryrule.Rule{Ratio: retryRatio, Window: retryWindow, Slack: budgetSlack}, r.requests, r.repeats)
 }
 
 // Guards against a burst of requests earning repeats that are spent after the burst,
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -215,7 +215,7 @@
 		tasks.Wait()
 		all := p.repeats()
 		repeats = len(all)
-		worst = retryrule.Worst(retryrule.Rule{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack}, p.requests, all)
+		worst = retryrule.WorstWindow(retryrule.Rule{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack}, p.requests, all)
 	})
 	return worst, repeats
 }
--- a/internal/retrybudget/simulation_test.go
+++ b/internal/retrybudget/simulation_test.go
@@ -238,10 +238,10 @@
 			return
 		}
 		d.rule.Slack *= SlackInUse
-		if w := retryrule.Worst(d.rule, requests, repeats); w.Excess() > 1e-6 {
+		if w := retryrule.WorstWindow(d.rule, requests, repeats); w.Excess() > 1e-6 {
 			t.Fatalf("%d repeats for %d requests in the window at %s, %.1f allowed", w.Retries, w.Requests, w.Start.Sub(requests[0]), w.Allowed)
 		}
-		if w := retryrule.WorstSplit(d.rule, bucketRatio, requests, repeats); w.Excess() > 1e-6 {
+		if w := retryrule.WorstWeightedWindow(d.rule, bucketRatio, requests, repeats); w.Excess() > 1e-6 {
 			t.Fatalf("%d repeats in the window at %s, %.1f paid for", w.Retries, w.Start.Sub(requests[0]), w.Allowed)
 		}
 	})
@@ -259,7 +259,7 @@
 		g := NewWithT(t)
 		d := steadyScenario(perSecond, 8*time.Second)
 		requests, repeats := d.run()
-		w := retryrule.Worst(d.rule, requests, repeats)
+		w := retryrule.WorstWindow(d.rule, requests, repeats)
 		g.Expect(float64(w.Retries)).To(BeNumerically(">=", 0.6*w.Allowed), "%d a second", perSecond)
 		last := 0
 		for _, at := range repeats {
