--- a/internal/quarantine/deployment_test.go
+++ b/internal/quarantine/deployment_test.go
@@ -51,7 +51,7 @@
 
 // recordFatalCrash counts a crash by the fatal request.
 func (d *deployment) recordFatalCrash(s *simfleet.Server, w *worker.Worker) {
-	if d.CurrentWorker(s) != w {
+	if d.RunningWorker(s) != w {
 		return // the instance has stopped for another reason meanwhile
 	}
 	d.mu.Lock()
@@ -77,7 +77,7 @@
 	d.fatalActive = false
 	d.mu.Unlock()
 	for _, s := range d.Servers {
-		if w := d.CurrentWorker(s); w != nil {
+		if w := d.RunningWorker(s); w != nil {
 			w.CrashOn("", 0, nil)
 		}
 	}
--- a/internal/quarantine/system_test.go
+++ b/internal/quarantine/system_test.go
@@ -241,7 +241,7 @@
 	defer d.mu.Unlock()
 	found, newest := 0, time.Time{}
 	for i, s := range d.Servers {
-		w := d.CurrentWorker(s)
+		w := d.RunningWorker(s)
 		if w == nil {
 			continue
 		}
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -120,7 +120,7 @@
 		p.load = c.load
 		p.mu.Unlock()
 		for _, s := range p.Servers {
-			if w := p.CurrentWorker(s); w != nil {
+			if w := p.RunningWorker(s); w != nil {
 				w.SetPartialBehaviour(c.failing, 10, c.failure)
 			}
 		}
@@ -190,7 +190,7 @@
 	first := map[string]bool{}
 	var out []time.Time
 	for _, s := range p.Servers {
-		for _, w := range p.Workers(s) {
+		for _, w := range p.AllWorkers(s) {
 			for _, a := range w.Arrivals() {
 				if first[a.ID] {
 					out = append(out, a.At)
