--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is a stand-in for the platform's model weight store. Like the
-// real store it is rate-limited: all downloads share one bandwidth limit.
+// Package weights is a stand-in for the platform's store of model weights. Like the
+// real store it limits the total bandwidth of all downloads.
 package weights
 
 import (
@@ -11,24 +11,25 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
+// chunkBytes is the size of one write and the burst size of the bandwidth limit.
 const chunkBytes = 64 << 10
 
-// Store serves GET /v1/weights/{target} with zero bytes as the weights.
+// Store is the stand-in. The weights of all targets consist of zero bytes.
 type Store struct {
 	size    int
 	limiter *rate.Limiter
 	active  atomic.Int64 // downloads in progress
-	peak    atomic.Int64 // maximum of active
+	peak    atomic.Int64 // highest value of active so far
 }
 
 // New returns a store in which the weights of every target have size bytes. All
-// concurrent downloads together are limited to bytesPerSecond.
+// downloads together are limited to bytesPerSecond.
 func New(size, bytesPerSecond int) *Store {
 	return &Store{size: size, limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkBytes)}
 }
 
-// Handler serves the store and GET /standin/peak, which returns the highest
-// number of concurrent downloads so far.
+// Handler serves GET /v1/weights/{target} and GET /standin/peak, which returns the
+// highest number of concurrent downloads so far.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/weights/{target}", s.download)
