--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,7 +1,7 @@
-// Package worker is a stand-in for a worker of the platform: an HTTP/1.1
-// backend server that seals its responses, rejects requests addressed to another
-// instance, and simulates configurable faults. It writes raw HTTP to the
-// connection so that it can also send malformed responses.
+// Package worker is a stand-in for a worker of the platform, a backend server for
+// HTTP/1.1. It seals its responses, rejects requests addressed to another instance,
+// and simulates faults. It writes raw HTTP to the connection, so that it can also send
+// malformed responses.
 package worker
 
 import (
@@ -20,7 +20,7 @@
 type Execution struct {
 	ID     string
 	Method string
-	Target string
+	Target string // path and query of the request
 	Body   string
 	Header http.Header
 	// LastEventID is the request's Last-Event-Id, 0 if absent. A stream starts
@@ -43,20 +43,20 @@
 	RetryAfter string
 	// Status is the status code of the response; 0 means 200.
 	Status int
-	// Events is the number of events of a streamed response; 0 means a response
-	// that is not streamed.
+	// Events is the number of events of a streamed response; 0 means that the
+	// response is not streamed.
 	Events int
-	// AbortAfterEvents is the number of complete events after which the
-	// connection is closed in the middle of the next one; -1 means never.
+	// AbortAfterEvents is the number of the last event that is sent whole; the
+	// connection is closed in the middle of the next one. -1 means never.
 	AbortAfterEvents int
 	// Hang sends no response until the caller disconnects.
 	Hang bool
 	// DropConnection closes the connection without a response.
 	DropConnection bool
-	// CloseDelimited sends the response without a length; the end of the
+	// CloseDelimited sends the response without a length, so that the end of the
 	// connection delimits it.
 	CloseDelimited bool
-	// ForeignResponseFirst sends a response to another request before the proper one.
+	// ForeignResponseFirst sends a response to another request before the correct one.
 	ForeignResponseFirst bool
 	// OmitSeal omits the X-Response-Seal and X-Server-Load headers.
 	OmitSeal bool
@@ -73,30 +73,30 @@
 	StartedMS int64
 	listener  net.Listener
 
-	mu              sync.Mutex
-	behaviour       Behaviour
-	queued          []Behaviour // for the next requests, one each; takes precedence over behaviour
-	partial         Behaviour   // for partialN of every partialOf requests
-	partialN        int
-	partialOf       int
-	executions      []Execution
-	disconnects     int // callers that disconnected while their request was processed
-	conns           map[net.Conn]bool
-	connectionCount int
-	arrivals        []Arrival
-	crashTrigger    crashTrigger
-	extraHeaders    string // header lines added to all responses
+	mu               sync.Mutex
+	behaviour        Behaviour
+	queuedBehaviours []Behaviour // for the next requests, one each; take precedence over the others
+	partialBehaviour Behaviour   // for partialN of every partialOf requests
+	partialN         int
+	partialOf        int
+	executions       []Execution
+	disconnectCount  int               // callers that disconnected before their response was complete
+	conns            map[net.Conn]bool // open connections
+	connectionCount  int               // accepted so far
+	arrivals         []Arrival
+	crashTrigger     crashTrigger
+	extraHeaders     string // header lines added to all responses
 }
 
-// crashTrigger describes a request that crashes the worker that executes it.
+// crashTrigger describes a request that crashes the worker.
 type crashTrigger struct {
 	body    string
-	after   time.Duration
+	delay   time.Duration // from the start of the execution to the crash
 	onCrash func()
 }
 
-// Start returns a worker that listens on a local port and responds normally until
-// Close.
+// Start returns a worker that listens on a free local port until Close and responds
+// normally.
 func Start(id string) (*Worker, error) { return StartAt(id, "127.0.0.1:0") }
 
 // StartAt is like Start with a given address, for example to restart a worker at
@@ -112,7 +112,7 @@
 // StartOn is like Start with a listener, which the worker closes.
 func StartOn(id string, l net.Listener) *Worker {
 	w := &Worker{ID: id, StartedMS: time.Now().UnixMilli(), listener: l, behaviour: Behaviour{AbortAfterEvents: -1}, conns: map[net.Conn]bool{}}
-	go w.accept()
+	go w.acceptConnections()
 	return w
 }
 
@@ -134,7 +134,8 @@
 	}
 }
 
-// SetBehaviour sets how the worker handles requests from now on.
+// SetBehaviour sets how the worker handles requests from now on, except those of
+// QueueBehaviours and SetPartialBehaviour.
 func (w *Worker) SetBehaviour(b Behaviour) {
 	w.mu.Lock()
 	w.behaviour = b
@@ -145,19 +146,19 @@
 // per request.
 func (w *Worker) QueueBehaviours(b ...Behaviour) {
 	w.mu.Lock()
-	w.queued = append(w.queued, b...)
+	w.queuedBehaviours = append(w.queuedBehaviours, b...)
 	w.mu.Unlock()
 }
 
 // SetPartialBehaviour sets how the worker handles n out of every "of" requests from now on.
 func (w *Worker) SetPartialBehaviour(n, of int, b Behaviour) {
 	w.mu.Lock()
-	w.partial, w.partialN, w.partialOf = b, n, of
+	w.partialBehaviour, w.partialN, w.partialOf = b, n, of
 	w.mu.Unlock()
 }
 
-// CrashOn makes the worker crash after it has processed a request with this body for the
-// given time. It then calls onCrash.
+// CrashOn makes the worker crash once it has processed a request with this body for the
+// given time, and then call onCrash.
 func (w *Worker) CrashOn(body string, after time.Duration, onCrash func()) {
 	w.mu.Lock()
 	w.crashTrigger = crashTrigger{body, after, onCrash}
@@ -175,7 +176,7 @@
 	}
 }
 
-// headerLines returns the additional header lines.
+// headerLines returns the header lines set by SetHeaders.
 func (w *Worker) headerLines() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,12 +190,12 @@
 	return append([]Execution(nil), w.executions...)
 }
 
-// Disconnects returns the number of callers that disconnected while their request was
-// processed.
-func (w *Worker) Disconnects() int {
+// DisconnectCount returns the number of callers that disconnected before their response
+// was complete.
+func (w *Worker) DisconnectCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.disconnects
+	return w.disconnectCount
 }
 
 // ConnectionCount returns the number of connections accepted so far.
@@ -218,7 +219,7 @@
 	return append([]Arrival(nil), w.arrivals...)
 }
 
-func (w *Worker) accept() {
+func (w *Worker) acceptConnections() {
 	for {
 		c, err := w.listener.Accept()
 		if err != nil {
@@ -228,11 +229,12 @@
 		w.conns[c] = true
 		w.connectionCount++
 		w.mu.Unlock()
-		go w.serve(c)
+		go w.serveConnection(c)
 	}
 }
 
-func (w *Worker) serve(c net.Conn) {
+// serveConnection handles the requests of a connection, one after another.
+func (w *Worker) serveConnection(c net.Conn) {
 	defer func() {
 		_ = c.Close()
 		w.mu.Lock()
@@ -251,18 +253,18 @@
 	}
 }
 
-// nextBehaviour records a request and returns how to handle it.
+// nextBehaviour records the arrival of a request and returns how to handle it.
 func (w *Worker) nextBehaviour(id string) Behaviour {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.arrivals = append(w.arrivals, Arrival{id, time.Now()})
-	if len(w.queued) > 0 {
-		b := w.queued[0]
-		w.queued = w.queued[1:]
+	if len(w.queuedBehaviours) > 0 {
+		b := w.queuedBehaviours[0]
+		w.queuedBehaviours = w.queuedBehaviours[1:]
 		return b
 	}
 	if w.partialN > 0 && len(w.arrivals)%w.partialOf < w.partialN {
-		return w.partial
+		return w.partialBehaviour
 	}
 	return w.behaviour
 }
@@ -270,7 +272,7 @@
 // handleRequest handles one request. It returns false if the connection must be closed.
 func (w *Worker) handleRequest(c net.Conn, r *bufio.Reader, req *http.Request) bool {
 	id := req.Header.Get("X-Attempt-Id")
-	if expect := req.Header.Get("X-Expect-Instance"); expect != "" && expect != w.ID {
+	if expected := req.Header.Get("X-Expect-Instance"); expected != "" && expected != w.ID {
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return false
 		}
@@ -335,7 +337,7 @@
 	if stream {
 		_ = w.writeStreamHeader(c, id) // the connection is closed in any case
 	}
-	time.Sleep(trigger.after)
+	time.Sleep(trigger.delay)
 	w.Close()
 	trigger.onCrash()
 	return false
@@ -356,11 +358,13 @@
 	return b.String()
 }
 
-// sealHeaders returns the header lines that prove which worker processed which request.
+// sealHeaders returns the header lines with the worker's load and with the seal, which proves
+// which worker processed which request.
 func (w *Worker) sealHeaders(id string) string {
 	return fmt.Sprintf("X-Response-Seal: %s.%s\r\nX-Server-Load: 1,0,8\r\n", w.ID, id)
 }
 
+// writeResponse writes a response with a Content-Length. It returns false if this fails.
 func (w *Worker) writeResponse(c net.Conn, id string, status int, headers, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nX-Attempt-Id: %s\r\n%s%sContent-Length: %d\r\n\r\n%s",
 		status, http.StatusText(status), id, headers, w.headerLines(), len(body), body)
@@ -371,7 +375,7 @@
 func (w *Worker) awaitDisconnect(r *bufio.Reader) {
 	_, _ = r.Peek(1)
 	w.mu.Lock()
-	w.disconnects++
+	w.disconnectCount++
 	w.mu.Unlock()
 }
 
@@ -381,6 +385,8 @@
 	return err
 }
 
+// writeStream writes a streamed response from the event after lastEventID on. It returns false
+// if the connection must be closed.
 func (w *Worker) writeStream(c net.Conn, r *bufio.Reader, id string, lastEventID int, b Behaviour) bool {
 	disconnected := make(chan struct{})
 	if b.EventInterval > 0 {
@@ -392,8 +398,8 @@
 	for n := lastEventID + 1; n <= b.Events; n++ {
 		event := Event(id, n)
 		if b.AbortAfterEvents >= 0 && n > b.AbortAfterEvents {
-			half := event[:len(event)/2]
-			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(half), half)
+			truncated := event[:len(event)/2]
+			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(truncated), truncated)
 			return false
 		}
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event); err != nil {
