--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -218,7 +218,7 @@
 	s.scheduleAfter(0, poll)
 }
 
-// groupEngines returns the engines of a group as seen by the first gateway.
+// enginesOfGroup returns the engines of a group as seen by the first gateway.
 func (s *simulation) enginesOfGroup(group permit.Group) []permit.Engine {
 	candidates := s.candidates(0, s.now)
 	groups := placement.GroupCount(len(candidates))
@@ -243,7 +243,7 @@
 			Parts: []placement.Part{{ID: prefix, Tokens: class.SharedPrefixTokens}, {ID: id, Tokens: uniqueTokens}}}}
 }
 
-// arrive handles the arrival of a request at a random gateway.
+// handleArrival handles the arrival of a request at a random gateway.
 func (s *simulation) handleArrival(j *job, now time.Time) {
 	j.arrivedAt = now
 	s.scheduleAt(now.Add(j.class.Deadline), func(time.Time) { j.expired = true })
@@ -297,7 +297,7 @@
 	}
 }
 
-// grantedChoice returns the placement named by a granted permit.
+// grantedPlacement returns the placement named by a granted permit.
 func (s *simulation) grantedPlacement(p *permitRequest, decision permit.Decision, now time.Time) placement.Choice {
 	out := placement.Choice{FetchFrom: decision.FetchFrom, Reason: placement.Decided}
 	candidates := s.candidates(p.gateway, now)
@@ -309,7 +309,7 @@
 	return out
 }
 
-// handleDue handles the decisions on queued permit requests, except those whose deadline has
+// handleNotifications handles the decisions on queued permit requests, except those whose deadline has
 // passed.
 func (s *simulation) handleNotifications(notifications []permit.Notification[*permitRequest]) {
 	for _, n := range notifications {
