--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -96,7 +96,7 @@
 	exports       map[string][]uint64
 }
 
-// Report is a load report.
+// LoadReport is the state of an engine at a point in time.
 type LoadReport struct {
 	At           time.Time `json:"at"`
 	Running      int       `json:"running"`
@@ -245,7 +245,7 @@
 	return len(s.blocks) - hit
 }
 
-// maxEvents is the maximum number of retained cache events.
+// maxCacheEvents is the maximum number of retained cache events.
 const maxCacheEvents = 4096
 
 // recordCacheEvent assigns the next sequence number to an event and retains it.
