--- a/internal/agent/links_test.go
+++ b/internal/agent/links_test.go
@@ -45,7 +45,7 @@
 	// The core loop is not running, so the link's registration stays in its inbox.
 	register := <-a.loop.inbox
 	a.servingTargets.set([]string{"model/x"})
-	a.loop.sendHeartbeats()
+	a.loop.triggerHeartbeats()
 	register(time.Now())
 	g.Eventually(received, 5*time.Second).Should(Receive(Equal([]string{"model/x"})))
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -14,7 +14,7 @@
 
 // applyNotices applies and counts the notices in a response to a request that was sent at sentAt. It
 // returns them for the request's log line, or nil if there are none.
-func (g *Gateway) applyNotices(server registry.Server, notices *notice.Statement, sentAt time.Time) *notice.Statement {
+func (g *Gateway) applyNotices(server registry.Server, notices *notice.ResponseNotices, sentAt time.Time) *notice.ResponseNotices {
 	if notices == nil {
 		return nil
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -82,8 +82,8 @@
 			if policy.Choice != "" {
 				r.Policy.Choice = policy.Choice
 			}
-			r.Policy.Prefix, r.Policy.Domain = enabled("prefix"), enabled("domain")
-			r.Policy.Straggler, r.Policy.Corrected = enabled("straggler"), enabled("corrected")
+			r.Policy.PrefixAffinity, r.Policy.DomainAffinity = enabled("prefix"), enabled("domain")
+			r.Policy.StragglerPenalty, r.Policy.CountUnreported = enabled("straggler"), enabled("corrected")
 			r.Callers.MaxRequests = maxRequests
 		}}, logger)
 }
--- a/internal/notice/board_test.go
+++ b/internal/notice/board_test.go
@@ -27,7 +27,7 @@
 
 func at(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-func limit(rate float64) Statement { return Statement{Limited: true, Limit: rate} }
+func limit(rate float64) ResponseNotices { return ResponseNotices{Limited: true, Limit: rate} }
 
 // rate returns the limit in force, or 0 if there is none.
 func (b *testRegistry) rate(now int) float64 { return b.limits.Budget(server, at(now)).Rate }
@@ -35,7 +35,7 @@
 func TestNothingIsKeptWhereNothingIsSaid(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordResponse(server, Statement{}, at(0), at(10))
+	b.RecordResponse(server, ResponseNotices{}, at(0), at(10))
 	g.Expect(b.Empty()).To(BeTrue())
 	g.Expect(b.Due(at(10))).To(BeEmpty())
 	g.Expect(b.Active(server, at(10))).To(BeEmpty())
@@ -48,11 +48,11 @@
 	g.Expect(b.rate(100)).To(Equal(4.0))
 	g.Expect(b.Active(server, at(300))[0].Age).To(Equal(200 * time.Millisecond))
 
-	b.RecordResponse(server, Statement{}, at(50), at(150)) // sent before the limit was received, so it may be older
+	b.RecordResponse(server, ResponseNotices{}, at(50), at(150)) // sent before the limit was received, so it may be older
 	g.Expect(b.rate(150)).To(Equal(4.0))
-	b.RecordResponse(server, Statement{Unreadable: []Kind{RateLimit}}, at(160), at(200)) // unreadable, so not evidence of an end
+	b.RecordResponse(server, ResponseNotices{Unreadable: []Kind{RateLimit}}, at(160), at(200)) // unreadable, so not evidence of an end
 	g.Expect(b.rate(200)).To(Equal(4.0))
-	b.RecordResponse(server, Statement{}, at(160), at(210))
+	b.RecordResponse(server, ResponseNotices{}, at(160), at(210))
 	g.Expect(b.limits.Limited(server)).To(BeFalse())
 	g.Expect(b.events).To(Equal([]Event{{Server: server, Kind: RateLimit, Limit: 4}, {Server: server, Kind: RateLimit, Ended: true}}))
 }
@@ -92,7 +92,7 @@
 	g.Expect(b.Active(server, at(205))[0].From).To(Equal("edge-a"))
 	g.Expect(b.Due(at(1000))).To(BeEmpty(), "received reports are not forwarded")
 
-	b.RecordResponse(server, Statement{}, at(1000), at(1050)) // b learns that the limit has ended
+	b.RecordResponse(server, ResponseNotices{}, at(1000), at(1050)) // b learns that the limit has ended
 	ended := b.Due(at(1050))[0]
 	outdated := a.All(at(1060))[0] // a does not know of the end yet
 	reply := b.Receive(outdated, "edge-a", at(1065))
@@ -132,8 +132,8 @@
 func TestDrainingIsReportedAndPermanent(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newTestRegistry(), newTestRegistry()
-	a.RecordResponse(server, Statement{Draining: true}, at(0), at(100))
-	a.RecordResponse(server, Statement{}, at(150), at(200)) // a response in flight
+	a.RecordResponse(server, ResponseNotices{Draining: true}, at(0), at(100))
+	a.RecordResponse(server, ResponseNotices{}, at(150), at(200)) // a response in flight
 	g.Expect(a.Draining(server)).To(BeTrue())
 	reports := a.Due(at(300))
 	g.Expect(reports).To(HaveLen(1))
@@ -152,7 +152,7 @@
 	g := NewWithT(t)
 	a, b := newTestRegistry(), newTestRegistry()
 	b.RecordResponse(server, limit(4), at(0), at(100))
-	a.RecordResponse(server, Statement{Draining: true}, at(200), at(300))
+	a.RecordResponse(server, ResponseNotices{Draining: true}, at(200), at(300))
 	b.Receive(a.Due(at(300))[0], "edge-a", at(310))
 	g.Expect(b.limits.Limited(server)).To(BeTrue())
 	g.Expect(b.Draining(server)).To(BeTrue())
@@ -162,9 +162,9 @@
 func TestLongestBackoffApplies(t *testing.T) {
 	g := NewWithT(t)
 	b := newTestRegistry()
-	b.RecordResponse(server, Statement{Backoff: 4 * time.Second}, at(0), at(100))
-	b.RecordResponse(server, Statement{Backoff: time.Second}, at(10), at(200))
-	b.RecordResponse(server, Statement{}, at(20), at(300))
+	b.RecordResponse(server, ResponseNotices{Backoff: 4 * time.Second}, at(0), at(100))
+	b.RecordResponse(server, ResponseNotices{Backoff: time.Second}, at(10), at(200))
+	b.RecordResponse(server, ResponseNotices{}, at(20), at(300))
 	g.Expect(b.BackoffRemaining(server, at(1100))).To(Equal(3 * time.Second))
 	g.Expect(b.BackoffRemaining(server, at(4100))).To(BeZero())
 	g.Expect(b.Due(at(400))).To(BeEmpty(), "a backoff applies to this gateway only")
--- a/internal/notice/days_test.go
+++ b/internal/notice/days_test.go
@@ -237,7 +237,7 @@
 
 // checkHeeded returns an error message if a gateway did not follow a notice that it had received, and ""
 // otherwise.
-func (p *scenarioRun) checkHeeded() string {
+func (p *scenarioRun) checkCompliance() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, s := range p.Servers {
@@ -296,7 +296,7 @@
 // check returns an error message if a gateway did not follow the notices or refused a request incorrectly, and
 // "" otherwise.
 func (p *scenarioRun) check() string {
-	if failure := p.checkHeeded(); failure != "" {
+	if failure := p.checkCompliance(); failure != "" {
 		return failure
 	}
 	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(p.limitUntil)
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -18,7 +18,7 @@
 )
 
 // Statement holds the notices of one response.
-type Statement struct {
+type ResponseNotices struct {
 	Draining bool `json:"draining,omitempty"`
 	// Limited reports whether a rate limit is stated; Limit is the limit in requests per second.
 	Limited bool    `json:"limited,omitempty"`
@@ -30,12 +30,12 @@
 }
 
 // Empty reports whether the response has no notices, not even unreadable ones.
-func (s Statement) Empty() bool {
+func (s ResponseNotices) Empty() bool {
 	return !s.Draining && !s.Limited && s.Backoff == 0 && len(s.Unreadable) == 0
 }
 
 // Kinds returns the kinds of the readable notices.
-func (s Statement) Kinds() []Kind {
+func (s ResponseNotices) Kinds() []Kind {
 	var out []Kind
 	if s.Draining {
 		out = append(out, Draining)
@@ -50,7 +50,7 @@
 }
 
 // unreadable reports whether the response has a notice of a kind that could not be parsed.
-func (s Statement) unreadable(kind Kind) bool { return slices.Contains(s.Unreadable, kind) }
+func (s ResponseNotices) unreadable(kind Kind) bool { return slices.Contains(s.Unreadable, kind) }
 
 // MaxLimit is the highest valid rate limit in requests per second. A backend server runs tens to
 // hundreds of requests at once.
--- a/internal/notice/report.go
+++ b/internal/notice/report.go
@@ -60,7 +60,7 @@
 
 // All returns the reports of all servers with notices in force, for a gateway that has just started.
 func (r *Registry) All(now time.Time) []Report {
-	return r.collect(now, (*serverState).inForce)
+	return r.collect(now, (*serverState).reportable)
 }
 
 // Report returns the report of one server, and whether the server is known.
--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -18,7 +18,7 @@
 // handleHeartbeat processes a received heartbeat.
 func (p *Peers) handleHeartbeat(b heartbeat, from netip.AddrPort, now time.Time) {
 	if b.Starting {
-		defer p.greet(b.Host, from, now)
+		defer p.sendInitialState(b.Host, from, now)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,10 +40,10 @@
 	if len(reports) > 0 {
 		interval = ReportInterval
 	}
-	due := now.Sub(p.heartbeatAt) >= interval || p.states.unsent
+	due := now.Sub(p.heartbeatAt) >= interval || p.states.reportPending
 	if due {
 		p.heartbeatAt = now
-		p.states.unsent = false
+		p.states.reportPending = false
 	}
 	live := len(p.members.live(now))
 	changed := live != p.loggedLive && now.Sub(p.liveLoggedAt) >= liveLogInterval
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -33,7 +33,7 @@
 	maxMissedHeartbeats = 3
 	// unresponsiveFor is how long a member that did not answer counts as down, unless a heartbeat
 	// arrives from it earlier.
-	unresponsiveFor = 3 * time.Second
+	unresponsivePeriod = 3 * time.Second
 	// largeHostFraction is the fraction of the largest member's cores that a member needs to be the
 	// home of a group of engines, and the fraction of cores and link speed that it needs to be
 	// preferred for reading the store on behalf of the others. A small host would be overloaded by
@@ -65,12 +65,12 @@
 // peerState is the state of another gateway.
 type peerState struct {
 	Member
-	heartbeatAt time.Time // time of the last heartbeat, zero if none
-	listedAt    time.Time // when the store first listed it
-	downUntil   time.Time
-	leaving     bool
-	estimates   []engineEstimates // from its last heartbeat that had any
-	greetedAt   time.Time
+	heartbeatAt        time.Time // time of the last heartbeat, zero if none
+	listedAt           time.Time // when the store first listed it
+	downUntil          time.Time
+	leaving            bool
+	estimates          []engineEstimates // from its last heartbeat that had any
+	initialStateSentAt time.Time
 }
 
 func newMembers(self Member, now time.Time) *members {
@@ -122,7 +122,7 @@
 func (m *members) markUnresponsive(at netip.AddrPort, now time.Time) {
 	for _, p := range m.known {
 		if p.Address == at {
-			p.downUntil = now.Add(unresponsiveFor)
+			p.downUntil = now.Add(unresponsivePeriod)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 
 // rateSharers returns the number of gateways, including this one, that share the rate limits of servers:
 // all that may be sending requests, including silent ones.
-func (m *members) rateSharers(now time.Time) int {
+func (m *members) rateShareCount(now time.Time) int {
 	n := 1
 	for _, p := range m.known {
 		if !p.leaving && now.Sub(p.lastSeen()) <= max(rateShareRetention, maxMissedHeartbeats*m.heartbeatInterval()) {
@@ -157,7 +157,7 @@
 // slackSharers returns the number of gateways, including this one, that share the slack of the retry budgets;
 // 0 while the others may not know of this one. A silent member may be partitioned and still use its share, so
 // it is counted for slackShareRetention, and for as long as at least a third of all gateways are silent.
-func (m *members) slackSharers(now time.Time) int {
+func (m *members) slackShareCount(now time.Time) int {
 	if m.listedAt.IsZero() || now.Sub(m.listedAt) < max(joinDelay, time.Duration(joinDelayIntervals*float64(m.heartbeatInterval()))) {
 		return 0
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -25,7 +25,7 @@
 const (
 	// busyInterval is the interval at which queued permit requests are checked in the absence of
 	// events; idleInterval is the interval of Run's loop when none is queued.
-	busyInterval, idleInterval = 20 * time.Millisecond, 100 * time.Millisecond
+	queuedPollInterval, idlePollInterval = 20 * time.Millisecond, 100 * time.Millisecond
 	// inboxSize is the number of received datagrams that may be waiting for Run.
 	inboxSize = 1024
 )
@@ -44,8 +44,8 @@
 	// Loans are the rate limits of which the sender lends its share to the receiver.
 	Loans []notice.Report `msgpack:"l,omitempty"`
 	// RepeatRequest asks the receiver for a repeat from its retry budget; RepeatResponse is the reply.
-	RepeatRequest  *repeatRequest  `msgpack:"r,omitempty"`
-	RepeatResponse *repeatResponse `msgpack:"p,omitempty"`
+	RetryRequest  *retryRequest  `msgpack:"r,omitempty"`
+	RetryResponse *retryResponse `msgpack:"p,omitempty"`
 }
 
 // heartbeat announces a gateway and reports the states that it has read from the store.
@@ -96,7 +96,7 @@
 	SetGateways(n int)
 	// LendRepeat grants another gateway a repeated send to a service from this gateway's retry budget, and reports
 	// whether the budget permitted it.
-	LendRepeat(service string) bool
+	LendRetry(service string) bool
 	// RecordStall records that the process was stalled since the given time and is expected to process
 	// the backlog until the other.
 	RecordStall(since, until time.Time)
@@ -126,8 +126,8 @@
 	states         topicStates
 	estimates      []engineEstimates               // by this gateway, as sent in heartbeats
 	pendingPermits map[string]chan permit.Decision // by request ID
-	pendingRepeats map[uint64]chan bool            // waiting for a repeatResponse, by ID
-	lastRepeatID   uint64                          // ID of the newest repeatRequest
+	pendingRetries map[uint64]chan bool            // waiting for a repeatResponse, by ID
+	lastRetryID    uint64                          // ID of the newest repeatRequest
 	leaving        bool
 	heartbeatAt    time.Time
 	loggedLive     int // number of live gateways last logged, at liveLoggedAt
@@ -155,7 +155,7 @@
 	self := socket.Address()
 	now := time.Now()
 	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, quarantine: local.Quarantine(), notices: local.Notices(), start: now,
-		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRepeats: map[uint64]chan bool{}}
+		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRetries: map[uint64]chan bool{}}
 	p.scheduler = permit.NewScheduler[netip.AddrPort](local.Engines, p.peerEstimates, p.notices.Limits(), permit.Policy{})
 	return p
 }
@@ -174,7 +174,7 @@
 	receiving.Go(func() {
 		p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.enqueue(received{m, from}) })
 	})
-	timer := time.NewTimer(idleInterval)
+	timer := time.NewTimer(idlePollInterval)
 	defer timer.Stop()
 	estimatesLogged := time.Now()
 	for {
@@ -186,9 +186,9 @@
 		case <-p.quarantine.UpdatesReady():
 		case <-p.notices.Pending():
 		case <-timer.C:
-			next := idleInterval
+			next := idlePollInterval
 			if p.scheduler.QueuedCount() > 0 {
-				next = busyInterval
+				next = queuedPollInterval
 			}
 			timer.Reset(next)
 		}
@@ -259,10 +259,10 @@
 		p.handleNotices(r.Notices, r.from, now)
 	case r.Loans != nil:
 		p.handleLoans(r.Loans, r.from, now)
-	case r.RepeatRequest != nil:
-		p.lendRepeat(*r.RepeatRequest, r.from)
-	case r.RepeatResponse != nil:
-		p.deliverRepeat(*r.RepeatResponse)
+	case r.RetryRequest != nil:
+		p.lendRetry(*r.RetryRequest, r.from)
+	case r.RetryResponse != nil:
+		p.deliverRetryResponse(*r.RetryResponse)
 	}
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -47,7 +47,7 @@
 }
 
 func (fakeGateway) RateLimitedServers() map[permit.Group][]string { return nil }
-func (fakeGateway) LendRepeat(string) bool                        { return false }
+func (fakeGateway) LendRetry(string) bool                         { return false }
 func (fakeGateway) SetGateways(int)                               {}
 func (fakeGateway) RecordStall(time.Time, time.Time)              {}
 
@@ -238,7 +238,7 @@
 	g.Expect(f.reports(now)).To(HaveLen(1))
 	f.receive(stateReport{"t", 7, 100, 5000}, at(9), now.Add(time.Second))
 	g.Expect(f.topic("t").confirmedAt()).To(Equal(now.Add(900 * time.Millisecond)))
-	g.Expect(f.topic("t").remote.since).To(Equal(now.Add(-4 * time.Second)))
+	g.Expect(f.topic("t").remote.storeUpSince).To(Equal(now.Add(-4 * time.Second)))
 	g.Expect(f.reports(now.Add(time.Second))).To(BeEmpty()) // another gateway reports it
 	changed := f.topic("t").changed
 	f.receive(stateReport{"t", 8, 0, 0}, at(9), now.Add(2*time.Second))
@@ -280,9 +280,9 @@
 	f.topic("t").versioned = true
 	f.receive(stateReport{"t", 8, 0, 0}, at(2), now)
 	f.record("t", 8, now, now)
-	g.Expect(f.unsent).To(BeFalse())
+	g.Expect(f.reportPending).To(BeFalse())
 	f.record("t", 9, now.Add(time.Second), now)
-	g.Expect(f.unsent).To(BeTrue())
+	g.Expect(f.reportPending).To(BeTrue())
 }
 
 var _ = Describe("gateways on one network", func() {
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -52,7 +52,7 @@
 }
 
 // Two gateways that can't reach each other and have both read that a trial is due: one gets it.
-func TestOneGatewayGetsATrial(t *testing.T) {
+func TestATrialIsClaimedByOneGateway(t *testing.T) {
 	g := NewWithT(t)
 	store, fatal, now := &memoryStore{values: map[string][]byte{}}, id("fatal"), time.Now()
 	v := Verdict{Since: now.Add(-time.Minute), Until: now, Servers: []string{"i-1", "i-2", "i-3"}}
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -30,7 +30,7 @@
 }
 
 // verdictAt returns the verdict on a request at a time.
-func verdictAt(tracker *Tracker, of ID, seconds float64) *Verdict {
+func evaluateVerdict(tracker *Tracker, of ID, seconds float64) *Verdict {
 	tracker.DueUpdates(at(seconds))
 	return tracker.Verdict(of)
 }
@@ -42,9 +42,9 @@
 	tracker.RecordCrash(fatal, crashAt("i-1", 1), at(1))
 	tracker.RecordCrash(fatal, crashAt("i-1", 1), at(1)) // reported twice
 	tracker.RecordCrash(fatal, crashAt("i-2", 2), at(2))
-	g.Expect(verdictAt(tracker, fatal, 2.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 2.1)).To(BeNil())
 	tracker.RecordCrash(fatal, crashAt("i-3", 3), at(3))
-	v := verdictAt(tracker, fatal, 3.1)
+	v := evaluateVerdict(tracker, fatal, 3.1)
 	g.Expect(v).NotTo(BeNil())
 	g.Expect(v.Servers).To(ConsistOf("i-1", "i-2", "i-3"))
 	g.Expect(v.Until).To(Equal(at(3.1).Add(refusalPeriod(0))))
@@ -61,7 +61,7 @@
 	tracker.RecordResponse(harmless, at(2.5))
 	tracker.RecordCrash(harmless, crashAt("i-3", 3), at(3))
 	tracker.RecordCrash(harmless, crashAt("i-0", 2.4), at(3)) // a late report of an earlier crash
-	g.Expect(verdictAt(tracker, harmless, 3.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, harmless, 3.1)).To(BeNil())
 }
 
 func TestCrashesOfOverlappingRunsCountOnce(t *testing.T) {
@@ -71,8 +71,8 @@
 	for i := range 5 { // servers of one rack
 		tracker.RecordCrash(popular, Crash{Server: fmt.Sprint("i-", i), SentAt: at(0.8), At: at(1 + float64(i)/100)}, at(1.1))
 	}
-	g.Expect(verdictAt(tracker, popular, 1.2)).To(BeNil())
-	g.Expect(independent(tracker.entries[popular].crashes)).To(HaveLen(1))
+	g.Expect(evaluateVerdict(tracker, popular, 1.2)).To(BeNil())
+	g.Expect(independentCrashes(tracker.entries[popular].crashes)).To(HaveLen(1))
 }
 
 func TestMoreCrashesAreNeededWhenOtherServersCrash(t *testing.T) {
@@ -83,9 +83,9 @@
 	for i := 1; i <= 3; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(tracker, fatal, 3.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 3.1)).To(BeNil())
 	tracker.RecordCrash(fatal, crashAt("i-4", 4), at(4))
-	g.Expect(verdictAt(tracker, fatal, 4.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 4.1)).NotTo(BeNil())
 }
 
 // Of many requests that ran together on two crashing servers in a row, one is on the next by chance.
@@ -101,9 +101,9 @@
 	}
 	last := id("19")
 	tracker.RecordCrash(last, crashAt("i-3", 3), at(3))
-	g.Expect(verdictAt(tracker, last, 3.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, last, 3.1)).To(BeNil())
 	tracker.RecordCrash(last, crashAt("i-4", 4), at(4))
-	g.Expect(verdictAt(tracker, last, 4.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, last, 4.1)).NotTo(BeNil())
 }
 
 func TestLongRunsNeedMoreCrashesAtAHighCrashRate(t *testing.T) {
@@ -120,7 +120,7 @@
 		s := 9 + float64(i)*0.6
 		tracker.RecordCrash(harmless, Crash{Server: fmt.Sprint("i-", i), SentAt: at(s - 0.5), At: at(s)}, at(s))
 	}
-	g.Expect(verdictAt(tracker, harmless, 13)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, harmless, 13)).To(BeNil())
 }
 
 // A gateway that has just started does not know the crash rate and leaves the verdict to gateways that
@@ -131,16 +131,16 @@
 		tracker := New()
 		if others {
 			bystander := id("beside")
-			tracker.Merge([]Update{{ID: bystander[:], ObservedMS: recentWindow.Milliseconds()}}, "other", at(0))
+			tracker.Merge([]Update{{ID: bystander[:], ObservedMS: recentCrashWindow.Milliseconds()}}, "other", at(0))
 		}
 		fatal := id("fatal")
 		for i := 1; i <= 3; i++ {
 			tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 		}
 		if others {
-			g.Expect(verdictAt(tracker, fatal, 3.1)).To(BeNil())
+			g.Expect(evaluateVerdict(tracker, fatal, 3.1)).To(BeNil())
 		} else {
-			g.Expect(verdictAt(tracker, fatal, 3.1)).NotTo(BeNil())
+			g.Expect(evaluateVerdict(tracker, fatal, 3.1)).NotTo(BeNil())
 		}
 	}
 }
@@ -155,7 +155,7 @@
 	for i := 1; i <= 4; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(tracker, fatal, 4.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 4.1)).NotTo(BeNil())
 	tracker.RecordCrash(bystander, crashAt("i-3", 3), at(4.2)) // a late report
 	g.Expect(tracker.Begin(bystander, 1, at(5))).To(Equal(Decision{}), "nothing is left against it")
 }
@@ -169,10 +169,10 @@
 		tracker.RecordCrash(a, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 		tracker.RecordCrash(b, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(tracker, a, 4.1)).To(BeNil())
-	g.Expect(verdictAt(tracker, b, 4.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, a, 4.1)).To(BeNil())
+	g.Expect(evaluateVerdict(tracker, b, 4.1)).To(BeNil())
 	tracker.RecordCrash(a, crashAt("i-5", 5), at(5))
-	g.Expect(verdictAt(tracker, a, 5.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, a, 5.1)).NotTo(BeNil())
 	g.Expect(tracker.Begin(b, 1, at(6))).To(Equal(Decision{}))
 }
 
@@ -215,14 +215,14 @@
 	g.Expect(tracker.OccupiedServers(2, at(3.06))).To(Equal(map[string]bool{"i-5": true}))
 }
 
-func TestWhatIsKeptIsBounded(t *testing.T) {
+func TestMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	tracker := newObservedTracker(12)
 	fatal := id("fatal")
 	for i := 1; i <= 3; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(tracker, fatal, 3.1)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(tracker, fatal, 3.1)).NotTo(BeNil())
 	for i := range maxEntries + 100 {
 		tracker.RecordCrash(id(fmt.Sprint("flood-", i)), crashAt(fmt.Sprint("o-", i), 4), at(4))
 	}
@@ -258,7 +258,7 @@
 		for i, update := range rapid.Permutation(append(again, updates...)).Draw(t, "order") {
 			tracker.Merge([]Update{update}, fmt.Sprint(i), at(4))
 		}
-		v := verdictAt(tracker, fatal, 4.1)
+		v := evaluateVerdict(tracker, fatal, 4.1)
 		g.Expect(v).NotTo(BeNil())
 		g.Expect(v.Servers).To(ConsistOf("i-1", "i-2", "i-3"))
 	})
@@ -275,8 +275,8 @@
 	for i := 1; i <= 4; i++ {
 		there.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	g.Expect(verdictAt(here, bystander, 5)).NotTo(BeNil())
-	g.Expect(verdictAt(there, fatal, 5)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(here, bystander, 5)).NotTo(BeNil())
+	g.Expect(evaluateVerdict(there, fatal, 5)).NotTo(BeNil())
 	here.Merge(there.Snapshot(at(6)), "there", at(6))
 	g.Expect(here.Verdict(bystander)).To(BeNil())
 	g.Expect(here.Verdict(fatal)).NotTo(BeNil())
@@ -289,7 +289,7 @@
 	for i := 1; i <= 3; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	v := verdictAt(tracker, fatal, 3.1)
+	v := evaluateVerdict(tracker, fatal, 3.1)
 	due := v.Until.Add(time.Second)
 	g.Expect(tracker.Begin(fatal, 1, due).TrialDue).To(BeTrue())
 	tracker.BeginTrial(fatal, 1, v.WithTrial(due), due)
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -18,7 +18,7 @@
 const (
 	// shareSurplus is the sum of all shares relative to the rate. No gateway uses more than the rate;
 	// the surplus makes up for the shares of gateways that are down or are changing their borrower.
-	shareSurplus = 1.25
+	shareOversubscription = 1.25
 	// burstWindow is the time whose requests may be sent at once, in addition to one request, as
 	// requests do not arrive evenly.
 	burstWindow = 250 * time.Millisecond
@@ -27,8 +27,8 @@
 	minRate = 0.2
 	// minLoan is the minimum duration of a loan, extended by loanPerGateway for each gateway: the
 	// borrower must hear from each gateway several times during a loan.
-	minLoan        = 2500 * time.Millisecond
-	loanPerGateway = 25 * time.Millisecond
+	minLoanDuration        = 2500 * time.Millisecond
+	loanDurationPerGateway = 25 * time.Millisecond
 	// renewalsPerLoan is how often a loan is renewed during its time, so that a lost renewal has no
 	// effect.
 	renewalsPerLoan = 2.5
@@ -60,8 +60,8 @@
 	tokens     float64 // at refilledAt
 	refilledAt time.Time
 	// borrowed maps other gateways that have lent their share to the expiry of the loan.
-	borrowed   map[string]time.Time
-	nextExpiry time.Time // no loan expires earlier
+	borrowed       map[string]time.Time
+	nextLoanExpiry time.Time // no loan expires earlier
 	// borrower holds this gateway's own share until lentUntil.
 	borrower  string
 	lentUntil time.Time
@@ -210,8 +210,8 @@
 	l.refill(b, now)
 	until := now.Add(l.loanDuration())
 	b.borrowed[from] = until
-	if until.Before(b.nextExpiry) {
-		b.nextExpiry = until
+	if until.Before(b.nextLoanExpiry) {
+		b.nextLoanExpiry = until
 	}
 }
 
@@ -228,7 +228,7 @@
 
 // loanDuration returns how long a share is lent.
 func (l *Limiter) loanDuration() time.Duration {
-	return max(minLoan, time.Duration(l.gateways)*loanPerGateway)
+	return max(minLoanDuration, time.Duration(l.gateways)*loanDurationPerGateway)
 }
 
 // usableRate returns the rate that this gateway may use.
@@ -242,15 +242,15 @@
 
 // borrowedShares returns the number of shares that other gateways have lent.
 func (l *Limiter) borrowedShares(b *bucket, now time.Time) int {
-	if now.Before(b.nextExpiry) {
+	if now.Before(b.nextLoanExpiry) {
 		return len(b.borrowed)
 	}
-	b.nextExpiry = now.Add(l.loanDuration())
+	b.nextLoanExpiry = now.Add(l.loanDuration())
 	for from, until := range b.borrowed {
 		if !now.Before(until) {
 			delete(b.borrowed, from)
-		} else if until.Before(b.nextExpiry) {
-			b.nextExpiry = until
+		} else if until.Before(b.nextLoanExpiry) {
+			b.nextLoanExpiry = until
 		}
 	}
 	return len(b.borrowed)
@@ -258,7 +258,7 @@
 
 // shareRate returns the rate of the given number of shares.
 func (l *Limiter) shareRate(b *bucket, shares int) float64 {
-	return b.rate * min(1, shareSurplus*float64(shares)/float64(l.gateways))
+	return b.rate * min(1, shareOversubscription*float64(shares)/float64(l.gateways))
 }
 
 // burst returns the number of requests that may be sent at once.
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -68,21 +68,21 @@
 		l.SetGateways(4)
 		l.SetRate(server, 100, at(0))
 	}
-	g.Expect(a.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
+	g.Expect(a.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
 	g.Expect(a.Lend(server, "b", at(0))).To(BeTrue())
 	b.Borrow(server, "a", at(0))
 	g.Expect(a.Budget(server, at(0)).Rate).To(BeZero())
 	g.Expect(a.Allow(server, at(time.Second))).To(BeFalse())
-	g.Expect(b.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareSurplus/2, 0.01))
+	g.Expect(b.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareOversubscription/2, 0.01))
 	g.Expect(a.Lend(server, "c", at(time.Second))).To(BeFalse(), "b holds the share")
 	g.Expect(a.Lend(server, "b", at(time.Second))).To(BeTrue(), "renewed")
-	lapsed := time.Second + minLoan
-	g.Expect(a.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
-	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
+	lapsed := time.Second + minLoanDuration
+	g.Expect(a.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
+	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
 	g.Expect(a.Lend(server, "c", at(lapsed))).To(BeTrue())
 	b.Borrow(server, "a", at(lapsed))
 	b.DropBorrowed(at(lapsed))
-	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
+	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
 }
 
 func TestChangedRateAppliesImmediately(t *testing.T) {
@@ -112,9 +112,9 @@
 	limiter      *Limiter
 	stalledUntil time.Duration // it does nothing until then
 	// lastHeard is the time of the last datagram from each other gateway.
-	lastHeard []time.Duration
-	lentAt    time.Duration
-	backlog   []datagram // received while stalled
+	lastHeard     []time.Duration
+	lastRenewalAt time.Duration
+	backlog       []datagram // received while stalled
 }
 
 // datagram is a loan or a heartbeat.
@@ -156,7 +156,7 @@
 }
 
 // home returns the scheduling gateway from a gateway's point of view: the first that it has heard from.
-func (s *simulation) home(i int) int {
+func (s *simulation) schedulingGateway(i int) int {
 	for j := range s.gateways {
 		if j == i || s.now-s.gateways[i].lastHeard[j] <= failureTimeout {
 			return j
@@ -204,14 +204,14 @@
 			g.backlog = nil
 			g.limiter.DropBorrowed(at(s.now))
 		}
-		if s.now-g.lentAt >= g.limiter.RenewalInterval() {
-			g.lentAt = s.now
+		if s.now-g.lastRenewalAt >= g.limiter.RenewalInterval() {
+			g.lastRenewalAt = s.now
 			for j := range s.gateways {
 				if j != i {
 					s.send(i, j, false)
 				}
 			}
-			if home := s.home(i); home != i && g.limiter.Lend(server, fmt.Sprint(home), at(s.now)) {
+			if home := s.schedulingGateway(i); home != i && g.limiter.Lend(server, fmt.Sprint(home), at(s.now)) {
 				s.send(i, home, true)
 			}
 		}
@@ -227,7 +227,7 @@
 	if s.now < s.gateways[i].stalledUntil {
 		return
 	}
-	home := s.home(i)
+	home := s.schedulingGateway(i)
 	g := s.gateways[home]
 	if home != i && (s.partitioned[i][home] || s.partitioned[home][i] || s.now < g.stalledUntil) {
 		g = s.gateways[i]
@@ -282,7 +282,7 @@
 
 // For any partitions, stalls and restarts a server gets at most 1.5 times its limit plus five requests
 // within any 4 s. Without faults it gets at least 0.7 times its limit.
-func TestALimitIsKeptWhateverHappens(t *testing.T) {
+func TestRateLimitHoldsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{0.2, 1, 4, 60}).Draw(t, "rate")
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "gateways"), rate)
--- a/internal/retrybudget/claim_test.go
+++ b/internal/retrybudget/claim_test.go
@@ -32,7 +32,7 @@
 func (c *claimFixture) elapse(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.now = c.now.Add(20 * time.Millisecond)
-		c.Request(c.now)
+		c.RecordRequest(c.now)
 		c.Grant(c.now)
 	}
 }
@@ -92,7 +92,7 @@
 	for i := range 30 {
 		c.claim(string(rune('a'+i)), 0, 5*time.Second, 5*time.Second)
 	}
-	c.queue.grants = 0
+	c.queue.grantCount = 0
 	c.claim("call", 9, 4*time.Second, 4*time.Second)
 	c.elapse(1100 * time.Millisecond)
 	g.Expect(c.decided()).To(HaveKeyWithValue("call", true))
--- a/internal/retrybudget/simulation_test.go
+++ b/internal/retrybudget/simulation_test.go
@@ -170,7 +170,7 @@
 			for range n.queued {
 				p.serve(n)
 			}
-			n.budget.Stalled(n.stalledFrom, p.now.Add(200*time.Millisecond), p.now)
+			n.budget.RecordStall(n.stalledFrom, p.now.Add(200*time.Millisecond), p.now)
 			n.stalledTo, n.queued = time.Time{}, nil
 			p.setShares()
 		}
@@ -196,7 +196,7 @@
 // serve sends a request until a send succeeds, the budget denies a repeat, a repeat is delayed or three repeats are
 // sent.
 func (p *simulation) serve(n *node) {
-	n.budget.Request(p.now)
+	n.budget.RecordRequest(p.now)
 	for range 3 {
 		if p.rnd.Float64() >= p.failing {
 			return
@@ -237,11 +237,11 @@
 		if len(repeats) == 0 {
 			return
 		}
-		d.rule.Slack *= SlackInUse
+		d.rule.Slack *= UsedSlackFraction
 		if w := retryrule.WorstWindow(d.rule, requests, repeats); w.Excess() > 1e-6 {
 			t.Fatalf("%d repeats for %d requests in the window at %s, %.1f allowed", w.Retries, w.Requests, w.Start.Sub(requests[0]), w.Allowed)
 		}
-		if w := retryrule.WorstWeightedWindow(d.rule, bucketRatio, requests, repeats); w.Excess() > 1e-6 {
+		if w := retryrule.WorstWeightedWindow(d.rule, bucketRatioFraction, requests, repeats); w.Excess() > 1e-6 {
 			t.Fatalf("%d repeats in the window at %s, %.1f paid for", w.Retries, w.Start.Sub(requests[0]), w.Allowed)
 		}
 	})
@@ -283,7 +283,7 @@
 	}
 	for range 30 * 50 { // at 50 a second
 		now = now.Add(20 * time.Millisecond)
-		budgets[rnd.IntN(gateways)].Request(now)
+		budgets[rnd.IntN(gateways)].RecordRequest(now)
 	}
 	granted := 0
 	for i := range running {
--- a/internal/simulate/engine.go
+++ b/internal/simulate/engine.go
@@ -60,7 +60,7 @@
 // prefix were copied from another engine and need no prefill.
 func (e *engine) enqueue(j *job, rank int, fetched bool, now time.Time) {
 	r := &activeRequest{job: j, rank: rank, prefillRemaining: j.prompt.Tokens, enqueuedAt: now}
-	shared, tokens := j.prompt.Shared()
+	shared, tokens := j.prompt.SharedPrefix()
 	if e.hasPrefix(shared, now) || fetched {
 		r.prefillRemaining -= tokens
 	} else {
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -256,7 +256,7 @@
 	case NoPermits:
 		s.dispatch(j, gateway, placement.ChooseEngine(req, candidates), now)
 	default:
-		prefix, _ := j.prompt.Shared()
+		prefix, _ := j.prompt.SharedPrefix()
 		s.requestPermit(&permitRequest{job: j, gateway: gateway, groups: placement.RankGroups(prefix, placement.GroupCount(len(candidates)))}, now)
 	}
 }
@@ -274,7 +274,7 @@
 // requestPermit requests a permit for the current engine group.
 func (s *simulation) requestPermit(p *permitRequest, now time.Time) {
 	j := p.job
-	prefix, shared := j.prompt.Shared()
+	prefix, shared := j.prompt.SharedPrefix()
 	elapsed := now.Sub(j.arrivedAt)
 	decision := s.permits.Submit(p.group(), permit.Ask{ID: j.id, Priority: s.rank(j), UniqueTokens: j.prompt.Tokens - shared, PrefixID: prefix, PrefixTokens: shared,
 		OutputTokens: j.prompt.OutputTokens, MaxEventGap: j.class.MaxEventGap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.FirstTokenTarget - elapsed,
@@ -324,7 +324,7 @@
 func (s *simulation) dispatch(j *job, gateway int, c placement.Choice, now time.Time) {
 	e, backend := s.engines[c.Candidate.Server.ID], c.Candidate.Backend
 	fetched := c.FetchFrom != "" && s.engines[c.FetchFrom].hasPrefix(sharedPrefixID(j), now)
-	_, shared := j.prompt.Shared()
+	_, shared := j.prompt.SharedPrefix()
 	prefillTokens := j.prompt.Tokens - shared
 	backend.BeginRequest(prefillTokens)
 	e.enqueue(j, s.rank(j), fetched, now)
@@ -381,6 +381,6 @@
 }
 
 func sharedPrefixID(j *job) string {
-	id, _ := j.prompt.Shared()
+	id, _ := j.prompt.SharedPrefix()
 	return id
 }
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -191,13 +191,13 @@
 	servers := registry.New()
 	p.gateway = gateway.New(gateway.Settings{Retries: retrybudget.Settings{Ratio: RetryRatio, Window: RetryWindow, Slack: RetrySlack}},
 		platform.Dialect{}, servers, discardLogger())
-	p.gateway.UseNetwork(n.Host.DialContext)
+	p.gateway.UseDialer(n.Host.DialContext)
 	gatewayPeers := peers.New(n.Name, n.Host.ListenPacket(peerPort), peers.Capacity{Cores: 0.3}, p.gateway, discardLogger())
 	p.gateway.UsePeers(gatewayPeers)
 	p.peers = gatewayPeers
 	share := configshare.New(n.Host.DialContext, 0, discardLogger())
 	follower := follow.New(follow.Dependencies{Connect: func(address string) follow.Store {
-		return platform.NewStoreOver(n.Host.DialContext, address, discardLogger())
+		return platform.NewStoreWithDial(n.Host.DialContext, address, discardLogger())
 	},
 		Topics: platform.Topics, Decoder: platform.Decoder{}, Gateway: p.gateway, Servers: servers, Peers: gatewayPeers, Share: share, Logger: discardLogger()},
 		follow.Settings{Address: f.storeHost.Address(storePort).String(), DrainWithin: DrainWithin, ApplyWithin: ApplyWithin})
