--- a/internal/follow/deployment_test.go
+++ b/internal/follow/deployment_test.go
@@ -235,7 +235,7 @@
 		}
 		before := map[string]int{}
 		for _, h := range d.gateways {
-			before[h.name] = h.host.Received()
+			before[h.name] = h.host.ReceivedBytes()
 		}
 		d.store.SetResponseDelay(240 * time.Millisecond)
 		d.writeConfig(configOfSize(2, 900_000))
@@ -243,7 +243,7 @@
 		for i, h := range d.gateways {
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(2), h.name)
 			if specs[i].rate == 10e6 {
-				g.Expect(h.host.Received()-before[h.name]).To(BeNumerically("<", 100_000), h.name)
+				g.Expect(h.host.ReceivedBytes()-before[h.name]).To(BeNumerically("<", 100_000), h.name)
 			}
 		}
 	})
--- a/internal/quarantine/deployment_test.go
+++ b/internal/quarantine/deployment_test.go
@@ -52,7 +52,7 @@
 
 // recordFatalCrash records a crash caused by the fatal request and crashes the server.
 func (d *deployment) recordFatalCrash(s *simfleet.Server, w *worker.Worker) {
-	if d.CurrentWorker(s) != w {
+	if d.RunningWorker(s) != w {
 		return // the instance has stopped for another reason in the meantime
 	}
 	d.mu.Lock()
@@ -78,7 +78,7 @@
 	d.fatalEnabled = false
 	d.mu.Unlock()
 	for _, s := range d.Servers {
-		if w := d.CurrentWorker(s); w != nil {
+		if w := d.RunningWorker(s); w != nil {
 			w.CrashOn("", 0, nil)
 		}
 	}
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -147,7 +147,7 @@
 // code RecordsFull if the Store has no room.
 func (s *Store) Reserve(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
 	if s.Len() >= MaxEntries {
-		return nil, fault.New(fault.RecordsFull, "idempotency store is full: %d keys", s.Len()).
+		return nil, fault.New(fault.IdempotencyStoreFull, "idempotency store is full: %d keys", s.Len()).
 			WithOutcome(fault.NotRun).WithRetryAfter(window)
 	}
 	e := &Entry{Digest: digest, expiresAt: now.Add(window)}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -242,7 +242,7 @@
 
 // IsOverload reports whether a request was refused with this code because of overload.
 func IsOverload(c fault.Code) bool {
-	return c == fault.QueueFull || c == fault.WaitTooLong || c == fault.RecordsFull
+	return c == fault.QueueFull || c == fault.WaitTooLong || c == fault.IdempotencyStoreFull
 }
 
 // HandleChunk processes a chunk of the answer.
--- a/internal/retrybudget/simulation_test.go
+++ b/internal/retrybudget/simulation_test.go
@@ -237,10 +237,10 @@
 			return
 		}
 		d.rule.Slack *= UsedSlackFraction
-		if w := retryrule.Worst(d.rule, requests, retries); w.Excess() > 1e-6 {
+		if w := retryrule.WorstWindow(d.rule, requests, retries); w.Excess() > 1e-6 {
 			t.Fatalf("%d retries for %d requests in the window at %s, %.1f allowed", w.Retries, w.Requests, w.Start.Sub(requests[0]), w.Allowed)
 		}
-		if w := retryrule.WorstSplit(d.rule, bucketRatioFraction, requests, retries); w.Excess() > 1e-6 {
+		if w := retryrule.WorstWeightedWindow(d.rule, bucketRatioFraction, requests, retries); w.Excess() > 1e-6 {
 			t.Fatalf("%d retries in the window at %s, %.1f covered", w.Retries, w.Start.Sub(requests[0]), w.Allowed)
 		}
 	})
@@ -258,7 +258,7 @@
 		g := NewWithT(t)
 		d := steadyScenario(perSecond, 8*time.Second)
 		requests, retries := d.run()
-		w := retryrule.Worst(d.rule, requests, retries)
+		w := retryrule.WorstWindow(d.rule, requests, retries)
 		g.Expect(float64(w.Retries)).To(BeNumerically(">=", 0.6*w.Allowed), "%d a second", perSecond)
 		last := 0
 		for _, at := range retries {
