--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -206,7 +206,7 @@
 		case d := <-pending.Decided():
 			return d
 		case <-ctx.Done():
-			d := pending.Withdraw()
+			d := pending.Cancel()
 			d.Granted, d.Waited = false, g.now().Sub(claimedAt)
 			return d
 		case <-timer.C:
@@ -215,7 +215,7 @@
 			timer.Reset(max(retrybudget.GrantInterval, min(jittered, claim.Expires.Sub(g.now()))))
 		}
 		if pending.Undecided() && g.borrowRetry(ctx, q) {
-			d := pending.Withdraw()
+			d := pending.Cancel()
 			d.Granted, d.Borrowed, d.Waited = true, true, g.now().Sub(claimedAt)
 			return d
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -133,7 +133,7 @@
 	g.slackShare = share
 	g.mu.Unlock()
 	if changed {
-		g.forEachBudget(func(b *retrybudget.Budget) { b.SetShare(share, g.now()) })
+		g.forEachBudget(func(b *retrybudget.Budget) { b.SetSlackShare(share, g.now()) })
 	}
 }
 
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -33,14 +33,14 @@
 	route             string
 	// requestInterval is the time between requests at load 1.
 	requestInterval time.Duration
-	changes         []change
-	// oneGateway sends all requests to the first gateway.
-	oneGateway bool
-	faults     []fleetFault
+	changes         []workloadChange
+	// singleGateway sends all requests to the first gateway.
+	singleGateway bool
+	faults        []fleetFault
 }
 
-// change is a change of the load and of the failures of servers.
-type change struct {
+// workloadChange is a change of the load and of the failures of servers.
+type workloadChange struct {
 	at      time.Duration
 	load    float64 // factor on the request rate
 	failing int     // of every 10 requests
@@ -59,19 +59,19 @@
 func drawFleetScenario(seed uint64) fleetScenario {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	ms := func(from, to int) time.Duration { return time.Duration(from+rnd.IntN(to-from)) * time.Millisecond }
-	d := fleetScenario{seed: seed, gateways: 1 + rnd.IntN(5), servers: 4 + rnd.IntN(12), route: pick(rnd, "once", "again", "stream", "resume"),
-		requestInterval: ms(20, 100), oneGateway: rnd.IntN(4) == 0}
+	sc := fleetScenario{seed: seed, gateways: 1 + rnd.IntN(5), servers: 4 + rnd.IntN(12), route: pick(rnd, "once", "again", "stream", "resume"),
+		requestInterval: ms(20, 100), singleGateway: rnd.IntN(4) == 0}
 	failures := []worker.Behaviour{{Reject: true}, {DropConnection: true}, {Events: simfleet.StreamEvents, AbortAfterEvents: 3}}
 	for range 3 + rnd.IntN(5) {
-		d.changes = append(d.changes, change{ms(0, 28000), pick(rnd, 0.2, 1, 1, 2, 4), pick(rnd, 0, 0, 3, 6, 10), pick(rnd, failures...)})
+		sc.changes = append(sc.changes, workloadChange{ms(0, 28000), pick(rnd, 0.2, 1, 1, 2, 4), pick(rnd, 0, 0, 3, 6, 10), pick(rnd, failures...)})
 	}
-	slices.SortFunc(d.changes, func(a, b change) int { return int(a.at - b.at) })
+	slices.SortFunc(sc.changes, func(a, b workloadChange) int { return int(a.at - b.at) })
 	kinds := []string{"kill", "kill", "kill all in turn", "partition", "join", "leave", "reload", "store partition", "server restart"}
 	for range pick(rnd, 0, 1, 3, 6) {
-		d.faults = append(d.faults, fleetFault{ms(500, 26000), ms(200, 8000), pick(rnd, kinds...), rnd.IntN(d.gateways)})
+		sc.faults = append(sc.faults, fleetFault{ms(500, 26000), ms(200, 8000), pick(rnd, kinds...), rnd.IntN(sc.gateways)})
 	}
-	slices.SortFunc(d.faults, func(a, b fleetFault) int { return int(a.at - b.at) })
-	return d
+	slices.SortFunc(sc.faults, func(a, b fleetFault) int { return int(a.at - b.at) })
+	return sc
 }
 
 // fleetRun is the state of a running fleetScenario.
@@ -86,41 +86,41 @@
 }
 
 // sendRequests sends requests at the current rate until the end of the scenario.
-func (p *fleetRun) sendRequests() {
-	rnd := rand.New(rand.NewPCG(p.seed, 4))
+func (r *fleetRun) sendRequests() {
+	rnd := rand.New(rand.NewPCG(r.seed, 4))
 	var pending sync.WaitGroup
-	for i := 0; time.Since(p.begin) < scenarioDuration; i++ {
-		n := p.Nodes[rnd.IntN(p.gateways)]
-		if p.oneGateway {
-			n = p.Nodes[0]
+	for i := 0; time.Since(r.begin) < scenarioDuration; i++ {
+		n := r.Nodes[rnd.IntN(r.gateways)]
+		if r.singleGateway {
+			n = r.Nodes[0]
 		}
 		if n.Gateway().Ready() {
-			id := fmt.Sprintf("%s-%d", p.route, i)
-			p.mu.Lock()
-			p.requests = append(p.requests, time.Now())
-			p.mu.Unlock()
-			pending.Go(func() { p.SendRequest(n, p.route, id, "body of "+id) })
+			id := fmt.Sprintf("%s-%d", r.route, i)
+			r.mu.Lock()
+			r.requests = append(r.requests, time.Now())
+			r.mu.Unlock()
+			pending.Go(func() { r.SendRequest(n, r.route, id, "body of "+id) })
 		}
-		p.mu.Lock()
-		pause := time.Duration(float64(p.requestInterval) / p.load)
-		p.mu.Unlock()
+		r.mu.Lock()
+		pause := time.Duration(float64(r.requestInterval) / r.load)
+		r.mu.Unlock()
 		time.Sleep(pause)
 	}
 	pending.Wait()
 }
 
 // waitUntil waits until the given offset from the start of the scenario.
-func (p *fleetRun) waitUntil(at time.Duration) { p.Sleep(max(0, at-time.Since(p.begin))) }
+func (r *fleetRun) waitUntil(at time.Duration) { r.Sleep(max(0, at-time.Since(r.begin))) }
 
 // applyChanges applies the changes of load and failures when they are due.
-func (p *fleetRun) applyChanges() {
-	for _, c := range p.changes {
-		p.waitUntil(c.at)
-		p.mu.Lock()
-		p.load = c.load
-		p.mu.Unlock()
-		for _, s := range p.Servers {
-			if w := p.RunningWorker(s); w != nil {
+func (r *fleetRun) applyChanges() {
+	for _, c := range r.changes {
+		r.waitUntil(c.at)
+		r.mu.Lock()
+		r.load = c.load
+		r.mu.Unlock()
+		for _, s := range r.Servers {
+			if w := r.RunningWorker(s); w != nil {
 				w.SetPartialBehaviour(c.failing, 10, c.failure)
 			}
 		}
@@ -128,69 +128,69 @@
 }
 
 // injectFaults injects the faults in order. Partitions may overlap with later faults.
-func (p *fleetRun) injectFaults() {
+func (r *fleetRun) injectFaults() {
 	var partitions sync.WaitGroup
 	defer partitions.Wait()
-	for i, f := range p.faults {
-		p.waitUntil(f.at)
-		n := p.Nodes[f.node]
+	for i, f := range r.faults {
+		r.waitUntil(f.at)
+		n := r.Nodes[f.node]
 		switch f.kind {
 		case "kill":
-			p.KillNode(n)
-			p.StartNode(n)
+			r.KillNode(n)
+			r.StartNode(n)
 		case "kill all in turn":
-			for _, n := range p.Nodes {
-				p.KillNode(n)
-				p.StartNode(n)
-				p.Sleep(f.duration / 8)
+			for _, n := range r.Nodes {
+				r.KillNode(n)
+				r.StartNode(n)
+				r.Sleep(f.duration / 8)
 			}
 		case "partition":
-			p.setPartitioned(n, true)
+			r.setPartitioned(n, true)
 			partitions.Go(func() {
-				p.Sleep(f.duration)
-				p.setPartitioned(n, false)
+				r.Sleep(f.duration)
+				r.setPartitioned(n, false)
 			})
 		case "join":
-			p.AddNode(fmt.Sprint("joined-", i))
+			r.AddNode(fmt.Sprint("joined-", i))
 		case "leave":
-			p.AnnounceNodeStop(n)
-			p.Sleep(f.duration / 2)
-			p.KillNode(n)
-			p.StartNode(n)
+			r.AnnounceNodeStop(n)
+			r.Sleep(f.duration / 2)
+			r.KillNode(n)
+			r.StartNode(n)
 		case "reload":
 			n.Gateway().SetSettings(gateway.Settings{LogOneIn: uint64(i),
 				Retries: retrybudget.Settings{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack - float64(i%2)}})
 		case "store partition":
-			p.PartitionStore(n, true)
+			r.PartitionStore(n, true)
 			partitions.Go(func() {
-				p.Sleep(f.duration)
-				p.PartitionStore(n, false)
+				r.Sleep(f.duration)
+				r.PartitionStore(n, false)
 			})
 		case "server restart":
-			s := p.Servers[f.node]
-			if p.KillServer(s) {
-				p.Sleep(50 * time.Millisecond)
-				p.StartServer(s)
+			s := r.Servers[f.node]
+			if r.KillServer(s) {
+				r.Sleep(50 * time.Millisecond)
+				r.StartServer(s)
 			}
 		}
 	}
 }
 
 // setPartitioned partitions a gateway from the others, or reconnects it.
-func (p *fleetRun) setPartitioned(n *simfleet.Node, partitioned bool) {
-	for _, other := range p.Nodes {
+func (r *fleetRun) setPartitioned(n *simfleet.Node, partitioned bool) {
+	for _, other := range r.Nodes {
 		if other != n {
-			p.PartitionNodes(n, other, partitioned)
+			r.PartitionNodes(n, other, partitioned)
 		}
 	}
 }
 
 // retries returns the times of all arrivals beyond the first of each request.
-func (p *fleetRun) retries() []time.Time {
+func (r *fleetRun) retries() []time.Time {
 	first := map[string]bool{}
 	var out []time.Time
-	for _, s := range p.Servers {
-		for _, w := range p.AllWorkers(s) {
+	for _, s := range r.Servers {
+		for _, w := range r.AllWorkers(s) {
 			for _, a := range w.Arrivals() {
 				if first[a.ID] {
 					out = append(out, a.At)
@@ -203,19 +203,19 @@
 }
 
 // run simulates the scenario and returns its worst window and the total number of retries.
-func (d fleetScenario) run() (worst retryrule.Window, retries int) {
+func (sc fleetScenario) run() (worst retryrule.Window, retries int) {
 	synctest.Test(new(testing.T), func(*testing.T) {
-		p := &fleetRun{Fleet: simfleet.New(d.gateways, d.servers, d.seed, nil), fleetScenario: d, load: 1}
-		defer p.Close()
-		p.begin = time.Now()
+		r := &fleetRun{Fleet: simfleet.New(sc.gateways, sc.servers, sc.seed, nil), fleetScenario: sc, load: 1}
+		defer r.Close()
+		r.begin = time.Now()
 		var tasks sync.WaitGroup
-		tasks.Go(p.sendRequests)
-		tasks.Go(p.applyChanges)
-		tasks.Go(p.injectFaults)
+		tasks.Go(r.sendRequests)
+		tasks.Go(r.applyChanges)
+		tasks.Go(r.injectFaults)
 		tasks.Wait()
-		all := p.retries()
+		all := r.retries()
 		retries = len(all)
-		worst = retryrule.WorstWindow(retryrule.Rule{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack}, p.requests, all)
+		worst = retryrule.WorstWindow(retryrule.Rule{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack}, r.requests, all)
 	})
 	return worst, retries
 }
@@ -224,10 +224,10 @@
 func TestFleetRetriesStayWithinRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// Hashed because rapid draws mostly small integers, which would repeat scenarios.
-		d := drawFleetScenario(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
-		worst, retries := d.run()
+		sc := drawFleetScenario(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
+		worst, retries := sc.run()
 		if retries > 0 && worst.Excess() > 0 {
-			t.Fatalf("%d retries for %d requests in a window, %.1f allowed\n%+v", worst.Retries, worst.Requests, worst.Allowed, d)
+			t.Fatalf("%d retries for %d requests in a window, %.1f allowed\n%+v", worst.Retries, worst.Requests, worst.Allowed, sc)
 		}
 	})
 }
--- a/internal/retrybudget/simulation_test.go
+++ b/internal/retrybudget/simulation_test.go
@@ -46,25 +46,25 @@
 func drawScenario(seed uint64) scenario {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	ms := func(from, to int) time.Duration { return time.Duration(from+rnd.IntN(to-from)) * time.Millisecond }
-	d := scenario{seed: seed, delayed: pick(rnd, 0, 0.3, 1), gateways: 1 + rnd.IntN(8),
+	sc := scenario{seed: seed, delayed: pick(rnd, 0, 0.3, 1), gateways: 1 + rnd.IntN(8),
 		rule: retryrule.Rule{Ratio: pick(rnd, 0.05, 0.2, 0.5), Window: 10 * time.Second, Slack: pick(rnd, 0.0, 2, 12, 52)}}
 	for range 3 + rnd.IntN(4) {
 		only := -1
 		if rnd.IntN(3) == 0 {
-			only = rnd.IntN(d.gateways)
+			only = rnd.IntN(sc.gateways)
 		}
-		d.segments = append(d.segments, segment{ms(500, 15000), pick(rnd, 2, 10, 50, 100, 200), pick(rnd, 0, 0, 0.3, 1, 1), only})
+		sc.segments = append(sc.segments, segment{ms(500, 15000), pick(rnd, 2, 10, 50, 100, 200), pick(rnd, 0, 0, 0.3, 1, 1), only})
 	}
 	for range pick(rnd, 0, 1, 3, 10, 30) {
-		d.faults = append(d.faults, fault{ms(0, 60000), ms(100, 6000), pick(rnd, "kill", "kill", "stall", "reload", "join", "leave"), rnd.IntN(d.gateways)})
+		sc.faults = append(sc.faults, fault{ms(0, 60000), ms(100, 6000), pick(rnd, "kill", "kill", "stall", "reload", "join", "leave"), rnd.IntN(sc.gateways)})
 	}
-	return d
+	return sc
 }
 
 func pick[T any](rnd *rand.Rand, of ...T) T { return of[rnd.IntN(len(of))] }
 
-// node is a simulated gateway.
-type node struct {
+// simulatedGateway is the state of one gateway in a simulation.
+type simulatedGateway struct {
 	budget      *Budget
 	joinsAt     time.Time // when it receives its share of the slack
 	joined      bool
@@ -87,139 +87,139 @@
 	settings Settings
 	rnd      *rand.Rand
 	now      time.Time
-	nodes    []*node
+	nodes    []*simulatedGateway
 	requests []time.Time
 	retries  []time.Time
 	failing  float64
 }
 
-// step is the time step of the simulation.
-const step = 5 * time.Millisecond
+// timeStep is the time step of the simulation.
+const timeStep = 5 * time.Millisecond
 
 // run simulates the scenario and returns the times of its requests and retries.
-func (d scenario) run() (requests, retries []time.Time) {
-	p := &simulation{scenario: d, settings: Settings{d.rule.Ratio, d.rule.Window, d.rule.Slack}, rnd: rand.New(rand.NewPCG(d.seed, 1)),
+func (sc scenario) run() (requests, retries []time.Time) {
+	sim := &simulation{scenario: sc, settings: Settings{sc.rule.Ratio, sc.rule.Window, sc.rule.Slack}, rnd: rand.New(rand.NewPCG(sc.seed, 1)),
 		now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
-	begin := p.now
-	for range d.gateways {
-		p.nodes = append(p.nodes, &node{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)})
+	begin := sim.now
+	for range sc.gateways {
+		sim.nodes = append(sim.nodes, &simulatedGateway{budget: New(sim.settings, 0, sim.now), joinsAt: sim.now.Add(joinDelay)})
 	}
-	for _, s := range d.segments {
-		p.failing = s.failing
+	for _, s := range sc.segments {
+		sim.failing = s.failing
 		due := 0.0
-		for end := p.now.Add(s.length); p.now.Before(end); p.now = p.now.Add(step) {
-			for _, f := range d.faults {
-				if at := begin.Add(f.at); !at.Before(p.now) && at.Before(p.now.Add(step)) {
-					p.inject(f)
+		for end := sim.now.Add(s.length); sim.now.Before(end); sim.now = sim.now.Add(timeStep) {
+			for _, f := range sc.faults {
+				if at := begin.Add(f.at); !at.Before(sim.now) && at.Before(sim.now.Add(timeStep)) {
+					sim.inject(f)
 				}
 			}
-			p.advance()
-			for due += float64(s.perSecond) * step.Seconds(); due >= 1; due-- {
-				n := p.rnd.IntN(len(p.nodes))
+			sim.advance()
+			for due += float64(s.perSecond) * timeStep.Seconds(); due >= 1; due-- {
+				n := sim.rnd.IntN(len(sim.nodes))
 				if s.onlyGateway >= 0 {
 					n = s.onlyGateway
 				}
-				p.request(p.nodes[n])
+				sim.request(sim.nodes[n])
 			}
 		}
 	}
-	return p.requests, p.retries
+	return sim.requests, sim.retries
 }
 
 // inject applies a fault.
-func (p *simulation) inject(f fault) {
-	n := p.nodes[f.gateway]
+func (sim *simulation) inject(f fault) {
+	n := sim.nodes[f.gateway]
 	switch f.kind {
 	case "kill":
-		*n = node{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)}
+		*n = simulatedGateway{budget: New(sim.settings, 0, sim.now), joinsAt: sim.now.Add(joinDelay)}
 	case "stall":
-		n.stalledFrom, n.stalledTo = p.now, p.now.Add(f.duration)
+		n.stalledFrom, n.stalledTo = sim.now, sim.now.Add(f.duration)
 	case "reload":
-		n.budget.SetSettings(p.settings, p.now)
+		n.budget.SetSettings(sim.settings, sim.now)
 	case "join":
-		p.nodes = append(p.nodes, &node{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)})
+		sim.nodes = append(sim.nodes, &simulatedGateway{budget: New(sim.settings, 0, sim.now), joinsAt: sim.now.Add(joinDelay)})
 	case "leave":
 		n.leaving = true
-		n.budget.SetShare(0, p.now)
+		n.budget.SetSlackShare(0, sim.now)
 	}
-	p.setShares()
+	sim.setShares()
 }
 
 // setShares sets the shares of all gateways that have joined. Gateways that have not joined yet count as sharing.
-func (p *simulation) setShares() {
+func (sim *simulation) setShares() {
 	counted := 0
-	for _, n := range p.nodes {
+	for _, n := range sim.nodes {
 		if !n.leaving {
 			counted++
 		}
 	}
-	for _, n := range p.nodes {
-		if n.joined && !n.leaving && !p.stalled(n) {
-			n.budget.SetShare(1/float64(counted), p.now)
+	for _, n := range sim.nodes {
+		if n.joined && !n.leaving && !sim.stalled(n) {
+			n.budget.SetSlackShare(1/float64(counted), sim.now)
 		}
 	}
 }
 
-func (p *simulation) stalled(n *node) bool { return p.now.Before(n.stalledTo) }
+func (sim *simulation) stalled(n *simulatedGateway) bool { return sim.now.Before(n.stalledTo) }
 
 // advance ends the stalls and join delays that are over, and sends the delayed retries that are due. A gateway
 // serves its queued requests when its stall ends.
-func (p *simulation) advance() {
-	for _, n := range p.nodes {
-		if !n.stalledTo.IsZero() && !p.stalled(n) {
+func (sim *simulation) advance() {
+	for _, n := range sim.nodes {
+		if !n.stalledTo.IsZero() && !sim.stalled(n) {
 			for range n.queued {
-				p.serve(n)
+				sim.serve(n)
 			}
-			n.budget.RecordStall(n.stalledFrom, p.now.Add(200*time.Millisecond), p.now)
+			n.budget.RecordStall(n.stalledFrom, sim.now.Add(200*time.Millisecond), sim.now)
 			n.stalledTo, n.queued = time.Time{}, nil
-			p.setShares()
+			sim.setShares()
 		}
-		if !p.stalled(n) {
-			p.sendDelayed(n)
+		if !sim.stalled(n) {
+			sim.sendDelayed(n)
 		}
-		if !n.joined && !p.now.Before(n.joinsAt) {
+		if !n.joined && !sim.now.Before(n.joinsAt) {
 			n.joined = true
-			p.setShares()
+			sim.setShares()
 		}
 	}
 }
 
-func (p *simulation) request(n *node) {
-	p.requests = append(p.requests, p.now)
-	if p.stalled(n) {
-		n.queued = append(n.queued, p.now)
+func (sim *simulation) request(n *simulatedGateway) {
+	sim.requests = append(sim.requests, sim.now)
+	if sim.stalled(n) {
+		n.queued = append(n.queued, sim.now)
 		return
 	}
-	p.serve(n)
+	sim.serve(n)
 }
 
 // serve sends a request until a send succeeds, a retry is denied or delayed, or three retries have been sent.
-func (p *simulation) serve(n *node) {
-	n.budget.RecordRequest(p.now)
+func (sim *simulation) serve(n *simulatedGateway) {
+	n.budget.RecordRequest(sim.now)
 	for range 3 {
-		if p.rnd.Float64() >= p.failing {
+		if sim.rnd.Float64() >= sim.failing {
 			return
 		}
-		d := n.budget.Take(p.now)
+		d := n.budget.Take(sim.now)
 		switch {
 		case !d.Granted:
 			return
-		case p.rnd.Float64() < p.delayed:
-			n.delayed = append(n.delayed, delayedRetry{d, p.now.Add(time.Duration(p.rnd.IntN(6000)) * time.Millisecond)})
+		case sim.rnd.Float64() < sim.delayed:
+			n.delayed = append(n.delayed, delayedRetry{d, sim.now.Add(time.Duration(sim.rnd.IntN(6000)) * time.Millisecond)})
 			return
 		}
-		p.retries = append(p.retries, p.now)
+		sim.retries = append(sim.retries, sim.now)
 	}
 }
 
 // sendDelayed sends the delayed retries of a gateway that are due, if their grants can be renewed.
-func (p *simulation) sendDelayed(n *node) {
+func (sim *simulation) sendDelayed(n *simulatedGateway) {
 	n.delayed = slices.DeleteFunc(n.delayed, func(r delayedRetry) bool {
-		if p.now.Before(r.at) {
+		if sim.now.Before(r.at) {
 			return false
 		}
-		if n.budget.Renew(r.grant, p.now).Granted {
-			p.retries = append(p.retries, p.now)
+		if n.budget.Renew(r.grant, sim.now).Granted {
+			sim.retries = append(sim.retries, sim.now)
 		}
 		return true
 	})
@@ -231,16 +231,16 @@
 func TestRetriesOfAllGatewaysStayWithinRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// Hashed because rapid draws mostly small integers, which would repeat scenarios.
-		d := drawScenario(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
-		requests, retries := d.run()
+		sc := drawScenario(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "seed")))
+		requests, retries := sc.run()
 		if len(retries) == 0 {
 			return
 		}
-		d.rule.Slack *= UsedSlackFraction
-		if w := retryrule.WorstWindow(d.rule, requests, retries); w.Excess() > 1e-6 {
+		sc.rule.Slack *= UsedSlackFraction
+		if w := retryrule.WorstWindow(sc.rule, requests, retries); w.Excess() > 1e-6 {
 			t.Fatalf("%d retries for %d requests in the window at %s, %.1f allowed", w.Retries, w.Requests, w.Start.Sub(requests[0]), w.Allowed)
 		}
-		if w := retryrule.WorstWeightedWindow(d.rule, bucketRatioFraction, requests, retries); w.Excess() > 1e-6 {
+		if w := retryrule.WorstWeightedWindow(sc.rule, bucketRatioFraction, requests, retries); w.Excess() > 1e-6 {
 			t.Fatalf("%d retries in the window at %s, %.1f covered", w.Retries, w.Start.Sub(requests[0]), w.Allowed)
 		}
 	})
@@ -253,12 +253,12 @@
 }
 
 // Guards against a budget that denies nearly all retries.
-func TestASteadilyFailingServiceGetsMostOfItsBudget(t *testing.T) {
+func TestSteadilyFailingServiceUsesMostOfBudget(t *testing.T) {
 	for _, perSecond := range []int{10, 50, 200} {
 		g := NewWithT(t)
-		d := steadyScenario(perSecond, 8*time.Second)
-		requests, retries := d.run()
-		w := retryrule.WorstWindow(d.rule, requests, retries)
+		sc := steadyScenario(perSecond, 8*time.Second)
+		requests, retries := sc.run()
+		w := retryrule.WorstWindow(sc.rule, requests, retries)
 		g.Expect(float64(w.Retries)).To(BeNumerically(">=", 0.6*w.Allowed), "%d a second", perSecond)
 		last := 0
 		for _, at := range retries {
