--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -31,12 +31,12 @@
 	notRun
 	// mayHaveRun means that the request ran and failed, or that it is unknown whether it ran.
 	mayHaveRun
-	// brokenOff means that the response failed after part of it had been relayed.
-	brokenOff
+	// truncated means that the response failed after part of it had been relayed to the caller.
+	truncated
 )
 
 var sendResultNames = map[sendResult]string{
-	delivered: "delivered", notRun: "not_run", mayHaveRun: "may_have_run", brokenOff: "broken_off",
+	delivered: "delivered", notRun: "not_run", mayHaveRun: "may_have_run", truncated: "broken_off",
 }
 
 const (
@@ -47,9 +47,9 @@
 	// costs a round trip. With a quarter of the servers down, 1 request in 65,000
 	// reaches the limit.
 	maxConnectFailures = 8
-	// borrowPause is how long other gateways are not asked for further retries to a service after none of them
+	// borrowRetryDelay is how long other gateways are not asked for further retries to a service after none of them
 	// has granted one.
-	borrowPause = 100 * time.Millisecond
+	borrowRetryDelay = 100 * time.Millisecond
 	// maxGrantAge is the age above which a granted retry must be granted again before it is sent.
 	maxGrantAge = 250 * time.Millisecond
 )
@@ -71,7 +71,7 @@
 		switch result {
 		case delivered:
 			return nil
-		case mayHaveRun, brokenOff:
+		case mayHaveRun, truncated:
 			ran++
 		}
 		last = err
@@ -85,7 +85,7 @@
 }
 
 // sendOnce waits until the quarantine tracker permits the request to run, chooses a server and sends
-// the request to it. ran tells whether a server may already have run the request.
+// the request to it. ran reports whether a server may already have run the request.
 func (g *Gateway) sendOnce(ctx context.Context, q *request, tried map[string]bool, ran bool, rel *relay) (sendResult, error) {
 	run, err := g.beginTrackedRun(ctx, q, ran)
 	if err != nil {
@@ -94,22 +94,22 @@
 	if run.key != 0 {
 		defer func() { g.quarantine.Done(q.quarantineID(), run.key, g.now()) }()
 	}
-	choice, permitted, err := g.chooseServer(ctx, q, g.excludedServers(q, run, tried), run, rel)
+	choice, heldPermit, err := g.chooseServer(ctx, q, g.excludedServers(q, run, tried), run, rel)
 	if err != nil {
 		return unsent, err
 	}
 	if err := g.recheckQuarantine(q, run, ran); err != nil {
-		permitted.End(permit.StreamStats{})
+		heldPermit.End(permit.StreamStats{})
 		return unsent, err
 	}
 	if !g.renewRetry(q) {
-		permitted.End(permit.StreamStats{})
+		heldPermit.End(permit.StreamStats{})
 		return unsent, nil
 	}
 	instance := choice.Candidate.Server.InstanceID()
 	tried[instance] = true
 	g.quarantine.SetServer(q.quarantineID(), run.key, instance, g.now())
-	return g.sendTo(ctx, q, choice, permitted, rel)
+	return g.sendTo(ctx, q, choice, heldPermit, rel)
 }
 
 // mayRetry reports whether the route permits a retry after a send with this result.
@@ -119,15 +119,15 @@
 		return true
 	case mayHaveRun:
 		return q.route.MayRepeat()
-	case brokenOff:
+	case truncated:
 		return q.route.Resumable && rel.canResume()
 	}
 	return false
 }
 
 // checkRetry checks the deadline and, before a retry, the limits on sends and the retry
-// budget. attempt is the number of previous attempts, ran the number of servers that may
-// have run the request, and last the error of the previous send. A non-nil error is the
+// budget. attempt is the number of previous attempts, ran is the number of servers that may
+// have run the request, and last is the error of the previous send. A non-nil error is the
 // final result of the request.
 func (g *Gateway) checkRetry(ctx context.Context, q *request, rel *relay, attempt, ran int, last error) error {
 	if ctx.Err() != nil || !g.now().Before(q.deadline) {
@@ -157,7 +157,7 @@
 		verdict = "granted"
 	}
 	q.retryDecision, q.retryDecidedAt = d, g.now()
-	failed := q.lastSent()
+	failed := q.lastSend()
 	failed.RetryDecision = &d
 	telemetry.Count("merlinpost_retry_budget_decisions_total", "service", q.service, "cause", failed.Result, "verdict", verdict)
 	telemetry.SetGauge("merlinpost_retry_budget_taken", float64(d.Taken), "service", q.service)
@@ -177,7 +177,7 @@
 	d := g.budget(q.service).Renew(q.retryDecision, now)
 	q.retryDecision, q.retryDecidedAt = d, now
 	if !d.Granted {
-		q.lastSent().RetryDecision = &d
+		q.lastSend().RetryDecision = &d
 		telemetry.Count("merlinpost_retry_budget_decisions_total", "service", q.service, "cause", "waited_for_turn", "verdict", "denied")
 	}
 	return d.Granted
@@ -223,7 +223,7 @@
 }
 
 // borrowRetry asks other gateways for a retry and reports whether one of them granted it. It does not ask within
-// borrowPause of an unsuccessful request for the same service.
+// borrowRetryDelay of an unsuccessful request for the same service.
 func (g *Gateway) borrowRetry(ctx context.Context, q *request) bool {
 	if g.peers == nil {
 		return false
@@ -238,7 +238,7 @@
 		return true
 	}
 	g.mu.Lock()
-	g.borrowPausedUntil[q.service] = g.now().Add(borrowPause)
+	g.borrowPausedUntil[q.service] = g.now().Add(borrowRetryDelay)
 	g.mu.Unlock()
 	return false
 }
@@ -296,7 +296,7 @@
 }
 
 // sendTo sends the request to the chosen server, relays its response and records the result.
-func (g *Gateway) sendTo(ctx context.Context, q *request, choice placement.Choice, permitted peers.Permit, rel *relay) (sendResult, error) {
+func (g *Gateway) sendTo(ctx context.Context, q *request, choice placement.Choice, heldPermit peers.Permit, rel *relay) (sendResult, error) {
 	b := choice.Candidate.Backend
 	server := choice.Candidate.Server
 	sentAt := g.now()
@@ -305,11 +305,11 @@
 	b.BeginRequest(uniqueTokens)
 	recordFirstToken := sync.OnceFunc(func() { b.RecordFirstToken(uniqueTokens) })
 	var stats permit.StreamStats
-	defer func() { recordFirstToken(); b.EndRequest(); permitted.End(stats) }()
+	defer func() { recordFirstToken(); b.EndRequest(); heldPermit.End(stats) }()
 	onFirstEvent := sync.OnceFunc(func() {
 		recordFirstToken()
 		stats.TimeToFirstEvent = g.now().Sub(sentAt)
-		permitted.FirstToken(stats.TimeToFirstEvent)
+		heldPermit.FirstToken(stats.TimeToFirstEvent)
 	})
 
 	ctx, cancel := context.WithCancel(ctx)
@@ -333,7 +333,7 @@
 	}
 	stats.EngineFailed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
 	record := sendRecord{Server: server.ID, Reason: choice.Reason, FetchFrom: choice.FetchFrom, Result: sendResultNames[result],
-		Running: choice.Candidate.View.InFlight, UnreadTokens: choice.Candidate.View.UnreadTokens,
+		Running: choice.Candidate.View.InFlight, PendingPrefillTokens: choice.Candidate.View.UnreadTokens,
 		ExpectedPrefill: choice.ExpectedPrefill, TimeToFirstEvent: stats.TimeToFirstEvent, LongestGap: stats.LongestGap, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: notices}
 	if err != nil {
 		record.Cause = err.Error()
--- a/internal/gateway/errors_and_logs.go
+++ b/internal/gateway/errors_and_logs.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// startRetryAfter is the Retry-After value while no configuration is loaded. A process
+	// notReadyRetryAfter is the Retry-After value while no configuration is loaded. A process
 	// loads it within a few hundred milliseconds of its start unless the store is unavailable.
-	startRetryAfter = 500 * time.Millisecond
+	notReadyRetryAfter = 500 * time.Millisecond
 	// noServerRetryAfter is the Retry-After value if no server accepted the request. It is
-	// about the time after which a server that is avoided is tried again.
+	// roughly the time after which requests are sent again to a server that is avoided because of failures.
 	noServerRetryAfter = 500 * time.Millisecond
 	// maxRetryAfter limits Retry-After values that are derived from backoffs and rate limits of servers.
 	maxRetryAfter = 5 * time.Second
@@ -72,7 +72,7 @@
 	kind := string(e.Code)
 	if q.retryDenied() {
 		// A separate rate limit keeps other failures with this code from suppressing the line.
-		kind += " repeat denied"
+		kind += " retry denied"
 	}
 	if !g.logLimiter.Allow(kind, g.now()) {
 		return
@@ -101,7 +101,7 @@
 	if sampledOut && !(q.hasNotices() && g.logLimiter.Allow("notice", g.now())) {
 		return
 	}
-	g.logger.Info("request answered", append(g.logFields(q),
+	g.logger.Info("request completed", append(g.logFields(q),
 		slog.Int("status", rel.status), slog.Int("events", rel.events), slog.Duration("first", rel.timeToFirstEvent))...)
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,7 +83,7 @@
 
 // New returns a gateway without a configuration. It is not ready before SetTable has been called and servers has
 // been loaded.
-func New(set Settings, dialect Dialect, servers *registry.Registry, logger *slog.Logger) *Gateway {
+func New(settings Settings, dialect Dialect, servers *registry.Registry, logger *slog.Logger) *Gateway {
 	g := &Gateway{
 		dialect: dialect, logger: logger, now: time.Now, random: rand.Float64, servers: servers,
 		pool: exchange.NewPool(time.Now, func() {
@@ -91,13 +91,13 @@
 		}),
 		budgets: map[string]*retrybudget.Budget{}, slackShare: 1, borrowPausedUntil: map[string]time.Time{},
 		responseTimes: map[string]*placement.ResponseTimeEstimator{},
-		exits:         exitTracker{checks: map[string]*exitCheck{}, pendingRuns: map[string][]interruptedRun{}},
+		exits:         exitTracker{exitChecks: map[string]*exitCheck{}, pendingRuns: map[string][]interruptedRun{}},
 		quarantine:    quarantine.New(),
 	}
 	g.notices = notice.NewRegistry(ratelimit.New(g.random), g.logNoticeChange)
 	servers.OnRestart(g.pool.CloseIdle)
 	servers.OnUnexpectedExit(g.serverExited)
-	g.settings.Store(&set)
+	g.settings.Store(&settings)
 	g.shutdownCtx, g.abortRequests = context.WithCancel(context.Background())
 	return g
 }
@@ -111,13 +111,13 @@
 
 // SetSettings applies new settings. Changes to listen addresses take effect only when the
 // process restarts.
-func (g *Gateway) SetSettings(set Settings) {
-	old := g.settings.Swap(&set)
-	if old.CallerAddress != set.CallerAddress || old.ReadinessAddress != set.ReadinessAddress || old.MetricsAddress != set.MetricsAddress {
-		g.logger.Warn("listen addresses changed; restart required to apply them", "callers", set.CallerAddress)
+func (g *Gateway) SetSettings(settings Settings) {
+	old := g.settings.Swap(&settings)
+	if old.CallerAddress != settings.CallerAddress || old.ReadinessAddress != settings.ReadinessAddress || old.MetricsAddress != settings.MetricsAddress {
+		g.logger.Warn("listen addresses changed; restart required to apply them", "callers", settings.CallerAddress)
 	}
-	if old.Retries != set.Retries {
-		g.forEachBudget(func(b *retrybudget.Budget) { b.SetSettings(set.Retries, g.now()) })
+	if old.Retries != settings.Retries {
+		g.forEachBudget(func(b *retrybudget.Budget) { b.SetSettings(settings.Retries, g.now()) })
 	}
 }
 
@@ -137,13 +137,13 @@
 	}
 }
 
-// LendRepeat grants another gateway one retry to a service from this gateway's retry budget, and reports whether the
+// LendRetry grants another gateway one retry to a service from this gateway's retry budget, and reports whether the
 // budget permitted it.
 func (g *Gateway) LendRetry(service string) bool { return g.budget(service).Lend(g.now()) }
 
-// RecordStall records that the process was stalled from since until now, and is expected to process the backlog by
-// until. The backlog may contain requests that arrived long ago, so requests counted before until do not add to the
-// retry budgets.
+// RecordStall records that the process has been stalled since the given time and is expected to have processed its
+// backlog by until. The backlog may contain requests that arrived long ago, so requests counted before until do not
+// add to the retry budgets.
 func (g *Gateway) RecordStall(since, until time.Time) {
 	g.mu.Lock()
 	g.stalledUntil = until
@@ -219,7 +219,7 @@
 	return getOrCreate(g, g.responseTimes, route, func() *placement.ResponseTimeEstimator { return &placement.ResponseTimeEstimator{} })
 }
 
-// getOrCreate returns m[key] and creates it if it does not exist. m is guarded by g.mu.
+// getOrCreate returns m[key]. If there is no such value, it stores the result of create. m is guarded by g.mu.
 func getOrCreate[T any](g *Gateway, m map[string]*T, key string, create func() *T) *T {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/gateway_suite_test.go
+++ b/internal/gateway/gateway_suite_test.go
@@ -73,9 +73,9 @@
 func table() *routing.Table {
 	contents := routing.Config{Version: 1, Limits: routing.Limits{BodyBytes: 1000, HeaderBytes: 2000},
 		Teams: map[string]*routing.Team{"key": {Name: "team"}}}
-	for _, r := range routes {
-		r.Targets = []routing.Target{{Service: "s", Weight: 1}}
-		contents.Routes = append(contents.Routes, r)
+	for _, route := range routes {
+		route.Targets = []routing.Target{{Service: "s", Weight: 1}}
+		contents.Routes = append(contents.Routes, route)
 	}
 	t, err := routing.New(contents)
 	Expect(err).NotTo(HaveOccurred())
@@ -88,35 +88,35 @@
 func newHarness(workers int) *harness { return newHarnessWith(ampleRetries, workers) }
 
 func newHarnessWith(retries retrybudget.Settings, workers int) *harness {
-	r := &harness{servers: registry.New(), client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
-	r.gateway = gateway.New(gateway.Settings{Retries: retries},
-		platform.Dialect{}, r.servers, slog.New(slog.NewJSONHandler(&r.log, nil)))
+	h := &harness{servers: registry.New(), client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
+	h.gateway = gateway.New(gateway.Settings{Retries: retries},
+		platform.Dialect{}, h.servers, slog.New(slog.NewJSONHandler(&h.log, nil)))
 	var list []registry.Server
 	for i := range workers {
 		w, err := worker.Start(fmt.Sprintf("i-%d", i))
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(w.Close)
-		r.workers = append(r.workers, w)
+		h.workers = append(h.workers, w)
 		list = append(list, registry.Server{ID: w.ID, Service: "s", Address: w.Address(), Slots: 8})
 	}
-	r.servers.Replace(list, time.Now(), time.Time{})
-	r.server = httptest.NewServer(r.gateway)
-	DeferCleanup(r.server.Close)
-	DeferCleanup(r.client.CloseIdleConnections)
-	return r
+	h.servers.Replace(list, time.Now(), time.Time{})
+	h.server = httptest.NewServer(h.gateway)
+	DeferCleanup(h.server.Close)
+	DeferCleanup(h.client.CloseIdleConnections)
+	return h
 }
 
 // startHarness returns a harness whose gateway has the test configuration.
 func startHarness(workers int) *harness { return startHarnessWith(ampleRetries, workers) }
 
 func startHarnessWith(retries retrybudget.Settings, workers int) *harness {
-	r := newHarnessWith(retries, workers)
-	Expect(r.gateway.SetTable(table(), time.Now())).To(BeTrue())
-	return r
+	h := newHarnessWith(retries, workers)
+	Expect(h.gateway.SetTable(table(), time.Now())).To(BeTrue())
+	return h
 }
 
-func (r *harness) request(ctx context.Context, path, id, body string) *http.Request {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.server.URL+path, strings.NewReader(body))
+func (h *harness) request(ctx context.Context, path, id, body string) *http.Request {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, h.server.URL+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "a.example"
 	req.Header.Set("X-Attempt-Id", id)
@@ -132,8 +132,8 @@
 	err    error
 }
 
-func (r *harness) send(req *http.Request) response {
-	resp, err := r.client.Do(req)
+func (h *harness) send(req *http.Request) response {
+	resp, err := h.client.Do(req)
 	if err != nil {
 		return response{err: err}
 	}
@@ -142,29 +142,29 @@
 	return response{resp.StatusCode, resp.Header, string(body), err}
 }
 
-func (r *harness) post(path, id string) response {
-	return r.send(r.request(context.Background(), path, id, "body of "+id))
+func (h *harness) post(path, id string) response {
+	return h.send(h.request(context.Background(), path, id, "body of "+id))
 }
 
 // runs returns the requests that the workers ran.
-func (r *harness) runs() []worker.Execution {
+func (h *harness) runs() []worker.Execution {
 	var out []worker.Execution
-	for _, w := range r.workers {
+	for _, w := range h.workers {
 		out = append(out, w.Executions()...)
 	}
 	return out
 }
 
 // setNextBehaviour sets how each worker handles its next request.
-func (r *harness) setNextBehaviour(b worker.Behaviour) {
-	for _, w := range r.workers {
+func (h *harness) setNextBehaviour(b worker.Behaviour) {
+	for _, w := range h.workers {
 		w.QueueBehaviours(b)
 	}
 }
 
 // sendRaw sends text on a new connection and returns a reader of the response.
-func (r *harness) sendRaw(text string) *bufio.Reader {
-	c, err := net.Dial("tcp", r.server.Listener.Addr().String())
+func (h *harness) sendRaw(text string) *bufio.Reader {
+	c, err := net.Dial("tcp", h.server.Listener.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(c.Close)
 	Expect(c.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -43,8 +43,8 @@
 	// RequestPermit requests a permit from the gateway that schedules a group of engines
 	// and waits for the decision. If no gateway is available to decide, the verdict is
 	// Granted and no engine is named.
-	RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
-	// BorrowRepeat asks other gateways to grant a retry to a service from their retry budgets and reports whether
+	RequestPermit(ctx context.Context, group permit.Group, req permit.Ask) (permit.Decision, peers.Permit)
+	// BorrowRetry asks other gateways to grant a retry to a service from their retry budgets and reports whether
 	// one of them did. The key determines which gateways are asked.
 	BorrowRetry(ctx context.Context, service, key string) bool
 }
@@ -96,19 +96,19 @@
 		key = q.info.ID
 	}
 	groups := placement.RankGroups(key, g.groupCount(q.service))
-	ask := g.permitRequest(q, rel)
-	// A strong suspect does not get the precedence of resumed streams. Otherwise a resumable stream
-	// that crashes servers would crash one after another ahead of all other requests.
-	ask.Resumed = ask.Resumed && !run.isolated
-	ask.ExcludedEngines = unusableEngines(candidates)
+	req := g.permitRequest(q, rel)
+	// A request that must run isolated does not get the precedence of resumed streams. Otherwise a resumable
+	// stream that crashes servers would crash one after another, ahead of all other requests.
+	req.Resumed = req.Resumed && !run.isolated
+	req.ExcludedEngines = unusableEngines(candidates)
 	g.recordNotices(q)
 	var refused permit.Decision
 	for n, group := 0, 0; n < maxPermitRequests && group < min(maxGroupsPerSend, len(groups)); n++ {
-		ask.ID = fmt.Sprintf("%s/%d", q.info.ID, q.permitRequestCount)
+		req.ID = fmt.Sprintf("%s/%d", q.info.ID, q.permitRequestCount)
 		q.permitRequestCount++
-		decision, permitted := g.peers.RequestPermit(ctx, permit.Group{Service: q.service, Index: groups[group]}, ask)
+		decision, heldPermit := g.peers.RequestPermit(ctx, permit.Group{Service: q.service, Index: groups[group]}, req)
 		if ctx.Err() != nil {
-			permitted.End(permit.StreamStats{})
+			heldPermit.End(permit.StreamStats{})
 			return placement.Choice{}, peers.Permit{}, contextError(ctx, false)
 		}
 		switch decision.Verdict {
@@ -130,10 +130,10 @@
 		}
 		candidates = g.candidates(q.service, tried) // they may have changed: the wait may take seconds
 		if choice := grantedChoice(decision, candidates); choice.Candidate != nil {
-			return choice, permitted, nil
+			return choice, heldPermit, nil
 		}
-		permitted.End(permit.StreamStats{})
-		ask.ExcludedEngines = append(ask.ExcludedEngines, decision.Engine)
+		heldPermit.End(permit.StreamStats{})
+		req.ExcludedEngines = append(req.ExcludedEngines, decision.Engine)
 	}
 	if refused.ID == "" {
 		return placement.Choice{}, peers.Permit{}, g.noServerError(q)
@@ -186,7 +186,7 @@
 
 // recordRefusal adds a refused permit request to the request's send records.
 func (g *Gateway) recordRefusal(q *request, decision permit.Decision) {
-	q.sends = append(q.sends, sendRecord{Result: decision.Verdict.String(), Wait: decision.Wait, UnreadTokens: int64(decision.BacklogTokens), RateLimited: decision.RateLimitedEngines,
+	q.sends = append(q.sends, sendRecord{Result: decision.Verdict.String(), Wait: decision.Wait, PendingPrefillTokens: int64(decision.BacklogTokens), RateLimitedServers: decision.RateLimitedEngines,
 		SentAfter: g.now().Sub(q.start)})
 }
 
@@ -199,22 +199,22 @@
 func (g *Gateway) permitRequest(q *request, rel *relay) permit.Ask {
 	prompt := q.info.Prompt
 	prefixID, prefixTokens := prompt.SharedPrefix()
-	ask := permit.Ask{Plain: !q.route.PrefixAffinity, UniqueTokens: prompt.Tokens - prefixTokens, PrefixID: prefixID, PrefixTokens: prefixTokens, OutputTokens: prompt.OutputTokens, MaxEventGap: q.route.TargetGap,
+	req := permit.Ask{Plain: !q.route.PrefixAffinity, UniqueTokens: prompt.Tokens - prefixTokens, PrefixID: prefixID, PrefixTokens: prefixTokens, OutputTokens: prompt.OutputTokens, MaxEventGap: q.route.TargetGap,
 		FailureDomain: g.settings.Load().FailureDomain}
 	now := g.now()
 	left := q.deadline.Sub(now)
 	responseTime := g.responseTime(q.route.Name).Estimate(prompt.OutputTokens)
 	elapsed := now.Sub(q.start)
-	ask.ResponseTimeout = left
-	ask.Priority = engineRank(q.route.Priority, q.priority)
+	req.ResponseTimeout = left
+	req.Priority = engineRank(q.route.Priority, q.priority)
 	if rel.started {
-		ask.Resumed = true
+		req.Resumed = true
 		remaining := max(0, responseTime-(elapsed-rel.timeToFirstEvent))
-		ask.FirstTokenTimeout = max(left-time.Duration(minRemainingFraction*float64(remaining)), minPermitWait)
-		ask.FirstTokenTarget = ask.FirstTokenTimeout
-		return ask
+		req.FirstTokenTimeout = max(left-time.Duration(minRemainingFraction*float64(remaining)), minPermitWait)
+		req.FirstTokenTarget = req.FirstTokenTimeout
+		return req
 	}
-	ask.FirstTokenTarget = q.route.TargetLatency - elapsed
-	ask.FirstTokenTimeout = max(min(callerWait(q.route)-elapsed, left-responseTime), minPermitWait)
-	return ask
+	req.FirstTokenTarget = q.route.TargetLatency - elapsed
+	req.FirstTokenTimeout = max(min(callerWait(q.route)-elapsed, left-responseTime), minPermitWait)
+	return req
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -36,7 +36,7 @@
 }
 
 // beginTrackedRun waits until the quarantine tracker permits the request to be sent. An error is the final result
-// of the request. ran tells whether a server may already have run the request.
+// of the request. ran reports whether a server may already have run the request.
 //
 // Without this check, each retry by a caller would be sent to another server, through any gateway, and a single
 // request could crash all servers of a service.
@@ -105,9 +105,9 @@
 }
 
 // quarantinedError returns the error for a request that is quarantined because it crashes servers. If the request
-// has not run, the response is 503 with Retry-After, so that callers retry later. Other statuses do not fit: a 4xx
-// would blame the caller, who may have done nothing wrong; 429 would indicate load; and 502 does not say that the
-// request has not run, so callers would retry idempotent requests at once.
+// has not run, the response is 503 with Retry-After, so that callers retry later. Other statuses are unsuitable: a
+// 4xx would indicate a client error, although the request may be valid; 429 would indicate load; and 502 does not say
+// that the request has not run, so callers would retry idempotent requests at once.
 func (g *Gateway) quarantinedError(q *request, v *quarantine.Verdict, ran bool) error {
 	retryAfter := max(v.Until.Sub(g.now()), trialRetryAfter)
 	return withOutcome(fault.New(fault.Quarantined, "%d servers have ended that ran this request", len(v.Servers)).WithRetryAfter(retryAfter), ran)
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -37,8 +37,8 @@
 }
 
 // maxBufferedBodyBytes limits the size of a response body, which is buffered before it is
-// relayed unless it is a stream. It is far above the size of the services' responses and a
-// small part of a host's memory.
+// relayed unless it is a stream. It is far larger than the responses of the services and a
+// small fraction of a host's memory.
 const maxBufferedBodyBytes = 8 << 20
 
 // relayResponse reads the server's response and relays it to the caller. Refusals, and failures that are to be
@@ -54,7 +54,7 @@
 		return g.relayStream(ctx, q, rel, resp, meter)
 	}
 	if rel.started {
-		return brokenOff, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).WithOutcome(fault.Partial)
+		return truncated, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).WithOutcome(fault.Partial)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedBodyBytes+1))
 	switch {
@@ -101,7 +101,7 @@
 	if connection != "" {
 		to.Set("Connection", connection)
 	}
-	// A nil value keeps net/http from adding a header that the server did not send.
+	// A nil value prevents net/http from adding a header that the server did not send.
 	if _, ok := resp.Header["Content-Type"]; !ok {
 		to["Content-Type"] = nil
 	}
@@ -132,7 +132,7 @@
 				rel.w.WriteHeader(resp.Status)
 			}
 			if _, werr := rel.w.Write(event); werr != nil {
-				return brokenOff, fault.New(fault.Cancelled, "the caller has left: %w", werr)
+				return truncated, fault.New(fault.Cancelled, "the caller has left: %w", werr)
 			}
 			wrote = true
 		}
@@ -141,7 +141,7 @@
 		}
 		if wrote {
 			if ferr := flusher.Flush(); ferr != nil {
-				return brokenOff, fault.New(fault.Cancelled, "the caller has left: %w", ferr)
+				return truncated, fault.New(fault.Cancelled, "the caller has left: %w", ferr)
 			}
 		}
 		if err != nil {
@@ -202,7 +202,7 @@
 func (r *relay) streamError(ctx context.Context, err error) (sendResult, error) {
 	result, outcome := mayHaveRun, fault.Unknown
 	if r.started {
-		result, outcome = brokenOff, fault.Partial
+		result, outcome = truncated, fault.Partial
 	}
 	if ctx.Err() != nil {
 		return result, contextError(ctx, true)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -69,13 +69,16 @@
 	Wait             time.Duration `json:"wait,omitempty"`   // estimated wait for capacity, from the gateway that refused the permit
 	ExpectedPrefill  time.Duration `json:"expect,omitempty"` // predicted time to the first event
 	TimeToFirstEvent time.Duration `json:"first,omitempty"`  // measured time to the first event
-	// RateLimited is the number of servers that had reached their stated rate limits when a permit was refused.
-	RateLimited  int           `json:"limited,omitempty"`
-	Running      int           `json:"running"`
-	UnreadTokens int64         `json:"unread"`
-	LongestGap   time.Duration `json:"longest,omitempty"` // longest time between two consecutive events
-	SentAfter    time.Duration `json:"at"`                // time from the request's arrival to this send
-	Took         time.Duration `json:"took"`              // time until the response was relayed or the send failed
+	// RateLimitedServers is the number of servers that had reached their stated rate limits when a permit was refused.
+	RateLimitedServers int `json:"limited,omitempty"`
+	// Running is the number of this gateway's requests in progress at the server when it was chosen.
+	Running int `json:"running"`
+	// PendingPrefillTokens is the number of prompt tokens of those requests that had not produced a first token. In the
+	// record of a refused permit request, it is the backlog of the engines.
+	PendingPrefillTokens int64         `json:"unread"`
+	LongestGap           time.Duration `json:"longest,omitempty"` // longest time between two consecutive events
+	SentAfter            time.Duration `json:"at"`                // time from the request's arrival to this send
+	Took                 time.Duration `json:"took"`              // time until the response was relayed or the send failed
 	// ServerExited is set if the connection broke because the server process exited.
 	ServerExited bool `json:"ended,omitempty"`
 	// Notices are the notices in the response headers, or nil if there are none.
@@ -84,8 +87,8 @@
 	RetryDecision *retrybudget.Decision `json:"repeat,omitempty"`
 }
 
-// lastSent returns the most recent record that names a server, or a new empty record if there is none.
-func (q *request) lastSent() *sendRecord {
+// lastSend returns the most recent record that names a server, or a new empty record if there is none.
+func (q *request) lastSend() *sendRecord {
 	for i := len(q.sends) - 1; i >= 0; i-- {
 		if q.sends[i].Server != "" {
 			return &q.sends[i]
@@ -96,7 +99,7 @@
 
 // retryDenied reports whether the retry budget denied a retry after the last send.
 func (q *request) retryDenied() bool {
-	d := q.lastSent().RetryDecision
+	d := q.lastSend().RetryDecision
 	return d != nil && !d.Granted
 }
 
@@ -136,7 +139,7 @@
 	g.serve(ctx, w, q)
 }
 
-// Causes for which a request's context is cancelled, other than that the caller closes the connection.
+// Causes for which a request's context is cancelled, other than that the caller has disconnected.
 var (
 	errDeadline     = errors.New("the deadline has passed")
 	errShuttingDown = errors.New("the gateway is shutting down")
@@ -151,7 +154,7 @@
 	}
 	q.table = g.table.Load()
 	if q.table == nil {
-		return q, fault.New(fault.NotReady, "no configuration has been loaded yet").WithOutcome(fault.NotRun).WithRetryAfter(startRetryAfter)
+		return q, fault.New(fault.NotReady, "no configuration has been loaded yet").WithOutcome(fault.NotRun).WithRetryAfter(notReadyRetryAfter)
 	}
 	if err := checkHeaderSize(r, q.table.Limits.HeaderBytes); err != nil {
 		return q, err
@@ -168,12 +171,12 @@
 	if q.team, err = q.table.Authenticate(q.route, info.APIKey); err != nil {
 		return q, err
 	}
-	q.setLimits(info)
+	q.applyRoute(info)
 	return q, g.readBody(q, r)
 }
 
-// setLimits sets the request's deadline, priority and service.
-func (q *request) setLimits(info RequestInfo) {
+// applyRoute sets the request's deadline, priority and service from its route, its team and the caller's deadline.
+func (q *request) applyRoute(info RequestInfo) {
 	timeout := q.route.Timeout
 	if info.Deadline > 0 {
 		timeout = min(timeout, info.Deadline)
