--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -162,7 +162,7 @@
 		h := startHarness(2)
 		fake := &fakePeers{decisions: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
 		fake.onRequest = func() {
-			h.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
+			h.gateway.Notices().ReceiveReport(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		}
 		h.gateway.UsePeers(fake)
 		h.gateway.SetGateways(1)
@@ -173,7 +173,7 @@
 
 	It("remains listed as an engine that accepts no requests, so that others can fetch cached prompt prefixes from it", func() {
 		h := startHarness(2)
-		h.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
+		h.gateway.Notices().ReceiveReport(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		accepting := map[string]bool{}
 		for _, e := range h.gateway.Engines(permit.Group{Service: "s"}) {
 			accepting[e.ID] = e.Accepting
@@ -244,6 +244,6 @@
 		h := startHarness(1)
 		h.workers[0].SetBehaviour(refusing)
 		Expect(h.post("/once/", "a").status).To(Equal(503))
-		Expect(h.gateway.Notices().All(time.Now())).To(BeEmpty())
+		Expect(h.gateway.Notices().AllReports(time.Now())).To(BeEmpty())
 	})
 })
