--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -8,25 +8,25 @@
 )
 
 // ReportInterval is the heartbeat interval of a gateway that reads the store on behalf of the
-// others. Each heartbeat includes all current reports, so that a lost datagram delays them by one interval only.
+// others. Each heartbeat includes all current reports, so that a lost datagram delays a report by only one interval.
 const ReportInterval = 400 * time.Millisecond
 
-// liveLogInterval limits how often the number of live gateways is logged: when all gateways start
-// at once, the number changes with every heartbeat.
+// liveLogInterval is the minimum time between two log lines with the number of live gateways. When all gateways
+// start at once, the number changes with every heartbeat.
 const liveLogInterval = time.Second
 
 // handleHeartbeat processes a received heartbeat.
-func (p *Peers) handleHeartbeat(b heartbeat, from netip.AddrPort, now time.Time) {
-	if b.Starting {
-		defer p.sendInitialState(b.Host, from, now)
+func (p *Peers) handleHeartbeat(h heartbeat, from netip.AddrPort, now time.Time) {
+	if h.Starting {
+		defer p.sendInitialState(h.Host, from, now)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.members.recordHeartbeat(Member{b.Host, from, b.Capacity}, b.Leaving, now)
-	if m := p.members.known[b.Host]; m != nil && b.Estimates != nil {
-		m.estimates = b.Estimates
+	p.members.recordHeartbeat(Member{h.Host, from, h.Capacity}, h.Leaving, now)
+	if m := p.members.peers[h.Host]; m != nil && h.Estimates != nil {
+		m.estimates = h.Estimates
 	}
-	for _, report := range b.States {
+	for _, report := range h.States {
 		p.states.receive(report, from, now)
 	}
 }
@@ -63,9 +63,9 @@
 // sendHeartbeat sends a heartbeat to all known members.
 func (p *Peers) sendHeartbeat(reports []stateReport) {
 	p.mu.Lock()
-	b := p.newHeartbeat(reports)
+	h := p.newHeartbeat(reports)
 	p.mu.Unlock()
-	p.sendAll(message{Heartbeat: b})
+	p.sendAll(message{Heartbeat: h})
 }
 
 // newHeartbeat returns a heartbeat of this gateway with the given reports. The caller must hold p.mu.
@@ -77,8 +77,8 @@
 // sendAll sends a message to all known members.
 func (p *Peers) sendAll(m message) {
 	p.mu.Lock()
-	addresses := make([]netip.AddrPort, 0, len(p.members.known))
-	for _, member := range p.members.known {
+	addresses := make([]netip.AddrPort, 0, len(p.members.peers))
+	for _, member := range p.members.peers {
 		addresses = append(addresses, member.Address)
 	}
 	p.mu.Unlock()
@@ -105,6 +105,7 @@
 }
 
 // Rank returns the position of this gateway in the order of the live gateways for a key, starting at 0.
+// Large hosts precede small ones.
 func (p *Peers) Rank(key string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// noticesPerDatagram is the maximum number of notices in one datagram: each takes up to 73 of the 1,200 bytes.
-	noticesPerDatagram = 16
+	// maxNoticesPerDatagram is the maximum number of notices in one datagram: each takes up to 73 of the 1,200 bytes.
+	maxNoticesPerDatagram = 16
 	// The process counts as stalled if the time between two iterations of Run's loop exceeds
-	// stallThreshold. backlogPeriod is the time allowed for processing the backlog after a stall.
+	// stallThreshold. backlogPeriod is the time allowed after a stall for processing the messages that were
+	// received meanwhile.
 	stallThreshold, backlogPeriod = 500 * time.Millisecond, 200 * time.Millisecond
 )
 
@@ -26,7 +27,7 @@
 
 // sendNotices sends the notices that are due to all other gateways.
 func (p *Peers) sendNotices(now time.Time) {
-	for batch := range slices.Chunk(p.notices.Due(now), noticesPerDatagram) {
+	for batch := range slices.Chunk(p.notices.Due(now), maxNoticesPerDatagram) {
 		p.sendAll(message{Notices: batch})
 	}
 }
@@ -47,15 +48,15 @@
 }
 
 // hostAt returns the host of the gateway at an address, or the address if it is unknown.
-func (p *Peers) hostAt(at netip.AddrPort) string {
+func (p *Peers) hostAt(address netip.AddrPort) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for host, member := range p.members.known {
-		if member.Address == at {
+	for host, member := range p.members.peers {
+		if member.Address == address {
 			return host
 		}
 	}
-	return at.String()
+	return address.String()
 }
 
 // lendRateShares lends this gateway's share of each server's rate limit to the home of the server's
@@ -85,7 +86,7 @@
 		}
 	}
 	for address, notices := range due {
-		for batch := range slices.Chunk(notices, noticesPerDatagram) {
+		for batch := range slices.Chunk(notices, maxNoticesPerDatagram) {
 			p.send(message{Loans: batch}, address)
 		}
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -74,11 +74,11 @@
 	g.Expect(m.live(now.Add(time.Second))).To(Equal([]string{"a", "b"}))
 	g.Expect(m.live(now.Add(10 * time.Second))).To(Equal([]string{"a"}))
 	m.recordHeartbeat(member("b", at(9)), false, now) // a replacement at another address
-	g.Expect(m.known["b"].Address).To(Equal(at(9)))
+	g.Expect(m.peers["b"].Address).To(Equal(at(9)))
 }
 
-// Gateways with the same view of the membership agree on the home of each key, and the loss of a gateway
-// moves only the keys whose home it was.
+// Gateways with the same view of the membership agree on the home of each key. The loss of a gateway moves
+// only the keys whose home it was.
 func TestGatewaysAgreeOnHome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "gateways")
@@ -119,7 +119,7 @@
 	now := time.Unix(0, 0)
 	m := newMembers(Member{"small", at(1), Capacity{Cores: 0.144}}, now)
 	m.recordHeartbeat(Member{"large", at(2), Capacity{Cores: 0.8}}, false, now)
-	m.recordHeartbeat(Member{"middle", at(3), Capacity{Cores: 0.3}}, false, now)
+	m.recordHeartbeat(Member{"medium", at(3), Capacity{Cores: 0.3}}, false, now)
 	for i := range 50 {
 		g.Expect(m.home(fmt.Sprint(i), now).Host).To(Equal("large"))
 	}
@@ -129,7 +129,7 @@
 		homes[m.home(fmt.Sprint(i), now).Host]++
 	}
 	g.Expect(homes).To(HaveLen(1))
-	g.Expect(homes).To(HaveKey("middle"))
+	g.Expect(homes).To(HaveKey("medium"))
 }
 
 // Guards against small hosts reading the store on behalf of the others while larger ones are live, and
@@ -139,7 +139,7 @@
 	now := time.Unix(0, 0)
 	hosts := []Member{
 		{"large-1", at(1), Capacity{0.8, 200}}, {"large-2", at(2), Capacity{0.8, 200}},
-		{"no-processor", at(3), Capacity{0.144, 200}}, {"slow-link", at(4), Capacity{0.8, 10}}, {"small", at(5), Capacity{0.144, 10}},
+		{"few-cores", at(3), Capacity{0.144, 200}}, {"slow-link", at(4), Capacity{0.8, 10}}, {"small", at(5), Capacity{0.144, 10}},
 	}
 	for topic := range 20 {
 		hostsByRank := map[int]string{}
@@ -158,7 +158,8 @@
 	g.Expect(alone.rank("t", now)).To(Equal(0))
 }
 
-func TestHeartbeatsStayWithinTheirBytes(t *testing.T) {
+// In the largest deployment, a host sends less than 2,000 bytes of heartbeats per second.
+func TestHeartbeatTrafficIsLimited(t *testing.T) {
 	g := NewWithT(t)
 	m := newMembers(member("a", at(1)), time.Unix(0, 0))
 	for i := range 389 {
@@ -166,36 +167,36 @@
 	}
 	datagramsPerSecond := 389 / m.heartbeatInterval().Seconds()
 	// One gateway in 35 is the home of a group and sends the estimates for one service's engines.
-	const bytesEach = 90 + 60/35
-	g.Expect(datagramsPerSecond * bytesEach).To(BeNumerically("<", 2000))
+	const bytesPerHeartbeat = 90 + 60/35
+	g.Expect(datagramsPerSecond * bytesPerHeartbeat).To(BeNumerically("<", 2000))
 }
 
 // Guards the message sizes on which docs/CAPACITY.md is based, and those of messages that must fit
 // into a datagram.
-func TestMessagesStaySmall(t *testing.T) {
+func TestMessageSizes(t *testing.T) {
 	g := NewWithT(t)
-	in := permit.Group{Service: "model-120b", Index: 3}
+	modelGroup := permit.Group{Service: "model-120b", Index: 3}
 	id := "9c41d07be2a35f68/0"
-	rated := notice.Report{Server: "i-7f3a91c2e4@1765000000000", Draining: true, DrainingAgeMs: 90000, Limited: true, Limit: 0.25, LimitAgeMs: 90000}
+	report := notice.Report{Server: "i-7f3a91c2e4@1765000000000", Draining: true, DrainingAgeMs: 90000, Limited: true, Limit: 0.25, LimitAgeMs: 90000}
 	estimates := engineEstimates{"model-120b", 25300, 647, 15234, 8123, 151234, 180}
 	for _, m := range []struct {
 		name  string
 		bytes int
 		message
 	}{
-		{"permit request", 150, message{PermitRequest: &permitRequest{in, permit.Ask{ID: id, Priority: 7, UniqueTokens: 6610, PrefixID: "5c1e07a291bd", PrefixTokens: 5382, OutputTokens: 330,
+		{"permit request", 150, message{PermitRequest: &permitRequest{modelGroup, permit.Ask{ID: id, Priority: 7, UniqueTokens: 6610, PrefixID: "5c1e07a291bd", PrefixTokens: 5382, OutputTokens: 330,
 			FirstTokenTarget: 2400 * time.Millisecond, MaxEventGap: 800 * time.Millisecond, FirstTokenTimeout: 9 * time.Second, ResponseTimeout: 15 * time.Second,
 			FailureDomain: "barrage-hall"}}}},
 		{"permit decision", 80, message{PermitDecision: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
-		{"first token", 60, message{FirstToken: &firstToken{Group: in, ID: id, Took: 180 * time.Millisecond}}},
-		{"end", 75, message{End: &requestEnd{in, id, permit.StreamStats{Events: 64, Duration: 5 * time.Second, LongestGap: 150 * time.Millisecond}}}},
+		{"first token", 60, message{FirstToken: &firstToken{Group: modelGroup, ID: id, TimeToFirstToken: 180 * time.Millisecond}}},
+		{"end", 75, message{End: &requestEnd{modelGroup, id, permit.StreamStats{Events: 64, Duration: 5 * time.Second, LongestGap: 150 * time.Millisecond}}}},
 		{"heartbeat", 45, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
 		{"heartbeat with estimates", 230, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Estimates: []engineEstimates{estimates, estimates, estimates}}}},
 		{"suspect", 120, message{Suspects: suspects(1, 1)}},
 		{"strong suspect", 240, message{Suspects: suspects(1, 3)}},
-		{"notice", 80, message{Notices: []notice.Report{rated}}},
-		{"loan", 80, message{Loans: []notice.Report{rated}}},
-		{"datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Report{rated}, noticesPerDatagram)}},
+		{"notice", 80, message{Notices: []notice.Report{report}}},
+		{"loan", 80, message{Loans: []notice.Report{report}}},
+		{"datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Report{report}, maxNoticesPerDatagram)}},
 	} {
 		data, err := msgpack.Marshal(m.message)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -233,19 +234,19 @@
 
 func TestRemoteReportConfirmsOnlySameState(t *testing.T) {
 	g := NewWithT(t)
-	f, now := topicStates{}, time.Unix(100, 0)
-	f.record("t", 7, now, now)
-	g.Expect(f.reports(now)).To(HaveLen(1))
-	f.receive(stateReport{"t", 7, 100, 5000}, at(9), now.Add(time.Second))
-	g.Expect(f.topic("t").confirmedAt()).To(Equal(now.Add(900 * time.Millisecond)))
-	g.Expect(f.topic("t").remote.storeUpSince).To(Equal(now.Add(-4 * time.Second)))
-	g.Expect(f.reports(now.Add(time.Second))).To(BeEmpty()) // another gateway reports it
-	changed := f.topic("t").changed
-	f.receive(stateReport{"t", 8, 0, 0}, at(9), now.Add(2*time.Second))
+	states, now := topicStates{}, time.Unix(100, 0)
+	states.record("t", 7, now, now)
+	g.Expect(states.reports(now)).To(HaveLen(1))
+	states.receive(stateReport{"t", 7, 100, 5000}, at(9), now.Add(time.Second))
+	g.Expect(states.topic("t").confirmedAt()).To(Equal(now.Add(900 * time.Millisecond)))
+	g.Expect(states.topic("t").remote.storeUpSince).To(Equal(now.Add(-4 * time.Second)))
+	g.Expect(states.reports(now.Add(time.Second))).To(BeEmpty()) // another gateway reports it
+	changed := states.topic("t").changed
+	states.receive(stateReport{"t", 8, 0, 0}, at(9), now.Add(2*time.Second))
 	g.Expect(changed).To(BeClosed())
-	g.Expect(f.topic("t").confirmedAt()).To(Equal(now))
-	f.receive(stateReport{"t", 7, 1500, 0}, at(9), now.Add(2*time.Second)) // older than the previous report
-	g.Expect(f.topic("t").remote.state).To(BeEquivalentTo(8))
+	g.Expect(states.topic("t").confirmedAt()).To(Equal(now))
+	states.receive(stateReport{"t", 7, 1500, 0}, at(9), now.Add(2*time.Second)) // older than the previous report
+	g.Expect(states.topic("t").remote.state).To(BeEquivalentTo(8))
 }
 
 // Guards against ignoring a higher version because it was read earlier, as over a slow link, and against
@@ -253,36 +254,36 @@
 // higher one.
 func TestHigherVersionIsNewerRegardlessOfReadTime(t *testing.T) {
 	g := NewWithT(t)
-	f, now := topicStates{}, time.Unix(100, 0)
-	f.topic("t").versioned = true
-	f.record("t", 7, now, now)
-	changed := f.topic("t").changed
-	f.receive(stateReport{"t", 8, 3000, 0}, at(2), now.Add(time.Second)) // read earlier than 7
+	states, now := topicStates{}, time.Unix(100, 0)
+	states.topic("t").versioned = true
+	states.record("t", 7, now, now)
+	changed := states.topic("t").changed
+	states.receive(stateReport{"t", 8, 3000, 0}, at(2), now.Add(time.Second)) // read earlier than 7
 	g.Expect(changed).To(BeClosed())
-	g.Expect(f.topic("t").outdated()).To(BeTrue())
-	g.Expect(f.topic("t").confirmedAt()).To(Equal(now))
-
-	f.receive(stateReport{"t", 7, 0, 0}, at(3), now.Add(2*time.Second)) // from a gateway with an older version
-	g.Expect(f.topic("t").remote.state).To(BeEquivalentTo(8))
-	g.Expect(f.topic("t").remote.from).To(Equal(at(2)))
-	g.Expect(f.topic("t").confirmedAt()).To(Equal(now))
-
-	f.record("t", 9, now.Add(2*time.Second), now)
-	f.receive(stateReport{"t", 8, 0, 0}, at(2), now.Add(3*time.Second))
-	g.Expect(f.topic("t").outdated()).To(BeFalse())
-	g.Expect(f.topic("t").confirmedAt()).To(Equal(now.Add(2 * time.Second)))
+	g.Expect(states.topic("t").outdated()).To(BeTrue())
+	g.Expect(states.topic("t").confirmedAt()).To(Equal(now))
+
+	states.receive(stateReport{"t", 7, 0, 0}, at(3), now.Add(2*time.Second)) // from a gateway with an older version
+	g.Expect(states.topic("t").remote.state).To(BeEquivalentTo(8))
+	g.Expect(states.topic("t").remote.from).To(Equal(at(2)))
+	g.Expect(states.topic("t").confirmedAt()).To(Equal(now))
+
+	states.record("t", 9, now.Add(2*time.Second), now)
+	states.receive(stateReport{"t", 8, 0, 0}, at(2), now.Add(3*time.Second))
+	g.Expect(states.topic("t").outdated()).To(BeFalse())
+	g.Expect(states.topic("t").confirmedAt()).To(Equal(now.Add(2 * time.Second)))
 }
 
 // Guards against reporting a state that was fetched from another gateway, which already reports it.
 func TestStateFromPeerIsNotReportedAgain(t *testing.T) {
 	g := NewWithT(t)
-	f, now := topicStates{}, time.Unix(100, 0)
-	f.topic("t").versioned = true
-	f.receive(stateReport{"t", 8, 0, 0}, at(2), now)
-	f.record("t", 8, now, now)
-	g.Expect(f.reportPending).To(BeFalse())
-	f.record("t", 9, now.Add(time.Second), now)
-	g.Expect(f.reportPending).To(BeTrue())
+	states, now := topicStates{}, time.Unix(100, 0)
+	states.topic("t").versioned = true
+	states.receive(stateReport{"t", 8, 0, 0}, at(2), now)
+	states.record("t", 8, now, now)
+	g.Expect(states.reportPending).To(BeFalse())
+	states.record("t", 9, now.Add(time.Second), now)
+	g.Expect(states.reportPending).To(BeTrue())
 }
 
 var _ = Describe("gateways on one network", func() {
@@ -322,10 +323,10 @@
 		for i := range 300 {
 			r := request(fmt.Sprint("r", i))
 			r.UniqueTokens = 1000 + 10*i
-			decision, permitted := a.RequestPermit(ctx, group, r)
+			decision, p := a.RequestPermit(ctx, group, r)
 			Expect(decision.Verdict).To(Equal(permit.Granted))
-			permitted.FirstToken(time.Duration(r.UniqueTokens) * 100 * time.Microsecond) // 10 tokens a ms
-			permitted.End(permit.StreamStats{})
+			p.FirstToken(time.Duration(r.UniqueTokens) * 100 * time.Microsecond) // 10 tokens per ms
+			p.End(permit.StreamStats{})
 		}
 		b, _ := open("b")
 		a.AddListed([]Member{b.Self()})
@@ -338,14 +339,14 @@
 		Expect(known).To(BeFalse())
 	})
 
-	It("grant permits of one group one prompt at a time", func() {
+	It("grant permits for one prompt of a group at a time", func() {
 		a, _ := open("a")
 		b, _ := open("b")
 		a.AddListed([]Member{b.Self()})
 		Eventually(live(a)).Should(Equal(2))
 		Eventually(live(b)).Should(Equal(2))
 		ctx := context.Background()
-		first, permitted := a.RequestPermit(ctx, group, request("r1"))
+		first, p := a.RequestPermit(ctx, group, request("r1"))
 		Expect(first.Verdict).To(Equal(permit.Granted))
 		second := make(chan permit.Decision, 1)
 		go func() {
@@ -353,7 +354,7 @@
 			second <- decision
 		}()
 		Consistently(second, 150*time.Millisecond).ShouldNot(Receive())
-		permitted.FirstToken(time.Second)
+		p.FirstToken(time.Second)
 		Eventually(second).Should(Receive(HaveField("Verdict", permit.Granted)))
 	})
 
@@ -383,7 +384,7 @@
 		Eventually(done).Should(Receive(HaveField("Verdict", permit.Refused)))
 	})
 
-	It("report the states that they have read", func() {
+	It("report the states that they have read from the store", func() {
 		a, _ := open("a")
 		b, _ := open("b")
 		a.AddListed([]Member{b.Self()})
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -14,8 +14,8 @@
 	// maxMissedResponses+1 timeouts.
 	responseTimeout = 80 * time.Millisecond
 	// queuedResendInterval is the interval at which a queued permit request is resent, in case its
-	// grant was lost or the home has terminated. Resent four times a second, about a hundred queued
-	// requests took most of the CPU time of a home on a seventh of a core.
+	// grant was lost or the home has terminated. With four resends per second, about a hundred
+	// queued requests took most of the CPU time of a home on a seventh of a core.
 	queuedResendInterval = time.Second
 	// maxMissedResponses is the number of consecutive responses that a home may miss before it counts as down.
 	maxMissedResponses = 2
@@ -23,8 +23,8 @@
 	maxHomeAttempts = 2
 )
 
-// Permit is permission to send a request to an engine. The methods of the zero Permit, which stands for one that
-// was granted without a home, do nothing.
+// Permit is permission to send a request to an engine. The zero Permit represents permission without the decision
+// of a home; its methods do nothing.
 type Permit struct {
 	peers *Peers
 	home  netip.AddrPort
@@ -32,32 +32,32 @@
 	id    string
 }
 
-// FirstToken reports to the home that the prefill is complete. Took is the time from sending the
-// request to its first event.
-func (t Permit) FirstToken(took time.Duration) {
-	if t.peers != nil {
-		t.peers.send(message{FirstToken: &firstToken{Group: t.group, ID: t.id, Took: took}}, t.home)
+// FirstToken reports to the home that the prefill is complete. TimeToFirstToken is the time from
+// sending the request to its first event.
+func (p Permit) FirstToken(timeToFirstToken time.Duration) {
+	if p.peers != nil {
+		p.peers.send(message{FirstToken: &firstToken{Group: p.group, ID: p.id, TimeToFirstToken: timeToFirstToken}}, p.home)
 	}
 }
 
 // End reports to the home that the request has ended, with the statistics of its response.
-func (t Permit) End(s permit.StreamStats) {
-	if t.peers != nil {
-		t.peers.send(message{End: &requestEnd{Group: t.group, ID: t.id, StreamStats: s}}, t.home)
+func (p Permit) End(stats permit.StreamStats) {
+	if p.peers != nil {
+		p.peers.send(message{End: &requestEnd{Group: p.group, ID: p.id, StreamStats: stats}}, p.home)
 	}
 }
 
 // RequestPermit asks the group's home for permission to send a request, and waits while the permit
 // request is queued. If no home responds, the request may be sent anyway: the verdict is Granted without
 // an engine, and the Permit is zero. If ctx is done before the decision, the verdict is Refused.
-func (p *Peers) RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, Permit) {
+func (p *Peers) RequestPermit(ctx context.Context, group permit.Group, request permit.Ask) (permit.Decision, Permit) {
 	ch := make(chan permit.Decision, 1)
 	p.mu.Lock()
-	p.pendingPermits[a.ID] = ch
+	p.pendingPermits[request.ID] = ch
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.pendingPermits, a.ID)
+		delete(p.pendingPermits, request.ID)
 		p.mu.Unlock()
 	}()
 	start := time.Now()
@@ -65,18 +65,18 @@
 		p.mu.Lock()
 		home := p.members.home(group.Key(), time.Now()).Address
 		p.mu.Unlock()
-		decision, responded := p.requestFromHome(ctx, home, pendingRequest{group, a, start}, ch)
+		decision, responded := p.requestFromHome(ctx, home, pendingRequest{group, request, start}, ch)
 		if responded {
 			if decision.Verdict != permit.Granted {
 				return decision, Permit{}
 			}
-			return decision, Permit{p, home, group, a.ID}
+			return decision, Permit{p, home, group, request.ID}
 		}
 		p.mu.Lock()
 		p.members.markUnresponsive(home, time.Now())
 		p.mu.Unlock()
 	}
-	return permit.Decision{ID: a.ID, Verdict: permit.Granted}, Permit{}
+	return permit.Decision{ID: request.ID, Verdict: permit.Granted}, Permit{}
 }
 
 // pendingRequest is a permit request. The remaining times that it contains are relative to requestedAt.
@@ -88,10 +88,10 @@
 
 // message returns the message for the request, with the remaining times relative to now.
 func (q pendingRequest) message() message {
-	a, elapsed := q.request, time.Since(q.requestedAt)
-	a.FirstTokenTarget -= elapsed
-	a.FirstTokenTimeout = max(a.FirstTokenTimeout-elapsed, time.Millisecond)
-	return message{PermitRequest: &permitRequest{q.group, a}}
+	request, elapsed := q.request, time.Since(q.requestedAt)
+	request.FirstTokenTarget -= elapsed
+	request.FirstTokenTimeout = max(request.FirstTokenTimeout-elapsed, time.Millisecond)
+	return message{PermitRequest: &permitRequest{q.group, request}}
 }
 
 // requestFromHome sends a permit request to a home and waits for the decision. It returns false if the home does
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -30,11 +30,11 @@
 // sendInitialState sends this gateway's engine estimates to a gateway that has just started, which would
 // otherwise receive them with the next heartbeat. Only maxInitialStateSenders gateways also send suspects and
 // notices.
-func (p *Peers) sendInitialState(host string, at netip.AddrPort, now time.Time) {
+func (p *Peers) sendInitialState(host string, address netip.AddrPort, now time.Time) {
 	p.mu.Lock()
-	if m := p.members.known[host]; m != nil && now.Sub(m.initialStateSentAt) >= startupPeriod {
+	if m := p.members.peers[host]; m != nil && now.Sub(m.initialStateSentAt) >= startupPeriod {
 		m.initialStateSentAt = now
-		defer p.send(message{Heartbeat: p.newHeartbeat(nil)}, at)
+		defer p.send(message{Heartbeat: p.newHeartbeat(nil)}, address)
 	}
 	live := slices.DeleteFunc(p.members.live(now), func(h string) bool { return h == host })
 	position := slices.Index(rendezvous.Rank("requests/"+host, live), p.members.self.Host)
@@ -43,10 +43,10 @@
 		return
 	}
 	for _, batch := range suspectBatches(p.quarantine.Snapshot(now)) {
-		p.send(message{Suspects: batch}, at)
+		p.send(message{Suspects: batch}, address)
 	}
-	for batch := range slices.Chunk(p.notices.All(now), noticesPerDatagram) {
-		p.send(message{Notices: batch}, at)
+	for batch := range slices.Chunk(p.notices.All(now), maxNoticesPerDatagram) {
+		p.send(message{Notices: batch}, address)
 	}
 }
 
--- a/internal/peers/topicstates.go
+++ b/internal/peers/topicstates.go
@@ -54,13 +54,13 @@
 }
 
 // record records a state that this gateway has read.
-func (s *topicStates) record(name string, state uint64, at, since time.Time) {
+func (s *topicStates) record(name string, state uint64, at, storeUpSince time.Time) {
 	t := s.topic(name)
 	// A state that another gateway has reported need not be reported again.
 	if t.local.state != state && (state != t.remote.state || at.After(t.remote.readAt)) {
 		s.reportPending = true
 	}
-	t.local = observedState{state: state, readAt: at, storeUpSince: since}
+	t.local = observedState{state: state, readAt: at, storeUpSince: storeUpSince}
 }
 
 // receive processes a report from another gateway.
@@ -68,7 +68,7 @@
 	t := s.topic(report.Topic)
 	remote := observedState{report.State, now.Add(-time.Duration(report.AgeMs) * time.Millisecond),
 		now.Add(-time.Duration(report.ContactMs) * time.Millisecond), from}
-	if !t.replaces(remote) {
+	if !t.newerThanRemote(remote) {
 		return
 	}
 	t.remote = remote
@@ -78,8 +78,8 @@
 	}
 }
 
-// replaces reports whether a reported state is newer than the current remote state.
-func (t *topicState) replaces(next observedState) bool {
+// newerThanRemote reports whether next is newer than the newest state that another gateway has reported so far.
+func (t *topicState) newerThanRemote(next observedState) bool {
 	if t.versioned && next.state != t.remote.state {
 		return next.state > t.remote.state
 	}
@@ -116,10 +116,10 @@
 
 // ReportState records the state of a topic that this gateway read at the given time, and since when the
 // store has responded to its calls without interruption. The state is reported in heartbeats.
-func (p *Peers) ReportState(topic string, state uint64, at, since time.Time) {
+func (p *Peers) ReportState(topic string, state uint64, at, storeUpSince time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.states.record(topic, state, at, since)
+	p.states.record(topic, state, at, storeUpSince)
 }
 
 // StoreUpSince returns since when the store has responded without interruption to the gateway whose report
@@ -138,7 +138,7 @@
 }
 
 // NewerState reports whether another gateway has reported a newer state of a topic than this gateway's.
-// From is the gateway whose report is in use, and at the time at which it read the state.
+// From is the gateway whose report is in use, and at is when it read the state.
 func (p *Peers) NewerState(topic string) (at time.Time, from netip.AddrPort, newer bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
