--- a/internal/notice/days_test.go
+++ b/internal/notice/scenario_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// Excluded under the race detector, whose runtime fails in some simulations of whole fleets with a synthetic
+// Excluded under the race detector: its runtime fails in some simulations of whole deployments with a synthetic
 // clock.
 
 package notice_test
@@ -38,7 +38,7 @@
 	backoffGrace, maxDuringBackoff = 500 * time.Millisecond, 2
 )
 
-// scenario describes a simulated run: the notices of servers and the faults of gateways.
+// scenario describes a simulation: the notices that servers send and the faults of gateways.
 type scenario struct {
 	route             string
 	gateways, servers int
@@ -54,7 +54,7 @@
 	refuseFrom, refuseFor time.Duration
 	backoff               time.Duration
 	requestInterval       time.Duration // time between requests
-	// oneGateway sends all requests to the first gateway.
+	// oneGateway is set if all requests are sent to the first gateway.
 	oneGateway bool
 	faults     []fault
 }
@@ -72,24 +72,24 @@
 	ms := func(from, to int, what string) time.Duration {
 		return time.Duration(rapid.IntRange(from, to).Draw(t, what)) * time.Millisecond
 	}
-	d := scenario{route: rapid.SampledFrom([]string{"once", "again", "stream", "resume"}).Draw(t, "route"),
+	s := scenario{route: rapid.SampledFrom([]string{"once", "again", "stream", "resume"}).Draw(t, "route"),
 		gateways: rapid.IntRange(1, 5).Draw(t, "gateways"), servers: rapid.IntRange(1, 8).Draw(t, "servers"),
 		rate:      rapid.SampledFrom([]float64{0, 0.2, 1, 4, 60}).Draw(t, "rate"),
 		limitFrom: ms(500, 3000, "limit from"), limitUntil: ms(9000, 20000, "limit until"),
 		requestInterval: ms(4, 60, "request interval"), oneGateway: rapid.Bool().Draw(t, "one gateway")}
-	d.limitedServers = rapid.IntRange(1, d.servers).Draw(t, "limited servers")
+	s.limitedServers = rapid.IntRange(1, s.servers).Draw(t, "limited servers")
 	if rapid.Bool().Draw(t, "drain") {
-		d.drainingServers, d.drainFrom = rapid.IntRange(1, d.servers).Draw(t, "draining servers"), ms(500, 9000, "drain from")
+		s.drainingServers, s.drainFrom = rapid.IntRange(1, s.servers).Draw(t, "draining servers"), ms(500, 9000, "drain from")
 	}
 	if rapid.Bool().Draw(t, "back off") {
-		d.backoffServers, d.refuseFrom, d.refuseFor = rapid.IntRange(1, d.servers).Draw(t, "backoff servers"), ms(500, 9000, "refuse from"), ms(50, 2000, "refuse for")
-		d.backoff = ms(1000, 6000, "backoff")
+		s.backoffServers, s.refuseFrom, s.refuseFor = rapid.IntRange(1, s.servers).Draw(t, "backoff servers"), ms(500, 9000, "refuse from"), ms(50, 2000, "refuse for")
+		s.backoff = ms(1000, 6000, "backoff")
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "faults") {
-		d.faults = append(d.faults, fault{ms(500, 12000, "at"), ms(200, 8000, "duration"), rapid.SampledFrom(faultKinds).Draw(t, "kind"),
-			rapid.IntRange(0, d.gateways-1).Draw(t, "node")})
+		s.faults = append(s.faults, fault{ms(500, 12000, "at"), ms(200, 8000, "duration"), rapid.SampledFrom(faultKinds).Draw(t, "kind"),
+			rapid.IntRange(0, s.gateways-1).Draw(t, "node")})
 	}
-	return d
+	return s
 }
 
 // scenarioRun is the state of a running scenario.
@@ -104,88 +104,88 @@
 }
 
 // sendRequests sends requests at the scenario's interval until its end.
-func (p *scenarioRun) sendRequests() {
+func (run *scenarioRun) sendRequests() {
 	rnd := rand.New(rand.NewPCG(5, 5))
 	var pending sync.WaitGroup
-	for i := 0; time.Since(p.begin) < scenarioDuration; i++ {
-		n := p.Nodes[rnd.IntN(p.gateways)]
-		if p.oneGateway {
-			n = p.Nodes[0]
+	for i := 0; time.Since(run.begin) < scenarioDuration; i++ {
+		n := run.Nodes[rnd.IntN(run.gateways)]
+		if run.oneGateway {
+			n = run.Nodes[0]
 		}
 		if n.Gateway().Ready() { // as checked by the load balancer
-			id := fmt.Sprintf("%s/%s-%d", n.Name, p.route, i)
+			id := fmt.Sprintf("%s/%s-%d", n.Name, run.route, i)
 			pending.Go(func() {
 				at := time.Now()
-				r := p.SendRequest(n, p.route, id, "body of "+id)
-				p.mu.Lock()
-				p.replies[id], p.sentAt[id] = r, at
-				p.mu.Unlock()
+				r := run.SendRequest(n, run.route, id, "body of "+id)
+				run.mu.Lock()
+				run.replies[id], run.sentAt[id] = r, at
+				run.mu.Unlock()
 			})
 		}
-		time.Sleep(p.requestInterval)
+		time.Sleep(run.requestInterval)
 	}
 	pending.Wait()
 }
 
 // setNotices makes the servers send the scenario's notices.
-func (p *scenarioRun) setNotices() {
+func (run *scenarioRun) setNotices() {
 	step := 10 * time.Millisecond
 	refusing := false
 	for now := time.Duration(0); now < scenarioDuration; now += step {
-		for i, s := range p.Servers {
+		for i, s := range run.Servers {
 			var headers []string
-			if i < p.limitedServers && now >= p.limitFrom && now < p.limitUntil {
-				headers = append(headers, "Server-Limit: "+strconv.FormatFloat(p.rate, 'g', -1, 64))
+			if i < run.limitedServers && now >= run.limitFrom && now < run.limitUntil {
+				headers = append(headers, "Server-Limit: "+strconv.FormatFloat(run.rate, 'g', -1, 64))
 			}
-			if p.draining(i) && now >= p.drainFrom {
+			if run.draining(i) && now >= run.drainFrom {
 				headers = append(headers, "Server-Leaving: 1")
 			}
-			p.RunningWorker(s).SetHeaders(headers...)
+			run.RunningWorker(s).SetHeaders(headers...)
 		}
-		if refuse := now >= p.refuseFrom && now < p.refuseFrom+p.refuseFor; p.backoffServers > 0 && refuse != refusing {
+		if refuse := now >= run.refuseFrom && now < run.refuseFrom+run.refuseFor; run.backoffServers > 0 && refuse != refusing {
 			refusing = refuse
-			p.SetEventInterval(0)
-			for _, s := range p.Servers[:p.backoffServers] {
+			run.SetEventInterval(0)
+			for _, s := range run.Servers[:run.backoffServers] {
 				if refuse {
-					p.RunningWorker(s).SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: strconv.FormatFloat(p.backoff.Seconds(), 'f', 3, 64)})
+					run.RunningWorker(s).SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: strconv.FormatFloat(run.backoff.Seconds(), 'f', 3, 64)})
 				}
 			}
 		}
-		p.Sleep(step)
+		run.Sleep(step)
 	}
 }
 
 // draining reports whether a server is draining in the scenario: the last drainingServers are.
-func (p *scenarioRun) draining(i int) bool { return i >= p.servers-p.drainingServers }
+func (run *scenarioRun) draining(i int) bool { return i >= run.servers-run.drainingServers }
 
 // injectFault injects one fault and waits until it is over.
-func (p *scenarioRun) injectFault(f fault) {
-	p.Sleep(f.at)
-	n := p.Nodes[f.node]
+func (run *scenarioRun) injectFault(f fault) {
+	run.Sleep(f.at)
+	n := run.Nodes[f.node]
 	switch f.kind {
 	case "kill":
-		p.KillNode(n)
-		p.StartNode(n)
+		run.KillNode(n)
+		run.StartNode(n)
 	case "partition one", "partition in two":
 		isolated := func(i int) bool { return f.kind == "partition in two" && i <= f.node || i == f.node }
-		p.partition(isolated, true)
-		p.Sleep(f.duration)
-		p.partition(isolated, false)
+		run.partition(isolated, true)
+		run.Sleep(f.duration)
+		run.partition(isolated, false)
 	case "join":
-		p.AddNode(fmt.Sprint("joined-", f.at))
+		run.AddNode(fmt.Sprint("joined-", f.at))
 	case "store partition":
-		p.PartitionStore(n, true)
-		p.Sleep(f.duration)
-		p.PartitionStore(n, false)
+		run.PartitionStore(n, true)
+		run.Sleep(f.duration)
+		run.PartitionStore(n, false)
 	}
 }
 
 // partition disconnects the isolated gateways from the others, or reconnects them. All still reach the servers.
-func (p *scenarioRun) partition(isolated func(int) bool, cut bool) {
-	for i, a := range p.Nodes {
-		for j, b := range p.Nodes {
+func (run *scenarioRun) partition(isolated func(int) bool, cut bool) {
+	for i, a := range run.Nodes {
+		for j, b := range run.Nodes {
 			if i < j && isolated(i) != isolated(j) {
-				p.PartitionNodes(a, b, cut)
+				run.PartitionNodes(a, b, cut)
 			}
 		}
 	}
@@ -221,15 +221,15 @@
 
 // arrivalsByGateway returns the arrivals at a server, keyed by the gateway that sent them. It excludes gateways
 // that are killed in the scenario, because they lose their notices.
-func (p *scenarioRun) arrivalsByGateway(w *worker.Worker) map[string][]worker.Arrival {
+func (run *scenarioRun) arrivalsByGateway(w *worker.Worker) map[string][]worker.Arrival {
 	out := map[string][]worker.Arrival{}
 	for _, a := range w.Arrivals() {
 		host, _, _ := strings.Cut(a.ID, "/")
 		out[host] = append(out[host], a)
 	}
-	for _, f := range p.faults {
+	for _, f := range run.faults {
 		if f.kind == "kill" {
-			delete(out, p.Nodes[f.node].Name)
+			delete(out, run.Nodes[f.node].Name)
 		}
 	}
 	return out
@@ -237,20 +237,20 @@
 
 // checkCompliance returns an error message if a gateway did not comply with a notice that it had received, and ""
 // otherwise.
-func (p *scenarioRun) checkCompliance() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for i, s := range p.Servers {
-		for host, arrivals := range p.arrivalsByGateway(p.RunningWorker(s)) {
+func (run *scenarioRun) checkCompliance() string {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	for i, s := range run.Servers {
+		for host, arrivals := range run.arrivalsByGateway(run.RunningWorker(s)) {
 			slices.SortFunc(arrivals, func(a, b worker.Arrival) int { return a.At.Compare(b.At) })
-			if p.draining(i) {
-				if id := requestAfterDraining(arrivals, p.begin.Add(p.drainFrom+10*time.Millisecond), p.sentAt); id != "" {
+			if run.draining(i) {
+				if id := requestAfterDraining(arrivals, run.begin.Add(run.drainFrom+10*time.Millisecond), run.sentAt); id != "" {
 					return id + " reached a server after its gateway had received a draining notice"
 				}
 			}
-			if i < p.backoffServers {
-				from := p.begin.Add(p.refuseFrom + 10*time.Millisecond)
-				if n := requestsDuringBackoff(arrivals, from, from.Add(p.refuseFor-20*time.Millisecond), p.backoff); n > maxDuringBackoff {
+			if i < run.backoffServers {
+				from := run.begin.Add(run.refuseFrom + 10*time.Millisecond)
+				if n := requestsDuringBackoff(arrivals, from, from.Add(run.refuseFor-20*time.Millisecond), run.backoff); n > maxDuringBackoff {
 					return fmt.Sprintf("%s sent %d requests to a server during a backoff", host, n)
 				}
 			}
@@ -260,12 +260,12 @@
 }
 
 // requestAfterDraining returns the ID of a request that was sent more than drainGrace after its gateway received
-// the draining notice, or "" if there is none. The server sends the notice from the given time on.
-func requestAfterDraining(arrivals []worker.Arrival, statedFrom time.Time, sentAt map[string]time.Time) string {
+// the draining notice, or "" if there is none. The server sends the notice from noticeFrom on.
+func requestAfterDraining(arrivals []worker.Arrival, noticeFrom time.Time, sentAt map[string]time.Time) string {
 	var received time.Time
 	for _, a := range arrivals {
 		switch {
-		case a.At.Before(statedFrom):
+		case a.At.Before(noticeFrom):
 		case received.IsZero():
 			received = a.At
 		case sentAt[a.ID].Sub(received) > drainGrace:
@@ -295,30 +295,30 @@
 
 // check returns an error message if the gateways did not comply with the notices or refused a request incorrectly,
 // and "" otherwise.
-func (p *scenarioRun) check() string {
-	if failure := p.checkCompliance(); failure != "" {
+func (run *scenarioRun) check() string {
+	if failure := run.checkCompliance(); failure != "" {
 		return failure
 	}
-	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(p.limitUntil)
-	ran := map[string]bool{}
-	for _, s := range p.Servers {
-		for _, r := range p.RunningWorker(s).Executions() {
-			ran[r.ID] = true
+	from, to := run.begin.Add(run.limitFrom+propagationTime), run.begin.Add(run.limitUntil)
+	executed := map[string]bool{}
+	for _, s := range run.Servers {
+		for _, r := range run.RunningWorker(s).Executions() {
+			executed[r.ID] = true
 		}
 	}
-	for _, s := range p.Servers[:p.limitedServers] {
-		if n, allowed := maxInWindow(arrivals(p.RunningWorker(s)), from, to), 1.5*p.rate*window.Seconds()+5; float64(n) > allowed {
+	for _, s := range run.Servers[:run.limitedServers] {
+		if n, allowed := maxInWindow(arrivals(run.RunningWorker(s)), from, to), 1.5*run.rate*window.Seconds()+5; float64(n) > allowed {
 			return fmt.Sprintf("%s received %d requests in 4 s, allowed %v", s.ID, n, allowed)
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for id, r := range p.replies {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	for id, r := range run.replies {
 		retryAfter, _ := strconv.ParseFloat(r.RetryAfter, 64)
 		switch {
 		case r.Status != 429 && r.Status != 503:
-		case ran[id]:
-			return id + " was refused but ran"
+		case executed[id]:
+			return id + " was refused but executed"
 		case retryAfter <= 0:
 			return id + " was refused without a Retry-After time"
 		case r.Elapsed > maxRefusalTime:
@@ -330,16 +330,16 @@
 
 // checkUtilization returns an error message if too little of the limits is used in a scenario without faults or
 // other notices, and "" otherwise.
-func (p *scenarioRun) checkUtilization() string {
-	capacity := p.rate * float64(p.limitedServers)
-	demand := 1 / p.requestInterval.Seconds()
-	if len(p.faults) > 0 || p.drainingServers > 0 || p.backoffServers > 0 || p.limitedServers < p.servers || p.rate < 1 || demand < 1.5*capacity {
+func (run *scenarioRun) checkUtilization() string {
+	capacity := run.rate * float64(run.limitedServers)
+	demand := 1 / run.requestInterval.Seconds()
+	if len(run.faults) > 0 || run.drainingServers > 0 || run.backoffServers > 0 || run.limitedServers < run.servers || run.rate < 1 || demand < 1.5*capacity {
 		return ""
 	}
-	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(min(p.limitUntil, scenarioDuration-time.Second))
+	from, to := run.begin.Add(run.limitFrom+propagationTime), run.begin.Add(min(run.limitUntil, scenarioDuration-time.Second))
 	n := 0
-	for _, s := range p.Servers {
-		for _, at := range arrivals(p.RunningWorker(s)) {
+	for _, s := range run.Servers {
+		for _, at := range arrivals(run.RunningWorker(s)) {
 			if at.After(from) && at.Before(to) {
 				n++
 			}
@@ -352,64 +352,64 @@
 }
 
 // run simulates the scenario and returns an error message, or "" if all checks pass.
-func (d scenario) run() (failure string) {
+func (s scenario) run() (failure string) {
 	synctest.Test(new(testing.T), func(*testing.T) {
-		p := &scenarioRun{Fleet: simfleet.New(d.gateways, d.servers, 1, nil), scenario: d, replies: map[string]simfleet.Response{}, sentAt: map[string]time.Time{}}
-		defer p.Close()
-		p.begin = time.Now()
+		run := &scenarioRun{Fleet: simfleet.New(s.gateways, s.servers, 1, nil), scenario: s, replies: map[string]simfleet.Response{}, sentAt: map[string]time.Time{}}
+		defer run.Close()
+		run.begin = time.Now()
 		var tasks sync.WaitGroup
-		tasks.Go(p.sendRequests)
-		tasks.Go(p.setNotices)
+		tasks.Go(run.sendRequests)
+		tasks.Go(run.setNotices)
 		tasks.Go(func() {
 			var faults sync.WaitGroup
 			defer faults.Wait()
-			for _, f := range d.faults {
+			for _, f := range s.faults {
 				if f.kind == "kill" || f.kind == "join" {
 					continue
 				}
-				faults.Go(func() { p.injectFault(f) })
+				faults.Go(func() { run.injectFault(f) })
 			}
 			// Kills and joins are injected one at a time.
-			slices.SortFunc(d.faults, func(a, b fault) int { return int(a.at - b.at) })
-			for _, f := range d.faults {
+			slices.SortFunc(s.faults, func(a, b fault) int { return int(a.at - b.at) })
+			for _, f := range s.faults {
 				if f.kind == "kill" || f.kind == "join" {
-					f.at = max(0, f.at-time.Since(p.begin))
-					p.injectFault(f)
+					f.at = max(0, f.at-time.Since(run.begin))
+					run.injectFault(f)
 				}
 			}
 		})
 		tasks.Wait()
-		if failure = p.check(); failure == "" {
-			failure = p.checkUtilization()
+		if failure = run.check(); failure == "" {
+			failure = run.checkUtilization()
 		}
 	})
 	return failure
 }
 
-// With faults of gateways and any distribution of callers:
+// Checks, with faults of gateways and any distribution of callers, that
 //   - a server with a rate limit receives at most 1.5 times that rate plus 5 requests in any 4 s;
 //   - a draining server receives no requests, and a server during a backoff at most maxDuringBackoff, from
 //     each gateway that has received the notice, after a grace period;
-//   - refused requests have not run, and are refused within maxRefusalTime and with a Retry-After header;
+//   - refused requests have not been executed, and are refused within maxRefusalTime and with a Retry-After header;
 //   - without faults and other notices, at least 0.7 of the capacity that the limits allow is used.
 func TestFleetsComplyWithNotices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := drawScenario(t)
-		if failure := d.run(); failure != "" {
-			t.Fatalf("%s\n%+v", failure, d)
+		s := drawScenario(t)
+		if failure := s.run(); failure != "" {
+			t.Fatalf("%s\n%+v", failure, s)
 		}
 	})
 }
 
-// Guards against a burst of requests at the end of a backoff. The gateways learn a rate limit that the server
-// has stated since from its first response after the backoff; requests sent at the same time are not limited.
+// Guards against a burst of requests at the end of a backoff. If the server has set a rate limit during the backoff,
+// the gateways learn of it from the first response afterwards; requests sent before that response are not limited.
 func TestRateLimitAppliesAfterABackoff(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	d := scenario{route: "again", gateways: 5, servers: 4, limitedServers: 4, limitFrom: ms(2407), limitUntil: ms(9077),
+	s := scenario{route: "again", gateways: 5, servers: 4, limitedServers: 4, limitFrom: ms(2407), limitUntil: ms(9077),
 		drainingServers: 1, drainFrom: ms(736), backoffServers: 1, refuseFrom: ms(537), refuseFor: ms(51), backoff: ms(6000),
 		requestInterval: ms(5), oneGateway: true, faults: []fault{{ms(500), ms(201), "store partition", 1},
 			{ms(1766), ms(202), "join", 4}, {ms(4292), ms(2116), "partition in two", 4}}}
-	if failure := d.run(); failure != "" {
-		t.Fatalf("%s\n%+v", failure, d)
+	if failure := s.run(); failure != "" {
+		t.Fatalf("%s\n%+v", failure, s)
 	}
 }
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -27,7 +27,7 @@
 
 // sendNotices sends the notices that are due to all other gateways.
 func (p *Peers) sendNotices(now time.Time) {
-	for batch := range slices.Chunk(p.notices.Due(now), maxNoticesPerDatagram) {
+	for batch := range slices.Chunk(p.notices.DueReports(now), maxNoticesPerDatagram) {
 		p.sendAll(message{Notices: batch})
 	}
 }
@@ -38,7 +38,7 @@
 	host := p.hostAt(from)
 	var newer []notice.Report
 	for _, n := range notices {
-		if reply := p.notices.Receive(n, host, now); reply != nil {
+		if reply := p.notices.ReceiveReport(n, host, now); reply != nil {
 			newer = append(newer, *reply)
 		}
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -186,7 +186,7 @@
 			return
 		case r = <-p.inbox:
 		case <-p.quarantine.UpdatesReady():
-		case <-p.notices.Pending():
+		case <-p.notices.ReportsReady():
 		case <-timer.C:
 			next := idlePollInterval
 			if p.scheduler.QueuedCount() > 0 {
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -45,7 +45,7 @@
 	for _, batch := range suspectBatches(p.quarantine.Snapshot(now)) {
 		p.send(message{Suspects: batch}, address)
 	}
-	for batch := range slices.Chunk(p.notices.All(now), maxNoticesPerDatagram) {
+	for batch := range slices.Chunk(p.notices.AllReports(now), maxNoticesPerDatagram) {
 		p.send(message{Notices: batch}, address)
 	}
 }
