--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -1,9 +1,8 @@
-// Package lending carries grant requests from routers to the home routers of the teams,
-// and the responses, with one datagram each way. It uses datagrams instead of connections
-// because with 390 routers nearly every request is the first of its team at its router:
-// each request needs one small exchange, and there is no state that a connection would
-// preserve. A lost datagram costs a wait of requestTimeout, and the router falls back to
-// its equal share of the team's limits.
+// Package lending sends grant requests from routers to the home routers of the teams, and the
+// responses back, in one datagram each. It uses datagrams instead of connections because with
+// 390 routers nearly every request is the first of its team at its router: each request needs
+// one small exchange, and there is no state that a connection would preserve. If a datagram is
+// lost, the router waits for requestTimeout and then uses its equal share of the team's limits.
 package lending
 
 import (
@@ -18,9 +17,9 @@
 )
 
 const (
-	// requestTimeout limits the wait for the home router's response, which delays a caller's request.
+	// requestTimeout limits the wait for the home router's response, during which a caller's request is delayed.
 	requestTimeout = 100 * time.Millisecond
-	// requestQueueSize is the capacity of the queue of received requests.
+	// requestQueueSize is the capacity of the queue of received grant requests. Further ones are dropped.
 	requestQueueSize = 1024
 )
 
@@ -41,7 +40,7 @@
 	MarkReachable(router string)
 }
 
-// Transport sends and receives the messages of this router on one UDP socket. It is safe for
+// Transport exchanges messages with other routers on one UDP socket. It is safe for
 // concurrent use.
 type Transport struct {
 	socket *datagram.Socket[message]
@@ -63,7 +62,7 @@
 // Address returns the address that the socket is bound to.
 func (t *Transport) Address() string { return t.socket.Address().String() }
 
-// pendingRequest is a received request and the address to respond to.
+// receivedRequest is a grant request and the address to respond to.
 type receivedRequest struct {
 	req  quota.GrantRequest
 	from netip.AddrPort
@@ -92,7 +91,7 @@
 	case m.Release != nil:
 		t.home.Release(*m.Release)
 	case m.Response != nil:
-		t.deliver(*m.Response)
+		t.deliverResponse(*m.Response)
 	case m.Request != nil:
 		select {
 		case requests <- receivedRequest{*m.Request, from}:
@@ -102,30 +101,31 @@
 	}
 }
 
-func (t *Transport) deliver(resp quota.GrantResponse) {
+// deliverResponse passes a response to the Acquire call that waits for it.
+func (t *Transport) deliverResponse(resp quota.GrantResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ch := t.pendingResponses[resp.Seq]; ch != nil {
-		ch <- resp // does not block: the buffered channel receives only this response
+		ch <- resp // does not block: the channel is buffered and receives only this response
 		delete(t.pendingResponses, resp.Seq)
 	}
 }
 
-// Ping notifies the router at address that the router named self can reach it.
+// Ping notifies the router at the address that the router named self can reach it.
 func (t *Transport) Ping(address, self string) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
 		t.socket.Send(message{Ping: self}, to)
 	}
 }
 
-// Release sends a release notice to the home router at address.
+// Release sends a release notice to the home router at the address.
 func (t *Transport) Release(address string, n quota.ReleaseNotice) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
 		t.socket.Send(message{Release: &n}, to)
 	}
 }
 
-// Acquire sends a grant request to the home router at an address and waits for the response.
+// Acquire sends a grant request to the home router at the address home and waits for the response.
 // It returns false if none arrives within requestTimeout. Each request needs a unique Seq.
 func (t *Transport) Acquire(ctx context.Context, home string, req quota.GrantRequest) (quota.GrantResponse, bool) {
 	to, err := netip.ParseAddrPort(home)
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -11,7 +11,7 @@
 	"github.com/merlinpost/merlinpost/internal/quota"
 )
 
-// fakeHome answers grant requests with a function.
+// fakeHome is a Home that responds to grant requests with the result of a function.
 type fakeHome func(quota.GrantRequest) quota.GrantResponse
 
 func (h fakeHome) Acquire(req quota.GrantRequest) quota.GrantResponse { return h(req) }
@@ -19,18 +19,18 @@
 func (fakeHome) MarkReachable(string)                                 {}
 
 func startTransport(t *testing.T, acquire fakeHome) *Transport {
-	p, err := Open("127.0.0.1:0", acquire)
+	transport, err := Open("127.0.0.1:0", acquire)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { p.Run(ctx); close(done) }()
+	go func() { transport.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return p
+	return transport
 }
 
-func TestAcquireReturnsTheResponseOfTheHome(t *testing.T) {
+func TestAcquireReturnsResponseOfHome(t *testing.T) {
 	g := NewWithT(t)
 	home := startTransport(t, func(req quota.GrantRequest) quota.GrantResponse {
 		return quota.GrantResponse{Seq: req.Seq, Granted: req.Team == "known", RetryAfterMS: 7}
