--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,5 +1,5 @@
 // Package ratelimit enforces the request rates that backend servers accept from all gateways together. It
-// uses no clock and no network.
+// uses no clock and no network: callers pass the current time and exchange the loans with other gateways.
 //
 // Each gateway owns an equal share of each rate. While it can reach the gateway that schedules requests
 // for the server, it lends its share to that gateway for a short time and requests permits from it, so
@@ -20,23 +20,23 @@
 	// shares of gateways that are down or are changing their borrower. No gateway uses more than
 	// the rate.
 	shareOversubscription = 1.25
-	// burstWindow is the time whose requests may be sent at once, in addition to one request. It
-	// allows for requests that do not arrive evenly.
+	// burstWindow limits bursts: the requests that the rate allows in this time may be sent at once,
+	// in addition to one request. It allows for requests that do not arrive evenly.
 	burstWindow = 250 * time.Millisecond
-	// minRate is the lower bound of any rate, in requests per second: a server that gets no requests
-	// sends no response in which it could lift its limit.
+	// minRate is the lower bound of any rate, in requests per second: a server that receives no
+	// requests sends no response in which it could lift its limit.
 	minRate = 0.2
-	// minLoanDuration is the minimum duration of a loan. With many gateways a loan takes
-	// loanDurationPerGateway for each of them, as the borrower must hear from each gateway several
-	// times during a loan.
+	// minLoanDuration is the minimum duration of a loan. With many gateways a loan lasts
+	// loanDurationPerGateway for each of them, because the borrower must receive several renewals from
+	// each gateway during a loan.
 	minLoanDuration        = 2500 * time.Millisecond
 	loanDurationPerGateway = 25 * time.Millisecond
-	// renewalsPerLoan is the number of renewals during a loan's duration. A single lost renewal has
-	// no effect.
+	// renewalsPerLoan is the number of renewals within the duration of a loan. It allows for the loss
+	// of a single renewal.
 	renewalsPerLoan = 2.5
 )
 
-// Budget is what a server accepts from this gateway now.
+// Budget describes which requests a server accepts from this gateway at a given time.
 type Budget struct {
 	// Limited reports whether the server states a rate. If not, the other fields are zero.
 	Limited bool
@@ -61,8 +61,8 @@
 	rate       float64 // in requests per second, as stated by the server but at least minRate
 	tokens     float64 // at refilledAt
 	refilledAt time.Time
-	// borrowed maps each gateway that has lent its share to the expiry of the loan.
-	borrowed       map[string]time.Time
+	// borrowedUntil maps each gateway that has lent its share to the expiry of the loan.
+	borrowedUntil  map[string]time.Time
 	nextLoanExpiry time.Time // no borrowed share expires earlier
 	// borrower is the gateway that holds this gateway's share until lentUntil.
 	borrower  string
@@ -75,15 +75,15 @@
 	return &Limiter{random: random, buckets: map[string]*bucket{}, gateways: 1}
 }
 
-// SetRate sets the rate of a server. As the number of requests that the server received before is unknown,
-// the first request is allowed after a random part of the time for one. This keeps gateways that learn of
-// the rate at the same time from all sending at once.
+// SetRate sets the rate of a server. The number of requests that the server has received before is
+// unknown, so the first request is allowed after a random fraction of the time between two requests. This
+// prevents gateways that learn of the rate at the same time from all sending at once.
 func (l *Limiter) SetRate(server string, rate float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.buckets[server]
 	if b == nil {
-		b = &bucket{refilledAt: now, tokens: l.random(), borrowed: map[string]time.Time{}}
+		b = &bucket{refilledAt: now, tokens: l.random(), borrowedUntil: map[string]time.Time{}}
 		l.buckets[server] = b
 		l.bucketCount.Store(int32(len(l.buckets)))
 	}
@@ -132,7 +132,7 @@
 	l.gateways = max(n, 1)
 }
 
-// Budget returns what a server accepts from this gateway now.
+// Budget returns which requests a server accepts from this gateway now.
 func (l *Limiter) Budget(server string, now time.Time) Budget {
 	if l.bucketCount.Load() == 0 {
 		return Budget{}
@@ -178,7 +178,7 @@
 	return true
 }
 
-// RenewalInterval returns the interval at which loans are to be renewed.
+// RenewalInterval returns the interval at which loans must be renewed.
 func (l *Limiter) RenewalInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,7 +197,7 @@
 	l.refill(b, now)
 	b.borrower, b.lentUntil = to, now.Add(l.loanDuration())
 	if l.usableRate(b, now) == 0 {
-		b.tokens = l.random() // accumulated tokens go with the share; the bucket starts again as in SetRate
+		b.tokens = l.random() // the accumulated tokens are discarded with the share; the bucket is initialized as in SetRate
 	}
 	return true
 }
@@ -212,20 +212,20 @@
 	}
 	l.refill(b, now)
 	until := now.Add(l.loanDuration())
-	b.borrowed[from] = until
+	b.borrowedUntil[from] = until
 	if until.Before(b.nextLoanExpiry) {
 		b.nextLoanExpiry = until
 	}
 }
 
-// DropBorrowed discards all borrowed shares. It is to be called after this process was stalled, as the age
-// of the messages that it receives next is unknown.
+// DropBorrowed discards all borrowed shares. It must be called after a stall of this process, because the
+// age of the messages that it receives next is unknown.
 func (l *Limiter) DropBorrowed(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, b := range l.buckets {
 		l.refill(b, now)
-		clear(b.borrowed)
+		clear(b.borrowedUntil)
 	}
 }
 
@@ -246,17 +246,17 @@
 // borrowedShares returns the number of shares that other gateways have lent, and removes expired ones.
 func (l *Limiter) borrowedShares(b *bucket, now time.Time) int {
 	if now.Before(b.nextLoanExpiry) {
-		return len(b.borrowed)
+		return len(b.borrowedUntil)
 	}
 	b.nextLoanExpiry = now.Add(l.loanDuration())
-	for from, until := range b.borrowed {
+	for from, until := range b.borrowedUntil {
 		if !now.Before(until) {
-			delete(b.borrowed, from)
+			delete(b.borrowedUntil, from)
 		} else if until.Before(b.nextLoanExpiry) {
 			b.nextLoanExpiry = until
 		}
 	}
-	return len(b.borrowed)
+	return len(b.borrowedUntil)
 }
 
 // shareRate returns the rate of the given number of shares, at most the whole rate.
