--- a/internal/permit/engine.go
+++ b/internal/permit/engine.go
@@ -15,7 +15,7 @@
 	// maxBackoffDoublings prevents overflow when shifting the backoff.
 	maxBackoffDoublings = 8
 	// maxReservedShare is the share of an engine's KV cache that may be reserved for the unshared
-	// tokens of requests. The rest is left for shared prefixes.
+	// tokens of requests. The rest caches shared prefixes.
 	maxReservedShare = 0.75
 	// overdueWait is the expected wait for an engine whose prefills are overdue.
 	overdueWait = 3 * grantLead
@@ -29,8 +29,8 @@
 	// on prefills if the stream is used to estimate the token time. Beyond it prefills dominate
 	// the duration.
 	maxPrefillShare = 0.3
-	// minOutputLeftShare is the share of the expected output that a stream is always assumed to
-	// have left, even if it has generated more than expected.
+	// minOutputLeftShare is the minimum share of the expected output that a stream is assumed to
+	// have left, even if it has already generated more than expected.
 	minOutputLeftShare = 0.1
 )
 
@@ -47,8 +47,8 @@
 	expectedPrefillEnd time.Time
 	// prefillTotal is the expected duration of all completed prefills.
 	prefillTotal time.Duration
-	// prefillBurst is the total duration of the consecutive prefills up to lastPrefillEnd that
-	// left no time in between for an event of each stream.
+	// prefillBurst is the total duration of the consecutive prefills up to lastPrefillEnd. Prefills
+	// are consecutive if the pause between them is too short for each stream to emit an event.
 	prefillBurst        time.Duration
 	lastPrefillEnd      time.Time
 	prefills            [recentPrefills]completedPrefill
@@ -99,8 +99,7 @@
 }
 
 // currentBurst returns the duration of the prefill burst that is in progress or has just ended, or 0 if
-// there is none. eventInterval is the time in which each stream yields an event while no prefill is
-// running.
+// there is none. eventInterval is the time between two events of a stream while no prefill is running.
 func (e *engine) currentBurst(eventInterval time.Duration, now time.Time) time.Duration {
 	if e.pendingPrefills > 0 || now.Sub(e.lastPrefillEnd) < eventInterval {
 		return e.prefillBurst
@@ -108,8 +107,8 @@
 	return 0
 }
 
-// startPrefill accounts for a granted request that needs a prefill. eventInterval is the time in which
-// each stream yields an event while no prefill is running.
+// startPrefill accounts for a granted request that needs a prefill. eventInterval is the time between two
+// events of a stream while no prefill is running.
 func (e *engine) startPrefill(granted *entry, eventInterval time.Duration, now time.Time) {
 	e.prefillBurst = e.currentBurst(eventInterval, now) + granted.expectedPrefill
 	if e.pendingPrefills == 0 || e.expectedPrefillEnd.Before(now) {
@@ -147,8 +146,8 @@
 	granted.prefillTotalAtFirstToken = e.prefillTotal
 }
 
-// remove releases the capacity that a granted request holds.
-func (e *engine) remove(granted *entry, now time.Time) {
+// release frees the capacity that a granted request holds.
+func (e *engine) release(granted *entry, now time.Time) {
 	e.finishPrefill(granted, now)
 	e.reservedTokens -= granted.request.tokenDemand()
 	delete(e.requests, granted.request.ID)
@@ -183,7 +182,7 @@
 	return granted.request.ResponseTimeout - now.Sub(granted.arrivedAt) - time.Duration(remaining*float64(service.TokenTime()))
 }
 
-// succeeded records a successful request and ends the backoff.
+// recordSuccess records a successful request and ends the backoff.
 func (e *engine) recordSuccess(now time.Time) {
 	e.failureRate.Add(now, false)
 	e.consecutiveFailures = 0
--- a/internal/permit/limits_test.go
+++ b/internal/permit/limits_test.go
@@ -13,8 +13,8 @@
 	return Ask{ID: id, Plain: true, Priority: priority, FirstTokenTarget: 300 * time.Millisecond, FirstTokenTimeout: 2 * time.Second, ResponseTimeout: 5 * time.Second}
 }
 
-// rateLimitedQueue returns a queue with the given number of engines, of which the first limited state a
-// rate in requests per second.
+// rateLimitedQueue returns a queue with the given number of engines, of which the first limited ones have
+// a rate limit in requests per second.
 func rateLimitedQueue(engines, limited int, rate float64) (*Queue, time.Time) {
 	q, now := newQueue(engines)
 	for i := range limited {
@@ -23,9 +23,9 @@
 	return q, now
 }
 
-// An engine gets no more requests than its stated rate allows, even if it caches the shared prefix of all
+// An engine gets no more requests than its rate limit allows, even if it caches the shared prefix of all
 // prompts.
-func TestStatedRateIsNotExceeded(t *testing.T) {
+func TestAdvertisedRateLimitIsNotExceeded(t *testing.T) {
 	g := NewWithT(t)
 	q, now := rateLimitedQueue(2, 1, 1)
 	granted := map[string]int{}
@@ -61,8 +61,8 @@
 	g.Expect(q.Idle()).To(BeTrue())
 }
 
-// Plain servers that fail requests get no backoff, as there may be no others, but they become more
-// expensive than servers that work.
+// Plain servers that fail requests get no backoff, as there may be no other server, but their cost exceeds
+// that of healthy servers.
 func TestFailingPlainServerGetsFewerRequests(t *testing.T) {
 	g := NewWithT(t)
 	q, now := rateLimitedQueue(2, 0, 0)
@@ -78,9 +78,9 @@
 	g.Expect(granted["e1"]).To(Equal(10))
 }
 
-// When all engines state a rate and demand exceeds the total, priority decides: no urgent request is
-// refused while less urgent ones are granted, refusals include a retry time, and no request waits
-// longer than its timeout.
+// When all engines have a rate limit and the load exceeds the sum of the limits, requests are granted by
+// priority: no urgent request is refused while less urgent ones are granted, refusals include a retry
+// time, and no request waits longer than its timeout.
 func TestPriorityDecidesWhenAllEnginesAreRateLimited(t *testing.T) {
 	for _, kind := range []string{"plain", "prompt"} {
 		t.Run(kind, func(t *testing.T) {
--- a/internal/permit/load.go
+++ b/internal/permit/load.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// loadTimeConstant is the time constant of the moving average of the offered load: short compared
-// with bursts of 5 to 10 s, and long enough to cover some tens of prompts.
+// loadTimeConstant is the time constant of the moving average of the offered load. It is short compared
+// with bursts of 5 to 10 s, and long enough to average over tens of prompts.
 const loadTimeConstant = 2 * time.Second
 
-// priorityLevels is the number of priorities whose load is measured separately. Less urgent ones count
-// as the last.
+// priorityLevels is the number of priorities whose load is measured separately. Less urgent priorities
+// are added to the last one.
 const priorityLevels = 10
 
 // loadByPriority is the offered load of each priority.
--- a/internal/permit/place.go
+++ b/internal/permit/place.go
@@ -8,8 +8,8 @@
 
 // docs/EXPERIMENTS.md compares some of these constants with other values in simulations.
 const (
-	// concurrentPrefillShare is the share of the shortest tolerated event gap that prompts
-	// prefilled together may take; they then count as one short prefill.
+	// concurrentPrefillShare is the maximum total prefill time of prompts that are prefilled
+	// together, as a share of the shortest tolerated event gap. They count as one short prefill.
 	concurrentPrefillShare = 0.25
 	// interferenceWeight is the cost of a prefill for each stream that it delays, relative to
 	// the same delay of the request itself.
@@ -34,10 +34,10 @@
 	// domain: the round trip and the traffic between domains.
 	crossDomainCost = 4 * time.Millisecond
 	// nonDisruptiveWaitShare is the share of its target for which a request waits for an engine
-	// where it disrupts no stream. After that it may disrupt baseDisruptions more urgent
-	// streams, and up to maxExtraDisruptions more as it approaches its timeout: delayed
-	// responses to others are preferred to its refusal. With lower values the longest prompts
-	// are served far less often than the others.
+	// where it disrupts no stream. After that it may disrupt baseDisruptions streams of more
+	// urgent requests, and up to maxExtraDisruptions further ones as it approaches its timeout:
+	// delaying other responses is better than refusing the request. With lower values the
+	// longest prompts are served far less often than shorter ones.
 	nonDisruptiveWaitShare = 0.6
 	baseDisruptions        = 1
 	maxExtraDisruptions    = 10.0
@@ -47,11 +47,11 @@
 	// plainRequestCost is the cost of each request that is running on a plain server.
 	plainRequestCost = 3 * time.Millisecond
 	// rateProbeInterval is the longest time for which a rate-limited server gets no request
-	// because others are cheaper; after that rateProbeBonus makes it the cheapest. A server lifts
-	// its limit only in its responses, so it needs occasional requests.
+	// because others are cheaper; after that rateProbeBonus makes it the cheapest. A server
+	// announces the end of its limit only in its responses, so it needs occasional requests.
 	rateProbeInterval, rateProbeBonus = 2 * time.Second, time.Hour
 	// defaultToleratedGap is the shortest tolerated event gap that is assumed if no recent request
-	// has stated one.
+	// specifies one.
 	defaultToleratedGap = 400 * time.Millisecond
 )
 
@@ -73,7 +73,7 @@
 	home   string // the engine that is most likely to cache it if source is empty
 }
 
-// locatePrefix finds out where the shared prefix of a request is cached.
+// locatePrefix determines where the shared prefix of a request is cached.
 func (q *Queue) locatePrefix(req Ask, now time.Time) prefixLocation {
 	if req.PrefixID == "" {
 		return prefixLocation{holds: func(string) bool { return true }}
@@ -150,7 +150,7 @@
 	location := q.locatePrefix(req, now)
 	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestToleratedGap(now)))
 	out := q.candidateBuf[:0]
-	for _, e := range q.ordered {
+	for _, e := range q.sortedEngines {
 		if !e.usable(now) || !e.hasCapacity(req) || slices.Contains(req.ExcludedEngines, e.ID) {
 			continue
 		}
@@ -186,7 +186,8 @@
 
 // interferenceCost returns the cost of running the request beside the engine's other requests. The cost
 // of delayed streams has weight 0 for the shortest prompts and 1 for those whose prefill takes
-// concurrentLimit or more, which delays streams noticeably. The order of preference has the rest.
+// concurrentLimit or more, which delays streams noticeably. The order of preference has the remaining
+// weight.
 func (q *Queue) interferenceCost(c candidate, concurrentLimit time.Duration) time.Duration {
 	weight := min(float64(c.prefill)/float64(concurrentLimit), 1)
 	streams := float64(len(c.engine.requests) - c.engine.pendingPrefills)
@@ -201,9 +202,9 @@
 	return time.Duration(cost)
 }
 
-// disruptionAllowance reports whether the request has waited long enough for an engine where it disrupts
-// no stream, and if so, how many more urgent streams it may disrupt. That number grows as the request
-// approaches its timeout.
+// disruptionAllowance reports whether the request has waited long enough to be placed where it disrupts
+// streams, and if so, how many streams of more urgent requests it may disrupt. That number grows as the
+// request approaches its timeout.
 func (q *Queue) disruptionAllowance(e *entry, now time.Time) (mayDisrupt bool, allowed int) {
 	waited, target := float64(now.Sub(e.arrivedAt)), e.request.FirstTokenTimeout
 	if e.request.FirstTokenTarget > 0 {
@@ -216,8 +217,8 @@
 }
 
 // disruptedStreams returns the number of streams on the candidate's engine that would exceed their event
-// gap or response timeout if the engine ran the prefill now. If mayDisrupt is set, only more urgent
-// streams count.
+// gap or response timeout if the engine ran the prefill now. If mayDisrupt is set, only streams of more
+// urgent requests count.
 func (q *Queue) disruptedStreams(c candidate, req Ask, mayDisrupt bool, now time.Time) int {
 	burst := c.engine.currentBurst(q.eventInterval(c.engine), now) + c.prefill
 	gap := q.model.EventGap(burst, c.engine.TokensPerEvent)
@@ -235,13 +236,12 @@
 	return disrupted
 }
 
-// eventInterval returns the time in which each stream of the engine yields an event while no
-// prefill is running.
+// eventInterval returns the time between two events of a stream of the engine while no prefill is running.
 func (q *Queue) eventInterval(e *engine) time.Duration {
 	return time.Duration(max(e.TokensPerEvent, 1)) * q.model.TokenTime()
 }
 
-// toleratedGapTTL is how long the shortest tolerated event gap is used after a request with it.
+// toleratedGapTTL is how long the shortest tolerated event gap applies after the request that set it.
 const toleratedGapTTL = 10 * time.Second
 
 // shortestToleratedGap returns the shortest event gap that recent requests tolerate.
@@ -252,7 +252,8 @@
 	return q.minToleratedGap
 }
 
-// recordToleratedGap updates the shortest tolerated event gap from a request's MaxEventGap, 0 if any.
+// recordToleratedGap updates the shortest tolerated event gap with a request's MaxEventGap. A gap of 0
+// means that the request has no limit and is ignored.
 func (q *Queue) recordToleratedGap(gap time.Duration, now time.Time) {
 	if gap > 0 && (q.minToleratedGap == 0 || gap <= q.minToleratedGap || now.Sub(q.minToleratedGapAt) > toleratedGapTTL) {
 		q.minToleratedGap, q.minToleratedGapAt = gap, now
--- a/internal/permit/place_test.go
+++ b/internal/permit/place_test.go
@@ -23,8 +23,7 @@
 
 // Engines with large prefill chunks pause all their streams during a chunk. A long prompt goes to an
 // engine whose streams tolerate this, or waits for a while; a short one may go to any engine. Without this
-// rule half of the interactive requests of one deployment had event gaps that were too long; with it most
-// of them do not.
+// rule half of the interactive requests of one deployment had too long event gaps; with it most have none.
 func TestLongPromptAvoidsStreamsThatDoNotTolerateItsGap(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(2)
@@ -48,8 +47,8 @@
 	g.Expect(q.Poll(now)[0].ID).To(Equal("second"))
 }
 
-// After a short wait, a request is not delayed for streams of its own priority, as it could be refused
-// because of them. A less urgent request still waits while it would disrupt several more urgent streams.
+// After a short wait, a request is no longer delayed to protect streams of its own priority, as this could
+// lead to its refusal. A less urgent request still waits while it would disrupt several more urgent streams.
 func TestStreamsOfEqualPriorityDoNotDelayRequests(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
@@ -73,7 +72,7 @@
 }
 
 // A prompt that has waited for 0.6 of its target may disrupt a more urgent stream.
-func TestOverduePromptMayDisruptAStream(t *testing.T) {
+func TestPromptMayDisruptAStreamAfterWaiting(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for range 20 {
@@ -97,7 +96,7 @@
 	g.Expect(q.Submit(backgroundRequest("a", 20000), now.Add(time.Second)).Verdict).To(Equal(Granted))
 }
 
-// Two prefills without time for an event of each stream between them cause a single long gap.
+// Two prefills with too short a pause between them for a stream event cause a single long gap.
 func TestConsecutivePrefillsCountAsOneGap(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
@@ -111,12 +110,12 @@
 	now = now.Add(215 * time.Millisecond)
 	q.RecordFirstToken("a", 215*time.Millisecond, now)
 	g.Expect(q.Poll(now)).To(BeEmpty())
-	interval := q.eventInterval(q.ordered[0])
+	interval := q.eventInterval(q.sortedEngines[0])
 	g.Expect(q.Poll(now.Add(interval))).To(HaveLen(1))
 }
 
-// An engine gets no prompt whose prefill would take the time that its streams need to finish within their
-// response timeouts.
+// An engine gets no prompt whose prefill would keep its streams from finishing within their response
+// timeouts.
 func TestStreamsKeepTimeToFinish(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
--- a/internal/permit/policy.go
+++ b/internal/permit/policy.go
@@ -1,7 +1,7 @@
 package permit
 
-// Policy disables individual rules of the scheduling, to measure the effect of each. The zero value is the
-// production policy.
+// Policy disables individual scheduling rules, to measure the effect of each. The zero value enables all
+// rules and is used in production.
 type Policy struct {
 	// IgnoreInterference places prompts regardless of the streams that they disrupt.
 	IgnoreInterference bool
--- a/internal/permit/prefixes.go
+++ b/internal/permit/prefixes.go
@@ -7,15 +7,14 @@
 const (
 	// prefixTTL is how long an engine is assumed to cache a prefix after using it. If the
 	// engine has evicted the prefix earlier, this costs a failed fetch or a prefill. A late first
-	// event is not taken as a sign of eviction: under load first events are late for other
-	// reasons.
+	// event is not treated as evidence of eviction, because load delays first events as well.
 	prefixTTL = 20 * time.Second
 	// pruneInterval is the minimum time between two removals of expired prefixes.
 	pruneInterval = 5 * time.Second
 )
 
 // prefixIndex tracks which engines of the group cache which shared prefixes. It infers this from granted
-// requests instead of the engines' cache events, which are late and incomplete.
+// requests, because the engines' cache events are late and incomplete.
 type prefixIndex struct {
 	lastUse  map[string]map[string]time.Time // by prefix ID and engine ID
 	prunedAt time.Time
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -1,16 +1,16 @@
 // Package permit schedules requests to model engines: it decides when a request may be sent,
 // and to which engine. One gateway schedules a group of engines. It only grants permits; the
 // requesting gateway sends the request to the engine itself, so that responses in progress do not
-// depend on the scheduling gateway. The package uses no clock and no network.
+// depend on the scheduling gateway. The package accesses neither the clock nor the network.
 //
 // It is designed for prompts of widely differing lengths on shared engines that interleave prefills
-// with the generation of other responses, and for more prompts than the engines can process. Engines
-// accept all prompts that they are sent: a long prompt delays the first and the following tokens of
-// all other requests on the engine, memory fills up, and every response is late. With one queue for a
-// group of engines, no engine is idle while prompts wait for another. The queue tracks the prefills
-// and streams of each engine and the engines that cache each shared prefix. It predicts the effect of
-// a prompt on other requests from learned estimates (package enginemodel), so that kinds of requests
-// do not have to be declared in advance.
+// with the generation of other responses, and for overload. Engines accept every prompt that they are
+// sent. Without scheduling, a long prompt delays the first and the following tokens of all other requests
+// on the engine, and under overload memory fills up and every response is late. All engines of a group
+// share one queue, so that no engine is idle while prompts wait for another. The queue tracks the
+// prefills and streams of each engine and the engines that cache each shared prefix. It predicts the
+// effect of a prompt on other requests from learned estimates (package enginemodel), so that request
+// types do not have to be configured.
 package permit
 
 import (
@@ -28,10 +28,10 @@
 	minRetryAfter, maxRetryAfter = 500 * time.Millisecond, 5 * time.Second
 	// A granted request whose first token is not reported within prefillTimeoutFactor times its
 	// expected time plus prefillTimeoutMargin counts as prefilled, and as a failure of the engine:
-	// its gateway is gone, the report was lost, or the engine does not respond.
+	// its gateway has failed, the report was lost, or the engine does not respond.
 	prefillTimeoutFactor, prefillTimeoutMargin = 3, 150 * time.Millisecond
 	// resubmitTimeout is how long a request is kept waiting since its gateway last submitted it.
-	// A gateway that stops submitting is gone.
+	// A gateway that stops submitting is assumed to have failed.
 	resubmitTimeout = 3500 * time.Millisecond
 	// sweepInterval is the time between two checks of all waiting and granted requests for those
 	// that have expired or can't be served in time.
@@ -42,8 +42,8 @@
 	// responseTimeoutGrace is the time after a request's response timeout in which the report of its
 	// end may still arrive.
 	responseTimeoutGrace = 2 * time.Second
-	// maxPlacementAttempts bounds how many waiting requests are tried if those ahead of them can't
-	// be placed, for example a very long prompt while all streams only tolerate shorter gaps.
+	// maxPlacementAttempts limits how many waiting requests that can't be placed are skipped in
+	// one poll, for example very long prompts while all streams tolerate only shorter gaps.
 	maxPlacementAttempts = 16
 )
 
@@ -73,19 +73,19 @@
 	model             *enginemodel.ServiceModel
 	limiter           *ratelimit.Limiter
 	engines           map[string]*engine
-	ordered           []*engine // by ID
+	sortedEngines     []*engine // by ID
 	prefixes          prefixIndex
 	waiting           []*entry
 	waitingByID       map[string]*entry
 	granted           map[string]*entry
 	lastSequence      uint64        // of the last request
-	prefillsDone      int           // prefills completed so far
+	prefillsDone      int           // number of completed prefills
 	minToleratedGap   time.Duration // the shortest event gap that a request tolerates, recorded at minGapAt
 	minToleratedGapAt time.Time
 	load              loadByPriority
-	lastSweep         time.Time // when waiting and granted requests were last checked for expiry
-	candidateBuf      []candidate
-	capacityBuf       capacity // reused buffer
+	lastSweep         time.Time   // when waiting and granted requests were last checked for expiry
+	candidateBuf      []candidate // reused by candidates
+	capacityBuf       capacity    // reused by capacity
 }
 
 // NewQueue returns an empty queue without engines.
@@ -95,7 +95,7 @@
 
 // SetEngines replaces the list of engines of the group and keeps the state of those that remain.
 func (q *Queue) SetEngines(configs []Engine) {
-	changed := len(configs) != len(q.ordered)
+	changed := len(configs) != len(q.sortedEngines)
 	listed := make(map[string]bool, len(configs))
 	for _, config := range configs {
 		listed[config.ID] = true
@@ -103,7 +103,7 @@
 		if e == nil {
 			e = newEngine(config, q.model)
 			q.engines[config.ID] = e
-			q.ordered = append(q.ordered, e)
+			q.sortedEngines = append(q.sortedEngines, e)
 			changed = true
 		}
 		e.Engine = config
@@ -111,22 +111,22 @@
 	if !changed {
 		return
 	}
-	q.ordered = slices.DeleteFunc(q.ordered, func(e *engine) bool {
+	q.sortedEngines = slices.DeleteFunc(q.sortedEngines, func(e *engine) bool {
 		if !listed[e.ID] {
 			e.Accepting = false
 			delete(q.engines, e.ID)
 		}
 		return !listed[e.ID]
 	})
-	slices.SortFunc(q.ordered, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(q.sortedEngines, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 	q.setPreferences()
 }
 
 // setPreferences sets the order of preference for short prompts. The order alternates between failure
 // domains and is the same on every gateway.
 func (q *Queue) setPreferences() {
-	ids := make([]string, len(q.ordered))
-	for i, e := range q.ordered {
+	ids := make([]string, len(q.sortedEngines))
+	for i, e := range q.sortedEngines {
 		ids[i] = e.ID
 	}
 	domain := func(id string) string { return q.engines[id].FailureDomain }
@@ -147,7 +147,7 @@
 	}
 	q.lastSequence++
 	e := &entry{request: req, arrivedAt: now, lastSubmittedAt: now, sequence: q.lastSequence}
-	if len(q.ordered) == 0 {
+	if len(q.sortedEngines) == 0 {
 		// This gateway has not read the list of engines yet, or has an outdated one. The requesting
 		// gateway chooses an engine from its own list.
 		return Decision{ID: req.ID, Verdict: Granted}
@@ -192,7 +192,7 @@
 		if e.prefillDone && !q.policy.NoLearning {
 			e.engine.observeStream(q.model, e, stats)
 		}
-		e.engine.remove(e, now)
+		e.engine.release(e, now)
 		switch {
 		case e.request.Plain: // no backoff: the requesting gateway itself excludes servers that it can't reach
 			e.engine.failureRate.Add(now, stats.EngineFailed)
@@ -266,7 +266,7 @@
 			e.engine.recordFailure(now)
 		}
 		if now.Sub(e.grantedAt) > grantTTL || e.request.ResponseTimeout > 0 && now.Sub(e.arrivedAt) > e.request.ResponseTimeout+responseTimeoutGrace {
-			e.engine.remove(e, now)
+			e.engine.release(e, now)
 			delete(q.granted, id)
 		}
 	}
@@ -279,18 +279,18 @@
 	if prefixID == "" {
 		return ""
 	}
-	ids := make([]string, 0, len(q.ordered))
-	for _, e := range q.ordered {
+	ids := make([]string, 0, len(q.sortedEngines))
+	for _, e := range q.sortedEngines {
 		ids = append(ids, e.ID)
 	}
 	return rendezvous.First(prefixID, ids)
 }
 
-// anyCapacity reports whether any engine without a prefill can take a prompt, or one whose prefill is
-// nearly complete can take a short one.
+// anyCapacity reports whether any engine can take a prompt: either it runs no prefill, or its prefill is
+// so close to completion that it can take a short prompt.
 func (q *Queue) anyCapacity(now time.Time) bool {
 	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestToleratedGap(now)))
-	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
+	return slices.ContainsFunc(q.sortedEngines, func(e *engine) bool {
 		return e.usable(now) && e.prefillWait(now) < concurrentLimit && !q.rateExhausted(e, now)
 	})
 }
@@ -298,7 +298,7 @@
 // anyEligible reports whether any engine may take the request now, or after a backoff that ends within
 // the request's first-token timeout.
 func (q *Queue) anyEligible(req Ask, now time.Time) bool {
-	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
+	return slices.ContainsFunc(q.sortedEngines, func(e *engine) bool {
 		return e.Accepting && e.backoffUntil.Sub(now) <= req.FirstTokenTimeout && !slices.Contains(req.ExcludedEngines, e.ID)
 	})
 }
@@ -312,7 +312,7 @@
 // newDecision returns a decision that includes the state of the group.
 func (q *Queue) newDecision(id string, verdict Verdict, wait time.Duration, now time.Time) Decision {
 	backlog, limited, allLimited := 0, 0, q.allRateLimited(now)
-	for _, e := range q.ordered {
+	for _, e := range q.sortedEngines {
 		backlog += e.pendingPrefillTokens
 		if b := q.limiter.Budget(e.ID, now); b.Wait > 0 || allLimited && b.Limited {
 			limited++
--- a/internal/permit/queue_test.go
+++ b/internal/permit/queue_test.go
@@ -43,10 +43,10 @@
 	return q, time.Unix(100, 0)
 }
 
-// Guards against refusals based on initial estimates: a gateway that had started 0.1 s before, without
-// peers and observations, overestimated the time for 85,000 tokens tenfold and refused an interactive
-// request with status 429, as for overload, 0.2 ms after its arrival.
-func TestNoRefusalByInitialEstimates(t *testing.T) {
+// Guards against refusals based on initial estimates: 0.1 s after its start, without peers or observations,
+// a gateway overestimated the time for 85,000 tokens tenfold. It refused an interactive request with status
+// 429 (overload) within 0.2 ms.
+func TestInitialEstimatesDoNotCauseRefusals(t *testing.T) {
 	g := NewWithT(t)
 	q := NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{})
 	q.SetEngines(acceptingEngines(1))
@@ -61,7 +61,7 @@
 	}
 	g.Expect(countRefused("early-", 100)).To(BeZero())
 
-	now = now.Add(10 * time.Second) // nor later, while few prefills have completed
+	now = now.Add(10 * time.Second) // no refusals later either, while few prefills have completed
 	q = NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{NoLearning: true})
 	q.SetEngines(acceptingEngines(1))
 	for i := range minCalibrationPrefills {
@@ -72,7 +72,7 @@
 		}
 		q.Poll(now)
 	}
-	g.Expect(countRefused("late-", 100)).To(BeNumerically(">", 0), "from then on the estimates are used")
+	g.Expect(countRefused("late-", 100)).To(BeNumerically(">", 0), "the estimates are used after enough prefills")
 }
 
 // longPromptTokens takes 225 ms to prefill by the initial estimates.
@@ -117,11 +117,11 @@
 		q, now := newQueue(engines)
 		refused := 0
 		for i := range 100 * engines {
-			a := q.Submit(backgroundRequest(fmt.Sprint(i), 10000), now)
-			if a.Verdict == Refused {
+			decision := q.Submit(backgroundRequest(fmt.Sprint(i), 10000), now)
+			if decision.Verdict == Refused {
 				refused++
-				g.Expect(a.Wait).To(BeNumerically(">=", minRetryAfter))
-				g.Expect(a.Wait).To(BeNumerically("<=", maxRetryAfter))
+				g.Expect(decision.Wait).To(BeNumerically(">=", minRetryAfter))
+				g.Expect(decision.Wait).To(BeNumerically("<=", maxRetryAfter))
 			}
 		}
 		// 10,000 tokens take 265 ms. During overload only requests that can be on time are queued:
@@ -156,8 +156,9 @@
 	g.Expect(decisions[0].ID).To(Equal("timely"))
 }
 
-// A lost report or gateway blocks an engine for three times the expected prefill time plus a margin, not
-// for seconds. Without this limit, the loss of 3 of 21 gateways blocked a seventh of the engines for 3 s.
+// If a report is lost or a gateway fails, the engine is blocked for three times the expected prefill time
+// plus a margin, not for seconds. Without this limit, the loss of 3 of 21 gateways blocked a seventh of the
+// engines for 3 s.
 func TestLostReportDoesNotBlockEngine(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
@@ -171,15 +172,15 @@
 	g.Expect(q.Idle()).To(BeFalse())
 	q.Poll(now.Add(grantTTL + time.Millisecond)) // the end of "lost" was never reported
 	g.Expect(q.Idle()).To(BeTrue())
-	g.Expect(q.ordered[0].requests).To(BeEmpty())
+	g.Expect(q.sortedEngines[0].requests).To(BeEmpty())
 }
 
-// A waiting request that its gateway no longer submits is dropped, as the gateway is gone.
-func TestUnrepeatedRequestIsDropped(t *testing.T) {
+// A waiting request that its gateway no longer submits is dropped, as the gateway is assumed to have failed.
+func TestRequestNotResubmittedIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	q.Submit(backgroundRequest("running", longPromptTokens), now)
-	q.Submit(backgroundRequest("gone", longPromptTokens), now)
+	q.Submit(backgroundRequest("abandoned", longPromptTokens), now)
 	q.Submit(backgroundRequest("kept", longPromptTokens), now)
 	q.granted["running"].prefillDeadline = now.Add(time.Minute)
 	for range 4 {
@@ -188,7 +189,7 @@
 		q.Poll(now)
 	}
 	g.Expect(q.waitingByID).To(HaveKey("kept"))
-	g.Expect(q.waitingByID).NotTo(HaveKey("gone"))
+	g.Expect(q.waitingByID).NotTo(HaveKey("abandoned"))
 }
 
 // Prefill times are learned from observations, so that expected waits follow the engines' actual speed.
@@ -265,7 +266,7 @@
 
 // A gateway that takes over the scheduling does not know where prefixes are cached. Every gateway chooses
 // the same home engine for a prefix, so that it is likely to be cached there already.
-func TestPrefixOfUnknownLocationGoesToItsHomeEngine(t *testing.T) {
+func TestPrefixNotKnownToBeCachedGoesToItsHomeEngine(t *testing.T) {
 	g := NewWithT(t)
 	before, now := newQueue(5)
 	homes := map[string]bool{}
@@ -281,7 +282,7 @@
 		// While the home engine is busy, the prefix is still fetched from there.
 		after.Submit(backgroundRequest("y", longPromptTokens), now)
 		busy, _ := newQueue(5)
-		for _, e := range busy.ordered {
+		for _, e := range busy.sortedEngines {
 			if e.ID == first.Engine {
 				busy.grant(&entry{request: backgroundRequest("busy", longPromptTokens)}, candidate{engine: e, prefillTokens: longPromptTokens, prefill: time.Second}, now)
 			}
@@ -319,10 +320,10 @@
 	granted := map[string]int{}
 	for i := range 400 {
 		id := fmt.Sprint(i)
-		a := q.Submit(backgroundRequest(id, 5000), now)
-		if a.Verdict == Granted {
-			granted[a.Engine]++
-			if a.Engine == "e0" {
+		decision := q.Submit(backgroundRequest(id, 5000), now)
+		if decision.Verdict == Granted {
+			granted[decision.Engine]++
+			if decision.Engine == "e0" {
 				q.Finish(id, StreamStats{EngineFailed: true}, now)
 			}
 		}
@@ -352,17 +353,17 @@
 	g.Expect(q.Submit(a, now).Engine).To(Equal("e1"))
 	b := backgroundRequest("b", 2000)
 	b.ExcludedEngines = []string{"e0", "e1"}
-	g.Expect(q.Submit(b, now).Verdict).To(Equal(NoEngine)) // not Refused, as it is no overload
+	g.Expect(q.Submit(b, now).Verdict).To(Equal(NoEngine)) // not Refused, as the engines are not overloaded
 }
 
 // A gateway that has not read the list of engines yet, for example one that started while the store was
 // unavailable, must not refuse requests that other gateways could serve.
-func TestUnknownGroupIsGrantedWithoutEngine(t *testing.T) {
+func TestRequestIsGrantedWithoutEngineIfGroupIsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(0)
-	a := q.Submit(backgroundRequest("a", 2000), now)
-	g.Expect(a.Verdict).To(Equal(Granted))
-	g.Expect(a.Engine).To(BeEmpty())
+	decision := q.Submit(backgroundRequest("a", 2000), now)
+	g.Expect(decision.Verdict).To(Equal(Granted))
+	g.Expect(decision.Engine).To(BeEmpty())
 	g.Expect(q.Idle()).To(BeTrue())
 }
 
@@ -372,32 +373,32 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q, now := newQueue(rapid.IntRange(1, 4).Draw(t, "engines"))
 		queued, granted := map[string]bool{}, map[string]int{}
-		record := func(a Decision) {
-			switch a.Verdict {
+		record := func(d Decision) {
+			switch d.Verdict {
 			case Queued:
-				queued[a.ID] = true
+				queued[d.ID] = true
 				return
 			case Granted:
-				if (a.Engine == "") != (len(q.ordered) == 0) || a.Engine != "" && a.Engine == a.FetchFrom {
-					t.Fatalf("granted engine %q of %d, prefix fetched from %q", a.Engine, len(q.ordered), a.FetchFrom)
+				if (d.Engine == "") != (len(q.sortedEngines) == 0) || d.Engine != "" && d.Engine == d.FetchFrom {
+					t.Fatalf("granted engine %q of %d, prefix fetched from %q", d.Engine, len(q.sortedEngines), d.FetchFrom)
 				}
-				granted[a.ID] = 1
+				granted[d.ID] = 1
 			}
-			delete(queued, a.ID)
+			delete(queued, d.ID)
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			for _, a := range q.Poll(now) {
-				if !queued[a.ID] {
-					t.Fatalf("request %s: second final decision", a.ID)
+			for _, d := range q.Poll(now) {
+				if !queued[d.ID] {
+					t.Fatalf("request %s: second final decision", d.ID)
 				}
-				record(a)
+				record(d)
 			}
 			id := fmt.Sprint("r", rapid.IntRange(0, i).Draw(t, "id"))
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
-				if a := fmt.Sprint("r", i); !queued[a] {
-					record(q.Submit(Ask{ID: a, Priority: rapid.IntRange(0, 8).Draw(t, "priority"), UniqueTokens: rapid.IntRange(1, 30000).Draw(t, "unique tokens"),
+				if newID := fmt.Sprint("r", i); !queued[newID] {
+					record(q.Submit(Ask{ID: newID, Priority: rapid.IntRange(0, 8).Draw(t, "priority"), UniqueTokens: rapid.IntRange(1, 30000).Draw(t, "unique tokens"),
 						PrefixID: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "prefix"), PrefixTokens: rapid.IntRange(0, 6000).Draw(t, "prefix tokens"),
 						FirstTokenTarget:  time.Duration(rapid.IntRange(1, 3000).Draw(t, "target")) * time.Millisecond,
 						FirstTokenTimeout: time.Duration(rapid.IntRange(1, 10000).Draw(t, "timeout")) * time.Millisecond}, now))
@@ -420,7 +421,7 @@
 		for id := range granted {
 			q.Finish(id, StreamStats{}, now)
 		}
-		for _, e := range q.ordered {
+		for _, e := range q.sortedEngines {
 			if e.pendingPrefillTokens != 0 || e.pendingPrefills != 0 || len(e.requests) != 0 || e.reservedTokens != 0 {
 				t.Fatalf("engine %s is not empty: %d pending tokens, %d requests", e.ID, e.pendingPrefillTokens, len(e.requests))
 			}
@@ -440,7 +441,7 @@
 			prefills[e.engine]++
 		}
 	}
-	for _, e := range q.ordered {
+	for _, e := range q.sortedEngines {
 		if tokens[e] != e.pendingPrefillTokens || prefills[e] != e.pendingPrefills {
 			t.Fatalf("engine %s: %d pending tokens of %d prefills, accounted for %d of %d", e.ID, tokens[e], prefills[e], e.pendingPrefillTokens, e.pendingPrefills)
 		}
--- a/internal/permit/scheduler.go
+++ b/internal/permit/scheduler.go
@@ -10,8 +10,8 @@
 const (
 	// idleQueueTTL is how long a queue without requests is kept after the last submission.
 	idleQueueTTL = 30 * time.Second
-	// engineListTTL is how long a group's list of engines is cached. It is short compared with
-	// the 660 ms within which this process learns of changes to the list.
+	// engineListTTL is how long a group's list of engines is cached. It is short compared with the
+	// 660 ms that a change to the list takes to reach this process.
 	engineListTTL = 50 * time.Millisecond
 )
 
@@ -41,7 +41,7 @@
 
 // NewScheduler returns a scheduler without queues. listEngines returns the engines of a group;
 // peerEstimates returns another gateway's estimates for a service's engines, if there are any; limiter
-// holds the rates that engines state.
+// holds the rate limits of engines.
 func NewScheduler[Requester any](listEngines func(Group) []Engine, peerEstimates func(service string) (enginemodel.Estimates, bool), limiter *ratelimit.Limiter,
 	policy Policy) *Scheduler[Requester] {
 	return &Scheduler[Requester]{listEngines: listEngines, peerEstimates: peerEstimates, limiter: limiter, policy: policy, models: map[string]*enginemodel.ServiceModel{}, queues: map[Group]*groupQueue{}, requesters: map[string]Requester{}}
@@ -82,9 +82,9 @@
 type ServiceStats struct {
 	Service string
 	enginemodel.Estimates
-	// Queued is the number of waiting requests and Running that of granted ones. AvailableEngines
-	// is the number of engines that accept requests, and PrefillingEngines that of engines with
-	// prefills in progress.
+	// Queued is the number of waiting requests, Running the number of granted requests,
+	// AvailableEngines the number of engines that accept requests, and PrefillingEngines the number
+	// of engines with prefills in progress.
 	Queued, AvailableEngines, PrefillingEngines, Running int
 }
 
@@ -97,7 +97,7 @@
 			if group.Service == service {
 				stats.Queued += len(queue.waiting)
 				stats.Running += len(queue.granted)
-				for _, e := range queue.ordered {
+				for _, e := range queue.sortedEngines {
 					if e.Accepting {
 						stats.AvailableEngines++
 					}
--- a/internal/permit/types.go
+++ b/internal/permit/types.go
@@ -45,12 +45,12 @@
 	PrefixTokens int    `msgpack:"s,omitempty"`
 	// OutputTokens is the expected number of generated tokens.
 	OutputTokens int `msgpack:"u,omitempty"`
-	// FirstTokenTarget is the remaining time within which the first token is on time.
+	// FirstTokenTarget is the remaining time until which the first token is on time.
 	FirstTokenTarget time.Duration `msgpack:"t"`
 	// MaxEventGap is the longest gap between two events with which the response is on time; 0 if
-	// gaps of any length are.
+	// there is no limit.
 	MaxEventGap time.Duration `msgpack:"g,omitempty"`
-	// FirstTokenTimeout is the remaining time after which the first token is of no use.
+	// FirstTokenTimeout is the remaining time after which the caller has no use for the first token.
 	FirstTokenTimeout time.Duration `msgpack:"l"`
 	// ResponseTimeout is the remaining time for the complete response.
 	ResponseTimeout time.Duration `msgpack:"d,omitempty"`
@@ -113,8 +113,8 @@
 	// BacklogTokens is the number of prompt tokens in the group that are granted or queued but
 	// not yet prefilled.
 	BacklogTokens int `msgpack:"b,omitempty"`
-	// RateLimitedEngines is the number of engines that accept nothing now because of their stated
-	// rates. If all engines state a rate, it is the number of engines.
+	// RateLimitedEngines is the number of engines that accept no request now because of their rate
+	// limits. If all accepting engines have a rate limit, all engines with one are counted.
 	RateLimitedEngines int `msgpack:"l,omitempty"`
 }
 
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -8,8 +8,8 @@
 
 const (
 	// earlyRefusalShare is the share of a request's first-token timeout above which its expected
-	// wait leads to immediate refusal. It is close to 1 because a late response is worth more to
-	// the caller than a refusal, and expected waits are about right.
+	// wait leads to immediate refusal. It is close to 1 because callers prefer a late response to a
+	// refusal, and the expected waits are accurate enough.
 	earlyRefusalShare = 0.85
 	// onTimeWaitShare is the share of its target after which a waiting request counts as late.
 	// The rest is for its prefill. The expected prefill time of the request is not considered, so
@@ -20,8 +20,8 @@
 	minLateCapacityShare = 0.1
 )
 
-// trueFirst returns the comparison result for two items of which exactly one has a property; a tells
-// whether it is the first. The one that has the property sorts first.
+// trueFirst returns the comparison result for two items of which exactly one has a property, so that this
+// item sorts first. The argument tells whether it is the first operand.
 func trueFirst(a bool) int {
 	if a {
 		return -1
@@ -67,8 +67,8 @@
 	return capacity.nextFree(ahead), capacity.total()
 }
 
-// plainEngineTime is the engine time of a plain request. It is short as plain servers run many requests
-// concurrently.
+// plainEngineTime is the engine time of a plain request. It is short because servers process many plain
+// requests concurrently.
 const plainEngineTime = time.Millisecond
 
 // engineTime returns how long the request occupies an engine: the expected time of its prefill.
@@ -90,7 +90,7 @@
 // engineCapacity is the capacity of a usable engine.
 type engineCapacity struct {
 	wait           time.Duration // until it can take its next request
-	availableShare float64       // share of its time that its stated rate lets it spend on requests
+	availableShare float64       // share of its time that its rate limit lets it spend on requests
 }
 
 // capacity is the capacity of all usable engines, ordered by wait.
@@ -100,7 +100,7 @@
 // until the next call.
 func (q *Queue) capacity(perRequest time.Duration, now time.Time) capacity {
 	out := q.capacityBuf[:0]
-	for _, e := range q.ordered {
+	for _, e := range q.sortedEngines {
 		if !e.usable(now) {
 			continue
 		}
@@ -115,7 +115,7 @@
 	return out
 }
 
-// total returns the number of fully available engines with the same capacity.
+// total returns the capacity as a number of fully available engines.
 func (c capacity) total() (engines float64) {
 	for _, e := range c {
 		engines += e.availableShare
@@ -158,7 +158,7 @@
 	if len(capacity) == 0 {
 		verdict = NoEngine
 	}
-	noneAccepting := !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting })
+	noneAccepting := !slices.ContainsFunc(q.sortedEngines, func(e *engine) bool { return e.Accepting })
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
 		wait := capacity.nextFree(ahead)
 		if !noneAccepting && !q.unservable(e, wait, capacity.total(), now) {
@@ -172,9 +172,9 @@
 	return out
 }
 
-// unservable reports whether a request can't be served in time given its expected wait and the capacity
-// in engines. Late requests only get the capacity that is left by requests that can still be on time; if
-// none is left, they would wait until their timeout.
+// unservable reports whether a request can't be served in time, given its expected wait and the capacity
+// in engines. Late requests only get the capacity that on-time requests leave over. If there is none, they
+// would wait in vain until their timeout.
 func (q *Queue) unservable(e *entry, wait time.Duration, engines float64, now time.Time) bool {
 	age := now.Sub(e.arrivedAt)
 	if age > e.request.FirstTokenTimeout || q.policy.NoEarlyRefusal || q.uncalibrated(now) {
@@ -198,13 +198,13 @@
 	return q.prefillsDone < minCalibrationPrefills && !q.model.Calibrated() && !q.allRateLimited(now)
 }
 
-// allRateLimited reports whether every accepting engine states a rate. Waits then follow from the rates
-// alone.
+// allRateLimited reports whether every accepting engine has a rate limit. Waits then depend only on the
+// limits.
 func (q *Queue) allRateLimited(now time.Time) bool {
-	return !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting && !q.limiter.Budget(e.ID, now).Limited })
+	return !slices.ContainsFunc(q.sortedEngines, func(e *engine) bool { return e.Accepting && !q.limiter.Budget(e.ID, now).Limited })
 }
 
-// rateExhausted reports whether an engine accepts nothing now because of its stated rate.
+// rateExhausted reports whether an engine accepts no request now because of its rate limit.
 func (q *Queue) rateExhausted(e *engine, now time.Time) bool {
 	return q.limiter.Budget(e.ID, now).Wait > 0
 }
