--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -92,7 +92,7 @@
 		return unsent, err
 	}
 	if run.key != 0 {
-		defer func() { g.quarantine.Done(q.quarantineID(), run.key, g.now()) }()
+		defer func() { g.quarantine.EndRun(q.quarantineID(), run.key, g.now()) }()
 	}
 	choice, permitted, err := g.chooseServer(ctx, q, g.excludedServers(q, run, tried), run, rel)
 	if err != nil {
--- a/internal/quarantine/crash.go
+++ b/internal/quarantine/crash.go
@@ -17,15 +17,16 @@
 
 const (
 	// minCrashes is the number of consecutive crashes required for a verdict. Every request that runs
-	// on a crashing server becomes a suspect. A request that was on three crashing servers in a row,
-	// without a response in between, is the cause unless the crash rate is high (see crashProbability).
+	// on a crashing server becomes a suspect. A request that ran on three crashing servers in a row,
+	// without a response in between, is considered the cause unless the crash rate is high (see
+	// crashProbability).
 	minCrashes = 3
 	// maxExtraCrashes limits the additional crashes required when other servers crashed as well, one
 	// for each such server: a server that crashes for another reason may run the request by chance.
 	maxExtraCrashes = 2
 	// coRunnerExtraCrashes is the number of additional crashes required when another request ran on
-	// all crashed servers but the last: if many requests shared two crashing servers in a row, one of
-	// them will be on the next crashing server by chance.
+	// all crashed servers but the last: if many requests ran on the same two crashing servers in a
+	// row, one of them will run on the next crashing server by chance.
 	coRunnerExtraCrashes = 1
 	// maxChanceProbability is the highest probability that all crashes coincided with the request by
 	// chance at which a verdict is still reached. It is roughly the false positive rate per harmless
@@ -33,11 +34,11 @@
 	// crashes, three crashed runs of 10 s have a probability of 2e-8. If each server crashes every
 	// 3 s, runs of 60 ms need four crashes and runs of 1 s need eleven.
 	maxChanceProbability = 1e-6
-	// recentCrashWindow is how close to a crash the crashes of other servers must be to count towards
-	// its probability. It allows for the seconds until the server list reports a crash.
+	// recentCrashWindow is how close in time the crashes of other servers must be to a crash to count
+	// towards its probability. It covers the seconds until the server list reports a crash.
 	recentCrashWindow = 10 * time.Second
 	// clockSkewTolerance is the allowed difference between the times that two gateways report for the
-	// same event. It allows for the delay of a datagram to a busy process.
+	// same event. It covers the delay of a datagram to a busy process.
 	clockSkewTolerance = 5 * time.Millisecond
 )
 
@@ -73,8 +74,8 @@
 	return slices.Delete(crashes, least, least+1)
 }
 
-// conclusive reports whether there are at least needed independent crashes, and these are too unlikely
-// to have coincided with the request by chance.
+// conclusive reports whether there are at least the needed number of independent crashes, and whether they
+// are too unlikely to have coincided with the request by chance.
 func conclusive(crashes []Crash, needed int) bool {
 	counted := independentCrashes(crashes)
 	if len(counted) < needed {
--- a/internal/quarantine/encoding.go
+++ b/internal/quarantine/encoding.go
@@ -21,8 +21,8 @@
 	return json.Marshal(verdictDoc{v.Since.UnixMilli(), v.Until.UnixMilli(), v.Trials, v.Servers, host})
 }
 
-// decodeVerdict parses a stored verdict. The remaining refusal time is capped at the refusal period,
-// in case the clock differs from the writer's. Errors have code BadFrame and name the field.
+// decodeVerdict parses a stored verdict. The remaining refusal time is capped at the refusal period, as
+// the clock may differ from the writer's. Errors have code BadFrame and name the field.
 func decodeVerdict(value []byte, now time.Time) (Verdict, error) {
 	var doc verdictDoc
 	if err := json.Unmarshal(value, &doc); err != nil {
--- a/internal/quarantine/evaluation.go
+++ b/internal/quarantine/evaluation.go
@@ -25,7 +25,7 @@
 	t.notifyChange(e, true, now)
 }
 
-// evaluateDue evaluates the entries whose evaluateAt has passed and schedules the others.
+// evaluateDue evaluates the entries whose evaluateAt has passed, and schedules the evaluation of the others.
 func (t *Tracker) evaluateDue(now time.Time) {
 	for id, e := range t.entries {
 		switch {
@@ -40,7 +40,7 @@
 }
 
 // ambiguous reports whether another suspect ran on all of the same crashed servers, so that either may
-// be the cause. Strong suspects are sent to different servers, so the next crash distinguishes them.
+// be the cause. Strong suspects are sent to different servers, so that the next crash identifies the cause.
 // After two crashes more than minCrashes, ambiguity no longer prevents a verdict.
 func (t *Tracker) ambiguous(id ID, e *entry) bool {
 	if len(independentCrashes(e.crashes)) >= minCrashes+2 {
@@ -148,7 +148,7 @@
 // explain attributes the crash of a server instance to a quarantined request. The crash no longer
 // counts as evidence against other requests.
 func (t *Tracker) explain(by ID, instance string, now time.Time) {
-	t.recordFirst(t.explainedCrashes, instance, now)
+	t.recordCrashTime(t.explainedCrashes, instance, now)
 	for id, e := range t.entries {
 		if id == by {
 			continue
--- a/internal/quarantine/hazard.go
+++ b/internal/quarantine/hazard.go
@@ -21,7 +21,7 @@
 )
 
 // hazardWindowBuckets are the lengths, in buckets, of the windows over which crash rates are computed;
-// the highest rate is used. The short window responds quickly when servers begin to crash.
+// the highest rate is used. The short window reacts quickly when servers begin to crash.
 var hazardWindowBuckets = []int64{2, hazardBucketCount}
 
 // hazardEstimator estimates the crash rate (the hazard rate of a run) from the total run time of
--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -28,7 +28,7 @@
 	// sweepInterval is how often expired entries are removed and failed writes are retried.
 	sweepInterval = time.Second
 	// minReadInterval is the minimum time between reads of the store. The store is read after server
-	// crashes, a few times a minute, to learn verdicts of gateways that can't be reached.
+	// crashes, a few times a minute, to obtain the verdicts of gateways that can't be reached.
 	minReadInterval = 2 * time.Second
 	// maxClaimAttempts limits the attempts to claim a trial when concurrent writes conflict with it.
 	maxClaimAttempts = 3
@@ -62,9 +62,9 @@
 		writes: make(chan ID, writeQueueSize), readRequests: make(chan struct{}, 1), claiming: map[ID]bool{}, unwritten: map[ID]bool{}}
 }
 
-// Loaded reports whether the first read of the store has finished. A gateway that starts waits for it,
-// so that it doesn't send requests that are already quarantined. A failed read counts as finished; it
-// is retried in the background.
+// Loaded reports whether the first read of the store has finished. A starting gateway waits for it, so
+// that it doesn't send requests that are already quarantined. A failed read counts as finished; it is
+// retried in the background.
 func (p *Persister) Loaded() bool { return p.loaded.Load() }
 
 // Run processes events until ctx is done. Store calls are made in a second goroutine.
@@ -113,8 +113,8 @@
 	}
 }
 
-// eventMessages are the log messages for the events.
-var eventMessages = map[EventKind]string{
+// eventLogMessages are the log messages of the events.
+var eventLogMessages = map[EventKind]string{
 	EventSuspected: "a server has ended that ran the request", EventQuarantined: "request quarantined", EventVerdictReceived: "request quarantined by another gateway",
 	EventTrialStarted: "quarantined request on trial", EventLifted: "quarantine ended", EventEvicted: "suspect evicted: tracker is full",
 }
@@ -131,7 +131,7 @@
 	if e.Kind == EventQuarantined || e.Kind == EventEvicted {
 		level = slog.LevelWarn
 	}
-	p.logger.Log(context.Background(), level, eventMessages[e.Kind], fields...)
+	p.logger.Log(context.Background(), level, eventLogMessages[e.Kind], fields...)
 }
 
 // queueWrite queues the verdict on a request for writing to the store.
@@ -141,12 +141,12 @@
 	p.mu.Unlock()
 	select {
 	case p.writes <- id:
-	default: // the queue is full: retryWrites writes the verdict
+	default: // the queue is full; retryWrites writes the verdict later
 	}
 }
 
-// runStore reads the store at the start and after server crashes, and writes the queued verdicts, until
-// ctx is done.
+// runStore reads the store at startup and after server crashes, and writes the queued verdicts, until ctx
+// is done.
 func (p *Persister) runStore(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -260,7 +260,7 @@
 func (p *Persister) Claim(ctx context.Context, id ID) (*Verdict, error) {
 	unwritten, ok := p.beginClaim(id)
 	if !ok {
-		return nil, errTrialTaken(id)
+		return nil, errTrialClaimed(id)
 	}
 	defer func() {
 		p.mu.Lock()
@@ -277,7 +277,7 @@
 	return nil, err
 }
 
-func errTrialTaken(id ID) error {
+func errTrialClaimed(id ID) error {
 	return fault.New(fault.Quarantined, "trial of request %s is already claimed", id).WithOutcome(fault.NotRun)
 }
 
@@ -305,7 +305,7 @@
 		}
 		if v.Trials > current.Trials {
 			p.tracker.AdoptVerdict(id, v, now)
-			return nil, errTrialTaken(id)
+			return nil, errTrialClaimed(id)
 		}
 	}
 	v := current.WithTrial(now)
--- a/internal/quarantine/property_test.go
+++ b/internal/quarantine/property_test.go
@@ -38,7 +38,7 @@
 	// partitionAt is when a network partition between the gateways begins, partitionFor how long it
 	// lasts; 0 for none.
 	partitionAt, partitionFor time.Duration
-	// storeDownAt is when the store becomes unreachable, storeDownFor for how long; 0 for never.
+	// storeDownAt is when the store becomes unreachable, storeDownFor how long it stays so; 0 for never.
 	storeDownAt, storeDownFor time.Duration
 	// killTimes are the times at which one gateway is killed and restarted, or all if killAllNodes is set.
 	killTimes    []time.Duration
@@ -212,7 +212,7 @@
 	})
 }
 
-// Harmless requests are not refused, even if servers keep crashing while running them.
+// Harmless requests are not quarantined, even if servers keep crashing while running them.
 func TestHarmlessRequestsAreNotQuarantined(t *testing.T) {
 	for route := range simfleet.Routes {
 		t.Run(route, func(t *testing.T) {
--- a/internal/quarantine/replication.go
+++ b/internal/quarantine/replication.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Update is the state of one request as a gateway sends it to the others. Times are sent relative to
-// the present in ms, because the clocks of hosts differ. Merging is idempotent and commutative, so
-// updates may be lost, repeated or reordered.
+// Update is the state of one request as a gateway sends it to the others. Times are sent in ms relative to
+// the time of sending, because the clocks of hosts differ. Merging is idempotent and commutative, so
+// updates may be lost, duplicated or reordered.
 type Update struct {
 	ID           []byte         `msgpack:"i"`
 	Crashes      []CrashRecord  `msgpack:"e,omitempty"`
@@ -57,7 +57,7 @@
 	// maxUpdatesPerBatch limits the updates returned by one call of DueUpdates.
 	maxUpdatesPerBatch = 64
 	// maxOtherServers limits Update.OtherServers. It exceeds maxExtraCrashes because the receiver may
-	// know that some of the servers did run the request.
+	// know that some of these servers ran the request after all.
 	maxOtherServers = 2 * maxExtraCrashes
 	// maxSnapshotUpdates limits a snapshot to about 100 KB.
 	maxSnapshotUpdates = 1000
@@ -189,7 +189,7 @@
 		t.addCrash(id, e, Crash{Server: crash.Server, SentAt: at(crash.SentAgoMS), At: at(crash.AgoMS), rate: float64(crash.Rate)}, now)
 	}
 	for _, instance := range u.OtherServers {
-		t.recordFirst(t.crashedServers, instance, now)
+		t.recordCrashTime(t.crashedServers, instance, now)
 	}
 	delete(e.remoteRuns, from)
 	for _, r := range u.Runs {
--- a/internal/quarantine/scheduling.go
+++ b/internal/quarantine/scheduling.go
@@ -12,20 +12,22 @@
 	// TrialDue is set if the refusal period is over and the gateway that claims the trial may send the
 	// request.
 	TrialDue bool
-	// Changed is set if the request has to wait. Begin must be called again when the channel is closed
-	// or after Wait, whichever is first.
+	// Changed is set if the request has to wait. BeginRun must be called again when the channel is
+	// closed or after Wait, whichever comes first.
 	Changed <-chan struct{}
 	Wait    time.Duration
-	// ConfirmAfter, if positive, is the delay after which Confirm must be called before the request is sent.
+	// ConfirmAfter, if positive, is the delay after which ConfirmRun must be called before the request
+	// is sent.
 	ConfirmAfter time.Duration
-	// Isolate is set for a strong suspect. It must be sent to a server that runs no other suspect, so
-	// that the next crash implicates only one of them, and has no priority over other requests.
+	// Isolate is set for a strong suspect. The suspect must be sent to a server that runs no other
+	// suspect, so that a crash is evidence against only one of them, and has no priority over other
+	// requests.
 	Isolate bool
 }
 
-// Begin requests permission to send a request. The caller identifies the run by a random key and must
-// call Done if the run is permitted. Runs of the same suspect are serialized.
-func (t *Tracker) Begin(id ID, key uint64, now time.Time) Decision {
+// BeginRun requests permission to send a request. The caller identifies the run by a random key and must
+// call EndRun if the run is permitted. Runs of the same suspect are serialized.
+func (t *Tracker) BeginRun(id ID, key uint64, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -43,7 +45,7 @@
 		return Decision{}
 	}
 	strong := len(e.crashes) >= strongSuspectCrashes
-	if wait := e.waitForRuns(key, strong, now); wait > 0 {
+	if wait := e.remainingWait(key, strong, now); wait > 0 {
 		return Decision{Changed: e.changed, Wait: wait, Isolate: strong}
 	}
 	e.localRuns[key] = &run{key: key, startedAt: now, confirmed: !strong}
@@ -54,9 +56,9 @@
 	return Decision{}
 }
 
-// waitForRuns returns how long a run has to wait for other runs of the same request. The run may start
-// if the result is not positive.
-func (e *entry) waitForRuns(key uint64, strong bool, now time.Time) time.Duration {
+// remainingWait returns how long a run still has to wait for other runs of the same request. The run may
+// start if the result is not positive.
+func (e *entry) remainingWait(key uint64, strong bool, now time.Time) time.Duration {
 	var wait time.Duration
 	for _, r := range e.activeRuns(now) {
 		if r.key == key {
@@ -87,9 +89,9 @@
 	return out
 }
 
-// Confirm requests permission again after Decision.ConfirmAfter. If two gateways started runs at the
+// ConfirmRun requests permission again after Decision.ConfirmAfter. If two gateways started runs at the
 // same time, the run with the lower key continues and the other one waits.
-func (t *Tracker) Confirm(id ID, key uint64, now time.Time) Decision {
+func (t *Tracker) ConfirmRun(id ID, key uint64, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -97,16 +99,16 @@
 		return Decision{}
 	}
 	if e.verdict != nil {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 		return Decision{Verdict: cloneVerdict(e.verdict)}
 	}
 	hasPrecedence := func(r run) bool { return r.key != key && (r.confirmed || r.key < key) }
 	if slices.ContainsFunc(e.activeRuns(now), hasPrecedence) {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 		return Decision{Changed: e.changed, Wait: remoteRunTTL, Isolate: true}
 	}
 	if t.awaitingServer(id, key, now) {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 		return Decision{Changed: e.changed, Wait: confirmDelay, Isolate: true}
 	}
 	e.localRuns[key].confirmed = true
@@ -115,7 +117,7 @@
 }
 
 // awaitingServer reports whether a run of another suspect with a lower key has no server yet. Waiting
-// for it prevents suspects that are released by the same crash from being sent to the same server.
+// for it prevents suspects that the same crash allows to continue from being sent to the same server.
 func (t *Tracker) awaitingServer(id ID, key uint64, now time.Time) bool {
 	unplaced := func(r run) bool {
 		return r.server == "" && r.key < key && now.Sub(r.startedAt) < placementTimeout
@@ -128,9 +130,10 @@
 	return false
 }
 
-// Check reports whether a request may still be sent. It is called just before sending, after Begin
-// permitted the request or when no permission was needed.
-func (t *Tracker) Check(id ID, key uint64) Decision {
+// RecheckVerdict reports whether a request may still be sent, as it may have been quarantined in the
+// meantime. It is called just before sending, after BeginRun permitted the request or when no permission
+// was needed.
+func (t *Tracker) RecheckVerdict(id ID, key uint64) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -162,22 +165,22 @@
 	}
 }
 
-// Done ends a run. If the run crashed its server or got a response, that must be recorded first.
-func (t *Tracker) Done(id ID, key uint64, now time.Time) {
+// EndRun ends a run. If the run crashed its server or got a response, that must be recorded first.
+func (t *Tracker) EndRun(id ID, key uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil && e.localRuns[key] != nil {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 	}
 }
 
-func (t *Tracker) endRun(id ID, e *entry, key uint64, now time.Time) {
+func (t *Tracker) removeRun(id ID, e *entry, key uint64, now time.Time) {
 	delete(e.localRuns, key)
 	t.notifyChange(e, true, now)
 	t.removeIfEmpty(id, e)
 }
 
-// OccupiedServers returns the servers that run suspects, without the run that has the given key.
+// OccupiedServers returns the servers that run suspects, ignoring the run with the given key.
 func (t *Tracker) OccupiedServers(key uint64, now time.Time) map[string]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/quarantine/system_test.go
+++ b/internal/quarantine/system_test.go
@@ -59,7 +59,7 @@
 
 // Once the cause is fixed, a trial that gets a response ends the quarantine at all gateways and in the
 // store.
-func TestAnAnsweredTrialEndsTheQuarantine(t *testing.T) {
+func TestATrialWithAResponseEndsTheQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
@@ -86,7 +86,7 @@
 
 // Gateways that can reach the store but not each other read the verdict from the store after the first
 // server crash on their side, and share a single trial.
-func TestSidesOfAPartitionLearnFromTheStore(t *testing.T) {
+func TestPartitionedGatewaysShareVerdictsThroughTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
@@ -160,8 +160,8 @@
 	})
 }
 
-// A verdict that was reached while the store was unreachable is written once the store can be reached.
-func TestAVerdictIsWrittenWhenTheStoreIsBack(t *testing.T) {
+// A verdict reached while the store is unreachable is written once the store is reachable again.
+func TestAVerdictIsWrittenOnceTheStoreIsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
@@ -187,8 +187,8 @@
 	})
 }
 
-// A gateway that starts receives evidence from the others even if there is no verdict yet.
-func TestEvidenceIsSentToAGatewayThatStarts(t *testing.T) {
+// A starting gateway receives evidence from the others even if there is no verdict yet.
+func TestEvidenceIsSentToAStartingGateway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -9,17 +9,18 @@
 
 const (
 	// evidenceTTL is how long a crash counts as evidence. It is long enough to detect a request that
-	// arrives every three minutes and crashes a server each time.
+	// arrives once every three minutes and crashes a server each time.
 	evidenceTTL = 10 * time.Minute
 	// maxCrashes limits the crashes stored per request. More than three are needed only while the
 	// crash rate is high, and an update with this many crashes fits in a datagram.
 	maxCrashes = 12
-	// maxEntries limits the tracked requests, which take about 0.5 KB each. Each server crash adds the
-	// requests that ran on the server: 20 if 650 engines run 13,000 requests.
+	// maxEntries limits the number of tracked requests, which take about 0.5 KB each. Each server crash
+	// adds the requests that ran on the server: 20 if 650 engines run 13,000 requests.
 	maxEntries = 4096
 	// maxCrashedServers limits the size of each set of crashed server instances.
 	maxCrashedServers = 1024
-	// maxRequestsPerCrash limits the request IDs stored per crashed server: 16 bytes each, 0.5 MB in all.
+	// maxRequestsPerCrash limits the request IDs stored per crashed server. They take 16 bytes each,
+	// 0.5 MB for maxCrashedServers.
 	maxRequestsPerCrash = 32
 	// strongSuspectCrashes is the number of crashes that makes a request a strong suspect. A single
 	// crash is weak evidence, as it counts against every request on the crashed server.
@@ -66,16 +67,17 @@
 
 func (e *entry) suspect() bool { return len(e.crashes) > 0 }
 
-// Tracker collects evidence from all gateways about requests that may crash servers. It is empty while
-// no servers crash. The current time is passed to each method. A Tracker is safe for concurrent use.
+// Tracker collects evidence from all gateways about requests that may crash servers. It tracks no requests
+// while no servers crash. Methods that depend on the current time take it as an argument. A Tracker is safe
+// for concurrent use.
 type Tracker struct {
 	entryCount atomic.Int64 // len(entries), readable without the lock
 
 	mu      sync.Mutex
 	entries map[ID]*entry
-	// crashedServers maps each crashed server instance to the time when its crash became known. It
-	// serves to compute the crash rate. explainedCrashes holds those whose crash is attributed to a
-	// quarantined request.
+	// crashedServers maps each crashed server instance to the time of its crash, or to the time when it
+	// became known if the former was not reported. It is used to compute the crash rate. explainedCrashes
+	// holds the instances whose crash is attributed to a quarantined request.
 	explainedCrashes, crashedServers map[string]time.Time
 	requestsAtCrash                  map[string][]ID // requests that ran on a server when it crashed
 	serverCount                      int             // number of reachable servers
@@ -204,12 +206,12 @@
 func (t *Tracker) RecordServerCrash(instance string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.recordFirst(t.crashedServers, instance, now)
+	t.recordCrashTime(t.crashedServers, instance, now)
 }
 
-// recordFirst adds a server instance to a set with the time of its crash, unless the set is full. An
-// earlier record is kept.
-func (t *Tracker) recordFirst(set map[string]time.Time, instance string, at time.Time) {
+// recordCrashTime adds a server instance to a set with the time of its crash, unless the set is full. It
+// keeps an existing time.
+func (t *Tracker) recordCrashTime(set map[string]time.Time, instance string, at time.Time) {
 	if _, known := set[instance]; !known && len(set) < maxCrashedServers {
 		set[instance] = at
 	}
@@ -250,10 +252,10 @@
 
 // addCrash adds a crash to the evidence against a request. It reports whether the evidence changed.
 func (t *Tracker) addCrash(id ID, e *entry, crash Crash, now time.Time) bool {
-	t.recordFirst(t.crashedServers, crash.Server, crash.At)
+	t.recordCrashTime(t.crashedServers, crash.Server, crash.At)
 	_, explained := t.explainedCrashes[crash.Server]
 	if e.verdict != nil {
-		// The crash no longer counts against other requests on that server.
+		// The crash no longer counts as evidence against other requests on that server.
 		t.explain(id, crash.Server, now)
 	}
 	known := slices.ContainsFunc(e.crashes, func(c Crash) bool { return c.Server == crash.Server })
@@ -276,7 +278,7 @@
 	return true
 }
 
-// removeIfEmpty removes an entry that has no evidence, verdict, time of clearing or local runs.
+// removeIfEmpty removes an entry that has no crashes, verdict, clearedAt or local runs.
 func (t *Tracker) removeIfEmpty(id ID, e *entry) {
 	if !e.suspect() && e.verdict == nil && e.clearedAt.IsZero() && len(e.localRuns) == 0 {
 		t.remove(id)
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -16,8 +16,8 @@
 
 // refusalPeriods are the refusal periods after the verdict, after the first trial, and after each
 // further trial. A failed trial aborts all requests on its server, so there are at most two on the
-// first day. The usual fix is a new version of the model or its engine, which takes days to deploy;
-// an operator can lift a quarantine earlier.
+// first day. The usual fix is a new version of the model or its engine, which takes days to deploy. An
+// operator can lift a quarantine earlier.
 var refusalPeriods = []time.Duration{time.Minute, 10 * time.Minute, 24 * time.Hour}
 
 // verdictTTL is how long a verdict is kept after its refusal period if no trial starts.
