--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -141,7 +141,7 @@
 	return &Core{cfg: cfg, effects: effects, queue: admission.New(cfg.Admission), keys: receipt.NewStore(now),
 		peerByLink: map[LinkID]string{}, linkByPeer: map[string]LinkID{},
 		attempts: map[AttemptKey]*attempt{}, attemptsByJob: map[*admission.Job]*attempt{}, coalescedByKey: map[string][]*attempt{},
-		tombstones: newTombstones(cfg.TombstoneRetention, cfg.MaxTombstones), sendBlocked: map[*attempt]struct{}{}, isServing: isServing,
+		tombstones: newTombstoneSet(cfg.TombstoneRetention, cfg.MaxTombstones), sendBlocked: map[*attempt]struct{}{}, isServing: isServing,
 		wastedTokens: map[string]uint64{}, refusedOffers: map[fault.Code]uint64{}}
 }
 
--- a/internal/execution/tombstone.go
+++ b/internal/execution/tombstone.go
@@ -21,7 +21,7 @@
 	incompleteUntil time.Time    // end of the retention period of tombstones that could not be stored
 }
 
-func newTombstones(retention time.Duration, limit int) *tombstoneSet {
+func newTombstoneSet(retention time.Duration, limit int) *tombstoneSet {
 	return &tombstoneSet{retention: retention, limit: limit, byKey: map[AttemptKey]tombstone{}}
 }
 
