--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -33,13 +33,13 @@
 	mu                sync.Mutex
 	conn              *link.Conn // nil while disconnected
 	incarnation       string
-	revision          uint64
+	revision          uint64 // configuration revision of the agent
 	load              wire.Load
 	serving           map[string]bool
-	offersSinceReport int     // offers sent since the agent's last load report
-	ewmaFirstTokenMS  float64 // time to first token; 0 before the first sample
-	attempts          map[attemptKey]*call
-	pendingCancels    []attemptKey // sent after the next reconnect to the same process
+	offersSinceReport int                  // offers sent since the agent's last load report
+	ewmaFirstTokenMS  float64              // time to first token; 0 before the first sample
+	attempts          map[attemptKey]*call // attempts offered to the agent and not finished yet
+	pendingCancels    []attemptKey         // sent after the next reconnect to the same process
 	lastUsed          time.Time
 }
 
@@ -50,6 +50,8 @@
 		Revision: l.revision, Running: sum(l.load.Running), Queued: sum(l.load.Queued)}
 }
 
+// serves reports whether the agent is connected, not draining and has the target
+// loaded.
 func (l *agentLink) serves(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,6 +66,8 @@
 	return total
 }
 
+// idle reports whether the link has no attempts and has not been used for
+// idleLinkTimeout.
 func (l *agentLink) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,6 +119,8 @@
 	return nil
 }
 
+// markUp records a new connection, sends the pending cancels if it is to the same agent
+// process as before, and notifies the calls that use the link.
 func (l *agentLink) markUp(conn *link.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,8 +133,8 @@
 		l.serving, l.load = nil, wire.Load{}
 		l.pendingCancels = nil // the attempts ended with the previous process
 	}
-	for _, a := range l.pendingCancels {
-		conn.Send(&wire.Cancel{ID: a.requestID, Attempt: a.attempt})
+	for _, id := range l.pendingCancels {
+		conn.Send(&wire.Cancel{ID: id.requestID, Attempt: id.attempt})
 	}
 	l.pendingCancels = nil
 	for _, c := range l.attempts {
@@ -137,6 +143,7 @@
 	l.router.logger.Info("agent link established", "server", l.server.Name, "same_process", sameProcess)
 }
 
+// markDown records the loss of the connection and notifies the calls that use the link.
 func (l *agentLink) markDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,6 +190,8 @@
 	}
 }
 
+// handleHeartbeat updates the reported state. While the configuration log is down, it
+// requests a newer configuration from the agent.
 func (l *agentLink) handleHeartbeat(m *wire.Heartbeat) {
 	l.updateLoad(m.Load)
 	l.mu.Lock()
@@ -212,6 +221,8 @@
 	}
 }
 
+// handleConfigRequest sends the configuration to the agent. The message has no data if
+// the configuration of this router is not ready.
 func (l *agentLink) handleConfigRequest(m *wire.ConfigRequest) {
 	config := l.router.Config
 	revision, data, err := config.EncodeSnapshot(m.NewerThan)
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -67,7 +67,7 @@
 	deliver func([]byte) error
 	machine *relay.Machine
 	events  chan any
-	timers  [relay.TimerOfferReply + 1]time.Time
+	timers  [relay.TimerOfferReply + 1]time.Time // expiry times by relay.Timer; zero if stopped
 
 	eventsDropped atomic.Bool // the event channel overflowed
 
@@ -77,7 +77,7 @@
 	attempt             attemptKey
 	offerTime           time.Time
 	firstTokenDelivered bool
-	tried               map[string]bool // servers that were offered the request
+	tried               map[string]bool // servers offered the request, except those that failed it for another reason than overload
 	linkFailed          map[string]bool // servers whose link failed when the offer was sent
 	lastFailed          string          // server that failed the request last
 	end                 *wire.End
@@ -123,6 +123,7 @@
 	return c.end, c.err
 }
 
+// run starts the machine and passes events to it until the request has finished.
 func (c *call) run(ctx context.Context) {
 	defer c.cleanUp()
 	timer := time.NewTimer(time.Hour)
@@ -204,6 +205,8 @@
 	c.avoidCurrentServer()
 }
 
+// avoidCurrentServer makes later offers select the current server only if no other
+// server is left.
 func (c *call) avoidCurrentServer() {
 	if c.link != nil {
 		delete(c.tried, c.link.server.Name)
@@ -211,6 +214,7 @@
 	}
 }
 
+// timeToNextTimer returns the time until the next timer expires, at most an hour.
 func (c *call) timeToNextTimer() time.Duration {
 	next := time.Hour
 	for _, due := range c.timers {
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -102,8 +102,9 @@
 	return fault.New(fault.NoBackendServer, "no backend server left to try for %q", c.req.Target).WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 }
 
-// homeAgentLink returns the link to the home agent of the request's idempotency key.
-// No other agent may run the request, so a refusal is not retried elsewhere.
+// homeAgentLink returns the link to the home agent of the request's idempotency key,
+// the agent that ranks first for the key by rendezvous hashing. No other agent may run
+// the request, so a refusal is not retried elsewhere.
 func (c *call) homeAgentLink() (*agentLink, *fault.Error) {
 	pool := c.router.Config.View().Pools[c.req.Pool]
 	if pool == nil {
@@ -137,6 +138,7 @@
 	}
 }
 
+// candidate describes the server of the link to the picker.
 func (l *agentLink) candidate(c *call) dispatch.Candidate {
 	leaving := l.router.members.Leaving(l.server.Name)
 	l.mu.Lock()
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -16,16 +16,16 @@
 // team's home router, chosen by rendezvous hashing, decides. While it is
 // unreachable, each router enforces an equal share of the limits. The returned
 // function must be called when the request has ended.
-func (r *Router) Admit(ctx context.Context, name string, team *resource.Team) (func(), *fault.Error) {
+func (r *Router) Admit(ctx context.Context, teamName string, team *resource.Team) (func(), *fault.Error) {
 	if team.Rate == 0 && team.Concurrency == 0 {
 		return func() {}, nil
 	}
 	peers := r.liveRouters()
-	home, listed := peers[rendezvous.First(name, memberNames(peers))]
+	home, listed := peers[rendezvous.First(teamName, memberNames(peers))]
 	if !listed || r.quotaTransport == nil {
-		return r.localLimiter.Admit(time.Now(), name, team, len(peers))
+		return r.localLimiter.Admit(time.Now(), teamName, team, len(peers))
 	}
-	request := quota.GrantRequest{Seq: r.quotaRequestSeq.Add(1), Team: name, Router: r.instanceID()}
+	request := quota.GrantRequest{Seq: r.quotaRequestSeq.Add(1), Team: teamName, Router: r.instanceID()}
 	var reply quota.GrantResponse
 	answered := true
 	if home.Name == r.settings.Name {
@@ -37,11 +37,11 @@
 	case !answered:
 		telemetry.Count("merlinpost_lending_fallback_total")
 		// The home router may have granted the request although its reply did not arrive.
-		r.releaseGrants(name, home, r.localLimiter.DiscardGrant(name, request.Seq))
-		return r.localLimiter.Admit(time.Now(), name, team, len(peers))
+		r.releaseGrants(teamName, home, r.localLimiter.DiscardGrant(teamName, request.Seq))
+		return r.localLimiter.Admit(time.Now(), teamName, team, len(peers))
 	case reply.Granted:
-		r.localLimiter.BeginGranted(time.Now(), name)
-		return func() { r.releaseGrants(name, home, r.localLimiter.EndGranted(name, request.Seq)) }, nil
+		r.localLimiter.BeginGranted(time.Now(), teamName)
+		return func() { r.releaseGrants(teamName, home, r.localLimiter.EndGranted(teamName, request.Seq)) }, nil
 	}
 	return nil, quota.RefusalError(reply, team)
 }
@@ -51,8 +51,8 @@
 
 // releaseGrants returns the grants with the given sequence numbers to the team's
 // home router.
-func (r *Router) releaseGrants(name string, home membership.Member, seqs []uint64) {
-	notice := quota.ReleaseNotice{Team: name, Router: r.instanceID(), Seqs: seqs}
+func (r *Router) releaseGrants(teamName string, home membership.Member, seqs []uint64) {
+	notice := quota.ReleaseNotice{Team: teamName, Router: r.instanceID(), Seqs: seqs}
 	if home.Name == r.settings.Name {
 		(*quotaHome)(r).Release(notice)
 		return
@@ -73,7 +73,7 @@
 }
 
 // Release implements lending.Home.
-func (h *quotaHome) Release(c quota.ReleaseNotice) { h.homeLimiter.Release(c) }
+func (h *quotaHome) Release(notice quota.ReleaseNotice) { h.homeLimiter.Release(notice) }
 
 // MarkReachable implements lending.Home.
 func (h *quotaHome) MarkReachable(router string) { h.homeLimiter.MarkReachable(time.Now(), router) }
@@ -110,6 +110,9 @@
 	return out
 }
 
+// pingCheckInterval is the time between checks of the membership list for due pings.
+const pingCheckInterval = time.Second
+
 // pingPeers pings every live router once per quota.PingInterval. A router that is
 // new to the membership list is pinged at the next check.
 func (r *Router) pingPeers(ctx context.Context) {
@@ -138,6 +141,3 @@
 		}
 	}
 }
-
-// pingCheckInterval is the time between checks of the membership list for due pings.
-const pingCheckInterval = time.Second
--- a/internal/router/links.go
+++ b/internal/router/links.go
@@ -11,9 +11,12 @@
 )
 
 const (
+	// reconcileInterval is the maximum time between two reconciliations of the links
+	// with the configuration.
 	reconcileInterval = time.Second
-	redialMinDelay    = 50 * time.Millisecond
-	redialMaxDelay    = 2 * time.Second
+	// redialMinDelay and redialMaxDelay bound the exponential backoff of redials.
+	redialMinDelay = 50 * time.Millisecond
+	redialMaxDelay = 2 * time.Second
 	// idleLinkTimeout is how long an unused link to a server outside the subsets
 	// stays open.
 	idleLinkTimeout = time.Minute
@@ -31,7 +34,7 @@
 	mu            sync.Mutex
 	linksByServer map[string]*agentLink
 	subsetsByPool map[string][]string // names of the servers selected from each pool
-	ctx           context.Context
+	ctx           context.Context     // context of run: ends the links
 
 	waitersMu sync.Mutex
 	waiters   map[*call]bool // calls waiting for a reachable agent
@@ -125,6 +128,8 @@
 	}
 }
 
+// selectSubset returns the names of the servers of a pool to which this router keeps
+// links. Rendezvous hashing gives each router its own subset.
 func (s *linkSet) selectSubset(pool *resource.Pool) []string {
 	domains := map[string]string{}
 	for _, server := range pool.Servers {
@@ -138,6 +143,7 @@
 	return rendezvous.Spread(s.router.settings.Name, names, func(n string) string { return domains[n] }, s.router.settings.Policy.Subset)
 }
 
+// openLocked opens a link to a server. s.mu must be held.
 func (s *linkSet) openLocked(server resource.Server) *agentLink {
 	ctx, cancel := context.WithCancel(s.ctx)
 	l := &agentLink{router: s.router, server: server, cancel: cancel, attempts: map[attemptKey]*call{}, lastUsed: time.Now()}
@@ -147,11 +153,11 @@
 }
 
 // subsetLinks returns the links to the servers in the subset of a pool.
-func (s *linkSet) subsetLinks(name string) []*agentLink {
+func (s *linkSet) subsetLinks(pool string) []*agentLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]*agentLink, 0, len(s.subsetsByPool[name]))
-	for _, n := range s.subsetsByPool[name] {
+	out := make([]*agentLink, 0, len(s.subsetsByPool[pool]))
+	for _, n := range s.subsetsByPool[pool] {
 		if l := s.linksByServer[n]; l != nil {
 			out = append(out, l)
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -100,8 +100,10 @@
 	}
 }
 
+// InProgress returns the number of requests in progress.
 func (r *Router) InProgress() int64 { return r.inProgress.Load() }
 
+// hello returns the first message that this router sends on a link.
 func (r *Router) hello() wire.Hello {
 	return wire.Hello{Role: "router", Name: r.settings.Name, Incarnation: r.incarnation, FailureDomain: r.settings.FailureDomain,
 		Revision: r.Config.View().Revision}
