--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -14,12 +14,13 @@
 	"step engines", "step engines", "step engines", "add request", "add request",
 	"advance", "advance", "advance far",
 	"break link", "break link", "break link", "reconnect", "reconnect", "reconnect",
-	"kill", "restart", "crash engine", "caller gone", "drain",
+	"kill", "restart", "crash engine", "caller disconnects", "drain",
 }
 
+// step executes one random step.
 func (cl *cluster) step() {
 	kind := rapid.SampledFrom(stepKinds).Draw(cl.t, "step")
-	conns := cl.allLinks()
+	links := cl.allLinks()
 	switch kind {
 	case "add request":
 		if len(cl.requests) < 6 {
@@ -32,13 +33,13 @@
 	case "advance far":
 		cl.advance(time.Duration(rapid.IntRange(500, 5000).Draw(cl.t, "ms")) * time.Millisecond)
 	case "deliver all":
-		for _, c := range conns {
-			cl.deliverNext(c)
+		for _, l := range links {
+			cl.deliverNext(l)
 		}
 	case "kill", "restart", "crash engine", "drain":
 		a := draw(cl, cl.agents, "which agent")
 		cl.disruptAgent(kind, a)
-	case "caller gone":
+	case "caller disconnects":
 		if len(cl.requests) > 0 {
 			draw(cl, cl.requests, "which request").machine.HandleCallerDisconnected()
 		}
@@ -47,26 +48,28 @@
 			cl.reconnect(r)
 		}
 	default:
-		if len(conns) == 0 {
+		if len(links) == 0 {
 			return
 		}
-		c := draw(cl, conns, "link")
+		l := draw(cl, links, "link")
 		if kind == "break link" {
-			cl.breakLink(c, rapid.Bool().Draw(cl.t, "agent notices"))
+			cl.breakLink(l, rapid.Bool().Draw(cl.t, "agent notices"))
 		} else {
-			cl.deliverNext(c)
+			cl.deliverNext(l)
 		}
 	}
 }
 
+// disruptAgent executes a step that kills, restarts or drains an agent or crashes its
+// engine.
 func (cl *cluster) disruptAgent(kind string, a *agent) {
 	switch kind {
 	case "kill":
 		a.down = true
 		a.runs = nil
-		for _, c := range cl.allLinks() {
-			if c.agent == a {
-				cl.breakLink(c, false)
+		for _, l := range cl.allLinks() {
+			if l.agent == a {
+				cl.breakLink(l, false)
 			}
 		}
 	case "restart":
@@ -80,7 +83,7 @@
 	case "crash engine":
 		a.crashEngine()
 	case "drain":
-		if rapid.IntRange(0, 4).Draw(cl.t, "really") == 0 {
+		if rapid.IntRange(0, 4).Draw(cl.t, "drain only if 0") == 0 {
 			a.core.Drain()
 		}
 	}
@@ -93,7 +96,7 @@
 		if i > 4000 {
 			cl.t.Fatalf("requests still unfinished after %d steps", i)
 		}
-		open := 0
+		unfinished := 0
 		for _, a := range cl.agents {
 			if a.down {
 				a.down = false
@@ -103,14 +106,14 @@
 		for _, r := range cl.requests {
 			cl.reconnect(r)
 			if r.finishCount == 0 {
-				open++
+				unfinished++
 			}
 		}
-		if open == 0 {
+		if unfinished == 0 {
 			return
 		}
-		for _, c := range cl.allLinks() {
-			cl.deliverNext(c)
+		for _, l := range cl.allLinks() {
+			cl.deliverNext(l)
 		}
 		cl.stepEngines()
 		cl.advance(20 * time.Millisecond)
@@ -138,9 +141,9 @@
 		}
 		cl.runToCompletion()
 		cl.advance(time.Minute)
-		for _, c := range cl.allLinks() { // deliver what is still in transit
-			for len(c.toAgent) > 0 {
-				cl.deliverNext(c)
+		for _, l := range cl.allLinks() { // deliver what is still in transit
+			for len(l.toAgent) > 0 {
+				cl.deliverNext(l)
 			}
 		}
 		cl.stepEngines()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -76,7 +76,9 @@
 // Config holds the timeouts and limits of a request.
 type Config struct {
 	MaxAttempts int
-	MayRepeat   bool
+	// MayRepeat reports whether the request may be offered again after an
+	// attempt that may have run.
+	MayRepeat bool
 	// Resumable reports whether another agent can continue a partially
 	// delivered answer.
 	Resumable         bool
@@ -105,13 +107,13 @@
 	state         state
 	attempt       uint32
 	assembler     answer.Assembler
-	deliveredText []byte
+	deliveredText []byte // text delivered to the caller, kept only if another agent may continue it
 	ackedChunks   uint32
 	linkUp        bool
 	possibleRuns  int          // number of finished attempts that may have run
 	lastFault     *fault.Error // of the last failed attempt; reported if no other agent takes the request
 	pendingFault  *fault.Error // fault to report when the cancel or the wait for an agent ends
-	retries       int
+	retries       int          // offers made after failed attempts
 }
 
 // New returns a Machine for the request with the given ID.
@@ -226,6 +228,8 @@
 	fault.StartDeadlinePassed: true, fault.DeadlinePassed: true,
 }
 
+// canRetry reports whether the request may be offered again after an attempt failed
+// with e. It takes a retry from the retry budget if one is needed.
 func (m *Machine) canRetry(e *fault.Error) bool {
 	if nonRetryableCodes[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
 		return false
@@ -268,11 +272,14 @@
 	}
 }
 
+// ack acknowledges the chunks delivered so far. A final acknowledgement allows the agent
+// to forget the attempt.
 func (m *Machine) ack(final bool) {
 	m.ackedChunks = m.assembler.NextSeq()
 	m.effects.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.ackedChunks, Final: final})
 }
 
+// resume asks the agent to send the answer again from the first chunk not yet delivered.
 func (m *Machine) resume() {
 	m.effects.Send(&wire.Resume{ID: m.id, Attempt: m.attempt, Next: m.assembler.NextSeq()})
 }
