--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -74,7 +74,8 @@
 	// TombstoneRetention is how long a tombstone is kept. It must exceed the
 	// longest time an offer can be in flight on an old link.
 	TombstoneRetention time.Duration
-	MaxTombstones      int
+	// MaxTombstones limits the number of tombstones stored.
+	MaxTombstones int
 }
 
 // phase is the state of an attempt.
@@ -83,9 +84,9 @@
 const (
 	phaseClaiming  phase = iota // a call with an idempotency key that waits for its claim
 	phaseCoalesced              // a repeated call that waits for the first call with its key
-	phaseQueued
+	phaseQueued                 // in the admission queue, also after a preemption
 	phaseRunning
-	phaseEnded
+	phaseEnded // the response has ended, and the router has not acknowledged its end yet
 )
 
 // attempt is an attempt that this agent has accepted and not yet forgotten.
@@ -94,15 +95,15 @@
 	offer         *wire.Offer
 	link          LinkID
 	phase         phase
-	job           *admission.Job
-	runNumber     int
+	job           *admission.Job // nil unless queued or running
+	runNumber     int            // of the current or last run; 0 before the first
 	buffer        *answer.Buffer
 	generatedText []byte // output so far, kept only if the request may be repeated
 	chunkCount    uint32 // chunks produced by all runs, including those before the offer
 	deadline      time.Time
-	orphanedAt    time.Time // start of the orphan timeout; zero while attached to a link
-	keyEntry      *receipt.Entry
-	end           *wire.End
+	orphanedAt    time.Time      // start of the orphan timeout; zero while attached to a link
+	keyEntry      *receipt.Entry // set for the first call with an idempotency key
+	end           *wire.End      // set when the attempt has ended
 	endSent       bool
 }
 
@@ -127,7 +128,7 @@
 	linkByPeer     map[string]LinkID     // newest link of each peer process
 	sendBlocked    map[*attempt]struct{} // attempts with unsent messages whose link has a full send queue
 	draining       bool
-	isServing      func(target string) bool
+	isServing      func(target string) bool // reports whether the backend server serves a target
 	counters       Counters
 	// wastedTokens counts the tokens that were generated and then discarded, by class.
 	wastedTokens map[string]uint64
@@ -141,7 +142,7 @@
 	return &Core{cfg: cfg, effects: effects, queue: admission.New(cfg.Admission), keys: receipt.NewStore(now),
 		peerByLink: map[LinkID]string{}, linkByPeer: map[string]LinkID{},
 		attempts: map[AttemptKey]*attempt{}, attemptsByJob: map[*admission.Job]*attempt{}, coalescedByKey: map[string][]*attempt{},
-		tombstones: newTombstones(cfg.TombstoneRetention, cfg.MaxTombstones), sendBlocked: map[*attempt]struct{}{}, isServing: isServing,
+		tombstones: newTombstoneSet(cfg.TombstoneRetention, cfg.MaxTombstones), sendBlocked: map[*attempt]struct{}{}, isServing: isServing,
 		wastedTokens: map[string]uint64{}, refusedOffers: map[fault.Code]uint64{}}
 }
 
@@ -170,6 +171,7 @@
 // response has not been acknowledged yet.
 func (c *Core) AttemptCount() int { return len(c.attempts) }
 
+// TombstoneCount returns the number of tombstones stored.
 func (c *Core) TombstoneCount() int { return c.tombstones.len() }
 
 // Idle reports whether no attempts are held.
@@ -235,7 +237,7 @@
 		return
 	}
 	key := AttemptKey{o.ID, o.Attempt}
-	if a := c.attempts[key]; a != nil { // duplicate offer
+	if a := c.attempts[key]; a != nil {
 		c.counters.Duplicates++
 		c.attach(a, link)
 		c.sendOfferResponse(a.link, key, nil)
--- a/internal/execution/core_test.go
+++ b/internal/execution/core_test.go
@@ -15,7 +15,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// recorder implements Effects and records the calls.
+// recorder implements Effects. It records the calls and takes no action.
 type recorder struct {
 	sent    []wire.Message
 	started []Run
--- a/internal/execution/keyed.go
+++ b/internal/execution/keyed.go
@@ -77,7 +77,7 @@
 // calls that wait for it, with the given fault.
 func (c *Core) failKeyed(now time.Time, a *attempt, e *fault.Error) {
 	c.finish(now, a, &wire.End{Fault: wire.EncodeFault(e)})
-	c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)}) })
+	c.releaseCoalesced(a.offer.IdempotencyKey, func(repeated *attempt) { c.finish(now, repeated, &wire.End{Fault: wire.EncodeFault(e)}) })
 }
 
 // releaseCoalesced calls f for each repeated call that waits for the first call with
@@ -85,9 +85,9 @@
 func (c *Core) releaseCoalesced(key string, f func(*attempt)) {
 	list := c.coalescedByKey[key]
 	delete(c.coalescedByKey, key)
-	for _, w := range list {
-		if c.attempts[w.key] == w && w.phase == phaseCoalesced {
-			f(w)
+	for _, repeated := range list {
+		if c.attempts[repeated.key] == repeated && repeated.phase == phaseCoalesced {
+			f(repeated)
 		}
 	}
 }
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -67,14 +67,14 @@
 	switch {
 	case e == nil:
 		a.keyEntry.Complete(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buffer)})
-		c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.replay(now, w, a.keyEntry) })
+		c.releaseCoalesced(a.offer.IdempotencyKey, func(repeated *attempt) { c.replay(now, repeated, a.keyEntry) })
 		return
 	case e.Outcome == fault.NotRun:
 		c.keys.Delete(a.offer.IdempotencyKey)
 	default:
 		a.keyEntry.Phase = receipt.OutcomeUnknown
 	}
-	c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)}) })
+	c.releaseCoalesced(a.offer.IdempotencyKey, func(repeated *attempt) { c.finish(now, repeated, &wire.End{Fault: wire.EncodeFault(e)}) })
 }
 
 // lastChunk returns the body of a plain service's response, which is a single chunk,
@@ -250,12 +250,12 @@
 	c.keys.Delete(key)
 	list := c.coalescedByKey[key]
 	delete(c.coalescedByKey, key)
-	for i, w := range list {
-		if c.attempts[w.key] != w || w.phase != phaseCoalesced {
+	for i, repeated := range list {
+		if c.attempts[repeated.key] != repeated || repeated.phase != phaseCoalesced {
 			continue
 		}
-		if e := c.admitKeyed(now, w); e != nil {
-			c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)})
+		if e := c.admitKeyed(now, repeated); e != nil {
+			c.finish(now, repeated, &wire.End{Fault: wire.EncodeFault(e)})
 			continue
 		}
 		c.coalescedByKey[key] = append(c.coalescedByKey[key], list[i+1:]...)
--- a/internal/execution/tombstone.go
+++ b/internal/execution/tombstone.go
@@ -21,7 +21,8 @@
 	incompleteUntil time.Time    // end of the retention period of tombstones that could not be stored
 }
 
-func newTombstones(retention time.Duration, limit int) *tombstoneSet {
+// newTombstoneSet returns an empty set that stores at most limit tombstones.
+func newTombstoneSet(retention time.Duration, limit int) *tombstoneSet {
 	return &tombstoneSet{retention: retention, limit: limit, byKey: map[AttemptKey]tombstone{}}
 }
 
@@ -61,6 +62,7 @@
 	return age >= t.retention/2 || now.Before(t.incompleteUntil)
 }
 
+// removeExpired removes the tombstones whose retention period has passed.
 func (t *tombstoneSet) removeExpired(now time.Time) {
 	n := 0
 	for n < len(t.insertionOrder) && !now.Before(t.byKey[t.insertionOrder[n]].expires) {
