--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -160,11 +160,12 @@
 }
 
 // newHello returns the first message that this agent sends on a link.
-func (a *Agent) newHello(role string) wire.Hello {
-	return wire.Hello{Role: role, Name: a.settings.Name, Incarnation: a.incarnation, FailureDomain: a.settings.FailureDomain,
+func (a *Agent) newHello() wire.Hello {
+	return wire.Hello{Role: "agent", Name: a.settings.Name, Incarnation: a.incarnation, FailureDomain: a.settings.FailureDomain,
 		Revision: a.config.View().Revision}
 }
 
+// linkOptions returns the options of a link that sends the given heartbeats.
 func (a *Agent) linkOptions(newHeartbeat func() *wire.Heartbeat) link.Options {
 	return link.Options{HeartbeatInterval: settings.Millis(a.settings.Link.HeartbeatMS), PeerTimeout: settings.Millis(a.settings.Link.SilentMS), NewHeartbeat: newHeartbeat}
 }
@@ -191,12 +192,13 @@
 	Name        string   `json:"name"`
 	Incarnation string   `json:"incarnation"`
 	Revision    uint64   `json:"revision"`
-	Fence       uint64   `json:"fence"`
-	LogUp       bool     `json:"log_up"`
+	Fence       uint64   `json:"fence"`  // fencing token; 0 without a lease
+	LogUp       bool     `json:"log_up"` // the configuration log is reachable
 	Stopping    bool     `json:"stopping"`
 	Serving     []string `json:"serving"`
 }
 
+// status returns the current state of the agent.
 func (a *Agent) status() Status {
 	return Status{a.settings.Name, a.incarnation, a.config.View().Revision, a.lease.FencingToken(), a.config.LogUp(),
 		a.draining.Load(), a.servingTargets.list()}
--- a/internal/agent/calls_test.go
+++ b/internal/agent/calls_test.go
@@ -25,6 +25,7 @@
 	return settings.Server{Address: strings.TrimPrefix(s.URL, "http://"), Slots: 4, StallMS: 300}
 }
 
+// newServiceRun returns a run of a call to a plain service.
 func newServiceRun() execution.Run {
 	return execution.Run{Key: execution.AttemptKey{RequestID: "x", Attempt: 1}, Offer: &wire.Offer{Kind: wire.KindService, Endpoint: "/do", Body: []byte("b"),
 		RunTimeoutMS: 5000, ContentType: "text/plain"}}
@@ -66,6 +67,7 @@
 	g.Expect(e.Outcome).To(Equal(fault.NotRun))
 }
 
+// newEngineRun returns a run that continues after two generated tokens.
 func newEngineRun(body string) execution.Run {
 	return execution.Run{Key: execution.AttemptKey{RequestID: "x", Attempt: 1}, GeneratedTokens: 2, GeneratedText: "a b ", Offer: &wire.Offer{Endpoint: "/v1/completions",
 		Target: "m@v2", Tier: 3, Body: []byte(body)}}
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -24,7 +24,7 @@
 func (a *Agent) claimKey(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
 	select {
 	case <-a.lease.Held():
-	default: // without a lease on the log, a later process would not know that this one existed
+	default: // without a lease on the log, a later process of this agent could not tell that this one existed
 		a.loop.decideClaim(ctx, k, o, receipt.WitnessUnreachable, true)
 		return
 	}
@@ -54,6 +54,7 @@
 	return nil
 }
 
+// serverNames returns the names of the servers of a pool, or nil if p is nil.
 func serverNames(p *resource.Pool) []string {
 	if p == nil {
 		return nil
@@ -65,7 +66,8 @@
 	return names
 }
 
-// claimRecord is an entry of an agent's claim stream on the log.
+// claimRecord is an entry of an agent's claim stream on the log. The process that
+// replaces the agent reads it to refuse calls that may already have run.
 type claimRecord struct {
 	Key      string `json:"key"`
 	Digest   uint64 `json:"digest"`
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -56,7 +56,7 @@
 // serveLink runs an accepted link until it ends.
 func (a *Agent) serveLink(ctx context.Context, nc net.Conn) {
 	p := &peerLink{agent: a, id: execution.LinkID(a.loop.lastLinkID.Add(1))}
-	conn, err := link.Open(nc, a.newHello("agent"), a.linkOptions(p.newHeartbeat))
+	conn, err := link.Open(nc, a.newHello(), a.linkOptions(p.newHeartbeat))
 	if err != nil {
 		telemetry.Count("merlinpost_links_failed_total", "code", string(fault.From(err).Code))
 		return
@@ -77,14 +77,15 @@
 	// triggerHeartbeats, which covers only registered links.
 	p.conn.Send(p.newHeartbeat())
 	if p.conn.Peer().Role == "router" {
-		if old := l.core.LinkUp(now, p.id, p.conn.Peer().Name+"/"+p.conn.Peer().Incarnation); old != 0 {
-			if c := l.conns[old]; c != nil {
+		if superseded := l.core.LinkUp(now, p.id, p.conn.Peer().Name+"/"+p.conn.Peer().Incarnation); superseded != 0 {
+			if c := l.conns[superseded]; c != nil {
 				c.Close()
 			}
 		}
 	}
 }
 
+// onClose removes the link. Its attempts are kept until the orphan timeout.
 func (p *peerLink) onClose(now time.Time) {
 	l := p.agent.loop
 	delete(l.conns, p.id)
@@ -94,11 +95,11 @@
 // newHeartbeat returns a heartbeat with the complete list of served targets, so that
 // a lost or reordered heartbeat is corrected by the next one.
 func (p *peerLink) newHeartbeat() *wire.Heartbeat {
-	b := p.agent.loop.newHeartbeat()
-	load := *b.Load
+	h := p.agent.loop.newHeartbeat()
+	load := *h.Load // a copy, because the load report is shared between links
 	load.Serving = p.agent.servingTargets.list()
-	b.Load = &load
-	return b
+	h.Load = &load
+	return h
 }
 
 // handleMessage passes a received message to the component that handles it.
--- a/internal/agent/links_test.go
+++ b/internal/agent/links_test.go
@@ -18,7 +18,7 @@
 // If the first heartbeat were sent before the link was registered, a change between the
 // two would be missing from that heartbeat and from the one sent on registered links. On
 // an idle link the router would learn of it only from the next heartbeat, 20 s later.
-func TestALinkThatIsTakenInHearsOfTargetsThatChangeMeanwhile(t *testing.T) {
+func TestTargetChangeDuringLinkOpeningReachesRouter(t *testing.T) {
 	g := NewWithT(t)
 	cfg := settings.Agent{Name: "a", Listen: "127.0.0.1:0", Metrics: "127.0.0.1:0", Link: settings.Link{HeartbeatMS: 20000, SilentMS: 60000}}
 	a, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -37,8 +37,8 @@
 	received := make(chan []string, 10)
 	go func() {
 		_ = router.Run(ctx, func(m wire.Message) { // ends with ctx
-			if b, ok := m.(*wire.Heartbeat); ok && b.Load != nil {
-				received <- b.Load.Serving
+			if h, ok := m.(*wire.Heartbeat); ok && h.Load != nil {
+				received <- h.Load.Serving
 			}
 		})
 	}()
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -17,7 +17,7 @@
 
 // Limits and intervals of the core loop.
 const (
-	inboxCapacity      = 4096
+	inboxCapacity      = 4096                   // events
 	tickInterval       = 10 * time.Millisecond  // while attempts are queued or blocked on a full link
 	idleTickInterval   = 500 * time.Millisecond // otherwise
 	sweepInterval      = time.Second
@@ -40,18 +40,21 @@
 	inbox            chan event
 	core             *execution.Core
 	conns            map[execution.LinkID]*link.Conn
-	cancelByRun      map[runID]context.CancelFunc
-	runCtx           context.Context // context of run: ends backend calls, claims and witness links
-	load             atomic.Pointer[wire.Load]
-	reportedCounters execution.Counters
+	cancelByRun      map[runID]context.CancelFunc // aborts the backend call of a run
+	runCtx           context.Context              // context of run: ends backend calls, claims and witness links
+	load             atomic.Pointer[wire.Load]    // published for heartbeats
+	reportedCounters execution.Counters           // included in the metrics already
 	lastLinkID       atomic.Uint64
 }
 
+// runID identifies a run of an attempt.
 type runID struct {
 	key    execution.AttemptKey
 	number int
 }
 
+// newCoreLoop returns a loop with an empty core. It does not process events until run
+// is called.
 func newCoreLoop(a *Agent) *coreLoop {
 	l := &coreLoop{agent: a, inbox: make(chan event, inboxCapacity), conns: map[execution.LinkID]*link.Conn{},
 		cancelByRun: map[runID]context.CancelFunc{}}
@@ -220,6 +223,7 @@
 	go l.agent.claimKey(l.runCtx, k, o)
 }
 
+// callEngine runs a completion request on the engine and reports its progress to the core.
 func (l *coreLoop) callEngine(ctx context.Context, id runID, r execution.Run) {
 	end, err := l.agent.engine.generate(ctx, r, func(data []byte) {
 		l.post(ctx, func(now time.Time) { l.core.Output(now, r.Key, r.Number, data, 1) })
@@ -227,6 +231,7 @@
 	l.reportRunEnd(id, r, nil, end, err)
 }
 
+// callService calls the plain service and reports its response to the core.
 func (l *coreLoop) callService(ctx context.Context, id runID, r execution.Run) {
 	body, end, err := l.agent.service.call(ctx, r)
 	l.reportRunEnd(id, r, body, end, err)
--- a/internal/agent/serving.go
+++ b/internal/agent/serving.go
@@ -13,6 +13,7 @@
 // zero value is empty. It is safe for concurrent use.
 type targetSet struct{ targets atomic.Pointer[[]string] }
 
+// list returns the targets in sorted order. The caller must not modify the slice.
 func (s *targetSet) list() []string {
 	if p := s.targets.Load(); p != nil {
 		return *p
@@ -29,6 +30,7 @@
 	return changed
 }
 
+// has reports whether the set contains the target.
 func (s *targetSet) has(target string) bool {
 	_, found := slices.BinarySearch(s.list(), target)
 	return found
@@ -86,8 +88,8 @@
 	loaded, err := a.engine.loadedTargets(queryCtx)
 	if err != nil {
 		// If the query failed, the engine serves no targets. If it timed out, the
-		// engine may only be frozen: its targets are kept, and its requests fail by
-		// the stall timeout.
+		// engine may be unresponsive only for a short time: its targets are kept, and
+		// requests that do not progress fail by the stall timeout.
 		if queryCtx.Err() == nil {
 			a.updateServing(ctx, []string{})
 		}
--- a/internal/agent/witness.go
+++ b/internal/agent/witness.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil
 	}
-	conn, err := link.Open(nc, w.agent.newHello("agent"), w.agent.linkOptions(w.agent.loop.newHeartbeat))
+	conn, err := link.Open(nc, w.agent.newHello(), w.agent.linkOptions(w.agent.loop.newHeartbeat))
 	if err != nil {
 		return nil
 	}
