--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -32,11 +32,11 @@
 	// mayHaveRun means that the request ran and failed, or that it is unknown whether it ran.
 	mayHaveRun
 	// brokenOff means that the response failed after part of it had been relayed.
-	brokenOff
+	truncated
 )
 
 var sendResultNames = map[sendResult]string{
-	delivered: "delivered", notRun: "not_run", mayHaveRun: "may_have_run", brokenOff: "broken_off",
+	delivered: "delivered", notRun: "not_run", mayHaveRun: "may_have_run", truncated: "broken_off",
 }
 
 const (
@@ -49,7 +49,7 @@
 	maxConnectFailures = 8
 	// borrowPause is how long other gateways are not asked for further retries to a service after none of them
 	// has granted one.
-	borrowPause = 100 * time.Millisecond
+	borrowRetryDelay = 100 * time.Millisecond
 	// maxGrantAge is the age above which a granted retry must be granted again before it is sent.
 	maxGrantAge = 250 * time.Millisecond
 )
@@ -71,7 +71,7 @@
 		switch result {
 		case delivered:
 			return nil
-		case mayHaveRun, brokenOff:
+		case mayHaveRun, truncated:
 			ran++
 		}
 		last = err
@@ -92,7 +92,7 @@
 		return unsent, err
 	}
 	if run.key != 0 {
-		defer func() { g.quarantine.Done(q.quarantineID(), run.key, g.now()) }()
+		defer func() { g.quarantine.EndRun(q.quarantineID(), run.key, g.now()) }()
 	}
 	choice, permitted, err := g.chooseServer(ctx, q, g.excludedServers(q, run, tried), run, rel)
 	if err != nil {
@@ -119,7 +119,7 @@
 		return true
 	case mayHaveRun:
 		return q.route.MayRepeat()
-	case brokenOff:
+	case truncated:
 		return q.route.Resumable && rel.canResume()
 	}
 	return false
@@ -157,7 +157,7 @@
 		verdict = "granted"
 	}
 	q.retryDecision, q.retryDecidedAt = d, g.now()
-	failed := q.lastSent()
+	failed := q.lastSend()
 	failed.RetryDecision = &d
 	telemetry.Count("merlinpost_retry_budget_decisions_total", "service", q.service, "cause", failed.Result, "verdict", verdict)
 	telemetry.SetGauge("merlinpost_retry_budget_taken", float64(d.Taken), "service", q.service)
@@ -177,7 +177,7 @@
 	d := g.budget(q.service).Renew(q.retryDecision, now)
 	q.retryDecision, q.retryDecidedAt = d, now
 	if !d.Granted {
-		q.lastSent().RetryDecision = &d
+		q.lastSend().RetryDecision = &d
 		telemetry.Count("merlinpost_retry_budget_decisions_total", "service", q.service, "cause", "waited_for_turn", "verdict", "denied")
 	}
 	return d.Granted
@@ -206,7 +206,7 @@
 		case d := <-pending.Decided():
 			return d
 		case <-ctx.Done():
-			d := pending.Withdraw()
+			d := pending.Cancel()
 			d.Granted, d.Waited = false, g.now().Sub(claimedAt)
 			return d
 		case <-timer.C:
@@ -215,7 +215,7 @@
 			timer.Reset(max(retrybudget.GrantInterval, min(jittered, claim.Expires.Sub(g.now()))))
 		}
 		if pending.Undecided() && g.borrowRetry(ctx, q) {
-			d := pending.Withdraw()
+			d := pending.Cancel()
 			d.Granted, d.Borrowed, d.Waited = true, true, g.now().Sub(claimedAt)
 			return d
 		}
@@ -238,7 +238,7 @@
 		return true
 	}
 	g.mu.Lock()
-	g.borrowPausedUntil[q.service] = g.now().Add(borrowPause)
+	g.borrowPausedUntil[q.service] = g.now().Add(borrowRetryDelay)
 	g.mu.Unlock()
 	return false
 }
@@ -333,7 +333,7 @@
 	}
 	stats.EngineFailed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
 	record := sendRecord{Server: server.ID, Reason: choice.Reason, FetchFrom: choice.FetchFrom, Result: sendResultNames[result],
-		Running: choice.Candidate.View.InFlight, UnreadTokens: choice.Candidate.View.UnreadTokens,
+		Running: choice.Candidate.View.InFlight, PendingPrefillTokens: choice.Candidate.View.UnreadTokens,
 		ExpectedPrefill: choice.ExpectedPrefill, TimeToFirstEvent: stats.TimeToFirstEvent, LongestGap: stats.LongestGap, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: notices}
 	if err != nil {
 		record.Cause = err.Error()
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -38,13 +38,13 @@
 	net.Listener
 	limits func() routing.Limits
 
-	mu       sync.Mutex
-	open     map[*callerConn]struct{}
-	draining bool
+	mu        sync.Mutex
+	openConns map[*callerConn]struct{}
+	draining  bool
 }
 
 func newCallerListener(l net.Listener, limits func() routing.Limits) *callerListener {
-	return &callerListener{Listener: l, limits: limits, open: map[*callerConn]struct{}{}}
+	return &callerListener{Listener: l, limits: limits, openConns: map[*callerConn]struct{}{}}
 }
 
 // Accept implements net.Listener.
@@ -55,7 +55,7 @@
 	}
 	conn := &callerConn{Conn: c, listener: l}
 	l.mu.Lock()
-	l.open[conn] = struct{}{}
+	l.openConns[conn] = struct{}{}
 	l.mu.Unlock()
 	return conn, nil
 }
@@ -64,7 +64,7 @@
 func (l *callerListener) closeIdle() {
 	l.mu.Lock()
 	l.draining = true
-	open := slices.Collect(maps.Keys(l.open))
+	open := slices.Collect(maps.Keys(l.openConns))
 	l.mu.Unlock()
 	for _, c := range open {
 		c.closeIfIdle()
@@ -89,7 +89,7 @@
 		}
 	case http.StateClosed, http.StateHijacked:
 		l.mu.Lock()
-		delete(l.open, conn)
+		delete(l.openConns, conn)
 		l.mu.Unlock()
 	}
 }
--- a/internal/gateway/errors_and_logs.go
+++ b/internal/gateway/errors_and_logs.go
@@ -15,7 +15,7 @@
 const (
 	// startRetryAfter is the Retry-After value while no configuration is loaded. A process
 	// loads it within a few hundred milliseconds of its start unless the store is unavailable.
-	startRetryAfter = 500 * time.Millisecond
+	notReadyRetryAfter = 500 * time.Millisecond
 	// noServerRetryAfter is the Retry-After value if no server accepted the request. It is
 	// about the time after which a server that is avoided is tried again.
 	noServerRetryAfter = 500 * time.Millisecond
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -91,7 +91,7 @@
 		}),
 		budgets: map[string]*retrybudget.Budget{}, slackShare: 1, borrowPausedUntil: map[string]time.Time{},
 		responseTimes: map[string]*placement.ResponseTimeEstimator{},
-		exits:         exitTracker{checks: map[string]*exitCheck{}, pendingRuns: map[string][]interruptedRun{}},
+		exits:         exitTracker{exitChecks: map[string]*exitCheck{}, pendingRuns: map[string][]interruptedRun{}},
 		quarantine:    quarantine.New(),
 	}
 	g.notices = notice.NewRegistry(ratelimit.New(g.random), g.logNoticeChange)
@@ -133,7 +133,7 @@
 	g.slackShare = share
 	g.mu.Unlock()
 	if changed {
-		g.forEachBudget(func(b *retrybudget.Budget) { b.SetShare(share, g.now()) })
+		g.forEachBudget(func(b *retrybudget.Budget) { b.SetSlackShare(share, g.now()) })
 	}
 }
 
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -23,7 +23,7 @@
 	for _, kind := range notices.Kinds() {
 		telemetry.Count("merlinpost_server_notices_total", "service", server.Service, "kind", string(kind))
 	}
-	for _, kind := range notices.Unreadable {
+	for _, kind := range notices.Malformed {
 		telemetry.Count("merlinpost_server_notices_unreadable_total", "service", server.Service, "kind", string(kind))
 		if g.logLimiter.Allow("notice unreadable", now) {
 			g.logger.Warn("notice of a backend server can't be read", "server", server.InstanceID(), "kind", string(kind))
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -186,7 +186,7 @@
 
 // recordRefusal adds a refused permit request to the request's send records.
 func (g *Gateway) recordRefusal(q *request, decision permit.Decision) {
-	q.sends = append(q.sends, sendRecord{Result: decision.Verdict.String(), Wait: decision.Wait, UnreadTokens: int64(decision.BacklogTokens), RateLimited: decision.RateLimitedEngines,
+	q.sends = append(q.sends, sendRecord{Result: decision.Verdict.String(), Wait: decision.Wait, PendingPrefillTokens: int64(decision.BacklogTokens), RateLimitedServers: decision.RateLimitedEngines,
 		SentAfter: g.now().Sub(q.start)})
 }
 
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -46,13 +46,13 @@
 	}
 	run := trackedRun{key: max(rand.Uint64(), 1)}
 	for {
-		decision := g.quarantine.Begin(q.quarantineID(), run.key, g.now())
+		decision := g.quarantine.BeginRun(q.quarantineID(), run.key, g.now())
 		if decision.ConfirmAfter > 0 {
 			if err := g.waitForChange(ctx, q, ran, nil, decision.ConfirmAfter); err != nil {
-				g.quarantine.Done(q.quarantineID(), run.key, g.now())
+				g.quarantine.EndRun(q.quarantineID(), run.key, g.now())
 				return run, err
 			}
-			decision = g.quarantine.Confirm(q.quarantineID(), run.key, g.now())
+			decision = g.quarantine.ConfirmRun(q.quarantineID(), run.key, g.now())
 		}
 		run.isolated = decision.Isolate
 		switch {
@@ -127,7 +127,7 @@
 	if !g.quarantine.HasEntries() {
 		return nil
 	}
-	if decision := g.quarantine.Check(q.quarantineID(), run.key); decision.Verdict != nil {
+	if decision := g.quarantine.RecheckVerdict(q.quarantineID(), run.key); decision.Verdict != nil {
 		return g.quarantinedError(q, decision.Verdict, ran)
 	}
 	return nil
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -54,7 +54,7 @@
 		return g.relayStream(ctx, q, rel, resp, meter)
 	}
 	if rel.started {
-		return brokenOff, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).WithOutcome(fault.Partial)
+		return truncated, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).WithOutcome(fault.Partial)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedBodyBytes+1))
 	switch {
@@ -132,7 +132,7 @@
 				rel.w.WriteHeader(resp.Status)
 			}
 			if _, werr := rel.w.Write(event); werr != nil {
-				return brokenOff, fault.New(fault.Cancelled, "the caller has left: %w", werr)
+				return truncated, fault.New(fault.Cancelled, "the caller has left: %w", werr)
 			}
 			wrote = true
 		}
@@ -141,7 +141,7 @@
 		}
 		if wrote {
 			if ferr := flusher.Flush(); ferr != nil {
-				return brokenOff, fault.New(fault.Cancelled, "the caller has left: %w", ferr)
+				return truncated, fault.New(fault.Cancelled, "the caller has left: %w", ferr)
 			}
 		}
 		if err != nil {
@@ -202,7 +202,7 @@
 func (r *relay) streamError(ctx context.Context, err error) (sendResult, error) {
 	result, outcome := mayHaveRun, fault.Unknown
 	if r.started {
-		result, outcome = brokenOff, fault.Partial
+		result, outcome = truncated, fault.Partial
 	}
 	if ctx.Err() != nil {
 		return result, contextError(ctx, true)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -70,12 +70,12 @@
 	ExpectedPrefill  time.Duration `json:"expect,omitempty"` // predicted time to the first event
 	TimeToFirstEvent time.Duration `json:"first,omitempty"`  // measured time to the first event
 	// RateLimited is the number of servers that had reached their stated rate limits when a permit was refused.
-	RateLimited  int           `json:"limited,omitempty"`
-	Running      int           `json:"running"`
-	UnreadTokens int64         `json:"unread"`
-	LongestGap   time.Duration `json:"longest,omitempty"` // longest time between two consecutive events
-	SentAfter    time.Duration `json:"at"`                // time from the request's arrival to this send
-	Took         time.Duration `json:"took"`              // time until the response was relayed or the send failed
+	RateLimitedServers   int           `json:"limited,omitempty"`
+	Running              int           `json:"running"`
+	PendingPrefillTokens int64         `json:"unread"`
+	LongestGap           time.Duration `json:"longest,omitempty"` // longest time between two consecutive events
+	SentAfter            time.Duration `json:"at"`                // time from the request's arrival to this send
+	Took                 time.Duration `json:"took"`              // time until the response was relayed or the send failed
 	// ServerExited is set if the connection broke because the server process exited.
 	ServerExited bool `json:"ended,omitempty"`
 	// Notices are the notices in the response headers, or nil if there are none.
@@ -85,7 +85,7 @@
 }
 
 // lastSent returns the most recent record that names a server, or a new empty record if there is none.
-func (q *request) lastSent() *sendRecord {
+func (q *request) lastSend() *sendRecord {
 	for i := len(q.sends) - 1; i >= 0; i-- {
 		if q.sends[i].Server != "" {
 			return &q.sends[i]
@@ -96,7 +96,7 @@
 
 // retryDenied reports whether the retry budget denied a retry after the last send.
 func (q *request) retryDenied() bool {
-	d := q.lastSent().RetryDecision
+	d := q.lastSend().RetryDecision
 	return d != nil && !d.Granted
 }
 
@@ -151,7 +151,7 @@
 	}
 	q.table = g.table.Load()
 	if q.table == nil {
-		return q, fault.New(fault.NotReady, "no configuration has been loaded yet").WithOutcome(fault.NotRun).WithRetryAfter(startRetryAfter)
+		return q, fault.New(fault.NotReady, "no configuration has been loaded yet").WithOutcome(fault.NotRun).WithRetryAfter(notReadyRetryAfter)
 	}
 	if err := checkHeaderSize(r, q.table.Limits.HeaderBytes); err != nil {
 		return q, err
@@ -168,12 +168,12 @@
 	if q.team, err = q.table.Authenticate(q.route, info.APIKey); err != nil {
 		return q, err
 	}
-	q.setLimits(info)
+	q.applyRoute(info)
 	return q, g.readBody(q, r)
 }
 
 // setLimits sets the request's deadline, priority and service.
-func (q *request) setLimits(info RequestInfo) {
+func (q *request) applyRoute(info RequestInfo) {
 	timeout := q.route.Timeout
 	if info.Deadline > 0 {
 		timeout = min(timeout, info.Deadline)
--- a/internal/gateway/server_exits.go
+++ b/internal/gateway/server_exits.go
@@ -16,13 +16,13 @@
 // reset, a malformed response or a truncated stream does not prove it, because a live server may
 // cause them too. Requests that are interrupted at a server at about the same time share a check.
 type exitTracker struct {
-	mu     sync.Mutex
-	checks map[string]*exitCheck
+	mu         sync.Mutex
+	exitChecks map[string]*exitCheck
 	// pendingRuns are the interrupted runs for which it is not yet known whether the server has
 	// exited, keyed by the server's instance ID.
 	pendingRuns map[string][]interruptedRun
 	// lastProbe is the time of the most recent round of probes by probeServers.
-	lastProbe time.Time
+	lastProbeRound time.Time
 }
 
 // interruptedRun is a run of a request whose connection to the server broke.
@@ -81,9 +81,9 @@
 // because the server list takes seconds to report that idle servers have exited too.
 func (g *Gateway) probeServers() {
 	g.exits.mu.Lock()
-	due := g.now().Sub(g.exits.lastProbe) >= probeInterval
+	due := g.now().Sub(g.exits.lastProbeRound) >= probeInterval
 	if due {
-		g.exits.lastProbe = g.now()
+		g.exits.lastProbeRound = g.now()
 	}
 	g.exits.mu.Unlock()
 	if !due {
@@ -151,16 +151,16 @@
 	g.exits.mu.Lock()
 	defer g.exits.mu.Unlock()
 	now, instance := g.now(), server.InstanceID()
-	if c := g.exits.checks[instance]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
+	if c := g.exits.exitChecks[instance]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
 		return c
 	}
-	for other, c := range g.exits.checks {
+	for other, c := range g.exits.exitChecks {
 		if now.Sub(c.startedAt) >= exitCheckTTL {
-			delete(g.exits.checks, other)
+			delete(g.exits.exitChecks, other)
 		}
 	}
 	c := &exitCheck{startedAt: now, done: make(chan struct{})}
-	g.exits.checks[instance] = c
+	g.exits.exitChecks[instance] = c
 	go g.runExitCheck(server, c)
 	return c
 }
@@ -178,6 +178,6 @@
 
 // connectionBroke reports whether a send failed because its connection broke, and not because ctx ended.
 func connectionBroke(ctx context.Context, result sendResult, err error) bool {
-	return (result == mayHaveRun || result == brokenOff) && ctx.Err() == nil &&
+	return (result == mayHaveRun || result == truncated) && ctx.Err() == nil &&
 		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.IncompleteResponse))
 }
--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -92,7 +92,7 @@
 	case m.Release != nil:
 		t.home.Release(*m.Release)
 	case m.Response != nil:
-		t.deliver(*m.Response)
+		t.deliverResponse(*m.Response)
 	case m.Request != nil:
 		select {
 		case requests <- receivedRequest{*m.Request, from}:
@@ -102,7 +102,7 @@
 	}
 }
 
-func (t *Transport) deliver(resp quota.GrantResponse) {
+func (t *Transport) deliverResponse(resp quota.GrantResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ch := t.pendingResponses[resp.Seq]; ch != nil {
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -30,7 +30,7 @@
 	return p
 }
 
-func TestAcquireReturnsTheResponseOfTheHome(t *testing.T) {
+func TestAcquireReturnsResponseOfHome(t *testing.T) {
 	g := NewWithT(t)
 	home := startTransport(t, func(req quota.GrantRequest) quota.GrantResponse {
 		return quota.GrantResponse{Seq: req.Seq, Granted: req.Team == "known", RetryAfterMS: 7}
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -26,12 +26,12 @@
 	// Backoff is the time for which the server accepts no requests, or 0 if the response has no backoff.
 	Backoff time.Duration `json:"backoff,omitempty"`
 	// Unreadable are the kinds of malformed notices. Earlier notices of these kinds stay in force.
-	Unreadable []Kind `json:"unreadable,omitempty"`
+	Malformed []Kind `json:"unreadable,omitempty"`
 }
 
 // Empty reports whether the response has no notices, not even malformed ones.
 func (n ResponseNotices) Empty() bool {
-	return !n.Draining && !n.Limited && n.Backoff == 0 && len(n.Unreadable) == 0
+	return !n.Draining && !n.Limited && n.Backoff == 0 && len(n.Malformed) == 0
 }
 
 // Kinds returns the kinds of the well-formed notices.
@@ -50,11 +50,11 @@
 }
 
 // unreadable reports whether the response has a malformed notice of a kind.
-func (n ResponseNotices) unreadable(kind Kind) bool { return slices.Contains(n.Unreadable, kind) }
+func (n ResponseNotices) isMalformed(kind Kind) bool { return slices.Contains(n.Malformed, kind) }
 
 // MaxLimit is the highest valid rate limit in requests per second. It is far above the capacity of a
 // backend server, which runs tens to hundreds of requests at once.
-const MaxLimit = 1e6
+const MaxRateLimit = 1e6
 
 // MaxBackoff is the longest valid backoff. A server that accepts no requests for longer should be removed
 // from the server list.
--- a/internal/notice/registry.go
+++ b/internal/notice/registry.go
@@ -22,10 +22,10 @@
 // gateways. Servers are identified by instance ID, so that a restarted server has a new entry.
 // It is safe for concurrent use.
 type Registry struct {
-	limits      *ratelimit.Limiter
-	notify      func(Event)
-	serverCount atomic.Int32  // len(servers), usually 0, for a check without the lock
-	pending     chan struct{} // signals that there are changes to send
+	limits       *ratelimit.Limiter
+	notify       func(Event)
+	serverCount  atomic.Int32  // len(servers), usually 0, for a check without the lock
+	reportsReady chan struct{} // signals that there are changes to send
 
 	mu      sync.Mutex
 	servers map[string]*serverState
@@ -64,7 +64,7 @@
 // NewRegistry returns an empty registry that applies rate limits to limits. Notify is called with
 // each change, under the registry's lock: it must not call the registry.
 func NewRegistry(limits *ratelimit.Limiter, notify func(Event)) *Registry {
-	return &Registry{limits: limits, notify: notify, pending: make(chan struct{}, 1), servers: map[string]*serverState{}}
+	return &Registry{limits: limits, notify: notify, reportsReady: make(chan struct{}, 1), servers: map[string]*serverState{}}
 }
 
 // Limits returns the limiter to which rate limits are applied.
@@ -96,7 +96,7 @@
 	switch {
 	case n.Limited && (!s.limited || n.Limit <= s.limit || newer):
 		r.setLimit(server, s, n.Limit, now, "", now)
-	case !n.Limited && !n.unreadable(RateLimit) && s.limited && newer:
+	case !n.Limited && !n.isMalformed(RateLimit) && s.limited && newer:
 		r.clearLimit(server, s, sent, "", now)
 	}
 }
@@ -181,7 +181,7 @@
 	}
 	s.resends.start(now)
 	select {
-	case r.pending <- struct{}{}:
+	case r.reportsReady <- struct{}{}:
 	default: // a signal is already pending
 	}
 }
--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -23,7 +23,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.members.recordHeartbeat(Member{b.Host, from, b.Capacity}, b.Leaving, now)
-	if m := p.members.known[b.Host]; m != nil && b.Estimates != nil {
+	if m := p.members.peers[b.Host]; m != nil && b.Estimates != nil {
 		m.estimates = b.Estimates
 	}
 	for _, report := range b.States {
@@ -77,8 +77,8 @@
 // sendAll sends a message to all known members.
 func (p *Peers) sendAll(m message) {
 	p.mu.Lock()
-	addresses := make([]netip.AddrPort, 0, len(p.members.known))
-	for _, member := range p.members.known {
+	addresses := make([]netip.AddrPort, 0, len(p.members.peers))
+	for _, member := range p.members.peers {
 		addresses = append(addresses, member.Address)
 	}
 	p.mu.Unlock()
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -57,7 +57,7 @@
 type members struct {
 	self  Member
 	start time.Time
-	known map[string]*peerState // by host, excluding self
+	peers map[string]*peerState // by host, excluding self
 	// listedAt is when the store first listed this gateway.
 	listedAt time.Time
 	// stalledAt is the end of the last stall of this process, during which it processed no heartbeats.
@@ -69,19 +69,19 @@
 	Member
 	heartbeatAt        time.Time // time of the last heartbeat, zero if none
 	listedAt           time.Time // when the store first listed it
-	downUntil          time.Time
+	unresponsiveUntil  time.Time
 	leaving            bool
 	estimates          []engineEstimates // from its last heartbeat that had any
 	initialStateSentAt time.Time         // time of the last sendInitialState
 }
 
 func newMembers(self Member, now time.Time) *members {
-	return &members{self: self, start: now, known: map[string]*peerState{}}
+	return &members{self: self, start: now, peers: map[string]*peerState{}}
 }
 
 // heartbeatInterval returns the interval at which each member is sent a heartbeat.
 func (m *members) heartbeatInterval() time.Duration {
-	return max(minHeartbeatInterval, time.Duration(len(m.known))*heartbeatIntervalPerMember)
+	return max(minHeartbeatInterval, time.Duration(len(m.peers))*heartbeatIntervalPerMember)
 }
 
 // addListed adds members listed in the store. A listed member is not necessarily live.
@@ -93,7 +93,7 @@
 			}
 			continue
 		}
-		if p := m.peer(member); p.listedAt.IsZero() {
+		if p := m.getOrCreate(member); p.listedAt.IsZero() {
 			p.listedAt = now
 		}
 	}
@@ -101,11 +101,11 @@
 
 // peer returns the state of a member and creates it if necessary. The state is reset when the
 // member's address changes.
-func (m *members) peer(member Member) *peerState {
-	p := m.known[member.Host]
+func (m *members) getOrCreate(member Member) *peerState {
+	p := m.peers[member.Host]
 	if p == nil || p.Address != member.Address {
 		p = &peerState{Member: member}
-		m.known[member.Host] = p
+		m.peers[member.Host] = p
 	}
 	return p
 }
@@ -115,16 +115,16 @@
 	if member.Host == m.self.Host {
 		return
 	}
-	p := m.peer(member)
+	p := m.getOrCreate(member)
 	p.Capacity = member.Capacity
-	p.heartbeatAt, p.leaving, p.downUntil = now, leaving, time.Time{}
+	p.heartbeatAt, p.leaving, p.unresponsiveUntil = now, leaving, time.Time{}
 }
 
 // markUnresponsive records that the member at an address did not respond.
 func (m *members) markUnresponsive(at netip.AddrPort, now time.Time) {
-	for _, p := range m.known {
+	for _, p := range m.peers {
 		if p.Address == at {
-			p.downUntil = now.Add(unresponsivePeriod)
+			p.unresponsiveUntil = now.Add(unresponsivePeriod)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 // live returns the hosts of the live gateways, including this one, in alphabetical order.
 func (m *members) live(now time.Time) []string {
 	hosts := []string{m.self.Host}
-	for host, p := range m.known {
+	for host, p := range m.peers {
 		if m.isLive(p, now) {
 			hosts = append(hosts, host)
 		}
@@ -145,7 +145,7 @@
 // all that may be sending requests, including those without recent heartbeats.
 func (m *members) rateShareCount(now time.Time) int {
 	n := 1
-	for _, p := range m.known {
+	for _, p := range m.peers {
 		if !p.leaving && now.Sub(p.lastSeen()) <= max(rateShareRetention, maxMissedHeartbeats*m.heartbeatInterval()) {
 			n++
 		}
@@ -165,7 +165,7 @@
 		return 0
 	}
 	all, live, counted := 1, 1, 1
-	for _, p := range m.known {
+	for _, p := range m.peers {
 		if p.leaving {
 			continue
 		}
@@ -193,28 +193,28 @@
 
 // isLive reports whether a member has sent a recent heartbeat and neither leaves nor counts as unresponsive.
 func (m *members) isLive(p *peerState, now time.Time) bool {
-	return !p.heartbeatAt.IsZero() && !p.leaving && now.After(p.downUntil) && now.Sub(p.heartbeatAt) <= maxMissedHeartbeats*m.heartbeatInterval()
+	return !p.heartbeatAt.IsZero() && !p.leaving && now.After(p.unresponsiveUntil) && now.Sub(p.heartbeatAt) <= maxMissedHeartbeats*m.heartbeatInterval()
 }
 
 // home returns the live gateway that schedules the requests to the group with a key. It is selected by
 // rendezvous hashing among those with enough cores.
 func (m *members) home(key string, now time.Time) Member {
 	maxCores := m.self.Cores
-	for _, p := range m.known {
+	for _, p := range m.peers {
 		if m.isLive(p, now) {
 			maxCores = max(maxCores, p.Cores)
 		}
 	}
-	hosts := make([]string, 0, len(m.known)+1)
+	hosts := make([]string, 0, len(m.peers)+1)
 	if m.self.Cores >= largeHostFraction*maxCores {
 		hosts = append(hosts, m.self.Host)
 	}
-	for host, p := range m.known {
+	for host, p := range m.peers {
 		if m.isLive(p, now) && p.Cores >= largeHostFraction*maxCores {
 			hosts = append(hosts, host)
 		}
 	}
-	if p := m.known[rendezvous.First(key, hosts)]; p != nil {
+	if p := m.peers[rendezvous.First(key, hosts)]; p != nil {
 		return p.Member
 	}
 	return m.self
@@ -257,7 +257,7 @@
 }
 
 func (m *members) capacity(host string) Capacity {
-	if p := m.known[host]; p != nil {
+	if p := m.peers[host]; p != nil {
 		return p.Capacity
 	}
 	return m.self.Capacity
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -11,7 +11,7 @@
 
 const (
 	// noticesPerDatagram is the maximum number of notices in one datagram: each takes up to 73 of the 1,200 bytes.
-	noticesPerDatagram = 16
+	maxNoticesPerDatagram = 16
 	// The process counts as stalled if the time between two iterations of Run's loop exceeds
 	// stallThreshold. backlogPeriod is the time allowed for processing the backlog after a stall.
 	stallThreshold, backlogPeriod = 500 * time.Millisecond, 200 * time.Millisecond
@@ -26,7 +26,7 @@
 
 // sendNotices sends the notices that are due to all other gateways.
 func (p *Peers) sendNotices(now time.Time) {
-	for batch := range slices.Chunk(p.notices.Due(now), noticesPerDatagram) {
+	for batch := range slices.Chunk(p.notices.DueReports(now), maxNoticesPerDatagram) {
 		p.sendAll(message{Notices: batch})
 	}
 }
@@ -37,7 +37,7 @@
 	host := p.hostAt(from)
 	var newer []notice.Report
 	for _, n := range notices {
-		if reply := p.notices.Receive(n, host, now); reply != nil {
+		if reply := p.notices.ReceiveReport(n, host, now); reply != nil {
 			newer = append(newer, *reply)
 		}
 	}
@@ -50,7 +50,7 @@
 func (p *Peers) hostAt(at netip.AddrPort) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for host, member := range p.members.known {
+	for host, member := range p.members.peers {
 		if member.Address == at {
 			return host
 		}
@@ -85,7 +85,7 @@
 		}
 	}
 	for address, notices := range due {
-		for batch := range slices.Chunk(notices, noticesPerDatagram) {
+		for batch := range slices.Chunk(notices, maxNoticesPerDatagram) {
 			p.send(message{Loans: batch}, address)
 		}
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -70,9 +70,9 @@
 
 // firstToken reports that an engine has completed a request's prefill.
 type firstToken struct {
-	Group permit.Group  `msgpack:"g"`
-	ID    string        `msgpack:"i"`
-	Took  time.Duration `msgpack:"t,omitempty"`
+	Group            permit.Group  `msgpack:"g"`
+	ID               string        `msgpack:"i"`
+	TimeToFirstToken time.Duration `msgpack:"t,omitempty"`
 }
 
 // requestEnd reports that a request has ended.
@@ -104,7 +104,7 @@
 }
 
 // received is a message with the address of its sender.
-type received struct {
+type receivedMessage struct {
 	message
 	from netip.AddrPort
 }
@@ -114,7 +114,7 @@
 	socket     *datagram.Socket[message]
 	self       netip.AddrPort
 	logger     *slog.Logger
-	inbox      chan received
+	inbox      chan receivedMessage
 	scheduler  *permit.Scheduler[netip.AddrPort] // used only by Run's goroutine
 	local      LocalGateway
 	quarantine *quarantine.Tracker
@@ -155,7 +155,7 @@
 func newPeers(host string, socket *datagram.Socket[message], capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
 	self := socket.Address()
 	now := time.Now()
-	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, quarantine: local.Quarantine(), notices: local.Notices(), start: now,
+	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan receivedMessage, inboxSize), local: local, quarantine: local.Quarantine(), notices: local.Notices(), start: now,
 		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRetries: map[uint64]chan bool{}}
 	p.scheduler = permit.NewScheduler[netip.AddrPort](local.Engines, p.peerEstimates, p.notices.Limits(), permit.Policy{})
 	return p
@@ -174,19 +174,19 @@
 	var receiving sync.WaitGroup
 	defer receiving.Wait()
 	receiving.Go(func() {
-		p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.enqueue(received{m, from}) })
+		p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.enqueue(receivedMessage{m, from}) })
 	})
 	timer := time.NewTimer(idlePollInterval)
 	defer timer.Stop()
 	estimatesLogged := time.Now()
 	for {
-		var r received
+		var r receivedMessage
 		select {
 		case <-ctx.Done():
 			return
 		case r = <-p.inbox:
 		case <-p.quarantine.UpdatesReady():
-		case <-p.notices.Pending():
+		case <-p.notices.ReportsReady():
 		case <-timer.C:
 			next := idlePollInterval
 			if p.scheduler.QueuedCount() > 0 {
@@ -224,7 +224,7 @@
 }
 
 // enqueue passes a received message to Run. It drops the message if the inbox is full.
-func (p *Peers) enqueue(r received) {
+func (p *Peers) enqueue(r receivedMessage) {
 	select {
 	case p.inbox <- r:
 	default:
@@ -236,14 +236,14 @@
 // cannot be sent is dropped.
 func (p *Peers) send(m message, to netip.AddrPort) {
 	if to == p.self {
-		p.enqueue(received{m, p.self})
+		p.enqueue(receivedMessage{m, p.self})
 		return
 	}
 	p.socket.Send(m, to)
 }
 
 // handle processes a received message.
-func (p *Peers) handle(r received, now time.Time) {
+func (p *Peers) handle(r receivedMessage, now time.Time) {
 	switch {
 	case r.Heartbeat != nil:
 		p.handleHeartbeat(*r.Heartbeat, r.from, now)
@@ -252,7 +252,7 @@
 	case r.PermitDecision != nil:
 		p.deliverDecision(*r.PermitDecision)
 	case r.FirstToken != nil:
-		p.scheduler.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
+		p.scheduler.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.TimeToFirstToken, now)
 	case r.End != nil:
 		p.scheduler.Finish(r.End.Group, r.End.ID, r.End.StreamStats, now)
 	case r.Suspects != nil:
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -36,7 +36,7 @@
 // request to its first event.
 func (t Permit) FirstToken(took time.Duration) {
 	if t.peers != nil {
-		t.peers.send(message{FirstToken: &firstToken{Group: t.group, ID: t.id, Took: took}}, t.home)
+		t.peers.send(message{FirstToken: &firstToken{Group: t.group, ID: t.id, TimeToFirstToken: took}}, t.home)
 	}
 }
 
--- a/internal/peers/retries.go
+++ b/internal/peers/retries.go
@@ -53,7 +53,7 @@
 	ranked := rendezvous.Rank(key, hosts)
 	var out []netip.AddrPort
 	for _, host := range ranked[:min(len(ranked), maxLenders)] {
-		out = append(out, p.members.known[host].Address)
+		out = append(out, p.members.peers[host].Address)
 	}
 	return out
 }
--- a/internal/peers/slack_test.go
+++ b/internal/peers/slack_test.go
@@ -62,7 +62,7 @@
 func (f *slackFleet) sendHeartbeats(n *slackNode, loss float64) {
 	n.heartbeatAt = f.now
 	for _, other := range f.nodes {
-		if other.members != nil && !other.partitioned && !n.partitioned && n.members.known[other.Host] != nil && f.rnd.Float64() >= loss {
+		if other.members != nil && !other.partitioned && !n.partitioned && n.members.peers[other.Host] != nil && f.rnd.Float64() >= loss {
 			other.members.recordHeartbeat(n.Member, n.leaving, f.now)
 		}
 	}
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -32,7 +32,7 @@
 // notices.
 func (p *Peers) sendInitialState(host string, at netip.AddrPort, now time.Time) {
 	p.mu.Lock()
-	if m := p.members.known[host]; m != nil && now.Sub(m.initialStateSentAt) >= startupPeriod {
+	if m := p.members.peers[host]; m != nil && now.Sub(m.initialStateSentAt) >= startupPeriod {
 		m.initialStateSentAt = now
 		defer p.send(message{Heartbeat: p.newHeartbeat(nil)}, at)
 	}
@@ -45,7 +45,7 @@
 	for _, batch := range suspectBatches(p.quarantine.Snapshot(now)) {
 		p.send(message{Suspects: batch}, at)
 	}
-	for batch := range slices.Chunk(p.notices.All(now), noticesPerDatagram) {
+	for batch := range slices.Chunk(p.notices.AllReports(now), maxNoticesPerDatagram) {
 		p.send(message{Notices: batch}, at)
 	}
 }
--- a/internal/permit/engine.go
+++ b/internal/permit/engine.go
@@ -148,7 +148,7 @@
 }
 
 // remove releases the capacity that a granted request holds.
-func (e *engine) remove(granted *entry, now time.Time) {
+func (e *engine) release(granted *entry, now time.Time) {
 	e.finishPrefill(granted, now)
 	e.reservedTokens -= granted.request.tokenDemand()
 	delete(e.requests, granted.request.ID)
--- a/internal/permit/limits_test.go
+++ b/internal/permit/limits_test.go
@@ -25,7 +25,7 @@
 
 // An engine gets no more requests than its stated rate allows, even if it caches the shared prefix of all
 // prompts.
-func TestStatedRateIsNotExceeded(t *testing.T) {
+func TestAdvertisedRateLimitIsNotExceeded(t *testing.T) {
 	g := NewWithT(t)
 	q, now := rateLimitedQueue(2, 1, 1)
 	granted := map[string]int{}
--- a/internal/permit/place.go
+++ b/internal/permit/place.go
@@ -150,7 +150,7 @@
 	location := q.locatePrefix(req, now)
 	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestToleratedGap(now)))
 	out := q.candidateBuf[:0]
-	for _, e := range q.ordered {
+	for _, e := range q.sortedEngines {
 		if !e.usable(now) || !e.hasCapacity(req) || slices.Contains(req.ExcludedEngines, e.ID) {
 			continue
 		}
--- a/internal/permit/place_test.go
+++ b/internal/permit/place_test.go
@@ -73,7 +73,7 @@
 }
 
 // A prompt that has waited for 0.6 of its target may disrupt a more urgent stream.
-func TestOverduePromptMayDisruptAStream(t *testing.T) {
+func TestPromptMayDisruptAStreamAfterWaiting(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for range 20 {
@@ -111,7 +111,7 @@
 	now = now.Add(215 * time.Millisecond)
 	q.RecordFirstToken("a", 215*time.Millisecond, now)
 	g.Expect(q.Poll(now)).To(BeEmpty())
-	interval := q.eventInterval(q.ordered[0])
+	interval := q.eventInterval(q.sortedEngines[0])
 	g.Expect(q.Poll(now.Add(interval))).To(HaveLen(1))
 }
 
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -73,7 +73,7 @@
 	model             *enginemodel.ServiceModel
 	limiter           *ratelimit.Limiter
 	engines           map[string]*engine
-	ordered           []*engine // by ID
+	sortedEngines     []*engine // by ID
 	prefixes          prefixIndex
 	waiting           []*entry
 	waitingByID       map[string]*entry
@@ -95,7 +95,7 @@
 
 // SetEngines replaces the list of engines of the group and keeps the state of those that remain.
 func (q *Queue) SetEngines(configs []Engine) {
-	changed := len(configs) != len(q.ordered)
+	changed := len(configs) != len(q.sortedEngines)
 	listed := make(map[string]bool, len(configs))
 	for _, config := range configs {
 		listed[config.ID] = true
@@ -103,7 +103,7 @@
 		if e == nil {
 			e = newEngine(config, q.model)
 			q.engines[config.ID] = e
-			q.ordered = append(q.ordered, e)
+			q.sortedEngines = append(q.sortedEngines, e)
 			changed = true
 		}
 		e.Engine = config
@@ -111,22 +111,22 @@
 	if !changed {
 		return
 	}
-	q.ordered = slices.DeleteFunc(q.ordered, func(e *engine) bool {
+	q.sortedEngines = slices.DeleteFunc(q.sortedEngines, func(e *engine) bool {
 		if !listed[e.ID] {
 			e.Accepting = false
 			delete(q.engines, e.ID)
 		}
 		return !listed[e.ID]
 	})
-	slices.SortFunc(q.ordered, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(q.sortedEngines, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 	q.setPreferences()
 }
 
 // setPreferences sets the order of preference for short prompts. The order alternates between failure
 // domains and is the same on every gateway.
 func (q *Queue) setPreferences() {
-	ids := make([]string, len(q.ordered))
-	for i, e := range q.ordered {
+	ids := make([]string, len(q.sortedEngines))
+	for i, e := range q.sortedEngines {
 		ids[i] = e.ID
 	}
 	domain := func(id string) string { return q.engines[id].FailureDomain }
@@ -147,7 +147,7 @@
 	}
 	q.lastSequence++
 	e := &entry{request: req, arrivedAt: now, lastSubmittedAt: now, sequence: q.lastSequence}
-	if len(q.ordered) == 0 {
+	if len(q.sortedEngines) == 0 {
 		// This gateway has not read the list of engines yet, or has an outdated one. The requesting
 		// gateway chooses an engine from its own list.
 		return Decision{ID: req.ID, Verdict: Granted}
@@ -192,7 +192,7 @@
 		if e.prefillDone && !q.policy.NoLearning {
 			e.engine.observeStream(q.model, e, stats)
 		}
-		e.engine.remove(e, now)
+		e.engine.release(e, now)
 		switch {
 		case e.request.Plain: // no backoff: the requesting gateway itself excludes servers that it can't reach
 			e.engine.failureRate.Add(now, stats.EngineFailed)
@@ -266,7 +266,7 @@
 			e.engine.recordFailure(now)
 		}
 		if now.Sub(e.grantedAt) > grantTTL || e.request.ResponseTimeout > 0 && now.Sub(e.arrivedAt) > e.request.ResponseTimeout+responseTimeoutGrace {
-			e.engine.remove(e, now)
+			e.engine.release(e, now)
 			delete(q.granted, id)
 		}
 	}
@@ -279,8 +279,8 @@
 	if prefixID == "" {
 		return ""
 	}
-	ids := make([]string, 0, len(q.ordered))
-	for _, e := range q.ordered {
+	ids := make([]string, 0, len(q.sortedEngines))
+	for _, e := range q.sortedEngines {
 		ids = append(ids, e.ID)
 	}
 	return rendezvous.First(prefixID, ids)
@@ -290,7 +290,7 @@
 // nearly complete can take a short one.
 func (q *Queue) anyCapacity(now time.Time) bool {
 	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestToleratedGap(now)))
-	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
+	return slices.ContainsFunc(q.sortedEngines, func(e *engine) bool {
 		return e.usable(now) && e.prefillWait(now) < concurrentLimit && !q.rateExhausted(e, now)
 	})
 }
@@ -298,7 +298,7 @@
 // anyEligible reports whether any engine may take the request now, or after a backoff that ends within
 // the request's first-token timeout.
 func (q *Queue) anyEligible(req Ask, now time.Time) bool {
-	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
+	return slices.ContainsFunc(q.sortedEngines, func(e *engine) bool {
 		return e.Accepting && e.backoffUntil.Sub(now) <= req.FirstTokenTimeout && !slices.Contains(req.ExcludedEngines, e.ID)
 	})
 }
@@ -312,7 +312,7 @@
 // newDecision returns a decision that includes the state of the group.
 func (q *Queue) newDecision(id string, verdict Verdict, wait time.Duration, now time.Time) Decision {
 	backlog, limited, allLimited := 0, 0, q.allRateLimited(now)
-	for _, e := range q.ordered {
+	for _, e := range q.sortedEngines {
 		backlog += e.pendingPrefillTokens
 		if b := q.limiter.Budget(e.ID, now); b.Wait > 0 || allLimited && b.Limited {
 			limited++
--- a/internal/permit/queue_test.go
+++ b/internal/permit/queue_test.go
@@ -46,7 +46,7 @@
 // Guards against refusals based on initial estimates: a gateway that had started 0.1 s before, without
 // peers and observations, overestimated the time for 85,000 tokens tenfold and refused an interactive
 // request with status 429, as for overload, 0.2 ms after its arrival.
-func TestNoRefusalByInitialEstimates(t *testing.T) {
+func TestInitialEstimatesDoNotCauseRefusals(t *testing.T) {
 	g := NewWithT(t)
 	q := NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{})
 	q.SetEngines(acceptingEngines(1))
@@ -171,11 +171,11 @@
 	g.Expect(q.Idle()).To(BeFalse())
 	q.Poll(now.Add(grantTTL + time.Millisecond)) // the end of "lost" was never reported
 	g.Expect(q.Idle()).To(BeTrue())
-	g.Expect(q.ordered[0].requests).To(BeEmpty())
+	g.Expect(q.sortedEngines[0].requests).To(BeEmpty())
 }
 
 // A waiting request that its gateway no longer submits is dropped, as the gateway is gone.
-func TestUnrepeatedRequestIsDropped(t *testing.T) {
+func TestRequestNotResubmittedIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	q.Submit(backgroundRequest("running", longPromptTokens), now)
@@ -265,7 +265,7 @@
 
 // A gateway that takes over the scheduling does not know where prefixes are cached. Every gateway chooses
 // the same home engine for a prefix, so that it is likely to be cached there already.
-func TestPrefixOfUnknownLocationGoesToItsHomeEngine(t *testing.T) {
+func TestPrefixNotKnownToBeCachedGoesToItsHomeEngine(t *testing.T) {
 	g := NewWithT(t)
 	before, now := newQueue(5)
 	homes := map[string]bool{}
@@ -281,7 +281,7 @@
 		// While the home engine is busy, the prefix is still fetched from there.
 		after.Submit(backgroundRequest("y", longPromptTokens), now)
 		busy, _ := newQueue(5)
-		for _, e := range busy.ordered {
+		for _, e := range busy.sortedEngines {
 			if e.ID == first.Engine {
 				busy.grant(&entry{request: backgroundRequest("busy", longPromptTokens)}, candidate{engine: e, prefillTokens: longPromptTokens, prefill: time.Second}, now)
 			}
@@ -357,7 +357,7 @@
 
 // A gateway that has not read the list of engines yet, for example one that started while the store was
 // unavailable, must not refuse requests that other gateways could serve.
-func TestUnknownGroupIsGrantedWithoutEngine(t *testing.T) {
+func TestRequestIsGrantedWithoutEngineIfGroupIsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(0)
 	a := q.Submit(backgroundRequest("a", 2000), now)
@@ -378,8 +378,8 @@
 				queued[a.ID] = true
 				return
 			case Granted:
-				if (a.Engine == "") != (len(q.ordered) == 0) || a.Engine != "" && a.Engine == a.FetchFrom {
-					t.Fatalf("granted engine %q of %d, prefix fetched from %q", a.Engine, len(q.ordered), a.FetchFrom)
+				if (a.Engine == "") != (len(q.sortedEngines) == 0) || a.Engine != "" && a.Engine == a.FetchFrom {
+					t.Fatalf("granted engine %q of %d, prefix fetched from %q", a.Engine, len(q.sortedEngines), a.FetchFrom)
 				}
 				granted[a.ID] = 1
 			}
@@ -420,7 +420,7 @@
 		for id := range granted {
 			q.Finish(id, StreamStats{}, now)
 		}
-		for _, e := range q.ordered {
+		for _, e := range q.sortedEngines {
 			if e.pendingPrefillTokens != 0 || e.pendingPrefills != 0 || len(e.requests) != 0 || e.reservedTokens != 0 {
 				t.Fatalf("engine %s is not empty: %d pending tokens, %d requests", e.ID, e.pendingPrefillTokens, len(e.requests))
 			}
@@ -440,7 +440,7 @@
 			prefills[e.engine]++
 		}
 	}
-	for _, e := range q.ordered {
+	for _, e := range q.sortedEngines {
 		if tokens[e] != e.pendingPrefillTokens || prefills[e] != e.pendingPrefills {
 			t.Fatalf("engine %s: %d pending tokens of %d prefills, accounted for %d of %d", e.ID, tokens[e], prefills[e], e.pendingPrefillTokens, e.pendingPrefills)
 		}
--- a/internal/permit/scheduler.go
+++ b/internal/permit/scheduler.go
@@ -97,7 +97,7 @@
 			if group.Service == service {
 				stats.Queued += len(queue.waiting)
 				stats.Running += len(queue.granted)
-				for _, e := range queue.ordered {
+				for _, e := range queue.sortedEngines {
 					if e.Accepting {
 						stats.AvailableEngines++
 					}
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -100,7 +100,7 @@
 // until the next call.
 func (q *Queue) capacity(perRequest time.Duration, now time.Time) capacity {
 	out := q.capacityBuf[:0]
-	for _, e := range q.ordered {
+	for _, e := range q.sortedEngines {
 		if !e.usable(now) {
 			continue
 		}
@@ -158,7 +158,7 @@
 	if len(capacity) == 0 {
 		verdict = NoEngine
 	}
-	noneAccepting := !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting })
+	noneAccepting := !slices.ContainsFunc(q.sortedEngines, func(e *engine) bool { return e.Accepting })
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
 		wait := capacity.nextFree(ahead)
 		if !noneAccepting && !q.unservable(e, wait, capacity.total(), now) {
@@ -201,7 +201,7 @@
 // allRateLimited reports whether every accepting engine states a rate. Waits then follow from the rates
 // alone.
 func (q *Queue) allRateLimited(now time.Time) bool {
-	return !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting && !q.limiter.Budget(e.ID, now).Limited })
+	return !slices.ContainsFunc(q.sortedEngines, func(e *engine) bool { return e.Accepting && !q.limiter.Budget(e.ID, now).Limited })
 }
 
 // rateExhausted reports whether an engine accepts nothing now because of its stated rate.
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -19,7 +19,7 @@
 // full: 0.6 ms on an idle machine. Looking up the other crashed servers for every suspect, instead of
 // only for strong ones, makes it 1.3 ms.
 func BenchmarkRecordCrashFullTracker(b *testing.B) {
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	for i := range maxEntries {
 		tracker.RecordCrash(id(fmt.Sprint("fill-", i)), crashAt(fmt.Sprint("other-", i%100), 4), at(4))
 	}
--- a/internal/quarantine/evaluation.go
+++ b/internal/quarantine/evaluation.go
@@ -148,7 +148,7 @@
 // explain attributes the crash of a server instance to a quarantined request. The crash no longer
 // counts as evidence against other requests.
 func (t *Tracker) explain(by ID, instance string, now time.Time) {
-	t.recordFirst(t.explainedCrashes, instance, now)
+	t.recordCrashTime(t.explainedCrashes, instance, now)
 	for id, e := range t.entries {
 		if id == by {
 			continue
--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -114,7 +114,7 @@
 }
 
 // eventMessages are the log messages for the events.
-var eventMessages = map[EventKind]string{
+var eventLogMessages = map[EventKind]string{
 	EventSuspected: "a server has ended that ran the request", EventQuarantined: "request quarantined", EventVerdictReceived: "request quarantined by another gateway",
 	EventTrialStarted: "quarantined request on trial", EventLifted: "quarantine ended", EventEvicted: "suspect evicted: tracker is full",
 }
@@ -131,7 +131,7 @@
 	if e.Kind == EventQuarantined || e.Kind == EventEvicted {
 		level = slog.LevelWarn
 	}
-	p.logger.Log(context.Background(), level, eventMessages[e.Kind], fields...)
+	p.logger.Log(context.Background(), level, eventLogMessages[e.Kind], fields...)
 }
 
 // queueWrite queues the verdict on a request for writing to the store.
@@ -260,7 +260,7 @@
 func (p *Persister) Claim(ctx context.Context, id ID) (*Verdict, error) {
 	unwritten, ok := p.beginClaim(id)
 	if !ok {
-		return nil, errTrialTaken(id)
+		return nil, errTrialClaimed(id)
 	}
 	defer func() {
 		p.mu.Lock()
@@ -277,7 +277,7 @@
 	return nil, err
 }
 
-func errTrialTaken(id ID) error {
+func errTrialClaimed(id ID) error {
 	return fault.New(fault.Quarantined, "trial of request %s is already claimed", id).WithOutcome(fault.NotRun)
 }
 
@@ -305,7 +305,7 @@
 		}
 		if v.Trials > current.Trials {
 			p.tracker.AdoptVerdict(id, v, now)
-			return nil, errTrialTaken(id)
+			return nil, errTrialClaimed(id)
 		}
 	}
 	v := current.WithTrial(now)
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -66,7 +66,7 @@
 	store.concurrentReads = &reads
 	granted := make(chan *Verdict, 2)
 	for i := range 2 {
-		tracker := newObservedTracker(12)
+		tracker := newTrackerWithHistory(12)
 		tracker.AdoptVerdict(fatal, v, now)
 		persister := NewPersister(tracker, store, fmt.Sprint("edge-", i), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		claims.Go(func() {
--- a/internal/quarantine/replication.go
+++ b/internal/quarantine/replication.go
@@ -189,7 +189,7 @@
 		t.addCrash(id, e, Crash{Server: crash.Server, SentAt: at(crash.SentAgoMS), At: at(crash.AgoMS), rate: float64(crash.Rate)}, now)
 	}
 	for _, instance := range u.OtherServers {
-		t.recordFirst(t.crashedServers, instance, now)
+		t.recordCrashTime(t.crashedServers, instance, now)
 	}
 	delete(e.remoteRuns, from)
 	for _, r := range u.Runs {
--- a/internal/quarantine/scheduling.go
+++ b/internal/quarantine/scheduling.go
@@ -25,7 +25,7 @@
 
 // Begin requests permission to send a request. The caller identifies the run by a random key and must
 // call Done if the run is permitted. Runs of the same suspect are serialized.
-func (t *Tracker) Begin(id ID, key uint64, now time.Time) Decision {
+func (t *Tracker) BeginRun(id ID, key uint64, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -43,7 +43,7 @@
 		return Decision{}
 	}
 	strong := len(e.crashes) >= strongSuspectCrashes
-	if wait := e.waitForRuns(key, strong, now); wait > 0 {
+	if wait := e.remainingWait(key, strong, now); wait > 0 {
 		return Decision{Changed: e.changed, Wait: wait, Isolate: strong}
 	}
 	e.localRuns[key] = &run{key: key, startedAt: now, confirmed: !strong}
@@ -56,7 +56,7 @@
 
 // waitForRuns returns how long a run has to wait for other runs of the same request. The run may start
 // if the result is not positive.
-func (e *entry) waitForRuns(key uint64, strong bool, now time.Time) time.Duration {
+func (e *entry) remainingWait(key uint64, strong bool, now time.Time) time.Duration {
 	var wait time.Duration
 	for _, r := range e.activeRuns(now) {
 		if r.key == key {
@@ -89,7 +89,7 @@
 
 // Confirm requests permission again after Decision.ConfirmAfter. If two gateways started runs at the
 // same time, the run with the lower key continues and the other one waits.
-func (t *Tracker) Confirm(id ID, key uint64, now time.Time) Decision {
+func (t *Tracker) ConfirmRun(id ID, key uint64, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -97,16 +97,16 @@
 		return Decision{}
 	}
 	if e.verdict != nil {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 		return Decision{Verdict: cloneVerdict(e.verdict)}
 	}
 	hasPrecedence := func(r run) bool { return r.key != key && (r.confirmed || r.key < key) }
 	if slices.ContainsFunc(e.activeRuns(now), hasPrecedence) {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 		return Decision{Changed: e.changed, Wait: remoteRunTTL, Isolate: true}
 	}
 	if t.awaitingServer(id, key, now) {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 		return Decision{Changed: e.changed, Wait: confirmDelay, Isolate: true}
 	}
 	e.localRuns[key].confirmed = true
@@ -130,7 +130,7 @@
 
 // Check reports whether a request may still be sent. It is called just before sending, after Begin
 // permitted the request or when no permission was needed.
-func (t *Tracker) Check(id ID, key uint64) Decision {
+func (t *Tracker) RecheckVerdict(id ID, key uint64) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -163,15 +163,15 @@
 }
 
 // Done ends a run. If the run crashed its server or got a response, that must be recorded first.
-func (t *Tracker) Done(id ID, key uint64, now time.Time) {
+func (t *Tracker) EndRun(id ID, key uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil && e.localRuns[key] != nil {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 	}
 }
 
-func (t *Tracker) endRun(id ID, e *entry, key uint64, now time.Time) {
+func (t *Tracker) removeRun(id ID, e *entry, key uint64, now time.Time) {
 	delete(e.localRuns, key)
 	t.notifyChange(e, true, now)
 	t.removeIfEmpty(id, e)
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -204,12 +204,12 @@
 func (t *Tracker) RecordServerCrash(instance string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.recordFirst(t.crashedServers, instance, now)
+	t.recordCrashTime(t.crashedServers, instance, now)
 }
 
 // recordFirst adds a server instance to a set with the time of its crash, unless the set is full. An
 // earlier record is kept.
-func (t *Tracker) recordFirst(set map[string]time.Time, instance string, at time.Time) {
+func (t *Tracker) recordCrashTime(set map[string]time.Time, instance string, at time.Time) {
 	if _, known := set[instance]; !known && len(set) < maxCrashedServers {
 		set[instance] = at
 	}
@@ -250,7 +250,7 @@
 
 // addCrash adds a crash to the evidence against a request. It reports whether the evidence changed.
 func (t *Tracker) addCrash(id ID, e *entry, crash Crash, now time.Time) bool {
-	t.recordFirst(t.crashedServers, crash.Server, crash.At)
+	t.recordCrashTime(t.crashedServers, crash.Server, crash.At)
 	_, explained := t.explainedCrashes[crash.Server]
 	if e.verdict != nil {
 		// The crash no longer counts against other requests on that server.
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -22,7 +22,7 @@
 func id(name string) ID { return Identify("team", "POST", "a.example", "/"+name, nil) }
 
 // newObservedTracker returns a tracker that has observed crash rates for 20 s, without crashes.
-func newObservedTracker(servers int) *Tracker {
+func newTrackerWithHistory(servers int) *Tracker {
 	tracker := New()
 	tracker.RecordRun(time.Second, at(-20))
 	tracker.SetServerCount(servers)
@@ -37,7 +37,7 @@
 
 func TestThreeConsecutiveCrashesGiveAVerdict(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	fatal := id("fatal")
 	tracker.RecordCrash(fatal, crashAt("i-1", 1), at(1))
 	tracker.RecordCrash(fatal, crashAt("i-1", 1), at(1)) // reported twice
@@ -48,13 +48,13 @@
 	g.Expect(v).NotTo(BeNil())
 	g.Expect(v.Servers).To(ConsistOf("i-1", "i-2", "i-3"))
 	g.Expect(v.Until).To(Equal(at(3.1).Add(refusalPeriod(0))))
-	g.Expect(tracker.Begin(fatal, 1, at(4)).Verdict).NotTo(BeNil())
-	g.Expect(tracker.Begin(id("other"), 1, at(4))).To(Equal(Decision{}))
+	g.Expect(tracker.BeginRun(fatal, 1, at(4)).Verdict).NotTo(BeNil())
+	g.Expect(tracker.BeginRun(id("other"), 1, at(4))).To(Equal(Decision{}))
 }
 
-func TestAnAnswerClearsASuspect(t *testing.T) {
+func TestAResponseClearsASuspect(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	harmless := id("harmless")
 	tracker.RecordCrash(harmless, crashAt("i-1", 1), at(1))
 	tracker.RecordCrash(harmless, crashAt("i-2", 2), at(2))
@@ -66,7 +66,7 @@
 
 func TestCrashesOfOverlappingRunsCountOnce(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	popular := id("popular")
 	for i := range 5 { // servers of one rack
 		tracker.RecordCrash(popular, Crash{Server: fmt.Sprint("i-", i), SentAt: at(0.8), At: at(1 + float64(i)/100)}, at(1.1))
@@ -77,7 +77,7 @@
 
 func TestMoreCrashesAreNeededWhenOtherServersCrash(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	fatal := id("fatal")
 	tracker.RecordServerCrash("i-9", at(0.5))
 	for i := 1; i <= 3; i++ {
@@ -92,7 +92,7 @@
 // server by chance, so three crashes are not sufficient.
 func TestMoreCrashesAreNeededAfterCoRunners(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	for i := range 20 {
 		tracker.RecordCrash(id(fmt.Sprint(i)), crashAt("i-1", 1), at(1))
 		tracker.RecordCrash(id(fmt.Sprint(i)), crashAt("i-2", 2), at(2))
@@ -109,7 +109,7 @@
 
 func TestLongRunsNeedMoreCrashesAtAHighCrashRate(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	for i := range 20 { // two runs of 0.5 s complete for each one lost in a crash
 		now := at(float64(i) / 2)
 		tracker.RecordRun(500*time.Millisecond, now)
@@ -148,7 +148,7 @@
 
 func TestAVerdictClearsOtherRequestsOnTheSameServers(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	fatal, bystander := id("fatal"), id("bystander")
 	for i := 1; i <= 2; i++ {
 		tracker.RecordCrash(bystander, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
@@ -158,14 +158,14 @@
 	}
 	g.Expect(evaluateVerdict(tracker, fatal, 4.1)).NotTo(BeNil())
 	tracker.RecordCrash(bystander, crashAt("i-3", 3), at(4.2)) // a late report
-	g.Expect(tracker.Begin(bystander, 1, at(5))).To(Equal(Decision{}), "no evidence against it remains")
+	g.Expect(tracker.BeginRun(bystander, 1, at(5))).To(Equal(Decision{}), "no evidence against it remains")
 }
 
 // If two suspects ran on the same crashed servers, either may be the cause. Neither is quarantined until
 // another crash distinguishes them.
 func TestTwoSuspectsOnTheSameServersWaitForTheNextCrash(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	a, b := id("a"), id("b")
 	for i := 1; i <= 4; i++ {
 		tracker.RecordCrash(a, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
@@ -175,51 +175,51 @@
 	g.Expect(evaluateVerdict(tracker, b, 4.1)).To(BeNil())
 	tracker.RecordCrash(a, crashAt("i-5", 5), at(5))
 	g.Expect(evaluateVerdict(tracker, a, 5.1)).NotTo(BeNil())
-	g.Expect(tracker.Begin(b, 1, at(6))).To(Equal(Decision{}))
+	g.Expect(tracker.BeginRun(b, 1, at(6))).To(Equal(Decision{}))
 }
 
 func TestRunsOfASuspectAreSerialized(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	suspect := id("suspect")
 	tracker.RecordCrash(suspect, crashAt("i-1", 1), at(1))
-	g.Expect(tracker.Begin(suspect, 1, at(1.1))).To(Equal(Decision{}))
-	g.Expect(tracker.Begin(suspect, 2, at(1.2)).Changed).NotTo(BeNil())
-	g.Expect(tracker.Begin(suspect, 2, at(2.2))).To(Equal(Decision{}), "a suspect with one crash waits only for weakSuspectWait")
-	tracker.Done(suspect, 1, at(2.3))
-	tracker.Done(suspect, 2, at(2.3))
+	g.Expect(tracker.BeginRun(suspect, 1, at(1.1))).To(Equal(Decision{}))
+	g.Expect(tracker.BeginRun(suspect, 2, at(1.2)).Changed).NotTo(BeNil())
+	g.Expect(tracker.BeginRun(suspect, 2, at(2.2))).To(Equal(Decision{}), "a suspect with one crash waits only for weakSuspectWait")
+	tracker.EndRun(suspect, 1, at(2.3))
+	tracker.EndRun(suspect, 2, at(2.3))
 
 	tracker.RecordCrash(suspect, crashAt("i-2", 3), at(3))
-	g.Expect(tracker.Begin(suspect, 9, at(3.1)).ConfirmAfter).To(BeNumerically(">", 0))
-	decision := tracker.Begin(suspect, 5, at(3.11))
+	g.Expect(tracker.BeginRun(suspect, 9, at(3.1)).ConfirmAfter).To(BeNumerically(">", 0))
+	decision := tracker.BeginRun(suspect, 5, at(3.11))
 	g.Expect(decision.Changed).NotTo(BeNil())
 	tracker.Merge([]Update{{ID: suspect[:], Runs: []RunRecord{{Key: 4}}}}, "other", at(3.112))
-	g.Expect(tracker.Confirm(suspect, 9, at(3.12)).Changed).NotTo(BeNil(), "the other gateway's run has the lower key")
-	g.Expect(tracker.Begin(suspect, 9, at(3.2)).Changed).NotTo(BeNil())
-	g.Expect(tracker.Begin(suspect, 9, at(6)).ConfirmAfter).To(BeNumerically(">", 0), "the other gateway's run has expired without an update")
+	g.Expect(tracker.ConfirmRun(suspect, 9, at(3.12)).Changed).NotTo(BeNil(), "the other gateway's run has the lower key")
+	g.Expect(tracker.BeginRun(suspect, 9, at(3.2)).Changed).NotTo(BeNil())
+	g.Expect(tracker.BeginRun(suspect, 9, at(6)).ConfirmAfter).To(BeNumerically(">", 0), "the other gateway's run has expired without an update")
 }
 
 func TestStrongSuspectsArePlacedOneAtATime(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	a, b := id("a"), id("b")
 	for i := 1; i <= 2; i++ {
 		tracker.RecordCrash(a, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 		tracker.RecordCrash(b, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
-	tracker.Begin(a, 1, at(3))
-	tracker.Begin(b, 2, at(3))
-	g.Expect(tracker.Confirm(a, 1, at(3.02)).Changed).To(BeNil())
-	g.Expect(tracker.Confirm(b, 2, at(3.02)).Changed).NotTo(BeNil())
+	tracker.BeginRun(a, 1, at(3))
+	tracker.BeginRun(b, 2, at(3))
+	g.Expect(tracker.ConfirmRun(a, 1, at(3.02)).Changed).To(BeNil())
+	g.Expect(tracker.ConfirmRun(b, 2, at(3.02)).Changed).NotTo(BeNil())
 	tracker.SetServer(a, 1, "i-5", at(3.03))
-	tracker.Begin(b, 2, at(3.04))
-	g.Expect(tracker.Confirm(b, 2, at(3.06)).Changed).To(BeNil())
+	tracker.BeginRun(b, 2, at(3.04))
+	g.Expect(tracker.ConfirmRun(b, 2, at(3.06)).Changed).To(BeNil())
 	g.Expect(tracker.OccupiedServers(2, at(3.06))).To(Equal(map[string]bool{"i-5": true}))
 }
 
 func TestMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	fatal := id("fatal")
 	for i := 1; i <= 3; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
@@ -248,14 +248,14 @@
 	fatal := id("fatal")
 	var updates []Update
 	for i := 1; i <= 3; i++ {
-		sender := newObservedTracker(12)
+		sender := newTrackerWithHistory(12)
 		sender.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 		updates = append(updates, sender.DueUpdates(at(4))...)
 	}
 	g.Expect(updates).To(HaveLen(3))
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		tracker := newObservedTracker(12)
+		tracker := newTrackerWithHistory(12)
 		duplicates := rapid.SliceOfN(rapid.SampledFrom(updates), 0, 10).Draw(t, "duplicates")
 		for i, update := range rapid.Permutation(append(duplicates, updates...)).Draw(t, "order") {
 			tracker.Merge([]Update{update}, fmt.Sprint(i), at(4))
@@ -268,9 +268,9 @@
 
 // Gateways that can't reach each other may quarantine both a fatal request and a bystander that ran on
 // the same servers. The bystander's quarantine is lifted once they exchange their evidence.
-func TestAVerdictIsLiftedWhenAnotherExplainsIt(t *testing.T) {
+func TestAQuarantineIsLiftedWhenAnotherVerdictExplainsItsCrashes(t *testing.T) {
 	g := NewWithT(t)
-	here, there := newObservedTracker(12), newObservedTracker(12)
+	here, there := newTrackerWithHistory(12), newTrackerWithHistory(12)
 	fatal, bystander := id("fatal"), id("bystander")
 	for i := 1; i <= 3; i++ {
 		here.RecordCrash(bystander, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
@@ -285,29 +285,29 @@
 	g.Expect(here.Verdict(fatal)).NotTo(BeNil())
 }
 
-func TestATrialIsTheOnlyRunAndItsAnswerEndsTheQuarantine(t *testing.T) {
+func TestATrialIsTheOnlyRunAndItsResponseEndsTheQuarantine(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	fatal := id("fatal")
 	for i := 1; i <= 3; i++ {
 		tracker.RecordCrash(fatal, crashAt(fmt.Sprint("i-", i), float64(i)), at(float64(i)))
 	}
 	v := evaluateVerdict(tracker, fatal, 3.1)
 	due := v.Until.Add(time.Second)
-	g.Expect(tracker.Begin(fatal, 1, due).TrialDue).To(BeTrue())
+	g.Expect(tracker.BeginRun(fatal, 1, due).TrialDue).To(BeTrue())
 	tracker.BeginTrial(fatal, 1, v.WithTrial(due), due)
-	g.Expect(tracker.Check(fatal, 1).Verdict).To(BeNil(), "this run is the trial")
-	g.Expect(tracker.Check(fatal, 2).Verdict).NotTo(BeNil())
-	decision := tracker.Begin(fatal, 2, due.Add(time.Second))
+	g.Expect(tracker.RecheckVerdict(fatal, 1).Verdict).To(BeNil(), "this run is the trial")
+	g.Expect(tracker.RecheckVerdict(fatal, 2).Verdict).NotTo(BeNil())
+	decision := tracker.BeginRun(fatal, 2, due.Add(time.Second))
 	g.Expect(decision.Verdict).NotTo(BeNil())
 	g.Expect(decision.TrialDue).To(BeFalse())
 	tracker.RecordResponse(fatal, due.Add(2*time.Second))
-	g.Expect(tracker.Begin(fatal, 3, due.Add(3*time.Second))).To(Equal(Decision{}))
+	g.Expect(tracker.BeginRun(fatal, 3, due.Add(3*time.Second))).To(Equal(Decision{}))
 }
 
 func TestAnUpdateFitsInADatagram(t *testing.T) {
 	g := NewWithT(t)
-	tracker := newObservedTracker(12)
+	tracker := newTrackerWithHistory(12)
 	for i := range maxCrashes {
 		tracker.RecordCrash(id("frequent"), crashAt(fmt.Sprint("i-1234567890@17654321", 10000+i), float64(i)), at(float64(i)))
 	}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -62,7 +62,7 @@
 	tokens     float64 // at refilledAt
 	refilledAt time.Time
 	// borrowed maps each gateway that has lent its share to the expiry of the loan.
-	borrowed       map[string]time.Time
+	borrowedUntil  map[string]time.Time
 	nextLoanExpiry time.Time // no borrowed share expires earlier
 	// borrower is the gateway that holds this gateway's share until lentUntil.
 	borrower  string
@@ -83,7 +83,7 @@
 	defer l.mu.Unlock()
 	b := l.buckets[server]
 	if b == nil {
-		b = &bucket{refilledAt: now, tokens: l.random(), borrowed: map[string]time.Time{}}
+		b = &bucket{refilledAt: now, tokens: l.random(), borrowedUntil: map[string]time.Time{}}
 		l.buckets[server] = b
 		l.bucketCount.Store(int32(len(l.buckets)))
 	}
@@ -212,7 +212,7 @@
 	}
 	l.refill(b, now)
 	until := now.Add(l.loanDuration())
-	b.borrowed[from] = until
+	b.borrowedUntil[from] = until
 	if until.Before(b.nextLoanExpiry) {
 		b.nextLoanExpiry = until
 	}
@@ -225,7 +225,7 @@
 	defer l.mu.Unlock()
 	for _, b := range l.buckets {
 		l.refill(b, now)
-		clear(b.borrowed)
+		clear(b.borrowedUntil)
 	}
 }
 
@@ -246,17 +246,17 @@
 // borrowedShares returns the number of shares that other gateways have lent, and removes expired ones.
 func (l *Limiter) borrowedShares(b *bucket, now time.Time) int {
 	if now.Before(b.nextLoanExpiry) {
-		return len(b.borrowed)
+		return len(b.borrowedUntil)
 	}
 	b.nextLoanExpiry = now.Add(l.loanDuration())
-	for from, until := range b.borrowed {
+	for from, until := range b.borrowedUntil {
 		if !now.Before(until) {
-			delete(b.borrowed, from)
+			delete(b.borrowedUntil, from)
 		} else if until.Before(b.nextLoanExpiry) {
 			b.nextLoanExpiry = until
 		}
 	}
-	return len(b.borrowed)
+	return len(b.borrowedUntil)
 }
 
 // shareRate returns the rate of the given number of shares, at most the whole rate.
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -99,7 +99,7 @@
 // simulation simulates gateways that share the rate of one server during partitions, stalls and restarts.
 // Time advances in steps.
 type simulation struct {
-	random      *rand.Rand
+	rng         *rand.Rand
 	now         time.Duration
 	rate        float64
 	gateways    []*gateway
@@ -113,9 +113,9 @@
 	limiter      *Limiter
 	stalledUntil time.Duration // it processes nothing until then
 	// lastHeard is the time of the last datagram from each gateway.
-	lastHeard     []time.Duration
-	lastRenewalAt time.Duration
-	backlog       []datagram // received while stalled
+	lastReceivedAt []time.Duration
+	lastRenewalAt  time.Duration
+	backlog        []datagram // received while stalled
 }
 
 // datagram is a simulated message: a loan or a heartbeat.
@@ -133,9 +133,9 @@
 )
 
 func newSimulation(seed uint64, gateways int, rate float64) *simulation {
-	s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), rate: rate}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 3)), rate: rate}
 	for range gateways {
-		s.gateways = append(s.gateways, &gateway{lastHeard: make([]time.Duration, gateways)})
+		s.gateways = append(s.gateways, &gateway{lastReceivedAt: make([]time.Duration, gateways)})
 		s.partitioned = append(s.partitioned, make([]bool, gateways))
 	}
 	for i := range s.gateways {
@@ -147,20 +147,20 @@
 // restart replaces a gateway by a new one that knows the rate and counts all others as reachable.
 func (s *simulation) restart(i int) {
 	g := s.gateways[i]
-	g.limiter = New(s.random.Float64)
+	g.limiter = New(s.rng.Float64)
 	g.limiter.SetGateways(len(s.gateways))
 	g.limiter.SetRate(server, s.rate, at(s.now))
-	for j := range g.lastHeard {
-		g.lastHeard[j] = s.now
+	for j := range g.lastReceivedAt {
+		g.lastReceivedAt[j] = s.now
 	}
 	g.backlog = nil
 }
 
 // schedulingGateway returns the scheduling gateway from a gateway's point of view: the first that it counts
 // as reachable.
-func (s *simulation) schedulingGateway(i int) int {
+func (s *simulation) schedulerOf(i int) int {
 	for j := range s.gateways {
-		if j == i || s.now-s.gateways[i].lastHeard[j] <= failureTimeout {
+		if j == i || s.now-s.gateways[i].lastReceivedAt[j] <= failureTimeout {
 			return j
 		}
 	}
@@ -169,21 +169,21 @@
 
 // send sends a datagram, of which 2% are lost.
 func (s *simulation) send(from, to int, loan bool) {
-	if !s.partitioned[from][to] && s.random.Float64() > 0.02 {
+	if !s.partitioned[from][to] && s.rng.Float64() > 0.02 {
 		s.inFlight = append(s.inFlight, datagram{from, to, loan, s.now + networkDelay})
 	}
 }
 
 func (s *simulation) deliver(d datagram) {
 	g := s.gateways[d.to]
-	g.lastHeard[d.from] = s.now
+	g.lastReceivedAt[d.from] = s.now
 	if d.loan {
 		g.limiter.Borrow(server, fmt.Sprint(d.from), at(s.now))
 	}
 }
 
 // advance simulates one step with the given number of requests, each at a random gateway.
-func (s *simulation) advance(requests int) {
+func (s *simulation) step(requests int) {
 	s.now += stepDuration
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(d datagram) bool {
 		if d.arrivesAt > s.now {
@@ -214,13 +214,13 @@
 					s.send(i, j, false)
 				}
 			}
-			if scheduler := s.schedulingGateway(i); scheduler != i && g.limiter.Lend(server, fmt.Sprint(scheduler), at(s.now)) {
+			if scheduler := s.schedulerOf(i); scheduler != i && g.limiter.Lend(server, fmt.Sprint(scheduler), at(s.now)) {
 				s.send(i, scheduler, true)
 			}
 		}
 	}
 	for range requests {
-		s.request(s.random.IntN(len(s.gateways)))
+		s.request(s.rng.IntN(len(s.gateways)))
 	}
 }
 
@@ -230,7 +230,7 @@
 	if s.now < s.gateways[i].stalledUntil {
 		return
 	}
-	scheduler := s.schedulingGateway(i)
+	scheduler := s.schedulerOf(i)
 	g := s.gateways[scheduler]
 	if scheduler != i && (s.partitioned[i][scheduler] || s.partitioned[scheduler][i] || s.now < g.stalledUntil) {
 		g = s.gateways[i]
@@ -242,8 +242,8 @@
 
 // injectFault injects one random fault.
 func (s *simulation) injectFault() {
-	i, j := s.random.IntN(len(s.gateways)), s.random.IntN(len(s.gateways))
-	switch s.random.IntN(6) {
+	i, j := s.rng.IntN(len(s.gateways)), s.rng.IntN(len(s.gateways))
+	switch s.rng.IntN(6) {
 	case 0:
 		s.partitioned[i][j] = true // in one direction
 	case 1:
@@ -259,7 +259,7 @@
 			clear(s.partitioned[a])
 		}
 	case 4:
-		s.gateways[i].stalledUntil = s.now + time.Duration(s.random.IntN(6000))*time.Millisecond
+		s.gateways[i].stalledUntil = s.now + time.Duration(s.rng.IntN(6000))*time.Millisecond
 	case 5:
 		s.restart(i)
 	}
@@ -295,7 +295,7 @@
 			if i%faultInterval == faultInterval-1 {
 				s.injectFault()
 			}
-			s.advance(requests)
+			s.step(requests)
 		}
 		if n, allowed := s.maxSent(3*time.Second), 1.5*rate*4+5; float64(n) > allowed {
 			t.Fatalf("%d requests sent within 4 s, at most %v allowed", n, allowed)
@@ -305,12 +305,12 @@
 			s.gateways[a].stalledUntil = 0
 		}
 		for range 500 {
-			s.advance(requests)
+			s.step(requests)
 		}
 		before := len(s.sent)
 		const faultFreeSteps = 1000
 		for range faultFreeSteps {
-			s.advance(requests)
+			s.step(requests)
 		}
 		seconds := faultFreeSteps * stepDuration.Seconds()
 		possible := min(rate, float64(requests)/stepDuration.Seconds()) * seconds
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -44,15 +44,15 @@
 	// stepsKept is the number of steps kept: two windows, and the partial steps at their ends.
 	stepsKept = 2*stepsPerWindow + 2
 	// tolerance absorbs floating-point rounding.
-	tolerance = 1e-9
+	roundingTolerance = 1e-9
 )
 
 // Budget is the retry budget of one service at one gateway. It is safe for concurrent use.
 type Budget struct {
-	mu       sync.Mutex
-	settings Settings
-	share    float64 // fraction of the slack
-	start    time.Time
+	mu         sync.Mutex
+	settings   Settings
+	slackShare float64 // fraction of the slack
+	start      time.Time
 
 	tokens   float64
 	tokensAt time.Time
@@ -86,7 +86,7 @@
 
 // New returns an empty budget. Share is this gateway's fraction of the slack.
 func New(s Settings, share float64, now time.Time) *Budget {
-	return &Budget{settings: s, share: share, start: now, tokensAt: now}
+	return &Budget{settings: s, slackShare: share, start: now, tokensAt: now}
 }
 
 // SetSettings changes the settings. Counts are kept unless the length of the window changes.
@@ -102,11 +102,11 @@
 }
 
 // SetShare sets this gateway's fraction of the slack.
-func (b *Budget) SetShare(share float64, now time.Time) {
+func (b *Budget) SetSlackShare(share float64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	b.share = share
+	b.slackShare = share
 	b.tokens = min(b.tokens, b.depth())
 }
 
@@ -119,7 +119,7 @@
 	b.tokens = 0
 	b.ignoreUntil = until
 	for n := max(b.stepOf(since), b.step-stepsKept+1); n <= b.step; n++ {
-		b.requests[index(n)] = 0
+		b.requests[ringIndex(n)] = 0
 	}
 }
 
@@ -131,7 +131,7 @@
 	if now.Before(b.ignoreUntil) {
 		return
 	}
-	b.requests[index(b.step)]++
+	b.requests[ringIndex(b.step)]++
 	b.tokens = min(b.tokens+bucketRatioFraction*b.settings.Ratio, b.depth())
 }
 
@@ -150,12 +150,12 @@
 func (b *Budget) take() Decision {
 	d := b.decision()
 	chargedToPrevious := max(0, 1-b.tokens)
-	if chargedToPrevious > b.previousCredit()+tolerance {
+	if chargedToPrevious > b.previousCredit()+roundingTolerance {
 		return d
 	}
 	b.tokens = max(0, b.tokens-1)
-	b.chargedToPrevious[index(b.step)] += chargedToPrevious
-	b.granted[index(b.step)]++
+	b.chargedToPrevious[ringIndex(b.step)] += chargedToPrevious
+	b.granted[ringIndex(b.step)]++
 	d.Granted, d.start, d.step, d.chargedToPrevious = true, b.start, b.step, chargedToPrevious
 	return d
 }
@@ -176,8 +176,8 @@
 // release removes a grant from the counts. Tokens are not returned, because the bucket may have been refilled since.
 func (b *Budget) release(d Decision) {
 	if d.start.Equal(b.start) && b.step-d.step < stepsKept {
-		b.granted[index(d.step)]--
-		b.chargedToPrevious[index(d.step)] -= d.chargedToPrevious
+		b.granted[ringIndex(d.step)]--
+		b.chargedToPrevious[ringIndex(d.step)] -= d.chargedToPrevious
 	}
 }
 
@@ -185,7 +185,7 @@
 func (b *Budget) decision() Decision {
 	taken := 0
 	for n := b.step - stepsPerWindow; n <= b.step; n++ {
-		taken += b.granted[index(n)]
+		taken += b.granted[ringIndex(n)]
 	}
 	return Decision{Taken: taken, Allowed: math.Round(100*(float64(taken)+b.available())) / 100}
 }
@@ -200,24 +200,24 @@
 	ratio := (1 - bucketRatioFraction) * b.settings.Ratio
 	before := 0 // requests of the window before the one that starts in step n
 	for n := b.step - stepsPerWindow + 1; n < b.step; n++ {
-		before += b.requests[index(n)]
+		before += b.requests[ringIndex(n)]
 	}
 	charged := 0.0
 	credit := ratio * float64(before)
 	for n := b.step; n >= b.step-stepsPerWindow; n-- {
-		charged += b.chargedToPrevious[index(n)]
+		charged += b.chargedToPrevious[ringIndex(n)]
 		credit = min(credit, ratio*float64(before)-charged)
-		before += b.requests[index(n-stepsPerWindow)] - b.requests[index(n-1)]
+		before += b.requests[ringIndex(n-stepsPerWindow)] - b.requests[ringIndex(n-1)]
 	}
 	return max(0, credit)
 }
 
 // depth returns the maximum number of tokens in the bucket.
-func (b *Budget) depth() float64 { return depthSlackFraction * b.settings.Slack * b.share }
+func (b *Budget) depth() float64 { return depthSlackFraction * b.settings.Slack * b.slackShare }
 
 // refill returns the number of tokens that the bucket gains per second without requests.
 func (b *Budget) refill() float64 {
-	return refillSlackFraction * b.settings.Slack * b.share / b.settings.Window.Seconds()
+	return refillSlackFraction * b.settings.Slack * b.slackShare / b.settings.Window.Seconds()
 }
 
 // advance refills the bucket and clears the steps that have expired by now.
@@ -232,7 +232,7 @@
 	}
 	for b.step < step {
 		b.step++
-		i := index(b.step)
+		i := ringIndex(b.step)
 		b.requests[i], b.granted[i], b.chargedToPrevious[i] = 0, 0, 0
 	}
 }
@@ -249,4 +249,4 @@
 }
 
 // index returns the ring buffer index of a step, which may be negative.
-func index(step int64) int { return int((step%stepsKept + stepsKept) % stepsKept) }
+func ringIndex(step int64) int { return int((step%stepsKept + stepsKept) % stepsKept) }
--- a/internal/retrybudget/claim.go
+++ b/internal/retrybudget/claim.go
@@ -15,12 +15,12 @@
 	maxPollInterval = 200 * time.Millisecond
 	// minWait is the time that a claim waits before it may be denied because of the claims ahead of it: some of
 	// these may be granted by other gateways in the meantime.
-	minWait = 5 * GrantInterval
+	minWaitBeforeDenial = 5 * GrantInterval
 	// lendThreshold is the fraction of a full budget that must be available for retries to be lent to other gateways.
 	lendThreshold = 0.1
 	// expiryGrantInterval is the number of grants of which one goes to the claim that expires first, so that claims of
 	// a higher priority don't starve short-lived ones.
-	expiryGrantInterval = 4
+	grantsPerExpiryGrant = 4
 )
 
 // Claim is a request for a retry that may wait until the budget permits it.
@@ -92,8 +92,8 @@
 	}
 	b.queue.decidedAt = now
 	b.advance(now)
-	for len(b.queue.claims) > 0 && b.available() >= 1-tolerance {
-		p := b.next(now)
+	for len(b.queue.claims) > 0 && b.available() >= 1-roundingTolerance {
+		p := b.nextToGrant(now)
 		if now.Sub(p.since) < GrantInterval && !b.batchDue(now) {
 			break
 		}
@@ -106,7 +106,7 @@
 	for _, p := range pending {
 		left := p.claim.Expires.Sub(now)
 		inTime := float64(ahead+1) <= available+perSecond*left.Seconds()
-		if left <= 0 || (now.Sub(p.since) >= minWait && !inTime) {
+		if left <= 0 || (now.Sub(p.since) >= minWaitBeforeDenial && !inTime) {
 			b.resolve(p, b.decision(), now)
 			continue
 		}
@@ -136,9 +136,9 @@
 }
 
 // next returns the claim to grant next.
-func (b *Budget) next(now time.Time) *PendingClaim {
+func (b *Budget) nextToGrant(now time.Time) *PendingClaim {
 	order := byPriority(now)
-	if b.queue.grantCount%expiryGrantInterval == expiryGrantInterval-1 {
+	if b.queue.grantCount%grantsPerExpiryGrant == grantsPerExpiryGrant-1 {
 		order = byExpiry
 	}
 	return slices.MinFunc(b.queue.claims, order)
@@ -181,7 +181,7 @@
 func (b *Budget) recentRequests() int {
 	n := 0
 	for step := b.step - stepsPerWindow + 1; step <= b.step; step++ {
-		n += b.requests[index(step)]
+		n += b.requests[ringIndex(step)]
 	}
 	return n
 }
@@ -194,7 +194,7 @@
 
 // Withdraw removes the claim from the queue and returns the decision, which denies the retry unless it was granted
 // in the meantime. A granted retry stays counted.
-func (p *PendingClaim) Withdraw() Decision {
+func (p *PendingClaim) Cancel() Decision {
 	p.budget.mu.Lock()
 	defer p.budget.mu.Unlock()
 	if len(p.decision) > 0 {
--- a/internal/retrybudget/claim_test.go
+++ b/internal/retrybudget/claim_test.go
@@ -106,7 +106,7 @@
 		c.claim(string(rune('a'+i)), 0, 5*time.Second, 5*time.Second)
 	}
 	c.claim("blocked", 5, 300*time.Millisecond, 300*time.Millisecond)
-	c.elapse(minWait + 20*time.Millisecond)
+	c.elapse(minWaitBeforeDenial + 20*time.Millisecond)
 	g.Expect(c.decided()).To(HaveKeyWithValue("blocked", false))
 	g.Expect(len(c.pending)).To(BeNumerically(">=", 9))
 }
@@ -119,7 +119,7 @@
 		c.claim(string(rune('a'+i)), 0, 300*time.Millisecond, 300*time.Millisecond)
 	}
 	c.claim("long", 1, time.Second, time.Second)
-	c.elapse(minWait + 20*time.Millisecond)
+	c.elapse(minWaitBeforeDenial + 20*time.Millisecond)
 	decided := c.decided()
 	g.Expect(len(decided)).To(BeNumerically(">=", 8))
 	g.Expect(decided).NotTo(HaveKey("long"))
@@ -138,11 +138,11 @@
 }
 
 // Guards against granting a retry to a withdrawn claim.
-func TestWithdrawnClaimIsNotGranted(t *testing.T) {
+func TestCancelledClaimIsNotGranted(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
 	c.claim("a", 0, time.Second, time.Second)
-	c.pending["a"].Withdraw()
+	c.pending["a"].Cancel()
 	before := c.decision().Taken
 	c.elapse(time.Second)
 	g.Expect(c.decided()).To(BeEmpty())
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -33,14 +33,14 @@
 	route             string
 	// requestInterval is the time between requests at load 1.
 	requestInterval time.Duration
-	changes         []change
+	changes         []workloadChange
 	// oneGateway sends all requests to the first gateway.
-	oneGateway bool
-	faults     []fleetFault
+	singleGateway bool
+	faults        []fleetFault
 }
 
 // change is a change of the load and of the failures of servers.
-type change struct {
+type workloadChange struct {
 	at      time.Duration
 	load    float64 // factor on the request rate
 	failing int     // of every 10 requests
@@ -60,12 +60,12 @@
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	ms := func(from, to int) time.Duration { return time.Duration(from+rnd.IntN(to-from)) * time.Millisecond }
 	d := fleetScenario{seed: seed, gateways: 1 + rnd.IntN(5), servers: 4 + rnd.IntN(12), route: pick(rnd, "once", "again", "stream", "resume"),
-		requestInterval: ms(20, 100), oneGateway: rnd.IntN(4) == 0}
+		requestInterval: ms(20, 100), singleGateway: rnd.IntN(4) == 0}
 	failures := []worker.Behaviour{{Reject: true}, {DropConnection: true}, {Events: simfleet.StreamEvents, AbortAfterEvents: 3}}
 	for range 3 + rnd.IntN(5) {
-		d.changes = append(d.changes, change{ms(0, 28000), pick(rnd, 0.2, 1, 1, 2, 4), pick(rnd, 0, 0, 3, 6, 10), pick(rnd, failures...)})
+		d.changes = append(d.changes, workloadChange{ms(0, 28000), pick(rnd, 0.2, 1, 1, 2, 4), pick(rnd, 0, 0, 3, 6, 10), pick(rnd, failures...)})
 	}
-	slices.SortFunc(d.changes, func(a, b change) int { return int(a.at - b.at) })
+	slices.SortFunc(d.changes, func(a, b workloadChange) int { return int(a.at - b.at) })
 	kinds := []string{"kill", "kill", "kill all in turn", "partition", "join", "leave", "reload", "store partition", "server restart"}
 	for range pick(rnd, 0, 1, 3, 6) {
 		d.faults = append(d.faults, fleetFault{ms(500, 26000), ms(200, 8000), pick(rnd, kinds...), rnd.IntN(d.gateways)})
@@ -91,7 +91,7 @@
 	var pending sync.WaitGroup
 	for i := 0; time.Since(p.begin) < scenarioDuration; i++ {
 		n := p.Nodes[rnd.IntN(p.gateways)]
-		if p.oneGateway {
+		if p.singleGateway {
 			n = p.Nodes[0]
 		}
 		if n.Gateway().Ready() {
