--- a/e2e/callers_test.go
+++ b/e2e/callers_test.go
@@ -17,18 +17,18 @@
 	"github.com/merlinpost/merlinpost/internal/standin/engine"
 )
 
-// outcome is the result of a request as its caller sees it.
-type outcome struct {
+// requestResult is the result of a request as its caller sees it.
+type requestResult struct {
 	RequestID  string
 	Served     string // model version that served the request
 	Status     int
 	Text       string
-	Complete   bool // the response ended regularly
+	Complete   bool // the response arrived in full
 	Code       fault.Code
 	Outcome    fault.Outcome
 	RetryAfter string
-	Err        error // the connection failed
-	First      time.Duration
+	Err        error         // failed connection, or truncated or malformed response
+	FirstToken time.Duration // time to the first token
 }
 
 // apiError is the error body of the callers' API.
@@ -40,29 +40,29 @@
 	} `json:"error"`
 }
 
-// chat sends a streaming chat request and reads the response to its end.
-func (c *cluster) chat(ctx context.Context, router, class, prompt string, tokens int) outcome {
-	return c.chatWithKey(ctx, teamKey, router, class, prompt, tokens)
+// sendChat sends a streaming chat request and reads the response to its end.
+func (c *cluster) sendChat(ctx context.Context, router, class, prompt string, tokens int) requestResult {
+	return c.sendChatWithKey(ctx, teamKey, router, class, prompt, tokens)
 }
 
-// chatWithKey is chat with the key of another team.
-func (c *cluster) chatWithKey(ctx context.Context, key, router, class, prompt string, tokens int) outcome {
+// sendChatWithKey is like sendChat, with the given API key.
+func (c *cluster) sendChatWithKey(ctx context.Context, key, router, class, prompt string, tokens int) requestResult {
 	body := fmt.Sprintf(`{"model":"advisory","stream":true,"min_tokens":%d,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, tokens, tokens, prompt)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.callerAddress(router)+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		return outcome{Err: err}
+		return requestResult{Err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	req.Header.Set("Merlinpost-Class", class)
 	begin := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return outcome{Err: err}
+		return requestResult{Err: err}
 	}
 	defer resp.Body.Close()
-	o := outcome{RequestID: resp.Header.Get("Merlinpost-Request-Id"), Served: resp.Header.Get("Merlinpost-Served"), Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After")}
+	o := requestResult{RequestID: resp.Header.Get("Merlinpost-Request-Id"), Served: resp.Header.Get("Merlinpost-Served"), Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After")}
 	if resp.StatusCode != http.StatusOK {
-		data, _ := io.ReadAll(resp.Body) // the status is sufficient
+		data, _ := io.ReadAll(resp.Body) // if it fails, the result still has the status
 		o.parseError(data)
 		return o
 	}
@@ -70,14 +70,14 @@
 	return o
 }
 
-func (o *outcome) parseError(data []byte) {
+func (o *requestResult) parseError(data []byte) {
 	var e apiError
 	if json.Unmarshal(data, &e) == nil {
 		o.Code, o.Outcome = e.Error.Code, e.Error.Outcome
 	}
 }
 
-func (o *outcome) readStream(r io.Reader, begin time.Time) {
+func (o *requestResult) readStream(r io.Reader, begin time.Time) {
 	var text strings.Builder
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -106,8 +106,8 @@
 			break
 		}
 		for _, ch := range ev.Choices {
-			if ch.Delta.Content != "" && o.First == 0 {
-				o.First = time.Since(begin)
+			if ch.Delta.Content != "" && o.FirstToken == 0 {
+				o.FirstToken = time.Since(begin)
 			}
 			text.WriteString(ch.Delta.Content)
 		}
@@ -121,28 +121,29 @@
 	}
 }
 
-// check checks that the text of the response is the expected answer or a prefix of it.
-func (o *outcome) check(prompt string, tokens int) error {
+// checkText checks that the text of the response is the expected answer or, if the response is
+// incomplete, a prefix of it.
+func (o *requestResult) checkText(prompt string, tokens int) error {
 	want := engine.Answer(prompt, tokens, tokens)
 	switch {
 	case o.Complete && o.Text != want:
-		return fmt.Errorf("request %s: wrong answer: got %q, want %q", o.RequestID, clip(o.Text), clip(want))
+		return fmt.Errorf("request %s: wrong text: got %q, want %q", o.RequestID, truncate(o.Text), truncate(want))
 	case !strings.HasPrefix(want, o.Text):
-		return fmt.Errorf("request %s: not a prefix of the expected answer: %q", o.RequestID, clip(o.Text))
+		return fmt.Errorf("request %s: text is not a prefix of the expected answer: %q", o.RequestID, truncate(o.Text))
 	}
 	return nil
 }
 
-func clip(s string) string { return s[:min(len(s), 80)] }
+func truncate(s string) string { return s[:min(len(s), 80)] }
 
-// call calls a service.
-func (c *cluster) call(ctx context.Context, router, service, key, body string) outcome {
+// callService calls a service. An empty key sends no idempotency key.
+func (c *cluster) callService(ctx context.Context, router, service, key, body string) requestResult {
 	header := map[string]string{"Authorization": "Bearer " + teamKey, "Merlinpost-Class": "alert"}
 	if key != "" {
 		header["Idempotency-Key"] = key
 	}
 	status, h, data, err := c.request(ctx, http.MethodPost, "http://"+c.callerAddress(router)+"/v1/services/"+service, header, []byte(body))
-	o := outcome{Status: status, Err: err, Text: string(data)}
+	o := requestResult{Status: status, Err: err, Text: string(data)}
 	if err != nil {
 		return o
 	}
@@ -157,34 +158,34 @@
 
 // callerGroup is a group of concurrent callers.
 type callerGroup struct {
-	c        *cluster
-	cancel   context.CancelFunc // cancels all requests of the group
-	key      string             // API key of the callers' team
-	wg       sync.WaitGroup
-	mu       sync.Mutex
-	outcomes []outcome
-	errs     []error
+	cluster *cluster
+	cancel  context.CancelFunc // cancels all requests of the group
+	apiKey  string             // API key of the callers' team
+	wg      sync.WaitGroup
+	mu      sync.Mutex
+	results []requestResult
+	errs    []error
 }
 
-// start starts n callers, each with its own prompt, at the given routers in turn.
+// start starts n callers, each with its own prompt. The callers use the given routers in turn.
 func (g *callerGroup) start(ctx context.Context, label, class string, n, tokens int, routers []string) {
 	for i := range n {
 		g.wg.Go(func() {
-			prompt := fmt.Sprintf("%s caller %d of class %s asks about its own canal", label, i, class)
-			key := g.key
+			prompt := fmt.Sprintf("%s caller %d of class %s asks about its own order", label, i, class)
+			key := g.apiKey
 			if key == "" {
 				key = teamKey
 			}
-			o := g.c.chatWithKey(ctx, key, routers[i%len(routers)], class, prompt, tokens)
-			g.add(o, o.check(prompt, tokens))
+			o := g.cluster.sendChatWithKey(ctx, key, routers[i%len(routers)], class, prompt, tokens)
+			g.add(o, o.checkText(prompt, tokens))
 		})
 	}
 }
 
-func (g *callerGroup) add(o outcome, err error) {
+func (g *callerGroup) add(o requestResult, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.outcomes = append(g.outcomes, o)
+	g.results = append(g.results, o)
 	if err != nil {
 		g.errs = append(g.errs, err)
 	}
@@ -195,7 +196,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
-	for _, o := range g.outcomes {
+	for _, o := range g.results {
 		if o.Complete {
 			n++
 		}
@@ -203,12 +204,12 @@
 	return n
 }
 
-// failures summarizes the requests without a complete response.
-func (g *callerGroup) failures() string {
+// failureSummary counts the requests without a complete response by status and error.
+func (g *callerGroup) failureSummary() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	count := map[string]int{}
-	for _, o := range g.outcomes {
+	for _, o := range g.results {
 		if !o.Complete {
 			count[fmt.Sprintf("status %d code %s outcome %s err %v", o.Status, o.Code, o.Outcome, o.Err)]++
 		}
--- a/e2e/client_test.go
+++ b/e2e/client_test.go
@@ -12,10 +12,10 @@
 	"github.com/merlinpost/merlinpost/internal/standin/engine"
 )
 
-// Guards compatibility with an unmodified published OpenAI client library.
+// Guards against the API becoming incompatible with the unmodified official OpenAI client library.
 func TestPublishedClientLibrary(t *testing.T) {
 	g := NewWithT(t)
-	c := newCluster(t.TempDir(), clusterSize{Routers: 1, Engines: 1})
+	c := newCluster(t.TempDir(), clusterConfig{Routers: 1, Engines: 1})
 	t.Cleanup(c.close)
 	g.Expect(c.start()).To(Succeed())
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -26,10 +26,10 @@
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("when is my turn?")}}
 	want := engine.Answer("when is my turn?", 0, 12)
 
-	whole, err := client.Chat.Completions.New(ctx, params)
+	chat, err := client.Chat.Completions.New(ctx, params)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(whole.Choices[0].Message.Content).To(Equal(want))
-	g.Expect(whole.Usage.CompletionTokens).To(BeEquivalentTo(12))
+	g.Expect(chat.Choices[0].Message.Content).To(Equal(want))
+	g.Expect(chat.Usage.CompletionTokens).To(BeEquivalentTo(12))
 
 	stream := client.Chat.Completions.NewStreaming(ctx, params)
 	text := ""
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -33,65 +33,65 @@
 // binDir is the directory in which TestMain builds the programs.
 var binDir string
 
-// nextSubnet numbers the loopback subnets; each deployment uses its own.
+// nextSubnet numbers the loopback subnets, of which each deployment uses its own.
 var nextSubnet atomic.Uint32
 
-// clusterSize configures a cluster.
-type clusterSize struct {
+// clusterConfig configures a cluster.
+type clusterConfig struct {
 	Routers, Engines, Services int
-	Domains                    int
-	Step                       string // time per token of the engines
+	FailureDomains             int
+	TokenTime                  string // time per token of the engines
 	Slots                      int
 	KeyWindowMS                int
 	Fencing                    bool
-	Links                      string // link and logging settings; default linkSettings
+	LinkSettings               string // link and logging settings; default testLinkSettings
 	Proxied                    bool   // links to agents and calls to backend servers pass through fault proxies
 }
 
 // cluster is a deployment of routers, agents and stand-in backend servers as separate processes.
 type cluster struct {
-	clusterSize
-	dir       string
+	clusterConfig
+	dir       string // settings, logs and data of the processes
 	subnet    uint32
 	mu        sync.Mutex
-	procs     map[string]*proc
-	hostCount uint32
-	addr      map[string]string // IP address by process name
+	processes map[string]*process
+	hostCount uint32            // number of addresses assigned
+	ipByName  map[string]string // IP address by process name
 	http      *http.Client
-	// proxies are the fault proxies in front of agents ("engine-0") and
+	// proxies holds the fault proxies in front of agents ("engine-0") and
 	// backend servers ("server:engine-0").
 	proxies map[string]*faultProxy
 }
 
-func newCluster(dir string, s clusterSize) *cluster {
-	if s.Domains == 0 {
-		s.Domains = 2
+func newCluster(dir string, config clusterConfig) *cluster {
+	if config.FailureDomains == 0 {
+		config.FailureDomains = 2
 	}
-	if s.Step == "" {
-		s.Step = "3ms"
+	if config.TokenTime == "" {
+		config.TokenTime = "3ms"
 	}
-	if s.Slots == 0 {
-		s.Slots = 16
+	if config.Slots == 0 {
+		config.Slots = 16
 	}
-	if s.KeyWindowMS == 0 {
-		s.KeyWindowMS = 600_000
+	if config.KeyWindowMS == 0 {
+		config.KeyWindowMS = 600_000
 	}
-	if s.Links == "" {
-		s.Links = linkSettings
+	if config.LinkSettings == "" {
+		config.LinkSettings = testLinkSettings
 	}
-	return &cluster{clusterSize: s, dir: dir, subnet: uint32(os.Getpid()%200)<<8 + nextSubnet.Add(1), procs: map[string]*proc{}, addr: map[string]string{}, proxies: map[string]*faultProxy{},
+	return &cluster{clusterConfig: config, dir: dir, subnet: uint32(os.Getpid()%200)<<8 + nextSubnet.Add(1), processes: map[string]*process{}, ipByName: map[string]string{}, proxies: map[string]*faultProxy{},
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
 }
 
 // address returns the IP address of a process. Each process has its own
 // address, so that its ports are free and stay reserved across restarts.
 func (c *cluster) address(name string) string {
-	if a := c.addr[name]; a != "" {
+	if a := c.ipByName[name]; a != "" {
 		return a
 	}
 	c.hostCount++
-	c.addr[name] = fmt.Sprintf("127.%d.%d.%d", 1+(c.subnet>>8)%250, c.subnet&0xff, c.hostCount)
-	return c.addr[name]
+	c.ipByName[name] = fmt.Sprintf("127.%d.%d.%d", 1+(c.subnet>>8)%250, c.subnet&0xff, c.hostCount)
+	return c.ipByName[name]
 }
 
 func (c *cluster) callerAddress(router string) string   { return c.address(router) + ":8080" }
@@ -99,7 +99,7 @@
 func (c *cluster) logAddress() string                   { return c.address("log") + ":7000" }
 func (c *cluster) membersAddress() string               { return c.address("members") + ":7001" }
 
-func (c *cluster) domain(i int) string { return string(rune('a' + i%c.Domains)) }
+func (c *cluster) failureDomain(i int) string { return string(rune('a' + i%c.FailureDomains)) }
 
 // start starts all processes and waits until the routers reach all agents.
 func (c *cluster) start() error {
@@ -121,7 +121,7 @@
 			return err
 		}
 	}
-	if err := c.seed(); err != nil {
+	if err := c.applyConfig(); err != nil {
 		return err
 	}
 	return c.waitReady()
@@ -153,7 +153,7 @@
 
 func (c *cluster) startEngine(i int) error {
 	name := fmt.Sprint("engine-", i)
-	args := []string{"standin", "engine", "--listen", c.address(name) + ":7100", "--name", name, "--step", c.Step,
+	args := []string{"standin", "engine", "--listen", c.address(name) + ":7100", "--name", name, "--step", c.TokenTime,
 		"--batch", fmt.Sprint(c.Slots), "--loaded", "advisory@base", "--seed", fmt.Sprint(i)}
 	if c.Fencing {
 		args = append(args, "--fencing")
@@ -177,8 +177,8 @@
 	return c.startAgent("agent-"+name, name, "service", i)
 }
 
-// linkSettings detects failures sooner than the default settings do.
-const linkSettings = `
+// testLinkSettings detects link failures sooner than the default settings do.
+const testLinkSettings = `
 [link]
 heartbeat_ms = 200
 silent_ms = 700
@@ -209,7 +209,7 @@
 [members]
 address = %q
 poll_ms = 300
-%s`, server, c.domain(i), c.address(name), c.address(name), kind, serverAddress, c.Slots, c.Fencing, c.logAddress(), c.membersAddress(), c.Links)
+%s`, server, c.failureDomain(i), c.address(name), c.address(name), kind, serverAddress, c.Slots, c.Fencing, c.logAddress(), c.membersAddress(), c.LinkSettings)
 	path := filepath.Join(c.dir, name+".toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
@@ -241,7 +241,7 @@
 [members]
 address = %q
 poll_ms = 300
-%s%s`, name, c.domain(i), c.callerAddress(name), c.operatorAddress(name), resource.HashAPIKey(operatorKey), c.address(name), c.logAddress(), c.membersAddress(), c.Links, extra)
+%s%s`, name, c.failureDomain(i), c.callerAddress(name), c.operatorAddress(name), resource.HashAPIKey(operatorKey), c.address(name), c.logAddress(), c.membersAddress(), c.LinkSettings, extra)
 	path := filepath.Join(c.dir, name+".toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
@@ -256,13 +256,13 @@
 	for _, proxy := range c.proxies {
 		proxy.close()
 	}
-	for _, p := range c.procs {
+	for _, p := range c.processes {
 		if p.cmd != nil && p.cmd.Process != nil {
 			_ = p.cmd.Process.Signal(syscall.SIGCONT) // may have exited already
 			_ = p.cmd.Process.Kill()                  // may have exited already
 		}
 	}
-	for _, p := range c.procs {
+	for _, p := range c.processes {
 		if p.exited != nil {
 			<-p.exited
 		}
@@ -287,6 +287,7 @@
 	return resp.StatusCode, resp.Header, data, err
 }
 
+// getJSON sends a GET request with the operator's key and decodes the response.
 func (c *cluster) getJSON(url string, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -315,8 +316,8 @@
 	return err
 }
 
-// eventually polls f until it returns nil or waitTimeout has passed.
-func eventually(what string, f func() error) error {
+// waitFor polls f until it returns nil or waitTimeout has passed.
+func waitFor(what string, f func() error) error {
 	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := f()
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -29,8 +29,8 @@
 
 // cmdIdle implements "idle": it waits until no router and no engine has a request in progress.
 func cmdIdle(ts *testscript.TestScript, _ bool, _ []string) {
-	c := scenarioOf(ts).c
-	ts.Check(eventually("no requests in progress", func() error {
+	c := scenarioOf(ts).cluster
+	ts.Check(waitFor("no requests in progress", func() error {
 		for i := range c.Routers {
 			s, err := c.status(fmt.Sprint("router-", i))
 			if err != nil {
@@ -58,8 +58,8 @@
 // cmdMetric implements "metric PROCESS NAME min=N": it waits until a metric has reached N.
 func cmdMetric(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 3, "metric PROCESS NAME min=N")
-	c, o := scenarioOf(ts).c, options(ts, args[2:])
-	ts.Check(eventually(args[1], func() error {
+	c, o := scenarioOf(ts).cluster, parseOptions(ts, args[2:])
+	ts.Check(waitFor(args[1], func() error {
 		g := gomega.NewGomega(func(message string, _ ...int) { ts.Fatalf("%s", message) })
 		if v := c.metric(g, args[0], args[1]); v < float64(intOption(ts, o, "min", 1)) {
 			return fmt.Errorf("the value is %g", v)
@@ -73,20 +73,20 @@
 // one of each kind.
 func cmdSlowClients(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 1, "slowclients ROUTER [n=]")
-	c, o := scenarioOf(ts).c, options(ts, args[1:])
+	c, o := scenarioOf(ts).cluster, parseOptions(ts, args[1:])
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + teamKey + "\r\n"
-	texts := []string{head, head + "Content-Length: 100\r\n\r\n{\"model\":"}
+	partialRequests := []string{head, head + "Content-Length: 100\r\n\r\n{\"model\":"}
 	for i := range intOption(ts, o, "n", 1) {
 		conn, err := net.Dial("tcp", c.callerAddress(args[0]))
 		ts.Check(err)
-		ts.Defer(func() { _ = conn.Close() }) // the router has closed it already
-		_, err = conn.Write([]byte(texts[i%len(texts)]))
+		ts.Defer(func() { _ = conn.Close() }) // the router may have closed it
+		_, err = conn.Write([]byte(partialRequests[i%len(partialRequests)]))
 		ts.Check(err)
 		ts.Check(conn.SetReadDeadline(time.Now().Add(waitTimeout)))
-		if i < len(texts) { // one of each kind
-			answer, err := io.ReadAll(conn)
+		if i < len(partialRequests) { // one of each kind
+			response, err := io.ReadAll(conn)
 			ts.Check(err)
-			ts.Logf("slow client %d got %q", i, clip(string(answer)))
+			ts.Logf("slow client %d got %q", i, truncate(string(response)))
 		}
 	}
 }
@@ -95,29 +95,29 @@
 // callers of a group were served by a model version.
 func cmdServed(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 2, "served GROUP VERSION [min= max=]")
-	s, o := scenarioOf(ts), options(ts, args[2:])
+	s, o := scenarioOf(ts), parseOptions(ts, args[2:])
 	n := 0
-	for _, out := range s.groups[args[0]].outcomes {
-		if out.Served == args[1] {
+	for _, result := range s.groups[args[0]].results {
+		if result.Served == args[1] {
 			n++
 		}
 	}
-	if n < intOption(ts, o, "min", 0) || n > intOption(ts, o, "max", len(s.groups[args[0]].outcomes)) {
-		ts.Fatalf("%d of %d were served by %s", n, len(s.groups[args[0]].outcomes), args[1])
+	if n < intOption(ts, o, "min", 0) || n > intOption(ts, o, "max", len(s.groups[args[0]].results)) {
+		ts.Fatalf("%d of %d requests were served by %s", n, len(s.groups[args[0]].results), args[1])
 	}
-	ts.Logf("%d of %d were served by %s", n, len(s.groups[args[0]].outcomes), args[1])
+	ts.Logf("%d of %d requests were served by %s", n, len(s.groups[args[0]].results), args[1])
 }
 
 // cmdLoaded implements "loaded TARGET [not]": it waits until the agents of all engines
 // serve the target, or with "not" until none does.
 func cmdLoaded(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 1, "loaded TARGET [not]")
-	c := scenarioOf(ts).c
+	c := scenarioOf(ts).cluster
 	want := len(args) == 1
-	ts.Check(eventually(strings.Join(args, " "), func() error {
+	ts.Check(waitFor(strings.Join(args, " "), func() error {
 		for i := range c.Engines {
 			name := fmt.Sprint("agent-engine-", i)
-			if p, _ := c.proc("second-" + name); p != nil {
+			if p, _ := c.process("second-" + name); p != nil {
 				name = "second-" + name
 			}
 			s, err := c.agentStatus(name)
@@ -136,7 +136,7 @@
 // server and sets SECOND, FIRST and AGENT0, AGENT1, ... to the addresses of the agents.
 func cmdSecondAgent(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 1, "secondagent SERVER")
-	c := scenarioOf(ts).c
+	c := scenarioOf(ts).cluster
 	ts.Check(c.startSecondAgent(args[0], 0))
 	ts.Setenv("SECOND", c.address("second-agent-"+args[0])+":7300")
 	ts.Setenv("FIRST", c.address("agent-"+args[0])+":7300")
@@ -145,32 +145,32 @@
 	}
 }
 
-// cmdFences implements "fences engine-0": it checks that the fencing tokens of the
-// orders accepted by an engine never decrease.
-func cmdFences(ts *testscript.TestScript, _ bool, args []string) {
-	requireArgs(ts, args, 1, "fences SERVER")
-	c := scenarioOf(ts).c
+// cmdFencingTokens implements "fencingtokens engine-0": it checks that the fencing tokens of the
+// orders that an engine accepted never decrease.
+func cmdFencingTokens(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 1, "fencingtokens SERVER")
+	c := scenarioOf(ts).cluster
 	var orders []engine.Order
 	ts.Check(c.getJSON("http://"+c.address(args[0])+":7100/standin/orders", &orders))
-	last := uint64(0)
+	previous := uint64(0)
 	for _, o := range orders {
-		if o.Fence < last {
-			ts.Fatalf("an order with fencing token %d came after one with %d: %+v", o.Fence, last, orders)
+		if o.Fence < previous {
+			ts.Fatalf("an order with fencing token %d was accepted after one with %d: %+v", o.Fence, previous, orders)
 		}
-		last = o.Fence
+		previous = o.Fence
 	}
 	if len(orders) == 0 {
 		ts.Fatalf("the engine accepted no orders")
 	}
-	ts.Logf("%d orders, the last with fencing token %d", len(orders), last)
+	ts.Logf("%d orders, the last with fencing token %d", len(orders), previous)
 }
 
-// cmdPeers implements "peers N": it waits until every router counts N live routers,
+// cmdLivePeers implements "livepeers N": it waits until every router counts N live routers,
 // and sets HOMEROUTER to the home router of the team "small" and OTHER to another router.
-func cmdPeers(ts *testscript.TestScript, _ bool, args []string) {
-	requireArgs(ts, args, 1, "peers N")
-	c := scenarioOf(ts).c
-	ts.Check(eventually("live routers", func() error {
+func cmdLivePeers(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 1, "livepeers N")
+	c := scenarioOf(ts).cluster
+	ts.Check(waitFor("live routers", func() error {
 		g := gomega.NewGomega(func(message string, _ ...int) { ts.Fatalf("%s", message) })
 		for i := range c.Routers {
 			if n := c.metric(g, fmt.Sprint("router-", i), "merlinpost_router_peers"); fmt.Sprint(n) != args[0] {
@@ -188,13 +188,13 @@
 	ts.Setenv("OTHER", ranked[len(ranked)-1])
 }
 
-// cmdReported implements "reported FILE CLASS [answered=N] [refused=0]": it checks the
-// report of a load run for a class. At least N requests were answered (by default
-// all) and at least the given number refused; no answer was wrong or short, and every
-// refusal for load had a Retry-After header.
-func cmdReported(ts *testscript.TestScript, _ bool, args []string) {
-	requireArgs(ts, args, 2, "reported FILE CLASS [answered= refused=]")
-	o := options(ts, args[2:])
+// cmdLoadReport implements "loadreport FILE CLASS [answered=N] [refused=0]": it checks the
+// report of a load run for a class. At least N requests must have been answered (by default
+// all) and at least the given number refused. No response may be wrong or truncated, and every
+// refusal because of overload must have a Retry-After header.
+func cmdLoadReport(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 2, "loadreport FILE CLASS [answered= refused=]")
+	o := parseOptions(ts, args[2:])
 	var reports []load.Report
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[0])), &reports))
 	for _, c := range reports[0].Classes {
@@ -203,7 +203,7 @@
 		}
 		ts.Logf("%s: sent %d, answered %d, failures %v", c.Class, c.Sent, c.Answered, c.Failures)
 		if c.Wrong+c.Short+c.NoRetryAfter > 0 {
-			ts.Fatalf("%d wrong, %d short, %d refused without Retry-After", c.Wrong, c.Short, c.NoRetryAfter)
+			ts.Fatalf("%d wrong responses, %d truncated, %d refused without Retry-After", c.Wrong, c.Short, c.NoRetryAfter)
 		}
 		if want := intOption(ts, o, "answered", c.Sent); c.Answered < want {
 			ts.Fatalf("%d of %d answered: %v", c.Answered, c.Sent, c.Failures)
--- a/e2e/faultproxy_test.go
+++ b/e2e/faultproxy_test.go
@@ -11,13 +11,14 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// faultProxy is a TCP proxy that can delay, drop, close or reset the open
-// connections, as a middlebox that loses its connection state does.
+// faultProxy is a TCP proxy that injects faults into its open connections. It can drop their
+// data, as a middlebox that has lost its connection state does, delay it, and close or reset the
+// connections.
 type faultProxy struct {
 	ln        net.Listener
 	target    string
 	mu        sync.Mutex
-	flows     map[*flow]bool
+	conns     map[*proxiedConn]bool
 	delay     atomic.Int64 // nanoseconds before each read is forwarded
 	acceptErr atomic.Pointer[error]
 }
@@ -25,10 +26,10 @@
 // acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// flow is a proxied connection.
-type flow struct {
-	caller, target             net.Conn
-	dropToTarget, dropToCaller atomic.Bool
+// proxiedConn is a client's connection and the corresponding connection to the target.
+type proxiedConn struct {
+	client, target             net.Conn
+	dropToTarget, dropToClient atomic.Bool
 }
 
 func newFaultProxy(address, target string) (*faultProxy, error) {
@@ -36,14 +37,14 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &faultProxy{ln: ln, target: target, flows: map[*flow]bool{}}
+	p := &faultProxy{ln: ln, target: target, conns: map[*proxiedConn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
 func (p *faultProxy) accept() {
 	for {
-		caller, err := p.ln.Accept()
+		client, err := p.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -56,21 +57,22 @@
 		}
 		target, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = caller.Close() // the caller sees that the target is down
+			_ = client.Close() // the client sees that the target is unreachable
 			continue
 		}
-		f := &flow{caller: caller, target: target}
+		conn := &proxiedConn{client: client, target: target}
 		p.mu.Lock()
-		p.flows[f] = true
+		p.conns[conn] = true
 		p.mu.Unlock()
-		go p.forward(f, caller, target, &f.dropToTarget)
-		go p.forward(f, target, caller, &f.dropToCaller)
+		go p.forward(conn, client, target, &conn.dropToTarget)
+		go p.forward(conn, target, client, &conn.dropToClient)
 	}
 }
 
-// forward copies one direction of a connection. While drop is set it discards
-// the data and also the close of the connection, so that neither side notices.
-func (p *faultProxy) forward(f *flow, from, to net.Conn, drop *atomic.Bool) {
+// forward copies the data of one direction of a connection. While drop is set it discards the
+// data and does not propagate the close of the connection, so that neither side notices
+// the failure.
+func (p *faultProxy) forward(conn *proxiedConn, from, to net.Conn, drop *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -89,63 +91,62 @@
 			}
 		}
 		if err != nil {
-			p.closeFlow(f)
+			p.closeConn(conn)
 			return
 		}
 	}
 }
 
-func (p *faultProxy) closeFlow(f *flow) {
-	_ = f.caller.Close() // may be closed already
-	_ = f.target.Close() // may be closed already
+func (p *faultProxy) closeConn(conn *proxiedConn) {
+	_ = conn.client.Close() // may be closed already
+	_ = conn.target.Close() // may be closed already
 	p.mu.Lock()
-	delete(p.flows, f)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 }
 
-// openFlows returns the open connections.
-func (p *faultProxy) openFlows() []*flow {
+func (p *faultProxy) openConns() []*proxiedConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []*flow
-	for f := range p.flows {
-		out = append(out, f)
+	var out []*proxiedConn
+	for conn := range p.conns {
+		out = append(out, conn)
 	}
 	return out
 }
 
 // blackhole drops all further data of the open connections in the given
 // directions; new connections work.
-func (p *faultProxy) blackhole(toTarget, toCaller bool) {
-	for _, f := range p.openFlows() {
-		f.dropToTarget.Store(toTarget)
-		f.dropToCaller.Store(toCaller)
+func (p *faultProxy) blackhole(toTarget, toClient bool) {
+	for _, conn := range p.openConns() {
+		conn.dropToTarget.Store(toTarget)
+		conn.dropToClient.Store(toClient)
 	}
 }
 
 // closeAll closes the open connections, possibly in the middle of a frame.
 func (p *faultProxy) closeAll() {
-	for _, f := range p.openFlows() {
-		p.closeFlow(f)
+	for _, conn := range p.openConns() {
+		p.closeConn(conn)
 	}
 }
 
 // resetAll resets the open connections on both sides; data in flight is lost.
 func (p *faultProxy) resetAll() {
-	for _, f := range p.openFlows() {
-		for _, conn := range []net.Conn{f.caller, f.target} {
-			if tcp, ok := conn.(*net.TCPConn); ok {
+	for _, conn := range p.openConns() {
+		for _, side := range []net.Conn{conn.client, conn.target} {
+			if tcp, ok := side.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0) // may be closed already
 			}
 		}
-		p.closeFlow(f)
+		p.closeConn(conn)
 	}
 }
 
 func (p *faultProxy) address() string { return p.ln.Addr().String() }
 
 func (p *faultProxy) close() {
-	_ = p.ln.Close() // ends accept
+	_ = p.ln.Close() // terminates the accept loop
 	p.closeAll()
 }
 
@@ -155,9 +156,9 @@
 // calls of that agent to the server (server:engine-0).
 func cmdLinkFault(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 2, "linkfault NAME FAULT")
-	p := scenarioOf(ts).c.proxies[args[0]]
+	p := scenarioOf(ts).cluster.proxies[args[0]]
 	if p == nil {
-		ts.Fatalf("links to %q are not proxied (start the cluster with proxied=true)", args[0])
+		ts.Fatalf("connections to %q are not proxied (start the cluster with proxied=true)", args[0])
 	}
 	switch args[1] {
 	case "blackhole":
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -28,10 +28,10 @@
 	appService = "app"
 )
 
-// fleet is a deployment of gateways on the stand-ins of the platform. The
-// gateways are separate processes; the store and the workers run in the test process.
+// fleet is a deployment of gateways with stand-ins for the platform's store and for the backend
+// servers (workers). The gateways are separate processes; the stand-ins run in the test process.
 type fleet struct {
-	fleetSize
+	fleetConfig
 	dir       string
 	subnet    uint32
 	store     *platformstore.Store
@@ -40,34 +40,34 @@
 
 	mu             sync.Mutex
 	version        int
-	gateways       []*gatewayProc
+	gateways       []*gatewayProcess
 	workers        []*worker.Worker
-	proxies        map[string]*faultProxy // in front of workers, by ID, and of the store, by gateway host
+	proxies        map[string]*faultProxy // in front of workers, by worker ID, and of the store, by gateway host
 	workersStarted int                    // number of workers started
-	sequence       int
+	entrySequence  int
 	slotOverrides  map[string]int // slots by worker ID, default workerSlots
 }
 
-// fleetSize configures a fleet.
-type fleetSize struct {
-	gateways, llms, apps int
+// fleetConfig configures a fleet.
+type fleetConfig struct {
+	gateways, llms, apps int // numbers of gateways and of workers of each service
 	// proxied connects gateways to workers and to the store through fault proxies.
 	proxied bool
 }
 
-// gatewayProc is one gateway process.
-type gatewayProc struct {
+// gatewayProcess is one gateway process.
+type gatewayProcess struct {
 	host       string
 	ip         string
 	cmd        *exec.Cmd
-	log        *syncBuffer // output of the current process
-	earlierLog syncBuffer  // output of previous processes
-	exited     chan struct{}
-	code       int
-	processID  atomic.Int64 // of the current process
+	log        *syncBuffer   // output of the current process
+	earlierLog syncBuffer    // output of previous processes
+	exited     chan struct{} // closed when the current process has exited
+	code       int           // exit code, valid once exited is closed
+	currentPID atomic.Int64
 }
 
-func (g *gatewayProc) pid() int { return int(g.processID.Load()) }
+func (g *gatewayProcess) pid() int { return int(g.currentPID.Load()) }
 
 // syncBuffer is a buffer for the output of a process that is safe for concurrent use.
 type syncBuffer struct {
@@ -87,23 +87,23 @@
 	return b.buf.String()
 }
 
-func newFleet(dir string, size fleetSize) (*fleet, error) {
-	f := &fleet{fleetSize: size, dir: dir, subnet: nextSubnet.Add(1), store: platformstore.Start(), proxies: map[string]*faultProxy{}, slotOverrides: map[string]int{},
+func newFleet(dir string, config fleetConfig) (*fleet, error) {
+	f := &fleet{fleetConfig: config, dir: dir, subnet: nextSubnet.Add(1), store: platformstore.Start(), proxies: map[string]*faultProxy{}, slotOverrides: map[string]int{},
 		http:      &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
 		keepAlive: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 100}}}
 	f.publishConfig(nil)
-	for range size.llms {
+	for range config.llms {
 		if _, err := f.addWorker(llmService); err != nil {
 			return nil, err
 		}
 	}
-	for range size.apps {
+	for range config.apps {
 		if _, err := f.addWorker(appService); err != nil {
 			return nil, err
 		}
 	}
-	for i := range size.gateways {
-		g := &gatewayProc{host: fmt.Sprint("edge-", i), ip: fmt.Sprintf("127.%d.%d.%d", 101+os.Getpid()%100, f.subnet&0xff, i+1)}
+	for i := range config.gateways {
+		g := &gatewayProcess{host: fmt.Sprint("edge-", i), ip: fmt.Sprintf("127.%d.%d.%d", 101+os.Getpid()%100, f.subnet&0xff, i+1)}
 		f.gateways = append(f.gateways, g)
 		if err := f.start(g); err != nil {
 			return nil, err
@@ -116,13 +116,13 @@
 // other service, and stops them when the test ends.
 func startFleet(t *testing.T, service string, servers int) *fleet {
 	t.Helper()
-	size := fleetSize{gateways: 4, llms: 1, apps: 1}
+	config := fleetConfig{gateways: 4, llms: 1, apps: 1}
 	if service == llmService {
-		size.llms = servers
+		config.llms = servers
 	} else {
-		size.apps = servers
+		config.apps = servers
 	}
-	f, err := newFleet(t.TempDir(), size)
+	f, err := newFleet(t.TempDir(), config)
 	if f != nil {
 		t.Cleanup(f.close)
 	}
@@ -141,8 +141,8 @@
 	}
 	f.keepAlive.CloseIdleConnections()
 	f.store.CloseClientConnections()
-	for _, c := range f.proxies {
-		c.close()
+	for _, proxy := range f.proxies {
+		proxy.close()
 	}
 	f.store.Close()
 }
@@ -156,11 +156,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.proxies[name] == nil {
-		c, err := newFaultProxy("127.0.0.1:0", target)
+		proxy, err := newFaultProxy("127.0.0.1:0", target)
 		if err != nil {
 			return "", err
 		}
-		f.proxies[name] = c
+		f.proxies[name] = proxy
 	}
 	return f.proxies[name].address(), nil
 }
@@ -170,8 +170,8 @@
 func (f *fleet) replaceProxy(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c := f.proxies[name]; c != nil {
-		f.proxies[fmt.Sprintf("%s replaced %d", name, len(f.proxies))] = c
+	if old := f.proxies[name]; old != nil {
+		f.proxies[fmt.Sprintf("%s replaced %d", name, len(f.proxies))] = old
 		delete(f.proxies, name)
 	}
 }
@@ -192,11 +192,12 @@
 	return f.version
 }
 
-// versionKey returns an API key that only this version of the configuration contains.
+// versionKey returns an API key that is valid only in this version of the configuration. Tests use it to
+// observe which version a gateway has applied.
 func versionKey(version int) string { return fmt.Sprint("key-of-", version) }
 
-// publishConfig writes the next version of the configuration to the store, modified by
-// change if it is not nil, and returns the version.
+// publishConfig writes the next version of the configuration to the store and returns this version.
+// If change is not nil, it is applied to the configuration first.
 func (f *fleet) publishConfig(change func(config map[string]any)) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -239,7 +240,7 @@
 		return nil, err
 	}
 	if service == llmService {
-		w.SetBehaviour(completeStream)
+		w.SetBehaviour(streamBehaviour)
 	}
 	f.mu.Lock()
 	f.workers = append(f.workers, w)
@@ -247,19 +248,21 @@
 	return w, f.register(w, service, "ready")
 }
 
-// streamEvents is the number of events of a stream.
+// streamEvents is the number of events in a streamed response.
 const streamEvents = 8
 
-var completeStream = worker.Behaviour{Events: streamEvents, AbortAfterEvents: -1, EventInterval: 5 * time.Millisecond}
+// streamBehaviour makes a worker stream its responses.
+var streamBehaviour = worker.Behaviour{Events: streamEvents, AbortAfterEvents: -1, EventInterval: 5 * time.Millisecond}
 
+// register writes the registry entry of a worker, with the given state, to the store.
 func (f *fleet) register(w *worker.Worker, service, state string) error {
 	address, err := f.viaProxy(w.ID, w.Address())
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.sequence++
-	n := f.sequence
+	f.entrySequence++
+	n := f.entrySequence
 	f.mu.Unlock()
 	f.store.PutJSON(platformstore.TopicServers, w.ID, map[string]any{"service": service, "address": address, "zone": "z", "slots": f.slots(w),
 		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": n, "born": w.StartedMS})
@@ -269,7 +272,6 @@
 // workerSlots is the number of concurrent requests that a worker advertises.
 const workerSlots = 64
 
-// slots returns the number of slots that a worker advertises.
 func (f *fleet) slots(w *worker.Worker) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -281,13 +283,14 @@
 
 func (f *fleet) unregister(w *worker.Worker) { f.store.Put(platformstore.TopicServers, w.ID, nil) }
 
-func (f *fleet) settingsFile(g *gatewayProc) string { return filepath.Join(f.dir, g.host+".conf") }
+func (f *fleet) settingsFile(g *gatewayProcess) string { return filepath.Join(f.dir, g.host+".conf") }
 
-// budgetSlack is bounds.budget_slack: the repeats that all gateways together may send in a window in addition to the ratio.
-const budgetSlack = 12
+// retryBudgetSlack is bounds.budget_slack: the number of retries that all gateways together may send in a
+// window in addition to the ratio.
+const retryBudgetSlack = 12
 
 // writeSettings writes the settings file of a gateway.
-func (f *fleet) writeSettings(g *gatewayProc, graceSeconds int) error {
+func (f *fleet) writeSettings(g *gatewayProcess, graceSeconds int) error {
 	store, err := f.viaProxy(g.host, f.store.Address())
 	if err != nil {
 		return err
@@ -307,17 +310,17 @@
 bounds.retry_budget_ratio=0.2
 bounds.budget_window_s=10
 bounds.budget_slack=%d
-`, g.host, g.ip, g.ip, g.ip, store, graceSeconds, budgetSlack)
+`, g.host, g.ip, g.ip, g.ip, store, graceSeconds, retryBudgetSlack)
 	return os.WriteFile(f.settingsFile(g), []byte(text), 0o600)
 }
 
-// start starts a gateway process, also again after it has exited.
-func (f *fleet) start(g *gatewayProc) error {
+// start starts a gateway process. It also restarts a gateway that has exited.
+func (f *fleet) start(g *gatewayProcess) error {
 	if err := f.writeSettings(g, 5); err != nil {
 		return err
 	}
 	if g.log != nil {
-		_, _ = g.earlierLog.Write([]byte(g.log.String())) // a buffer does not return errors
+		_, _ = g.earlierLog.Write([]byte(g.log.String())) // the buffer returns no errors
 	}
 	g.log, g.exited = &syncBuffer{}, make(chan struct{})
 	g.cmd = exec.Command(filepath.Join(binDir, "merlinpost"), "gateway", "--log-one-in", "1")
@@ -326,7 +329,7 @@
 	if err := g.cmd.Start(); err != nil {
 		return err
 	}
-	g.processID.Store(int64(g.cmd.Process.Pid))
+	g.currentPID.Store(int64(g.cmd.Process.Pid))
 	go func(cmd *exec.Cmd, exited chan struct{}) {
 		_ = cmd.Wait() // the exit code is read from ProcessState
 		g.code = cmd.ProcessState.ExitCode()
@@ -336,7 +339,7 @@
 }
 
 // kill kills the process of a gateway, if it was started, and waits until it has exited.
-func (f *fleet) kill(g *gatewayProc) {
+func (f *fleet) kill(g *gatewayProcess) {
 	if g.cmd == nil {
 		return
 	}
@@ -346,7 +349,7 @@
 }
 
 // ready reports whether the readiness endpoint of a gateway returns 200.
-func (f *fleet) ready(g *gatewayProc) bool {
+func (f *fleet) ready(g *gatewayProcess) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.ip+":8081/merlinpost/readiness", nil)
@@ -362,10 +365,10 @@
 }
 
 func (f *fleet) waitReady() error {
-	end := time.Now().Add(waitTimeout)
+	deadline := time.Now().Add(waitTimeout)
 	for _, g := range f.gateways {
 		for !f.ready(g) {
-			if time.Now().After(end) {
+			if time.Now().After(deadline) {
 				return fmt.Errorf("%s is not ready; log:\n%s", g.host, g.log)
 			}
 			time.Sleep(pollInterval)
@@ -374,7 +377,7 @@
 	return nil
 }
 
-// fleetResponse is the response to a caller of the fleet.
+// fleetResponse is a response from a gateway of a fleet, or the error instead of one.
 type fleetResponse struct {
 	status     int
 	body       string
@@ -383,16 +386,17 @@
 }
 
 // send sends a request to a gateway and reads the complete response.
-func (f *fleet) send(ctx context.Context, g *gatewayProc, route, id string) fleetResponse {
+func (f *fleet) send(ctx context.Context, g *gatewayProcess, route, id string) fleetResponse {
 	return f.sendWithKey(ctx, f.http, g, fleetKey, route, id)
 }
 
-func (f *fleet) sendWithKey(ctx context.Context, client *http.Client, g *gatewayProc, key, route, id string) fleetResponse {
+func (f *fleet) sendWithKey(ctx context.Context, client *http.Client, g *gatewayProcess, key, route, id string) fleetResponse {
 	return f.sendBody(ctx, client, g, key, route, id, "body of "+id)
 }
 
-// sendBody sends a request with the given body.
-func (f *fleet) sendBody(ctx context.Context, client *http.Client, g *gatewayProc, key, route, id, body string) fleetResponse {
+// sendBody sends a request with the given body and the attempt ID id to a gateway and reads the complete
+// response.
+func (f *fleet) sendBody(ctx context.Context, client *http.Client, g *gatewayProcess, key, route, id, body string) fleetResponse {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.ip+":8080/"+route+"/x", strings.NewReader(body))
 	if err != nil {
 		return fleetResponse{err: err}
@@ -432,7 +436,7 @@
 }
 
 // logLines returns the log lines of a gateway for a request.
-func (g *gatewayProc) logLines(id string) []logLine {
+func (g *gatewayProcess) logLines(id string) []logLine {
 	var out []logLine
 	for _, text := range strings.Split(g.log.String(), "\n") {
 		var l logLine
--- a/e2e/gatewaysoak_checks_test.go
+++ b/e2e/gatewaysoak_checks_test.go
@@ -11,32 +11,32 @@
 	"github.com/merlinpost/merlinpost/internal/standin/worker"
 )
 
-// check checks a response against the guarantees of the gateway.
-func (s *gatewaySoak) check(route, id string, a fleetResponse) {
+// checkResponse checks a response against the guarantees of the gateway.
+func (s *gatewaySoak) checkResponse(route, id string, resp fleetResponse) {
 	switch {
-	case *gatewaySoakDefect == "foreign" && strings.HasSuffix(id, "-7"):
-		a.body += "x"
-	case *gatewaySoakDefect == "shed" && strings.HasPrefix(id, "advice-") && strings.HasSuffix(id, "-7"):
-		a.status = http.StatusTooManyRequests
+	case *gatewaySoakFalsified == "foreign" && strings.HasSuffix(id, "-7"):
+		resp.body += "x"
+	case *gatewaySoakFalsified == "shed" && strings.HasPrefix(id, "advice-") && strings.HasSuffix(id, "-7"):
+		resp.status = http.StatusTooManyRequests
 	}
 	switch {
-	case a.err != nil:
-		return // a failure that the caller notices is allowed
-	case a.status == 200 && a.body != wantBody(route, id):
-		s.addViolation("%s got status 200 with the response to another request: %q", id, a.body)
-	case a.status == 429 && strings.Contains(a.body, `"queue_full"`):
-		// A server refused the request, which checkRuns verifies, and the retry budget allowed no further send.
+	case resp.err != nil:
+		return // failures that the caller notices are allowed
+	case resp.status == 200 && resp.body != wantBody(route, id):
+		s.addViolation("%s got status 200 with an unexpected body: %q", id, resp.body)
+	case resp.status == 429 && strings.Contains(resp.body, `"queue_full"`):
+		// A server refused the request, which checkExecutions verifies, and the retry budget did not allow a retry.
 		s.mu.Lock()
 		s.refusedByServer[id], s.notRun[id] = true, true
 		s.mu.Unlock()
-	case a.status == 429 && route != "report" && !strings.Contains(a.body, `"server_rate_limit"`):
-		s.addViolation("%s was shed for load; only the report route may be", id)
-	case a.status == 429 || a.status == 503:
+	case resp.status == 429 && route != "report" && !strings.Contains(resp.body, `"server_rate_limit"`):
+		s.addViolation("%s was refused because of load, which is allowed only on the report route", id)
+	case resp.status == 429 || resp.status == 503:
 		s.mu.Lock()
 		s.notRun[id] = true
 		s.mu.Unlock()
-	case a.status == 401 || a.status == 404 || a.status == 400:
-		s.addViolation("%s was refused with status %d, which no configuration calls for", id, a.status)
+	case resp.status == 401 || resp.status == 404 || resp.status == 400:
+		s.addViolation("%s was refused with status %d, which no configuration justifies", id, resp.status)
 	}
 	s.mu.Lock()
 	s.responses++
@@ -48,47 +48,46 @@
 // must not refuse this version while it is the newest.
 func (s *gatewaySoak) watchConfig(ctx context.Context, i int) {
 	g := s.gateways[i]
-	served, process, injected := 0, -1, false
+	served, pid, falsified := 0, -1, false
 	for n := 0; ctx.Err() == nil; n++ {
 		sleep(ctx, 10*time.Millisecond)
 		newest := s.newestVersion()
 		version := newest - n%2*versionStep
-		before := g.pid()
-		if before != process {
-			served, process = 0, before
+		if current := g.pid(); current != pid {
+			served, pid = 0, current
 		}
 		requestCtx, cancel := context.WithTimeout(ctx, time.Second)
-		a := s.sendWithKey(requestCtx, s.http, g, versionKey(version), "list", fmt.Sprintf("list-config-%d-%d", i, n))
+		resp := s.sendWithKey(requestCtx, s.http, g, versionKey(version), "list", fmt.Sprintf("list-config-%d-%d", i, n))
 		cancel()
-		if g.pid() != process {
+		if g.pid() != pid {
 			continue // the gateway was restarted in the meantime
 		}
-		if *gatewaySoakDefect == "rollback" && !injected && a.status == 401 && served > version {
-			a.status, injected = 200, true
+		if *gatewaySoakFalsified == "rollback" && !falsified && resp.status == 401 && served > version {
+			resp.status, falsified = 200, true
 		}
 		switch {
-		case a.status == 200 && version < served:
+		case resp.status == 200 && version < served:
 			s.addViolation("%s served configuration version %d after version %d", g.host, version, served)
-		case a.status == 200:
+		case resp.status == 200:
 			served = version
-		case a.status == 401 && version <= served && version == s.newestVersion():
+		case resp.status == 401 && version <= served && version == s.newestVersion():
 			s.addViolation("%s refused configuration version %d after serving it", g.host, version)
 		}
 	}
 }
 
-// drainTimeout is bounds.drain_ms in the settings of the fleet. drainMargin allows for the
-// propagation through the store and for requests in flight on a busy machine.
+// drainTimeout is bounds.drain_ms in the settings of the fleet. drainMargin covers the propagation
+// through the store and requests in flight on a busy machine.
 const (
 	drainTimeout = 600 * time.Millisecond
 	drainMargin  = 400 * time.Millisecond
-	// deadConnectionTimeout is the time within which gateways detect dead connections.
+	// deadConnectionTimeout is the time in which gateways detect dead connections.
 	deadConnectionTimeout = 3500 * time.Millisecond
 )
 
-// checkDrain drains a worker while no other fault is injected and checks that it gets no
-// requests after the drain timeout. Then it replaces the worker. Drains are announced in turn
-// through the registry and only in the responses of the worker.
+// checkDrain drains a worker while no other fault is injected, checks that the worker gets no
+// requests after the drain timeout, and replaces it. Drains are announced alternately through the
+// registry and only in the responses of the worker.
 func (s *gatewaySoak) checkDrain(ctx context.Context, i int) {
 	s.faultLock.Lock()
 	defer s.faultLock.Unlock()
@@ -102,9 +101,9 @@
 	if ctx.Err() != nil {
 		return
 	}
-	viaRegistry := (int(s.seed)+s.drains)%2 == 0
+	viaRegistry := (int(s.seed)+s.checkedDrains)%2 == 0
 	if viaRegistry {
-		if err := s.register(w, serviceOf(w), "draining"); err != nil {
+		if err := s.register(w, serviceOfWorker(w), "draining"); err != nil {
 			s.addViolation("%v", err)
 			return
 		}
@@ -119,19 +118,19 @@
 	}
 	for _, a := range arrivals {
 		late := a.At.Sub(drained) - drainTimeout - drainMargin
-		if *gatewaySoakDefect == "drain" {
+		if *gatewaySoakFalsified == "drain" {
 			late += drainTimeout + drainMargin + deadConnectionTimeout
 		}
 		if late > 0 {
 			s.addViolation("%s reached %s %s after its drain timeout", a.ID, w.ID, late)
 		}
 	}
-	s.drains++
+	s.checkedDrains++
 	s.replaceWorker(i)
 }
 
-// firstArrivalAfter returns the time of the first arrival after a time, or that time itself if there is
-// none. The response to this request is the first that carries a notice set at that time.
+// firstArrivalAfter returns the time of the first arrival after a given time, or the given time if there
+// is none. The response to this arrival is the first with headers that were set at the given time.
 func firstArrivalAfter(arrivals []worker.Arrival, at time.Time) time.Time {
 	for _, a := range arrivals {
 		if a.At.After(at) {
@@ -141,8 +140,8 @@
 	return at
 }
 
-// checkRuns compares the requests that the workers ran with the responses that the callers got.
-func (s *gatewaySoak) checkRuns() {
+// checkExecutions compares the requests that the workers ran with the responses that the callers got.
+func (s *gatewaySoak) checkExecutions() {
 	arrived := map[string]bool{}
 	for _, w := range s.workers {
 		for _, a := range w.Arrivals() {
@@ -151,7 +150,7 @@
 	}
 	for id := range s.refusedByServer {
 		if !arrived[id] {
-			s.addViolation("%s was answered as refused by a server but reached none", id)
+			s.addViolation("%s was answered as refused by a server but did not reach any server", id)
 		}
 	}
 	ran := map[string]int{}
@@ -163,7 +162,7 @@
 			}
 		}
 	}
-	if *gatewaySoakDefect == "double" {
+	if *gatewaySoakFalsified == "double" {
 		for id := range ran {
 			ran[id]++
 			break
@@ -171,10 +170,10 @@
 	}
 	for id, n := range ran {
 		runsOnce := strings.HasPrefix(id, "post-") || strings.HasPrefix(id, "advice-")
-		if n > 1 && (runsOnce || *gatewaySoakDefect == "double") {
+		if n > 1 && (runsOnce || *gatewaySoakFalsified == "double") {
 			s.addViolation("%s ran %d times", id, n)
 		}
-		if *gatewaySoakDefect == "untrue" {
+		if *gatewaySoakFalsified == "untrue" {
 			s.notRun[id] = true
 		}
 		if runsOnce && s.notRun[id] {
@@ -183,41 +182,42 @@
 	}
 }
 
-// Together with budgetSlack, the retry budget in the settings of the fleet.
+// These values and retryBudgetSlack are the retry budget in the settings of the fleet.
 const (
-	retryRatio  = 0.2
-	retryWindow = 10 * time.Second
+	retryBudgetRatio  = 0.2
+	retryBudgetWindow = 10 * time.Second
 )
 
-// checkBudget checks that the repeated sends to each service stay within the retry budget in every window.
-func (s *gatewaySoak) checkBudget() {
-	rule := retryrule.Rule{Ratio: retryRatio, Window: retryWindow, Slack: budgetSlack}
+// checkRetryBudget checks that the retries to each service stay within the retry budget in every window.
+func (s *gatewaySoak) checkRetryBudget() {
+	rule := retryrule.Rule{Ratio: retryBudgetRatio, Window: retryBudgetWindow, Slack: retryBudgetSlack}
 	for _, service := range []string{llmService, appService} {
-		first := map[string]bool{}
-		var requests, repeats []time.Time
+		seen := map[string]bool{}
+		var requests, retries []time.Time
 		for _, w := range s.workers {
-			if serviceOf(w) != service {
+			if serviceOfWorker(w) != service {
 				continue
 			}
 			for _, a := range w.Arrivals() {
-				if first[a.ID] || *gatewaySoakDefect == "budget" {
-					repeats = append(repeats, a.At)
+				if seen[a.ID] || *gatewaySoakFalsified == "budget" {
+					retries = append(retries, a.At)
 				}
-				first[a.ID] = true
+				seen[a.ID] = true
 			}
 		}
 		for _, a := range s.requests {
-			if routeService(a) == service {
+			if serviceOfArrival(a) == service {
 				requests = append(requests, a.At)
 			}
 		}
-		if w := retryrule.Worst(rule, requests, repeats); w.Excess() > 0 {
-			s.addViolation("%d repeats to %s within %s, %.0f are allowed", w.Retries, service, retryWindow, w.Allowed)
+		if w := retryrule.Worst(rule, requests, retries); w.Excess() > 0 {
+			s.addViolation("%d retries to %s within %s, at most %.0f are allowed", w.Retries, service, retryBudgetWindow, w.Allowed)
 		}
 	}
 }
 
-func routeService(a worker.Arrival) string {
+// serviceOfArrival returns the service that a request is for.
+func serviceOfArrival(a worker.Arrival) string {
 	if strings.HasPrefix(a.ID, "advice-") || strings.HasPrefix(a.ID, "report-") {
 		return llmService
 	}
--- a/e2e/gatewaysoak_faults_test.go
+++ b/e2e/gatewaysoak_faults_test.go
@@ -13,7 +13,7 @@
 )
 
 // injectProcessFaults kills, suspends, stops and reloads gateway processes until ctx ends.
-// The sequence depends only on the seed.
+// The random generator determines the sequence.
 func (s *gatewaySoak) injectProcessFaults(ctx context.Context, rnd *rand.Rand) {
 	for ctx.Err() == nil {
 		g := s.gateways[rnd.IntN(len(s.gateways))]
@@ -22,7 +22,7 @@
 		switch rnd.IntN(4) {
 		case 0:
 			s.kill(g)
-			s.restart(g)
+			s.restartGateway(g)
 		case 1:
 			_ = g.cmd.Process.Signal(syscall.SIGSTOP) // may have exited
 			sleep(ctx, pause)
@@ -35,9 +35,9 @@
 				s.addViolation("%s did not exit after SIGTERM", g.host)
 				s.kill(g)
 			}
-			s.restart(g)
+			s.restartGateway(g)
 		case 3:
-			// SIGHUP terminates a program that has not installed its handler yet.
+			// SIGHUP terminates a process that has not installed its handler yet.
 			if strings.Contains(g.log.String(), "gateway started") {
 				_ = g.cmd.Process.Signal(syscall.SIGHUP)
 			}
@@ -68,7 +68,7 @@
 		case 2:
 			s.publishConfig(nil)
 		case 3:
-			s.publishConfig(unusedRoutes(s.newestVersion() % 7 * 200)) // without a random draw, so that the sequences of existing seeds stay the same
+			s.publishConfig(unusedRoutes(s.newestVersion() % 7 * 200)) // draws no random number, to keep the sequences of existing seeds
 		case 4:
 			w.QueueBehaviours(faultyBehaviours(w)...)
 		case 5:
@@ -82,13 +82,13 @@
 		case 9:
 			proxy.blackhole(true, true)
 		case 10:
-			proxy.blackhole(rnd.IntN(2) == 0, true) // towards the gateway, or both directions
+			proxy.blackhole(rnd.IntN(2) == 0, true) // data to the gateway, or in both directions
 		case 11:
 			proxy.delay.Store(int64(pause / 10))
 			sleep(ctx, pause)
 			proxy.delay.Store(0)
 		case 12:
-			if rnd.IntN(3) == 0 { // rarely, because it pauses the other faults
+			if rnd.IntN(3) == 0 { // rarely, because the other faults pause meanwhile
 				s.checkDrain(ctx, i)
 			}
 		case 13:
@@ -100,8 +100,8 @@
 	}
 }
 
-// sendNotices makes workers send rate limits in their responses, valid and malformed, and refusals with
-// a Retry-After header, each for a while.
+// sendNotices makes random workers send valid or malformed rate limits in the headers of their responses, or
+// refuse requests with a valid or malformed Retry-After header, each for a while.
 func (s *gatewaySoak) sendNotices(ctx context.Context, rnd *rand.Rand) {
 	notices := [][]string{{"Server-Limit: 2"}, {"Server-Limit: 40"}, {"Server-Limit: 0"}, {"Server-Limit: many"}, {"Server-Limit: 1", "Server-Limit: 9"}}
 	for ctx.Err() == nil {
@@ -122,11 +122,11 @@
 	}
 }
 
-// unusedRoutes returns a change that adds routes without traffic to a configuration.
-func unusedRoutes(routes int) func(config map[string]any) {
+// unusedRoutes returns a function that adds routes without traffic to a configuration.
+func unusedRoutes(n int) func(config map[string]any) {
 	return func(config map[string]any) {
 		list := config["routes"].([]any)
-		for i := range routes {
+		for i := range n {
 			list = append(list, map[string]any{"name": fmt.Sprint("more-", i), "host": fmt.Sprintf("%d.more.example", i), "path_prefix": "/more/",
 				"kind": "idempotent", "service": appService, "timeout_ms": 6000, "max_attempts": 2})
 		}
@@ -134,22 +134,22 @@
 	}
 }
 
-// clearFaults ends all lasting faults.
+// clearFaults makes the store available and removes the faults of all proxies.
 func (s *gatewaySoak) clearFaults() {
 	s.store.SetMode(platformstore.ModeAvailable)
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	for _, c := range s.proxies {
-		c.delay.Store(0)
-		c.closeAll() // otherwise gateways would first have to detect dead connections
+	for _, proxy := range s.proxies {
+		proxy.delay.Store(0)
+		proxy.closeAll() // otherwise gateways would first have to detect dead connections
 	}
 }
 
-// faultyBehaviours returns faulty behaviours for the next requests of a worker. Engines keep
-// sending streams, so that the expected responses stay the same.
+// faultyBehaviours returns faulty behaviours for the next requests to a worker. Workers of the LLM service
+// still send streams, because callers expect them.
 func faultyBehaviours(w *worker.Worker) []worker.Behaviour {
 	events := 0
-	if serviceOf(w) == llmService {
+	if serviceOfWorker(w) == llmService {
 		events = streamEvents
 	}
 	return []worker.Behaviour{{DropConnection: true}, {Reject: true},
@@ -157,7 +157,8 @@
 		{Events: events, CloseDelimited: true, AbortAfterEvents: -1}, {Events: events, OmitSeal: true, AbortAfterEvents: -1}}
 }
 
-func serviceOf(w *worker.Worker) string {
+// serviceOfWorker returns the service of a worker, which is a part of its ID.
+func serviceOfWorker(w *worker.Worker) string {
 	if strings.HasPrefix(w.ID, "i-"+llmService) {
 		return llmService
 	}
@@ -167,7 +168,7 @@
 // replaceWorker closes a worker without draining it and starts another one of the same service.
 func (s *gatewaySoak) replaceWorker(i int) {
 	old := s.fleet.workers[i]
-	next, err := s.addWorker(serviceOf(old))
+	next, err := s.addWorker(serviceOfWorker(old))
 	if err != nil {
 		s.addViolation("start a replacement worker: %v", err)
 		return
@@ -182,7 +183,7 @@
 	s.fleet.mu.Unlock()
 }
 
-func (s *gatewaySoak) restart(g *gatewayProc) {
+func (s *gatewaySoak) restartGateway(g *gatewayProcess) {
 	s.mu.Lock()
 	s.restarts++
 	s.mu.Unlock()
@@ -207,8 +208,8 @@
 		s.addViolation("restart worker %s: %v", old.ID, err)
 		return
 	}
-	if serviceOf(next) == llmService {
-		next.SetBehaviour(completeStream)
+	if serviceOfWorker(next) == llmService {
+		next.SetBehaviour(streamBehaviour)
 	}
 	next.StartedMS = max(next.StartedMS, old.StartedMS+1)
 	s.fleet.mu.Lock()
@@ -217,18 +218,18 @@
 	s.mu.Lock()
 	s.workers = append(s.workers, next)
 	s.mu.Unlock()
-	if err := s.register(next, serviceOf(next), "ready"); err != nil {
-		s.addViolation("register worker %s again: %v", old.ID, err)
+	if err := s.register(next, serviceOfWorker(next), "ready"); err != nil {
+		s.addViolation("re-register worker %s: %v", old.ID, err)
 	}
 }
 
-// corruptEntry overwrites the registry entry of a worker with malformed data for a while,
-// and adds a malformed entry of another writer.
+// corruptEntry overwrites the registry entry of a worker with malformed data for a while, and
+// adds a malformed entry under another key.
 func (s *gatewaySoak) corruptEntry(ctx context.Context, w *worker.Worker, pause time.Duration) {
-	s.store.Put(platformstore.TopicServers, w.ID, []byte(`{"service":"`+serviceOf(w)+`","address":7,"state":"ready"`))
+	s.store.Put(platformstore.TopicServers, w.ID, []byte(`{"service":"`+serviceOfWorker(w)+`","address":7,"state":"ready"`))
 	s.store.Put(platformstore.TopicServers, "someone-else", []byte{0, 255})
 	sleep(ctx, pause)
-	if err := s.register(w, serviceOf(w), "ready"); err != nil {
-		s.addViolation("register worker %s again: %v", w.ID, err)
+	if err := s.register(w, serviceOfWorker(w), "ready"); err != nil {
+		s.addViolation("re-register worker %s: %v", w.ID, err)
 	}
 }
--- a/e2e/gatewaysoak_test.go
+++ b/e2e/gatewaysoak_test.go
@@ -14,21 +14,21 @@
 )
 
 var (
-	gatewaySoakFor      = flag.Duration("gateway-soak", 4*time.Second, "duration of the gateway soak for each seed")
+	gatewaySoakDuration = flag.Duration("gateway-soak", 4*time.Second, "duration of the gateway soak for each seed")
 	gatewaySoakSeed     = flag.Uint64("gateway-soak-seed", defaultSoakSeed, "first seed of the gateway soak; the default also runs the seeds of past failures")
 	gatewaySoakSeeds    = flag.Uint64("gateway-soak-seeds", 1, "number of seeds")
 	gatewaySoakGateways = flag.Int("gateway-soak-gateways", 3, "number of gateway processes in the gateway soak")
 	gatewaySoakWorkers  = flag.Int("gateway-soak-workers", 7, "number of workers in the gateway soak, at least 2")
 	gatewaySoakCallers  = flag.Int("gateway-soak-callers", 12, "number of callers in the gateway soak")
-	// gatewaySoakDefect falsifies the observations of the checks, to show that they can fail.
-	gatewaySoakDefect = flag.String("gateway-soak-break", "", "falsified observation: double, foreign, untrue, shed, rollback, drain or budget")
+	// gatewaySoakFalsified selects a check whose observations are falsified, to show that the check can fail.
+	gatewaySoakFalsified = flag.String("gateway-soak-break", "", "falsified observation: double, foreign, untrue, shed, rollback, drain or budget")
 )
 
-// defaultSoakSeed is the seed that a run without flags uses.
+// defaultSoakSeed is the seed of a run without flags.
 const defaultSoakSeed = 1
 
-// regressionSeeds are seeds that failed in the past, with the cause that was fixed.
-// A run with the default seed repeats them.
+// regressionSeeds maps seeds that failed in the past to the fixed cause of the failure.
+// A run with the default seed also runs them.
 var regressionSeeds = map[uint64]string{
 	1:    "SIGHUP terminated a process that had not installed its handler yet",
 	307:  "an interactive request got 429 as if shed for load while its engines were unavailable",
@@ -36,7 +36,7 @@
 	5:    "test fault: an engine was configured to send plain responses where streams were expected",
 }
 
-// gatewaySoak injects a seeded sequence of failures into a fleet while callers
+// gatewaySoak injects a sequence of faults, determined by a seed, into a fleet while callers
 // check every response.
 type gatewaySoak struct {
 	*fleet
@@ -52,7 +52,7 @@
 	requests        []worker.Arrival
 	responses       int
 	restarts        int
-	drains          int // number of drains checked
+	checkedDrains   int
 	violations      []violation
 	workers         []*worker.Worker // including closed ones
 }
@@ -62,8 +62,8 @@
 
 // violation is a violated guarantee.
 type violation struct {
-	after time.Duration // since the start of the soak
-	what  string
+	sinceStart time.Duration // since the start of the soak
+	text       string
 }
 
 // TestGatewaySoak runs the soak for a few seconds with the default seed and the
@@ -81,30 +81,31 @@
 	}
 }
 
-// Guards against a newly started gateway refusing interactive requests by initial estimates. Until it
-// knows its peers (log: "live":1) it decides alone. It answered 429 within 0.2 ms for a backlog that its
-// engines process ten times as fast as estimated. These seeds showed the failure in 10 of 19 runs, 1.2 to
-// 2.2 s after their start. Initial estimates must not lead to refusals.
+// Guards against a newly started gateway refusing interactive requests because of its initial estimates of
+// engine speed. Until the gateway knows its peers ("live":1 in its log) it decides alone. It answered 429
+// within 0.2 ms because of a backlog that its engines process ten times as fast as estimated. With these
+// seeds 10 of 19 runs failed, 1.2 to 2.2 s after their start.
 func TestGatewaySoakAfterAStart(t *testing.T) {
 	for _, seed := range []uint64{507, 522} {
 		runGatewaySoak(t, seed)
 	}
 }
 
-// Guards against a gateway that decides alone treating initial estimates as measured because time has
-// passed. Short prompts are processed in batches and yield few observations. 2 s after its first request
-// the gateway estimated 2.6 s for a backlog of 49,000 tokens and answered interactive requests with 429
-// after 0.1 ms. Seed 803 showed the failure in 3 of 5 runs of 6 s. The decision lines in the log show the
-// wait and the backlog, with no earlier line "engines learnt" that has observations.
+// Guards against a gateway that decides alone treating its initial estimates as measurements after some
+// time, although it has few observations. Short prompts are processed in batches and yield few
+// observations. 2 s after its first request the gateway estimated 2.6 s for a backlog of 49,000 tokens and
+// answered interactive requests with 429 after 0.1 ms. With seed 803, 3 of 5 runs of 6 s failed. The log
+// lines of these decisions show the estimated wait and the backlog, and no earlier line "engines learnt"
+// has observations.
 func TestGatewaySoakWithFewObservations(t *testing.T) {
 	runGatewaySoak(t, 803)
 }
 
 func runGatewaySoak(t *testing.T, seed uint64) {
 	t.Helper()
-	size := fleetSize{gateways: *gatewaySoakGateways, apps: max(1, *gatewaySoakWorkers*3/7), proxied: true}
-	size.llms = max(1, *gatewaySoakWorkers-size.apps)
-	f, err := newFleet(t.TempDir(), size)
+	config := fleetConfig{gateways: *gatewaySoakGateways, apps: max(1, *gatewaySoakWorkers*3/7), proxied: true}
+	config.llms = max(1, *gatewaySoakWorkers-config.apps)
+	f, err := newFleet(t.TempDir(), config)
 	if f != nil {
 		defer f.close()
 	}
@@ -112,7 +113,7 @@
 		t.Fatal(err)
 	}
 	s := &gatewaySoak{fleet: f, seed: seed, begin: time.Now(), notRun: map[string]bool{}, refusedByServer: map[string]bool{}, workers: append([]*worker.Worker(nil), f.workers...)}
-	ctx, cancel := context.WithTimeout(context.Background(), *gatewaySoakFor)
+	ctx, cancel := context.WithTimeout(context.Background(), *gatewaySoakDuration)
 	defer cancel()
 	var tasks sync.WaitGroup
 	for i := range *gatewaySoakCallers {
@@ -126,28 +127,28 @@
 	tasks.Go(func() { s.sendNotices(ctx, rand.New(rand.NewPCG(seed, 3))) })
 	tasks.Wait()
 	s.checkRecovery()
-	s.checkRuns()
-	s.checkBudget()
-	for name, c := range f.proxies {
-		if err := c.acceptErr.Load(); err != nil {
+	s.checkExecutions()
+	s.checkRetryBudget()
+	for name, proxy := range f.proxies {
+		if err := proxy.acceptErr.Load(); err != nil {
 			t.Fatalf("seed %d: fault proxy for %s could not accept connections, results are invalid: %v", seed, name, *err)
 		}
 	}
-	t.Logf("seed %d: %d responses, %d answered as not run, %d restarts, %d drains checked", seed, s.responses, len(s.notRun), s.restarts, s.drains)
+	t.Logf("seed %d: %d responses, %d answered as not run, %d restarts, %d drains checked", seed, s.responses, len(s.notRun), s.restarts, s.checkedDrains)
 	if len(s.violations) > 0 {
 		for _, g := range f.gateways {
 			t.Logf("log of %s:\n%s", g.host, tail(g.log.String(), 200))
 		}
 		first := s.violations[0]
 		for _, v := range s.violations[:min(len(s.violations), maxPrintedViolations)] {
-			t.Logf("after %s: %s\n%s", v.after.Round(time.Millisecond), v.what, s.decisionLines(v.what))
+			t.Logf("after %s: %s\n%s", v.sinceStart.Round(time.Millisecond), v.text, s.decisionLines(v.text))
 		}
 		t.Errorf("seed %d: %d violations, the first after %s: %s\nreproduce with: go test ./e2e -run TestGatewaySoak -gateway-soak %s -gateway-soak-seed %d",
-			seed, len(s.violations), first.after.Round(time.Millisecond), first.what, *gatewaySoakFor, seed)
+			seed, len(s.violations), first.sinceStart.Round(time.Millisecond), first.text, *gatewaySoakDuration, seed)
 	}
 }
 
-// decisionLines returns the log lines of all gateways for the request whose ID the violation begins with.
+// decisionLines returns the log lines of all gateways about the request with whose ID a violation begins.
 func (s *gatewaySoak) decisionLines(violation string) string {
 	id, _, _ := strings.Cut(violation, " ")
 	var out []string
@@ -172,8 +173,8 @@
 	s.violations = append(s.violations, violation{time.Since(s.begin), fmt.Sprintf(format, args...)})
 }
 
-// sendRequests sends requests to random gateways until ctx ends and checks the
-// responses. Every other caller reuses its connections.
+// sendRequests sends the requests of one caller to random gateways until ctx ends and checks the
+// responses. Callers with odd numbers reuse connections.
 func (s *gatewaySoak) sendRequests(ctx context.Context, caller int) {
 	rnd := rand.New(rand.NewPCG(s.seed, uint64(100+caller)))
 	routes := []string{"post", "list", "advice", "report"}
@@ -192,7 +193,7 @@
 		s.mu.Lock()
 		s.requests = append(s.requests, worker.Arrival{ID: id, At: time.Now()})
 		s.mu.Unlock()
-		s.check(route, id, s.sendWithKey(requestCtx, client, s.gateways[rnd.IntN(len(s.gateways))], fleetKey, route, id))
+		s.checkResponse(route, id, s.sendWithKey(requestCtx, client, s.gateways[rnd.IntN(len(s.gateways))], fleetKey, route, id))
 		cancel()
 	}
 }
@@ -208,14 +209,14 @@
 	version := s.publishConfig(nil)
 	for i, g := range s.gateways {
 		id := fmt.Sprintf("post-after-%d", i)
-		end := time.Now().Add(waitTimeout)
+		deadline := time.Now().Add(waitTimeout)
 		for n := 0; ; n++ {
-			a := s.sendWithKey(context.Background(), s.http, g, versionKey(version), "post", fmt.Sprint(id, "-", n))
-			if a.status == 200 {
+			resp := s.sendWithKey(context.Background(), s.http, g, versionKey(version), "post", fmt.Sprint(id, "-", n))
+			if resp.status == 200 {
 				break
 			}
-			if time.Now().After(end) {
-				s.addViolation("%s does not serve requests after the faults were cleared: status %d, error %v", g.host, a.status, a.err)
+			if time.Now().After(deadline) {
+				s.addViolation("%s does not serve requests after the faults were cleared: status %d, error %v", g.host, resp.status, resp.err)
 				break
 			}
 		}
--- a/e2e/notices_test.go
+++ b/e2e/notices_test.go
@@ -18,23 +18,23 @@
 
 const (
 	// sendInterval is the interval between requests, each to a random gateway.
-	sendInterval = 20 * time.Millisecond
+	requestInterval = 20 * time.Millisecond
 	// limitWindow is the window in which arrivals are counted.
 	limitWindow = 4 * time.Second
 	// A server may get at most maxLimitRatio times its limit plus limitSlack requests in any limitWindow.
-	// If all servers are limited, at least minLimitUse of their limits must be used. If other servers
-	// have capacity, at least minServedUnlimited of the requests must be served.
+	// If all servers are limited, at least the share minLimitUtilization of their limits must be used. If
+	// other servers have capacity, at least the share minServedShareUnlimited of the requests must be served.
 	maxLimitRatio, limitSlack = 1.5, 5
-	minLimitUse               = 0.7
-	minServedUnlimited        = 0.99
-	// maxRefusalDelay is half the deadline of callers.
+	minLimitUtilization       = 0.7
+	minServedShareUnlimited   = 0.99
+	// maxRefusalDelay is half of the callers' deadline.
 	maxRefusalDelay = 2500 * time.Millisecond
-	// leaveTimeout is the time after its leaving notice from which a server must get no requests.
-	leaveTimeout = 2 * time.Second
+	// leavingNoticeTimeout is the time after which a server that sent a leaving notice must get no requests.
+	leavingNoticeTimeout = 2 * time.Second
 	// retryAfterSeconds is the Retry-After that servers send with a refusal. From retryAfterGrace after the
 	// refusal until this time has passed, a gateway may send the server maxSendsInRetryAfter requests.
 	retryAfterSeconds, retryAfterGrace, maxSendsInRetryAfter = 4, 500 * time.Millisecond, 2
-	// limitResetTimeout is the time within which a withdrawn limit must be lifted.
+	// limitResetTimeout is the time within which gateways must lift a limit that a server no longer states.
 	limitResetTimeout = 3 * time.Second
 )
 
@@ -46,7 +46,7 @@
 	route             string
 	rnd               *rand.Rand
 	servers           []*worker.Worker // of the route's service
-	gatewaysDisrupted bool             // gateways are killed, stopped or suspended in this run
+	gatewaysDisrupted bool             // the test kills, stops or suspends gateways
 	pending           sync.WaitGroup
 
 	mu        sync.Mutex
@@ -56,17 +56,17 @@
 // timedResponse is a response with the time of its request.
 type timedResponse struct {
 	fleetResponse
-	id   string
-	at   time.Time
-	took time.Duration
+	id      string
+	sentAt  time.Time
+	latency time.Duration
 }
 
 func startNoticeTest(t *testing.T, route string, servers int, seed uint64) *noticeTest {
 	t.Helper()
-	f := startFleet(t, servedRoutes[route], servers)
+	f := startFleet(t, serviceByRoute[route], servers)
 	s := &noticeTest{fleet: f, t: t, route: route, rnd: rand.New(rand.NewPCG(seed, 1))}
 	for _, w := range f.workers {
-		if serviceOf(w) == servedRoutes[route] {
+		if serviceOfWorker(w) == serviceByRoute[route] {
 			setNotices(w)
 			s.servers = append(s.servers, w)
 		}
@@ -75,30 +75,31 @@
 	return s
 }
 
-// setNotices sets the notice headers of a server. Responses also carry Connection: close, because the
-// server closes its connections, as it does after a stream. Otherwise a request just sent on such a
-// connection would get no response, and its caller an error if no other server takes the request.
+// setNotices sets the notice headers of a server. It also sets Connection: close, because the server
+// closes its connections, as it does after a stream. Without this header gateways could send a request on
+// a connection that is being closed. The request would get no response and, if no other server accepts it,
+// fail.
 func setNotices(w *worker.Worker, lines ...string) {
 	w.SetHeaders(append(lines, "Connection: close")...)
 }
 
-// sendFor sends requests to random gateways for a duration.
+// sendFor sends requests at requestInterval to random gateways for a duration.
 func (s *noticeTest) sendFor(d time.Duration) {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
-		s.sendOne(s.gateways[s.rnd.IntN(len(s.gateways))])
-		time.Sleep(sendInterval)
+		s.sendRequest(s.gateways[s.rnd.IntN(len(s.gateways))])
+		time.Sleep(requestInterval)
 	}
 }
 
-func (s *noticeTest) sendOne(g *gatewayProc) {
+func (s *noticeTest) sendRequest(g *gatewayProcess) {
 	id := fmt.Sprintf("%s/%s/%d", g.host, s.route, s.rnd.Uint64())
-	at := time.Now()
+	sentAt := time.Now()
 	s.pending.Go(func() {
-		a := s.send(context.Background(), g, s.route, id)
+		resp := s.send(context.Background(), g, s.route, id)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.responses = append(s.responses, timedResponse{a, id, at, time.Since(at)})
+		s.responses = append(s.responses, timedResponse{resp, id, sentAt, time.Since(sentAt)})
 	})
 }
 
@@ -107,7 +108,7 @@
 	return slices.MaxFunc(s.servers, func(a, b *worker.Worker) int { return a.RequestCount() - b.RequestCount() })
 }
 
-// maxArrivals returns the largest number of arrivals at a server in any limitWindow that begins after a time.
+// maxArrivals returns the largest number of arrivals at a server in any limitWindow after the given time.
 func maxArrivals(w *worker.Worker, from time.Time) int {
 	var at []time.Time
 	for _, a := range w.Arrivals() {
@@ -126,48 +127,48 @@
 	return most
 }
 
-// allowedArrivals returns the number of requests that a limit per second allows in limitWindow.
+// allowedArrivals returns the number of requests that a server may get in limitWindow with a limit per second.
 func allowedArrivals(limit float64) int {
 	return int(maxLimitRatio*limit*limitWindow.Seconds()) + limitSlack
 }
 
-// checkLimit checks that a server got no more requests than its limit allows, from learnTimeout after it
-// was stated.
+// checkLimit checks that a server got no more requests than its limit allows. It ignores requests until
+// propagationTimeout after the server stated the limit.
 func (s *noticeTest) checkLimit(w *worker.Worker, limit float64, stated time.Time) {
 	s.t.Helper()
-	most := maxArrivals(w, stated.Add(learnTimeout))
+	most := maxArrivals(w, stated.Add(propagationTimeout))
 	s.t.Logf("%s: %s stated a limit of %v/s and got at most %d requests in 4 s, allowed %d", s.route, w.ID, limit, most, allowedArrivals(limit))
 	if most > allowedArrivals(limit) {
 		s.t.Errorf("%s: %s got %d requests in 4 s, allowed %d", s.route, w.ID, most, allowedArrivals(limit))
 	}
 }
 
-// checkServed checks that nearly all requests were served. Connection errors do not count in a run that
-// disrupts gateways.
+// checkServed checks that at least the share minServedShareUnlimited of the requests was served. If the test
+// disrupts gateways, requests with a connection error do not count.
 func (s *noticeTest) checkServed() {
 	s.t.Helper()
 	s.pending.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	served, total := 0, 0
-	for _, a := range s.responses {
-		if a.err != nil && s.gatewaysDisrupted {
+	for _, resp := range s.responses {
+		if resp.err != nil && s.gatewaysDisrupted {
 			continue
 		}
 		total++
-		if a.status == 200 && a.body == wantBody(s.route, a.id) {
+		if resp.status == 200 && resp.body == wantBody(s.route, resp.id) {
 			served++
 		} else {
-			s.t.Logf("%s: status %d after %s: body %s, error %v", a.id, a.status, a.took, a.body, a.err)
+			s.t.Logf("%s: status %d after %s: body %s, error %v", resp.id, resp.status, resp.latency, resp.body, resp.err)
 		}
 	}
-	if share := float64(served) / float64(max(1, total)); share < minServedUnlimited {
+	if share := float64(served) / float64(max(1, total)); share < minServedShareUnlimited {
 		s.t.Errorf("%s: %d of %d requests served", s.route, served, total)
 	}
 }
 
-// checkRefusals checks that each request was served, or refused promptly with a Retry-After header and
-// without having run.
+// checkRefusals checks that each request was either served or refused. Refusals must be prompt and have a
+// Retry-After header, and the refused requests must not have run.
 func (s *noticeTest) checkRefusals() {
 	s.t.Helper()
 	s.pending.Wait()
@@ -180,34 +181,34 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	refused := 0
-	for _, a := range s.responses {
-		if a.err != nil {
-			s.t.Errorf("%s: %v", a.id, a.err)
+	for _, resp := range s.responses {
+		if resp.err != nil {
+			s.t.Errorf("%s: %v", resp.id, resp.err)
 			continue
 		}
-		if a.status == 200 {
+		if resp.status == 200 {
 			continue
 		}
 		refused++
-		retryAfter, err := strconv.ParseFloat(a.retryAfter, 64)
+		retryAfter, err := strconv.ParseFloat(resp.retryAfter, 64)
 		switch {
-		case a.status != 429 && a.status != 503:
-			s.t.Errorf("%s: unexpected status %d: %s", a.id, a.status, a.body)
+		case resp.status != 429 && resp.status != 503:
+			s.t.Errorf("%s: unexpected status %d: %s", resp.id, resp.status, resp.body)
 		case err != nil || retryAfter <= 0:
-			s.t.Errorf("%s was refused without a valid Retry-After: %q", a.id, a.retryAfter)
-		case a.took > maxRefusalDelay:
-			s.t.Errorf("%s was refused only after %s", a.id, a.took)
-		case ran[a.id]:
-			s.t.Errorf("%s was refused but ran", a.id)
+			s.t.Errorf("%s was refused without a valid Retry-After: %q", resp.id, resp.retryAfter)
+		case resp.latency > maxRefusalDelay:
+			s.t.Errorf("%s was refused only after %s", resp.id, resp.latency)
+		case ran[resp.id]:
+			s.t.Errorf("%s was refused but ran", resp.id)
 		}
 	}
 	s.t.Logf("%s: %d of %d refused", s.route, refused, len(s.responses))
 }
 
 // Guards against gateways ignoring the rate limit that a backend server states in its responses. Gateways
-// read only the load from the responses and kept choosing servers by load and by shared prompt prefixes: a
-// server with a limit of 1/s over all hosts got 3 to 10 requests per second on all kinds of route, right
-// after the same gateway had logged the limit in its decision lines. Callers did not notice.
+// read only the load from the responses and chose servers by load and by shared prompt prefixes. A server
+// with a limit of 1/s for all hosts together got 3 to 10 requests per second on all kinds of routes, also
+// from gateways that had just logged the limit. The failure was not visible to callers.
 func TestServerRateLimitIsRespected(t *testing.T) {
 	run := func(name, route string, seed uint64, disrupt func(s *noticeTest)) {
 		t.Run(name+"/"+route, func(t *testing.T) {
@@ -217,13 +218,13 @@
 			w := s.busiestServer()
 			setNotices(w, "Server-Limit: 1")
 			stated := time.Now()
-			s.sendFor(learnTimeout)
+			s.sendFor(propagationTimeout)
 			disrupt(s)
 			s.checkLimit(w, 1, stated)
 			s.checkServed()
 		})
 	}
-	for route := range servedRoutes {
+	for route := range serviceByRoute {
 		run("undisturbed", route, 1, func(s *noticeTest) { s.sendFor(limitWindow + 2*time.Second) })
 	}
 	for _, route := range []string{"list", "advice"} {
@@ -270,8 +271,8 @@
 	}
 }
 
-// Guards against exceeding or underusing the rate limits when all servers are limited to half the load, and
-// against refusals that come late or without a Retry-After header.
+// Guards against gateways exceeding or underusing the rate limits when the limits of all servers together
+// are half the load, and against late refusals and refusals without a Retry-After header.
 func TestRateLimitsOnAllServers(t *testing.T) {
 	const limit = 4.0
 	for _, route := range []string{"list", "advice"} {
@@ -282,7 +283,7 @@
 				setNotices(w, fmt.Sprint("Server-Limit: ", limit))
 			}
 			stated := time.Now()
-			s.sendFor(learnTimeout)
+			s.sendFor(propagationTimeout)
 			before := 0
 			for _, w := range s.servers {
 				before += w.RequestCount()
@@ -296,7 +297,7 @@
 			}
 			capacity := limit * float64(len(s.servers)) * during.Seconds()
 			t.Logf("%s: sent %d of the %.0f requests that the limits allow", route, used, capacity)
-			if float64(used) < minLimitUse*capacity {
+			if float64(used) < minLimitUtilization*capacity {
 				t.Errorf("%s: only %d of the %.0f requests that the limits allow were sent", route, used, capacity)
 			}
 			s.checkRefusals()
@@ -304,7 +305,7 @@
 	}
 }
 
-// Guards against gateways keeping a rate limit after the server no longer states it.
+// Guards against gateways enforcing a rate limit that the server no longer states.
 func TestWithdrawnRateLimitIsLifted(t *testing.T) {
 	for _, route := range []string{"list", "advice"} {
 		t.Run(route, func(t *testing.T) {
@@ -313,7 +314,7 @@
 			for _, w := range s.servers {
 				setNotices(w, "Server-Limit: 1")
 			}
-			s.sendFor(learnTimeout + time.Second)
+			s.sendFor(propagationTimeout + time.Second)
 			for _, w := range s.servers {
 				setNotices(w)
 			}
@@ -329,10 +330,10 @@
 }
 
 // Guards against gateways sending requests to a backend server that has announced in its responses that it
-// is leaving. Only the registry decided who is leaving. With an unresponsive store the server could not
-// update its entry, and gateways chose it by a registry that was seconds old, right after forwarding a
-// response with the notice. The same happened on all kinds of route with a healthy store while the entry
-// still said ready.
+// is leaving. Gateways took this state only from the registry. While the store was unresponsive the server
+// could not update its entry, and gateways chose it by an entry that was seconds old, even right after they
+// had forwarded a response with the notice. The same happened on all kinds of routes with a healthy store
+// while the entry still said ready.
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	run := func(name, route string, servers int, disrupt func(s *noticeTest), served bool) {
 		t.Run(name+"/"+route, func(t *testing.T) {
@@ -343,7 +344,7 @@
 			w := s.busiestServer()
 			setNotices(w, "Server-Leaving: 1")
 			announced := time.Now()
-			s.sendFor(leaveTimeout + 3*time.Second)
+			s.sendFor(leavingNoticeTimeout + 3*time.Second)
 			s.checkNoLateArrivals(w, announced)
 			if served {
 				s.checkServed()
@@ -352,7 +353,7 @@
 			}
 		})
 	}
-	for route := range servedRoutes {
+	for route := range serviceByRoute {
 		run("registered as ready", route, 4, func(*noticeTest) {}, true)
 	}
 	for _, route := range []string{"post", "report"} {
@@ -361,26 +362,26 @@
 	}
 }
 
-// checkNoLateArrivals checks that no request reached a server more than leaveTimeout after its first response
-// with the leaving notice. Nobody knows of the notice before that response; the gateway that gets it informs
-// the others.
+// checkNoLateArrivals checks that no request reached a server more than leavingNoticeTimeout after its first
+// response with the leaving notice. Gateways learn of the notice from this response: the gateway that gets it
+// informs the others.
 func (s *noticeTest) checkNoLateArrivals(w *worker.Worker, announced time.Time) {
 	s.t.Helper()
 	late := 0
 	arrivals := w.Arrivals()
 	firstNotice := firstArrivalAfter(arrivals, announced)
 	for _, a := range arrivals {
-		if a.At.After(firstNotice.Add(leaveTimeout)) {
+		if a.At.After(firstNotice.Add(leavingNoticeTimeout)) {
 			late++
 		}
 	}
-	s.t.Logf("%s: %d requests reached %s more than %s after its leaving notice", s.route, late, w.ID, leaveTimeout)
+	s.t.Logf("%s: %d requests reached %s more than %s after its leaving notice", s.route, late, w.ID, leavingNoticeTimeout)
 	if late > 0 {
-		s.t.Errorf("%s: %d requests reached %s more than %s after its leaving notice", s.route, late, w.ID, leaveTimeout)
+		s.t.Errorf("%s: %d requests reached %s more than %s after its leaving notice", s.route, late, w.ID, leavingNoticeTimeout)
 	}
 }
 
-// Guards against a leaving notice applying to the next start of the server at the same address.
+// Guards against gateways applying the leaving notice of a server to its successor at the same address.
 func TestRestartedServerServesAfterLeaving(t *testing.T) {
 	s := startNoticeTest(t, "list", 1, 6)
 	previous := s.servers[0]
@@ -407,11 +408,11 @@
 }
 
 // Guards against gateways ignoring the Retry-After header of servers. When all servers of a service answered
-// 503 with Retry-After: 4, each gateway sent to them again within milliseconds, as decision lines show, because
-// the header was not read. A single refusing server was spared only by the pauses after failures, which last
-// at most 2 s.
+// 503 with Retry-After: 4, each gateway sent them requests again within milliseconds, because it did not read
+// the header. If only one server refused, gateways avoided it only during the back-off after a failure, which
+// is at most 2 s.
 func TestServerRetryAfterIsRespected(t *testing.T) {
-	for route := range servedRoutes {
+	for route := range serviceByRoute {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
 			s := startNoticeTest(t, route, 4, 7)
@@ -422,8 +423,8 @@
 			refusing := time.Now()
 			s.sendFor(time.Second)
 			for _, w := range s.servers {
-				if b := completeStream; servedRoutes[route] == llmService {
-					w.SetBehaviour(b)
+				if serviceByRoute[route] == llmService {
+					w.SetBehaviour(streamBehaviour)
 				} else {
 					w.SetBehaviour(worker.Behaviour{AbortAfterEvents: -1})
 				}
@@ -446,8 +447,8 @@
 	return host
 }
 
-// checkRetryAfter checks that no gateway sent a server more than maxSendsInRetryAfter requests in the
-// Retry-After period of a refusal between two times.
+// checkRetryAfter checks that no gateway sent a server more than maxSendsInRetryAfter requests during the
+// Retry-After period of a refusal. It considers refusals of requests that arrived between the given times.
 func (s *noticeTest) checkRetryAfter(from, to time.Time) {
 	s.t.Helper()
 	worst := 0
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// proc is a process of a cluster.
-type proc struct {
+// process is a process of a cluster.
+type process struct {
 	name   string
 	args   []string
 	cmd    *exec.Cmd
-	exited chan struct{}
-	code   int
+	exited chan struct{} // closed when the process has exited
+	code   int           // exit code, valid once exited is closed
 }
 
-// startProcess starts a process. Its output is appended to NAME.log in the directory of the cluster.
+// startProcess starts a process. Its output is appended to the file NAME.log in the directory of the cluster.
 func (c *cluster) startProcess(name, program string, args ...string) error {
-	p := &proc{name: name, args: append([]string{program}, args...)}
+	p := &process{name: name, args: append([]string{program}, args...)}
 	c.mu.Lock()
-	c.procs[name] = p
+	c.processes[name] = p
 	c.mu.Unlock()
 	return c.launch(p)
 }
 
-func (c *cluster) launch(p *proc) error {
+func (c *cluster) launch(p *process) error {
 	logFile, err := os.OpenFile(filepath.Join(c.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -47,17 +47,17 @@
 	return nil
 }
 
-func (c *cluster) proc(name string) (*proc, error) {
+func (c *cluster) process(name string) (*process, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.procs[name]; p != nil {
+	if p := c.processes[name]; p != nil {
 		return p, nil
 	}
 	return nil, fmt.Errorf("unknown process %q", name)
 }
 
 func (c *cluster) signal(name string, s syscall.Signal) error {
-	p, err := c.proc(name)
+	p, err := c.process(name)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 
 // waitExit waits until a process exits and returns its exit code.
 func (c *cluster) waitExit(name string) (int, error) {
-	p, err := c.proc(name)
+	p, err := c.process(name)
 	if err != nil {
 		return 0, err
 	}
@@ -87,7 +87,7 @@
 }
 
 func (c *cluster) restart(name string) error {
-	p, err := c.proc(name)
+	p, err := c.process(name)
 	if err != nil {
 		return err
 	}
--- a/e2e/quarantine_test.go
+++ b/e2e/quarantine_test.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	fatalBody = "a prompt that crashes every engine"
-	// crashDelay is the time from the arrival of the fatal request to the crash, downtime the time until
-	// the restart.
-	crashDelay, downtime = 60 * time.Millisecond, 2500 * time.Millisecond
-	// fatalInterval and harmlessInterval are the intervals between requests of each kind.
+	fatalRequestBody = "a prompt that crashes every engine"
+	// crashDelay is the time from the arrival of the fatal request to the crash of the server, restartDelay
+	// the time from the crash to the restart.
+	crashDelay, restartDelay = 60 * time.Millisecond, 2500 * time.Millisecond
+	// fatalInterval and harmlessInterval are the intervals between fatal and between harmless requests.
 	fatalInterval, harmlessInterval = 150 * time.Millisecond, 25 * time.Millisecond
-	// learnTimeout is the time within which all gateways must know of a third crash or of a server notice.
-	learnTimeout = 3 * time.Second
-	// Three crashes identify the fatal request and a trial may cost one more. After learnTimeout
-	// three more sends are allowed. Other requests must be served.
+	// propagationTimeout is the time within which all gateways must know of a third crash or of a server's notice.
+	propagationTimeout = 3 * time.Second
+	// Three crashes identify the fatal request, and a trial send may cause one more. Later than
+	// propagationTimeout after the third crash, three more sends are allowed. At least the share
+	// minServedShare of the other requests must be served.
 	maxCrashes, maxLateSends, minServedShare = 4, 3, 0.95
 )
 
@@ -32,15 +33,15 @@
 //	go test ./e2e -run Quarantine -quarantine-seed 10
 var quarantineSeed = flag.Uint64("quarantine-seed", 0, "offset added to the seeds of the quarantine tests")
 
-// servedRoutes maps each route to its service.
-var servedRoutes = map[string]string{"post": appService, "list": appService, "advice": llmService, "report": llmService}
+// serviceByRoute maps each route to its service.
+var serviceByRoute = map[string]string{"post": appService, "list": appService, "advice": llmService, "report": llmService}
 
-// outage is a fleet in which the servers of one service crash and restart.
-type outage struct {
+// quarantineTest is a fleet in which the servers of one service crash and restart.
+type quarantineTest struct {
 	*fleet
 	t        *testing.T
 	service  string
-	end      context.Context
+	ctx      context.Context
 	restarts sync.WaitGroup
 
 	mu      sync.Mutex
@@ -51,126 +52,129 @@
 	refused []string // IDs of harmless requests refused as quarantined
 }
 
-// startOutage starts a fleet with the given number of servers of the service.
-func startOutage(ctx context.Context, t *testing.T, service string, servers int) *outage {
+// startQuarantineTest starts a fleet with the given number of servers of the service. The
+// servers crash on the fatal request. Requests are sent and servers restarted until ctx ends.
+func startQuarantineTest(ctx context.Context, t *testing.T, service string, servers int) *quarantineTest {
 	t.Helper()
 	f := startFleet(t, service, servers)
-	o := &outage{fleet: f, t: t, service: service, end: ctx}
-	t.Cleanup(o.restarts.Wait)
+	q := &quarantineTest{fleet: f, t: t, service: service, ctx: ctx}
+	t.Cleanup(q.restarts.Wait)
 	for _, w := range f.workers {
-		if serviceOf(w) == service {
-			o.crashOnFatal(w)
+		if serviceOfWorker(w) == service {
+			q.crashOnFatal(w)
 		}
 	}
-	return o
+	return q
 }
 
-// crashOnFatal makes a server crash on the fatal request and restart.
-func (o *outage) crashOnFatal(w *worker.Worker) {
-	o.mu.Lock()
-	o.workers = append(o.workers, w)
-	o.mu.Unlock()
-	w.CrashOn(fatalBody, crashDelay, func() { o.recordCrash(w) })
+// crashOnFatal makes a server crash on the fatal request and restart afterwards.
+func (q *quarantineTest) crashOnFatal(w *worker.Worker) {
+	q.mu.Lock()
+	q.workers = append(q.workers, w)
+	q.mu.Unlock()
+	w.CrashOn(fatalRequestBody, crashDelay, func() { q.recordCrash(w) })
 }
 
 // recordCrash records the crash of a server and schedules its restart.
-func (o *outage) recordCrash(w *worker.Worker) {
-	o.mu.Lock()
-	o.crashes = append(o.crashes, time.Now())
-	n := len(o.crashes)
-	o.mu.Unlock()
-	o.restarts.Go(func() { o.restartServer(w, n%2 == 0) })
+func (q *quarantineTest) recordCrash(w *worker.Worker) {
+	q.mu.Lock()
+	q.crashes = append(q.crashes, time.Now())
+	n := len(q.crashes)
+	q.mu.Unlock()
+	q.restarts.Go(func() { q.restartServer(w, n%2 == 0) })
 }
 
-// restartServer restarts a server after its downtime, with the same or a new ID.
-func (o *outage) restartServer(w *worker.Worker, sameID bool) {
-	sleep(o.end, downtime)
-	if o.end.Err() != nil {
+// restartServer restarts a server after restartDelay, with the same ID or a new one.
+func (q *quarantineTest) restartServer(w *worker.Worker, sameID bool) {
+	sleep(q.ctx, restartDelay)
+	if q.ctx.Err() != nil {
 		return
 	}
 	if !sameID {
-		o.unregister(w)
-		next, err := o.addWorker(o.service)
+		q.unregister(w)
+		next, err := q.addWorker(q.service)
 		if err != nil {
-			o.t.Errorf("start a replacement server: %v", err)
+			q.t.Errorf("start a replacement server: %v", err)
 			return
 		}
-		o.crashOnFatal(next)
+		q.crashOnFatal(next)
 		return
 	}
 	next, err := worker.StartAt(w.ID, "127.0.0.1:0")
 	if err != nil {
-		o.t.Errorf("restart server %s: %v", w.ID, err)
+		q.t.Errorf("restart server %s: %v", w.ID, err)
 		return
 	}
 	next.StartedMS = max(next.StartedMS, w.StartedMS+1)
-	if o.service == llmService {
-		next.SetBehaviour(completeStream)
+	if q.service == llmService {
+		next.SetBehaviour(streamBehaviour)
 	}
-	o.crashOnFatal(next)
-	o.fleet.mu.Lock()
-	o.fleet.workers = append(o.fleet.workers, next)
-	o.fleet.mu.Unlock()
-	if err := o.register(next, o.service, "ready"); err != nil {
-		o.t.Errorf("register server %s again: %v", w.ID, err)
+	q.crashOnFatal(next)
+	q.fleet.mu.Lock()
+	q.fleet.workers = append(q.fleet.workers, next)
+	q.fleet.mu.Unlock()
+	if err := q.register(next, q.service, "ready"); err != nil {
+		q.t.Errorf("re-register server %s: %v", w.ID, err)
 	}
 }
 
 // sendFatal sends the fatal request repeatedly to random gateways, each time with a new
 // attempt ID.
-func (o *outage) sendFatal(route string, rnd *rand.Rand) {
+func (q *quarantineTest) sendFatal(route string, rnd *rand.Rand) {
 	var pending sync.WaitGroup
 	defer pending.Wait()
-	for n := 0; o.end.Err() == nil; n++ {
-		g := o.gateways[rnd.IntN(len(o.gateways))]
+	for n := 0; q.ctx.Err() == nil; n++ {
+		g := q.gateways[rnd.IntN(len(q.gateways))]
 		pending.Go(func() {
-			o.sendBody(context.Background(), o.http, g, fleetKey, route, fmt.Sprint("fatal-", n), fatalBody)
+			q.sendBody(context.Background(), q.http, g, fleetKey, route, fmt.Sprint("fatal-", n), fatalRequestBody)
 		})
-		sleep(o.end, fatalInterval)
+		sleep(q.ctx, fatalInterval)
 	}
 }
 
-// sendHarmless sends requests at an interval, with the given number of different bodies in
-// turn, and counts the results. With 0 bodies each request has its own.
-func (o *outage) sendHarmless(route string, bodies int, interval time.Duration, rnd *rand.Rand) {
+// sendHarmless sends requests at the given interval and counts the results. The requests have
+// the given number of different bodies in turn, or with 0 each its own body.
+func (q *quarantineTest) sendHarmless(route string, bodies int, interval time.Duration, rnd *rand.Rand) {
 	var pending sync.WaitGroup
 	defer pending.Wait()
-	for n := 0; o.end.Err() == nil; n++ {
-		g, id := o.gateways[rnd.IntN(len(o.gateways))], fmt.Sprint("harmless-", n)
+	for n := 0; q.ctx.Err() == nil; n++ {
+		g, id := q.gateways[rnd.IntN(len(q.gateways))], fmt.Sprint("harmless-", n)
 		body := "body of " + id
 		if bodies > 0 {
 			body = fmt.Sprint("question ", n%bodies)
 		}
-		pending.Go(func() { o.count(route, id, o.sendBody(context.Background(), o.http, g, fleetKey, route, id, body)) })
-		sleep(o.end, interval)
+		pending.Go(func() {
+			q.countResponse(route, id, q.sendBody(context.Background(), q.http, g, fleetKey, route, id, body))
+		})
+		sleep(q.ctx, interval)
 	}
 }
 
-func (o *outage) count(route, id string, a fleetResponse) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if a.err != nil && strings.Contains(a.err.Error(), "connection refused") {
+func (q *quarantineTest) countResponse(route, id string, resp fleetResponse) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if resp.err != nil && strings.Contains(resp.err.Error(), "connection refused") {
 		return // the gateway was down
 	}
-	o.sent++
+	q.sent++
 	switch {
-	case a.status == 200 && a.body == wantBody(route, id):
-		o.served++
-	case strings.Contains(a.body, `"quarantined"`):
-		o.refused = append(o.refused, id)
+	case resp.status == 200 && resp.body == wantBody(route, id):
+		q.served++
+	case strings.Contains(resp.body, `"quarantined"`):
+		q.refused = append(q.refused, id)
 	}
 }
 
-// lateSends counts the runs of the fatal request that began more than learnTimeout after the
-// third crash.
-func (o *outage) lateSends() int {
-	if len(o.crashes) < 3 {
+// lateSends counts the executions of the fatal request that began more than propagationTimeout
+// after the third crash.
+func (q *quarantineTest) lateSends() int {
+	if len(q.crashes) < 3 {
 		return 0
 	}
 	late := 0
-	for _, w := range o.workers {
+	for _, w := range q.workers {
 		for _, r := range w.Executions() {
-			if r.Body == fatalBody && r.At.After(o.crashes[2].Add(learnTimeout)) {
+			if r.Body == fatalRequestBody && r.At.After(q.crashes[2].Add(propagationTimeout)) {
 				late++
 			}
 		}
@@ -178,60 +182,61 @@
 	return late
 }
 
-// check compares the results with the limits.
-func (o *outage) check(seed uint64, route string) {
-	o.t.Helper()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	share := float64(o.served) / float64(max(1, o.sent))
-	o.t.Logf("%s, seed %d: %d servers crashed, %d late sends, %d of %d harmless requests served", route, seed, len(o.crashes), o.lateSends(), o.served, o.sent)
-	if len(o.crashes) < 2 {
-		o.t.Errorf("%s, seed %d: %d servers crashed, too few to test the quarantine", route, seed, len(o.crashes))
+// checkLimits checks the results against maxCrashes, maxLateSends and minServedShare, and that no harmless
+// request was quarantined.
+func (q *quarantineTest) checkLimits(seed uint64, route string) {
+	q.t.Helper()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	share := float64(q.served) / float64(max(1, q.sent))
+	q.t.Logf("%s, seed %d: %d servers crashed, %d late sends, %d of %d harmless requests served", route, seed, len(q.crashes), q.lateSends(), q.served, q.sent)
+	if len(q.crashes) < 2 {
+		q.t.Errorf("%s, seed %d: %d servers crashed, too few to test the quarantine", route, seed, len(q.crashes))
 	}
-	if len(o.crashes) > maxCrashes {
-		o.t.Errorf("%s, seed %d: the fatal request crashed %d servers, at most %d are allowed", route, seed, len(o.crashes), maxCrashes)
+	if len(q.crashes) > maxCrashes {
+		q.t.Errorf("%s, seed %d: the fatal request crashed %d servers, at most %d are allowed", route, seed, len(q.crashes), maxCrashes)
 	}
-	if late := o.lateSends(); late > maxLateSends {
-		o.t.Errorf("%s, seed %d: the fatal request was sent %d times more than %s after the third crash, at most %d are allowed", route, seed, late, learnTimeout, maxLateSends)
+	if late := q.lateSends(); late > maxLateSends {
+		q.t.Errorf("%s, seed %d: the fatal request was sent %d times more than %s after the third crash, at most %d are allowed", route, seed, late, propagationTimeout, maxLateSends)
 	}
 	if share < minServedShare {
-		o.t.Errorf("%s, seed %d: %.3f of the harmless requests were served, want at least %.2f", route, seed, share, minServedShare)
+		q.t.Errorf("%s, seed %d: %.3f of the harmless requests were served, want at least %.2f", route, seed, share, minServedShare)
 	}
-	if len(o.refused) > 0 {
-		o.t.Errorf("%s, seed %d: harmless requests were refused as quarantined: %v", route, seed, o.refused)
+	if len(q.refused) > 0 {
+		q.t.Errorf("%s, seed %d: harmless requests were refused as quarantined: %v", route, seed, q.refused)
 	}
 }
 
-// Guards against one request crashing server after server. The request crashes its server within
-// 0.1 s; the caller gets 502 and sends it again as a new attempt to any gateway, which sends it to the
-// next server. Limits on attempts, sends and repeats do not help, because each applies to a single
-// attempt and gateways did not share what they had observed. In one incident two such requests, sent in
-// 26 attempts within all limits by all four gateways over 12 to 15 s, crashed 19 and 21 servers, and a
-// tenth or more of all requests failed for seconds at a time. Without quarantine this test crashes 32 to
-// 52 servers on each kind of route.
+// Guards against one request crashing server after server. The request crashes a server within 0.1 s. Its
+// caller gets 502 and sends it as a new attempt to any gateway, which sends it to the next server. Limits on
+// attempts, sends and retries do not prevent this, because they apply to each attempt separately and gateways
+// did not share their observations. In an incident, two such requests were sent in 26 attempts through all
+// four gateways over 12 to 15 s, within all limits. They crashed 19 and 21 servers, and at least a tenth of
+// all requests failed for seconds at a time. Without quarantine, 32 to 52 servers crash in this test on each
+// kind of route.
 func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
-	for route, service := range servedRoutes {
+	for route, service := range serviceByRoute {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
 			seed := 1 + *quarantineSeed
 			ctx, cancel := context.WithTimeout(context.Background(), 7*time.Second)
 			defer cancel()
-			o := startOutage(ctx, t, service, 12)
-			o.run(route, seed)
-			o.check(seed, route)
+			q := startQuarantineTest(ctx, t, service, 12)
+			q.sendRequests(route, seed)
+			q.checkLimits(seed, route)
 		})
 	}
 }
 
-// run sends the fatal request and harmless requests concurrently until the end of the outage.
-func (o *outage) run(route string, seed uint64) {
+// sendRequests sends the fatal request and harmless requests concurrently until the context ends.
+func (q *quarantineTest) sendRequests(route string, seed uint64) {
 	var tasks sync.WaitGroup
-	tasks.Go(func() { o.sendFatal(route, rand.New(rand.NewPCG(seed, 1))) })
-	tasks.Go(func() { o.sendHarmless(route, 0, harmlessInterval, rand.New(rand.NewPCG(seed, 2))) })
+	tasks.Go(func() { q.sendFatal(route, rand.New(rand.NewPCG(seed, 1))) })
+	tasks.Go(func() { q.sendHarmless(route, 0, harmlessInterval, rand.New(rand.NewPCG(seed, 2))) })
 	tasks.Wait()
 }
 
-// Guards against a quarantine being lost with the gateways that decided it: three of the four
+// Guards against a quarantine being lost when the gateways that decided it restart. Three of the four
 // gateways are killed and restarted, then all of them at once.
 func TestQuarantineSurvivesGatewayRestarts(t *testing.T) {
 	for _, route := range []string{"list", "advice"} {
@@ -240,103 +245,103 @@
 			seed := 2 + *quarantineSeed
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			o := startOutage(ctx, t, servedRoutes[route], 12)
+			q := startQuarantineTest(ctx, t, serviceByRoute[route], 12)
 			var restarts sync.WaitGroup
 			restarts.Go(func() {
 				sleep(ctx, 3*time.Second)
-				o.restartGateways(o.gateways[:3])
+				q.restartGateways(q.gateways[:3])
 				sleep(ctx, 2500*time.Millisecond)
-				o.restartGateways(o.gateways)
+				q.restartGateways(q.gateways)
 			})
-			o.run(route, seed)
+			q.sendRequests(route, seed)
 			restarts.Wait()
-			o.check(seed, route)
+			q.checkLimits(seed, route)
 		})
 	}
 }
 
 // restartGateways kills all given gateways and then starts them again.
-func (o *outage) restartGateways(gateways []*gatewayProc) {
+func (q *quarantineTest) restartGateways(gateways []*gatewayProcess) {
 	for _, g := range gateways {
-		o.kill(g)
+		q.kill(g)
 	}
 	for _, g := range gateways {
-		if err := o.start(g); err != nil {
-			o.t.Errorf("%s failed to start: %v", g.host, err)
+		if err := q.start(g); err != nil {
+			q.t.Errorf("%s failed to start: %v", g.host, err)
 		}
 	}
 }
 
-// Guards against quarantining requests that do not cause crashes. Twelve bodies are sent repeatedly while
-// servers crash at random, singly and three at a time. None may be refused as quarantined, and all must be
-// served once the servers are back.
+// Guards against the quarantine of requests that do not cause crashes. Twelve bodies are sent repeatedly while
+// random servers crash, one or three at a time. No request may be refused as quarantined, and all bodies must
+// be served after the servers have restarted.
 func TestHarmlessRequestsAreNotQuarantined(t *testing.T) {
-	for route, service := range servedRoutes {
+	for route, service := range serviceByRoute {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
 			seed := 3 + *quarantineSeed
 			ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 			defer cancel()
-			o := startOutage(ctx, t, service, 12)
+			q := startQuarantineTest(ctx, t, service, 12)
 			var tasks sync.WaitGroup
-			tasks.Go(func() { o.sendHarmless(route, 12, 15*time.Millisecond, rand.New(rand.NewPCG(seed, 1))) })
-			tasks.Go(func() { o.crashAtRandom(rand.New(rand.NewPCG(seed, 2))) })
+			tasks.Go(func() { q.sendHarmless(route, 12, 15*time.Millisecond, rand.New(rand.NewPCG(seed, 1))) })
+			tasks.Go(func() { q.crashAtRandom(rand.New(rand.NewPCG(seed, 2))) })
 			tasks.Wait()
-			o.t.Logf("%s: %d crashes, %d of %d served", route, len(o.crashes), o.served, o.sent)
-			if len(o.refused) > 0 {
-				t.Errorf("%s, seed %d: refused as quarantined: %v", route, seed, o.refused)
+			q.t.Logf("%s: %d crashes, %d of %d served", route, len(q.crashes), q.served, q.sent)
+			if len(q.refused) > 0 {
+				t.Errorf("%s, seed %d: refused as quarantined: %v", route, seed, q.refused)
 			}
-			o.checkAllServed(route)
+			q.checkAllServed(route)
 		})
 	}
 }
 
-// crashAtRandom crashes random servers, singly and three at a time.
-func (o *outage) crashAtRandom(rnd *rand.Rand) {
-	for n := 1; o.end.Err() == nil; n++ {
-		sleep(o.end, time.Duration(100+rnd.IntN(500))*time.Millisecond)
+// crashAtRandom crashes random servers, one or three at a time, until the context ends.
+func (q *quarantineTest) crashAtRandom(rnd *rand.Rand) {
+	for n := 1; q.ctx.Err() == nil; n++ {
+		sleep(q.ctx, time.Duration(100+rnd.IntN(500))*time.Millisecond)
 		count := 1
 		if n%4 == 0 {
 			count = 3
 		}
-		o.mu.Lock()
-		first := rnd.IntN(len(o.workers))
+		q.mu.Lock()
+		first := rnd.IntN(len(q.workers))
 		var crashing []*worker.Worker
 		for i := range count {
-			crashing = append(crashing, o.workers[(first+i)%len(o.workers)])
+			crashing = append(crashing, q.workers[(first+i)%len(q.workers)])
 		}
-		o.mu.Unlock()
+		q.mu.Unlock()
 		for _, w := range crashing {
 			w.Close()
-			o.recordCrash(w)
+			q.recordCrash(w)
 		}
 	}
 }
 
 // checkAllServed starts more servers and checks that every gateway serves all bodies.
-func (o *outage) checkAllServed(route string) {
-	o.t.Helper()
-	o.restarts.Wait()
+func (q *quarantineTest) checkAllServed(route string) {
+	q.t.Helper()
+	q.restarts.Wait()
 	for range 3 {
-		w, err := o.addWorker(o.service)
+		w, err := q.addWorker(q.service)
 		if err != nil {
-			o.t.Fatal(err)
+			q.t.Fatal(err)
 		}
 		defer w.Close()
 	}
 	sleep(context.Background(), 1500*time.Millisecond) // until the gateways have read the registry
-	for i, g := range o.gateways {
+	for i, g := range q.gateways {
 		for n := range 12 {
 			id := fmt.Sprint("after-", i, "-", n)
-			var a fleetResponse
-			for try := 0; try < 40 && a.status != 200; try++ { // closed servers may still be registered
-				a = o.sendBody(context.Background(), o.http, g, fleetKey, route, id, fmt.Sprint("question ", n))
-				if strings.Contains(a.body, `"quarantined"`) {
-					o.t.Errorf("%s: refused as quarantined: %s", id, a.body)
+			var resp fleetResponse
+			for try := 0; try < 40 && resp.status != 200; try++ { // crashed servers may still be registered
+				resp = q.sendBody(context.Background(), q.http, g, fleetKey, route, id, fmt.Sprint("question ", n))
+				if strings.Contains(resp.body, `"quarantined"`) {
+					q.t.Errorf("%s: refused as quarantined: %s", id, resp.body)
 				}
 			}
-			if a.status != 200 {
-				o.t.Errorf("%s: not served: status %d, error %v, body %s", id, a.status, a.err, a.body)
+			if resp.status != 200 {
+				q.t.Errorf("%s: not served: status %d, error %v, body %s", id, resp.status, resp.err, resp.body)
 			}
 		}
 	}
--- a/e2e/retrybudget_test.go
+++ b/e2e/retrybudget_test.go
@@ -19,52 +19,52 @@
 //	go test ./e2e -run RetryBudget -retry-budget-seed 10
 var retryBudgetSeed = flag.Uint64("retry-budget-seed", 0, "offset added to the seeds of the retry budget tests")
 
-// retryLoad describes the load on one service of a fleet whose servers fail.
+// retryLoad describes the load on one service, whose servers start to fail, and the kills of gateways.
 type retryLoad struct {
 	route   string
-	failing worker.Behaviour
-	// failPerTen is how many of every 10 requests fail.
-	failPerTen int
-	perSecond  int
-	// burstFactor multiplies the load from burstAt to burstEnd.
+	failure worker.Behaviour
+	// failuresPerTen is the number of requests out of 10 that get the failure.
+	failuresPerTen    int
+	requestsPerSecond int
+	// burstFactor multiplies the request rate from burstAt to burstEnd.
 	burstFactor       int
 	burstAt, burstEnd time.Duration
-	failAt, length    time.Duration
-	// killEvery is the interval at which gateways are killed in turn; 0 disables kills.
-	killEvery time.Duration
+	failAt, duration  time.Duration
+	// killInterval is the interval at which gateways are killed and restarted in turn; 0 disables this.
+	killInterval time.Duration
 }
 
-// retryLoadResult is the outcome of a retryLoad.
+// retryLoadResult holds what was observed during a retryLoad.
 type retryLoadResult struct {
-	requests, repeats []time.Time
-	worst             retryrule.Window
+	requests, retries []time.Time
+	worstWindow       retryrule.Window // with the largest excess over the retry budget
 }
 
-const retryServers = 24
+const retryLoadServers = 24
 
 // runRetryLoad runs a load against four gateway processes.
 func runRetryLoad(t *testing.T, l retryLoad, seed uint64) retryLoadResult {
 	t.Helper()
 	seed += *retryBudgetSeed
-	service := servedRoutes[l.route]
-	f := startFleet(t, service, retryServers)
+	service := serviceByRoute[l.route]
+	f := startFleet(t, service, retryLoadServers)
 	rnd := rand.New(rand.NewPCG(seed, 32))
 	begin := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), l.length)
+	ctx, cancel := context.WithTimeout(context.Background(), l.duration)
 	defer cancel()
 	var tasks sync.WaitGroup
 	tasks.Go(func() {
 		sleep(ctx, l.failAt)
 		for _, w := range f.workers {
-			if serviceOf(w) == service {
-				w.SetPartialBehaviour(l.failPerTen, 10, l.failing)
+			if serviceOfWorker(w) == service {
+				w.SetPartialBehaviour(l.failuresPerTen, 10, l.failure)
 			}
 		}
 	})
-	if l.killEvery > 0 {
+	if l.killInterval > 0 {
 		tasks.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				sleep(ctx, l.killEvery)
+				sleep(ctx, l.killInterval)
 				g := f.gateways[i%len(f.gateways)]
 				f.kill(g)
 				if err := f.start(g); err != nil {
@@ -76,7 +76,7 @@
 	var r retryLoadResult
 	next := begin
 	for n := 0; ctx.Err() == nil; n++ {
-		rate := l.perSecond
+		rate := l.requestsPerSecond
 		if since := next.Sub(begin); since >= l.burstAt && since < l.burstEnd {
 			rate *= l.burstFactor
 		}
@@ -92,54 +92,54 @@
 		sleep(ctx, time.Until(next))
 	}
 	tasks.Wait()
-	r.count(f, service)
+	r.countRetries(f, service)
 	granted := 0
 	for _, g := range f.gateways {
 		granted += strings.Count(g.earlierLog.String()+g.log.String(), `"repeat":{"granted":true`)
 	}
-	t.Logf("seed %d: %d requests, %d repeats, %d granted in the gateways' logs; worst window from %s: %d repeats for %d requests, %.0f allowed", seed, len(r.requests), len(r.repeats), granted,
-		r.worst.Start.Sub(begin).Round(10*time.Millisecond), r.worst.Retries, r.worst.Requests, r.worst.Allowed)
+	t.Logf("seed %d: %d requests, %d retries, %d granted according to the gateways' logs; worst window from %s: %d retries for %d requests, %.0f allowed", seed, len(r.requests), len(r.retries), granted,
+		r.worstWindow.Start.Sub(begin).Round(10*time.Millisecond), r.worstWindow.Retries, r.worstWindow.Requests, r.worstWindow.Allowed)
 	return r
 }
 
-// count collects the repeats that reached the servers of a service and determines the worst window.
-func (r *retryLoadResult) count(f *fleet, service string) {
-	first := map[string]bool{}
+// countRetries collects the retries that reached the servers of a service and determines the worst window.
+func (r *retryLoadResult) countRetries(f *fleet, service string) {
+	seen := map[string]bool{}
 	for _, w := range f.workers {
-		if serviceOf(w) != service {
+		if serviceOfWorker(w) != service {
 			continue
 		}
 		for _, a := range w.Arrivals() {
-			if first[a.ID] {
-				r.repeats = append(r.repeats, a.At)
+			if seen[a.ID] {
+				r.retries = append(r.retries, a.At)
 			}
-			first[a.ID] = true
+			seen[a.ID] = true
 		}
 	}
-	r.worst = retryrule.Worst(retryrule.Rule{Ratio: retryRatio, Window: retryWindow, Slack: budgetSlack}, r.requests, r.repeats)
+	r.worstWindow = retryrule.Worst(retryrule.Rule{Ratio: retryBudgetRatio, Window: retryBudgetWindow, Slack: retryBudgetSlack}, r.requests, r.retries)
 }
 
-// Guards against a burst of requests earning repeats that are spent after the burst,
-// which exceeds the ratio of the retry budget within a window.
+// Guards against retries that are granted because of the requests of a burst but sent after it. They
+// exceed the ratio of the retry budget in windows after the burst.
 func TestRetryBudgetHoldsWhenABurstEndsWhileServersFail(t *testing.T) {
 	for _, route := range []string{"list", "post", "report"} {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
-			result := runRetryLoad(t, retryLoad{route: route, failing: worker.Behaviour{Reject: true}, failPerTen: 5, perSecond: 50,
-				burstFactor: 5, burstAt: 2 * time.Second, burstEnd: 11 * time.Second, failAt: 9 * time.Second, length: 22 * time.Second}, 1)
-			if result.worst.Excess() > 0 {
-				t.Errorf("%d repeats in the worst window, %.0f are allowed", result.worst.Retries, result.worst.Allowed)
+			result := runRetryLoad(t, retryLoad{route: route, failure: worker.Behaviour{Reject: true}, failuresPerTen: 5, requestsPerSecond: 50,
+				burstFactor: 5, burstAt: 2 * time.Second, burstEnd: 11 * time.Second, failAt: 9 * time.Second, duration: 22 * time.Second}, 1)
+			if result.worstWindow.Excess() > 0 {
+				t.Errorf("%d retries in the worst window, at most %.0f are allowed", result.worstWindow.Retries, result.worstWindow.Allowed)
 			}
 		})
 	}
 }
 
-// Guards against each restart of a gateway granting it a new allowance of repeats.
+// Guards against a gateway getting a new allowance of retries at each restart.
 func TestRetryBudgetHoldsWhileGatewaysAreKilledInTurn(t *testing.T) {
 	t.Parallel()
-	result := runRetryLoad(t, retryLoad{route: "list", failing: worker.Behaviour{DropConnection: true}, failPerTen: 5, perSecond: 50,
-		failAt: 3 * time.Second, length: 20 * time.Second, killEvery: 1200 * time.Millisecond}, 1)
-	if result.worst.Excess() > 0 {
-		t.Errorf("%d repeats in the worst window, %.0f are allowed", result.worst.Retries, result.worst.Allowed)
+	result := runRetryLoad(t, retryLoad{route: "list", failure: worker.Behaviour{DropConnection: true}, failuresPerTen: 5, requestsPerSecond: 50,
+		failAt: 3 * time.Second, duration: 20 * time.Second, killInterval: 1200 * time.Millisecond}, 1)
+	if result.worstWindow.Excess() > 0 {
+		t.Errorf("%d retries in the worst window, at most %.0f are allowed", result.worstWindow.Retries, result.worstWindow.Allowed)
 	}
 }
--- a/e2e/slopes_test.go
+++ b/e2e/slopes_test.go
@@ -19,29 +19,29 @@
 	"github.com/merlinpost/merlinpost/internal/resource"
 )
 
-var slopes = flag.Bool("slopes", false, "measure the slopes of docs/CAPACITY.md, which takes minutes")
+var measureSlopes = flag.Bool("slopes", false, "run the measurements for docs/CAPACITY.md, which take minutes")
 
-// usage is the cumulative resource usage of a process.
-type usage struct {
+// resourceUsage is the resource usage of a process since its start.
+type resourceUsage struct {
 	cpu      time.Duration
-	rss      int64 // bytes
-	bytesIn  float64
-	bytesOut float64
+	rss      int64   // bytes, at the time of the reading
+	bytesIn  float64 // received on links
+	bytesOut float64 // sent on links
 	at       time.Time
 }
 
-// clockTick is the unit of CPU times in /proc on Linux.
+// clockTick is the unit of the CPU times in /proc on Linux.
 const clockTick = 10 * time.Millisecond
 
 // readUsage reads the usage of a process from /proc and from its metrics endpoint.
-func (c *cluster) readUsage(g Gomega, name string) usage {
-	p, err := c.proc(name)
+func (c *cluster) readUsage(g Gomega, name string) resourceUsage {
+	p, err := c.process(name)
 	g.Expect(err).NotTo(HaveOccurred())
 	dir := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
 	g.Expect(err).NotTo(HaveOccurred())
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
-	u := usage{at: time.Now()}
+	u := resourceUsage{at: time.Now()}
 	for _, f := range fields[11:13] { // utime and stime
 		n, err := strconv.Atoi(f)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -79,8 +79,8 @@
 	return 0
 }
 
-// usageBetween formats the resource usage between two readings.
-func usageBetween(label string, a, b usage) string {
+// formatUsage formats the resource usage between two readings.
+func formatUsage(label string, a, b resourceUsage) string {
 	s := b.at.Sub(a.at).Seconds()
 	return fmt.Sprintf("%s: cpu %.3f%% of a core, rss %.1f MB, links in %.0f B/s out %.0f B/s",
 		label, 100*(b.cpu-a.cpu).Seconds()/s, float64(b.rss)/1e6, (b.bytesIn-a.bytesIn)/s, (b.bytesOut-a.bytesOut)/s)
@@ -88,72 +88,72 @@
 
 const idleDuration = 20 * time.Second
 
-// productionLinks are the default link settings.
-const productionLinks = "\n[link]\nheartbeat_ms = 1000\nsilent_ms = 2500\nlost_ms = 5000\n[logging]\nlevel = \"warn\"\n"
+// productionLinkSettings holds the default link settings, with the log level warn.
+const productionLinkSettings = "\n[link]\nheartbeat_ms = 1000\nsilent_ms = 2500\nlost_ms = 5000\n[logging]\nlevel = \"warn\"\n"
 
-// TestIdleSlopes measures the cost of idle links, for a router with a growing
-// number of agents and for an agent with a growing number of routers.
+// TestIdleSlopes measures the resource usage of idle links by the number of agents of a router and by
+// the number of routers of an agent.
 func TestIdleSlopes(t *testing.T) {
-	if !*slopes {
+	if !*measureSlopes {
 		t.Skip("measurement; run with -slopes")
 	}
-	for _, s := range []clusterSize{{Routers: 1, Services: 4}, {Routers: 1, Services: 16}, {Routers: 16, Services: 4}, {Routers: 32, Services: 4}} {
+	for _, s := range []clusterConfig{{Routers: 1, Services: 4}, {Routers: 1, Services: 16}, {Routers: 16, Services: 4}, {Routers: 32, Services: 4}} {
 		t.Run(fmt.Sprintf("routers=%d agents=%d", s.Routers, s.Services), func(t *testing.T) {
 			g := NewWithT(t)
-			s.Links = productionLinks
+			s.LinkSettings = productionLinkSettings
 			c := newCluster(t.TempDir(), s)
 			defer c.close()
 			g.Expect(c.start()).To(Succeed())
 			r, a := c.readUsage(g, "router-0"), c.readUsage(g, "agent-service-0")
 			<-time.After(idleDuration)
-			t.Log(usageBetween("router", r, c.readUsage(g, "router-0")))
-			t.Log(usageBetween("agent", a, c.readUsage(g, "agent-service-0")))
+			t.Log(formatUsage("router", r, c.readUsage(g, "router-0")))
+			t.Log(formatUsage("agent", a, c.readUsage(g, "agent-service-0")))
 		})
 	}
 }
 
-// TestWorkSlopes measures the CPU time per request and per token.
-func TestWorkSlopes(t *testing.T) {
-	if !*slopes {
+// TestRequestCPUSlopes measures the CPU time per request and per token.
+func TestRequestCPUSlopes(t *testing.T) {
+	if !*measureSlopes {
 		t.Skip("measurement; run with -slopes")
 	}
 	for _, tokens := range []int{1, 100, 318} {
 		t.Run(fmt.Sprint("tokens=", tokens), func(t *testing.T) {
 			g := NewWithT(t)
-			c := newCluster(t.TempDir(), clusterSize{Routers: 1, Engines: 1, Slots: 64, Step: "10ms", Links: productionLinks})
+			c := newCluster(t.TempDir(), clusterConfig{Routers: 1, Engines: 1, Slots: 64, TokenTime: "10ms", LinkSettings: productionLinkSettings})
 			defer c.close()
 			g.Expect(c.start()).To(Succeed())
 			r, a := c.readUsage(g, "router-0"), c.readUsage(g, "agent-engine-0")
 			n := 0
 			for round := range max(3, 600/tokens) {
-				group := &callerGroup{c: c}
+				group := &callerGroup{cluster: c}
 				group.start(context.Background(), fmt.Sprint("round", round), "helpline", 64, tokens, []string{"router-0"})
 				group.wg.Wait()
-				g.Expect(group.completeCount()).To(Equal(64), group.failures())
+				g.Expect(group.completeCount()).To(Equal(64), group.failureSummary())
 				n += 64
 			}
-			rd, ad := c.readUsage(g, "router-0"), c.readUsage(g, "agent-engine-0")
-			per := func(x, y usage) float64 { return float64((y.cpu - x.cpu).Microseconds()) / float64(n) }
-			t.Logf("%d requests of %d tokens: router %.0f us, agent %.0f us each; rss router %.1f MB, agent %.1f MB", n, tokens, per(r, rd), per(a, ad),
-				float64(rd.rss)/1e6, float64(ad.rss)/1e6)
-			t.Logf("per token: router %.2f us, agent %.2f us", per(r, rd)/float64(tokens), per(a, ad)/float64(tokens))
+			rEnd, aEnd := c.readUsage(g, "router-0"), c.readUsage(g, "agent-engine-0")
+			perRequest := func(x, y resourceUsage) float64 { return float64((y.cpu - x.cpu).Microseconds()) / float64(n) }
+			t.Logf("%d requests of %d tokens: router %.0f us, agent %.0f us each; rss router %.1f MB, agent %.1f MB", n, tokens, perRequest(r, rEnd), perRequest(a, aEnd),
+				float64(rEnd.rss)/1e6, float64(aEnd.rss)/1e6)
+			t.Logf("per token: router %.2f us, agent %.2f us", perRequest(r, rEnd)/float64(tokens), perRequest(a, aEnd)/float64(tokens))
 		})
 	}
 }
 
-// TestHeldSlope measures the memory used by requests in progress.
-func TestHeldSlope(t *testing.T) {
-	if !*slopes {
+// TestRequestMemorySlope measures the memory usage by the number of requests in progress.
+func TestRequestMemorySlope(t *testing.T) {
+	if !*measureSlopes {
 		t.Skip("measurement; run with -slopes")
 	}
 	g := NewWithT(t)
-	c := newCluster(t.TempDir(), clusterSize{Routers: 1, Engines: 1, Slots: 8, Step: "50ms", Links: productionLinks})
+	c := newCluster(t.TempDir(), clusterConfig{Routers: 1, Engines: 1, Slots: 8, TokenTime: "50ms", LinkSettings: productionLinkSettings})
 	defer c.close()
 	g.Expect(c.start()).To(Succeed())
 	for _, n := range []int{0, 200, 800} {
 		ctx, cancel := context.WithCancel(context.Background())
-		group := &callerGroup{c: c}
-		group.start(ctx, "held", "report", n, 300, []string{"router-0"})
+		group := &callerGroup{cluster: c}
+		group.start(ctx, "in progress", "report", n, 300, []string{"router-0"})
 		<-time.After(3 * time.Second)
 		r, a := c.readUsage(g, "router-0"), c.readUsage(g, "agent-engine-0")
 		t.Logf("%d requests in progress: rss router %.1f MB, agent %.1f MB", n, float64(r.rss)/1e6, float64(a.rss)/1e6)
@@ -162,22 +162,22 @@
 	}
 }
 
-// TestConfigSlope measures the memory used by the configuration at its target
-// size, and the time until a change is in force in all processes.
+// TestConfigSlope measures the memory usage of the configuration and the time until a change is in force
+// in all processes, with few teams and with the target size of the configuration.
 func TestConfigSlope(t *testing.T) {
-	if !*slopes {
+	if !*measureSlopes {
 		t.Skip("measurement; run with -slopes")
 	}
 	g := NewWithT(t)
-	c := newCluster(t.TempDir(), clusterSize{Routers: 3, Services: 16, Links: productionLinks})
+	c := newCluster(t.TempDir(), clusterConfig{Routers: 3, Services: 16, LinkSettings: productionLinkSettings})
 	defer c.close()
 	g.Expect(c.start()).To(Succeed())
-	memory := func(label string) {
+	logMemory := func(label string) {
 		r, a := c.readUsage(g, "router-0"), c.readUsage(g, "agent-service-0")
 		t.Logf("%s: rss router %.1f MB, agent %.1f MB", label, float64(r.rss)/1e6, float64(a.rss)/1e6)
 	}
 	c.measureConfigChanges(t, g, "few teams")
-	memory("few teams")
+	logMemory("few teams")
 	client := operator.New(c.operatorAddress("router-0"), operatorKey)
 	for i := 0; i < 2500; i += 500 {
 		var set command.ChangeSet
@@ -190,7 +190,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 	}
 	c.measureConfigChanges(t, g, "2500 teams")
-	memory("2500 teams")
+	logMemory("2500 teams")
 }
 
 // measureConfigChanges makes 100 changes and logs percentiles of the time from
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -1,6 +1,7 @@
 package e2e
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
@@ -13,13 +14,11 @@
 	"github.com/merlinpost/merlinpost/internal/operator"
 	"github.com/merlinpost/merlinpost/internal/resource"
 	"github.com/merlinpost/merlinpost/internal/standin/engine"
-
-	"context"
 )
 
-// seed applies the configuration of the deployment through the operators' API of the first router.
-func (c *cluster) seed() error {
-	if err := eventually("router-0 is ready", func() error {
+// applyConfig applies the configuration of the deployment through the operators' API of the first router.
+func (c *cluster) applyConfig() error {
+	if err := waitFor("router-0 ready", func() error {
 		var s query.Status
 		if err := c.getJSON("http://"+c.operatorAddress("router-0")+"/v1/status", &s); err != nil {
 			return err
@@ -31,7 +30,7 @@
 	}); err != nil {
 		return err
 	}
-	document, err := c.document()
+	document, err := c.configDocument()
 	if err != nil {
 		return err
 	}
@@ -50,8 +49,8 @@
 	return err
 }
 
-// document returns the configuration of the deployment in the operators' format.
-func (c *cluster) document() (string, error) {
+// configDocument returns the configuration of the deployment in the operators' format.
+func (c *cluster) configDocument() (string, error) {
 	var b strings.Builder
 	b.WriteString(`
 [[resource]]
@@ -67,13 +66,13 @@
 name = "report"
 spec = { tier = 3, max_wait_ms = 600000, max_run_ms = 600000, max_tokens = 8192, preemptible = true, floor = 0.1 }
 `)
-	if err := c.pool(&b, "engines", "engine", c.Engines); err != nil {
+	if err := c.writePool(&b, "engines", "engine", c.Engines); err != nil {
 		return "", err
 	}
 	if c.Engines > 0 {
 		b.WriteString("[[resource]]\nkind = \"model\"\nname = \"advisory\"\nspec = { pool = \"engines\" }\n")
 	}
-	if err := c.pool(&b, "workers", "service", c.Services); err != nil {
+	if err := c.writePool(&b, "workers", "service", c.Services); err != nil {
 		return "", err
 	}
 	if c.Services > 0 {
@@ -87,7 +86,8 @@
 	return b.String(), nil
 }
 
-func (c *cluster) pool(b *strings.Builder, name, server string, n int) error {
+// writePool writes the resource of a pool with n servers.
+func (c *cluster) writePool(b *strings.Builder, name, server string, n int) error {
 	if n == 0 {
 		return nil
 	}
@@ -98,7 +98,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(b, "[[resource.spec.servers]]\nname = %q\nagent = %q\nfailure_domain = %q\n", s, address, c.domain(i))
+		fmt.Fprintf(b, "[[resource.spec.servers]]\nname = %q\nagent = %q\nfailure_domain = %q\n", s, address, c.failureDomain(i))
 	}
 	return nil
 }
@@ -112,13 +112,13 @@
 	return s, c.getJSON("http://"+c.address(name)+":7301/v1/status", &s)
 }
 
-// waitReady waits until every running router has links to all agents and their
-// backend servers are serving, and until all agents hold their leases.
+// waitReady waits until every running router is connected to all agents, the agents report that their
+// backend servers are serving, and all running agents hold their leases.
 func (c *cluster) waitReady() error {
-	return eventually("the deployment is ready", func() error {
+	return waitFor("deployment ready", func() error {
 		for i := range c.Routers {
 			name := fmt.Sprint("router-", i)
-			if p, _ := c.proc(name); p == nil || p.stopped() {
+			if p, _ := c.process(name); p == nil || p.hasExited() {
 				continue
 			}
 			s, err := c.status(name)
@@ -135,18 +135,18 @@
 				return fmt.Errorf("%s reaches %d serving agents of %d: %+v", name, serving, c.Engines+c.Services, s.Processes)
 			}
 		}
-		return c.leasesHeld()
+		return c.checkLeases()
 	})
 }
 
-// leasesHeld returns an error unless every running agent holds its lease in the
-// log. Agents accept no keyed calls before.
-func (c *cluster) leasesHeld() error {
-	if p, _ := c.proc("log"); p.stopped() {
+// checkLeases returns an error unless every running agent holds its lease in the log. An agent accepts no
+// keyed calls before. The check is skipped if the log is not running.
+func (c *cluster) checkLeases() error {
+	if p, _ := c.process("log"); p.hasExited() {
 		return nil
 	}
 	for _, n := range c.routersAndAgents() {
-		if p, _ := c.proc(n); !strings.HasPrefix(n, "agent-") || p.stopped() {
+		if p, _ := c.process(n); !strings.HasPrefix(n, "agent-") || p.hasExited() {
 			continue
 		}
 		s, err := c.agentStatus(n)
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func (p *proc) stopped() bool {
+func (p *process) hasExited() bool {
 	select {
 	case <-p.exited:
 		return true
@@ -173,7 +173,7 @@
 // and returns the time that this took.
 func (c *cluster) waitRevision(names []string, revision uint64) (time.Duration, error) {
 	begin := time.Now()
-	err := eventually(fmt.Sprintf("revision %d everywhere", revision), func() error {
+	err := waitFor(fmt.Sprintf("revision %d everywhere", revision), func() error {
 		for _, n := range names {
 			got, err := c.revision(n)
 			if err != nil {
@@ -202,7 +202,7 @@
 	var out []string
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for n := range c.procs {
+	for n := range c.processes {
 		if strings.HasPrefix(n, "router-") || strings.HasPrefix(n, "agent-") {
 			out = append(out, n)
 		}
@@ -230,8 +230,8 @@
 	return status, a.Revision, err
 }
 
-// executions returns the number of starts by request ID over all engines.
-func (c *cluster) executions() (map[string]int, error) {
+// executionCounts returns how often the engines began to execute each request, by request ID.
+func (c *cluster) executionCounts() (map[string]int, error) {
 	out := map[string]int{}
 	for i := range c.Engines {
 		var list []engine.Execution
@@ -245,8 +245,8 @@
 	return out, nil
 }
 
-// runs returns the number of runs by body over all services.
-func (c *cluster) runs() (map[string]int, error) {
+// runCounts returns how often the services ran each call, by body.
+func (c *cluster) runCounts() (map[string]int, error) {
 	out := map[string]int{}
 	for i := range c.Services {
 		var list map[string]int
--- a/e2e/storerestore_test.go
+++ b/e2e/storerestore_test.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// storeOutage is the time that the store is unavailable before it is restored from a copy.
-	storeOutage = 700 * time.Millisecond
-	// applyTimeout is bounds.config_apply_ms in the settings of the fleet. applyMargin allows for the
+	// outageDuration is the time for which the store is unavailable before it is restored from a backup.
+	outageDuration = 700 * time.Millisecond
+	// applyTimeout is bounds.config_apply_ms in the settings of the fleet. applyMargin covers the
 	// request that observes the change on a busy machine.
 	applyTimeout, applyMargin = 800 * time.Millisecond, 200 * time.Millisecond
-	// lostVersions is the number of configuration versions missing from the copy.
+	// lostVersions is the number of configuration versions missing from the backup.
 	lostVersions = 3
 )
 
-// Guards against gateways ignoring configurations written after the store was restored from a copy that is
-// some seconds old. The store assigns the offsets of the lost records again. A gateway that waits for records
-// from the previous end misses the records written in place of the lost ones if they are equally many, and
-// the next configuration never takes effect.
+// Guards against gateways ignoring configurations that are written after the store was restored from a
+// backup some seconds old. The store then assigns the offsets of the lost records again. A gateway that reads
+// on from its previous offset skips the records that replaced the lost ones if there are equally many, and the
+// newest configuration never takes effect.
 func TestConfigurationAppliesAfterStoreRestore(t *testing.T) {
 	for name, writes := range map[string]int{"fewer": 1, "as many": lostVersions, "more": lostVersions + 2} {
 		t.Run(name, func(t *testing.T) {
@@ -34,11 +34,11 @@
 			}
 			f.waitConfigApplied(t, f.newestVersion(), waitTimeout)
 			f.store.SetMode(platformstore.ModeUnresponsive)
-			time.Sleep(storeOutage)
+			time.Sleep(outageDuration)
 			f.store.Restore(backup)
 			f.store.SetMode(platformstore.ModeAvailable)
 			for range writes - 1 {
-				f.rewriteConfig()
+				f.republishConfig()
 			}
 			next := f.publishConfig(nil)
 			f.waitConfigApplied(t, next, applyTimeout+applyMargin)
@@ -46,8 +46,8 @@
 	}
 }
 
-// rewriteConfig publishes a configuration under the newest version again.
-func (f *fleet) rewriteConfig() {
+// republishConfig publishes a configuration with the newest version number again.
+func (f *fleet) republishConfig() {
 	f.mu.Lock()
 	f.version -= versionStep
 	f.mu.Unlock()
@@ -60,8 +60,8 @@
 	begin := time.Now()
 	for i, g := range f.gateways {
 		for n := 0; ; n++ {
-			a := f.sendWithKey(context.Background(), f.http, g, versionKey(version), "list", fmt.Sprint("list-", version, "-", i, "-", n))
-			if a.status == 200 {
+			resp := f.sendWithKey(context.Background(), f.http, g, versionKey(version), "list", fmt.Sprint("list-", version, "-", i, "-", n))
+			if resp.status == 200 {
 				break
 			}
 			if time.Since(begin) > within {
