--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -43,7 +43,7 @@
 			}
 		}
 		for i := range c.Engines {
-			var r engine.Report
+			var r engine.LoadReport
 			if err := c.getJSON(fmt.Sprintf("http://%s:7100/v1/load", c.address(fmt.Sprint("engine-", i))), &r); err != nil {
 				return err
 			}
@@ -154,10 +154,10 @@
 	ts.Check(c.getJSON("http://"+c.address(args[0])+":7100/standin/orders", &orders))
 	previous := uint64(0)
 	for _, o := range orders {
-		if o.Fence < previous {
-			ts.Fatalf("an order with fencing token %d was accepted after one with %d: %+v", o.Fence, previous, orders)
+		if o.FencingToken < previous {
+			ts.Fatalf("an order with fencing token %d was accepted after one with %d: %+v", o.FencingToken, previous, orders)
 		}
-		previous = o.Fence
+		previous = o.FencingToken
 	}
 	if len(orders) == 0 {
 		ts.Fatalf("the engine accepted no orders")
@@ -202,8 +202,8 @@
 			continue
 		}
 		ts.Logf("%s: sent %d, answered %d, failures %v", c.Class, c.Sent, c.Answered, c.Failures)
-		if c.Wrong+c.Short+c.NoRetryAfter > 0 {
-			ts.Fatalf("%d wrong responses, %d truncated, %d refused without Retry-After", c.Wrong, c.Short, c.NoRetryAfter)
+		if c.WrongContent+c.WrongLength+c.NoRetryAfter > 0 {
+			ts.Fatalf("%d wrong responses, %d truncated, %d refused without Retry-After", c.WrongContent, c.WrongLength, c.NoRetryAfter)
 		}
 		if want := intOption(ts, o, "answered", c.Sent); c.Answered < want {
 			ts.Fatalf("%d of %d answered: %v", c.Answered, c.Sent, c.Failures)
--- a/e2e/gatewaysoak_checks_test.go
+++ b/e2e/gatewaysoak_checks_test.go
@@ -210,7 +210,7 @@
 				requests = append(requests, a.At)
 			}
 		}
-		if w := retryrule.Worst(rule, requests, retries); w.Excess() > 0 {
+		if w := retryrule.WorstWindow(rule, requests, retries); w.Excess() > 0 {
 			s.addViolation("%d retries to %s within %s, at most %.0f are allowed", w.Retries, service, retryBudgetWindow, w.Allowed)
 		}
 	}
--- a/e2e/retrybudget_test.go
+++ b/e2e/retrybudget_test.go
@@ -116,7 +116,7 @@
 			seen[a.ID] = true
 		}
 	}
-	r.worstWindow = retryrule.Worst(retryrule.Rule{Ratio: retryBudgetRatio, Window: retryBudgetWindow, Slack: retryBudgetSlack}, r.requests, r.retries)
+	r.worstWindow = retryrule.WorstWindow(retryrule.Rule{Ratio: retryBudgetRatio, Window: retryBudgetWindow, Slack: retryBudgetSlack}, r.requests, r.retries)
 }
 
 // Guards against retries that are granted because of the requests of a burst but sent after it. They
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -127,7 +127,7 @@
 			}
 			serving := 0
 			for _, p := range s.Processes {
-				if p.Role == "agent" && p.Up && p.Serving && !p.Leaving {
+				if p.Role == "agent" && p.Up && p.Serving && !p.Draining {
 					serving++
 				}
 			}
--- a/internal/admission/measure.go
+++ b/internal/admission/measure.go
@@ -27,22 +27,22 @@
 // tokenShares measures each tier's share of the generated tokens. The sums decay
 // exponentially, by a factor of e per window.
 type tokenShares struct {
-	window time.Duration
-	last   time.Time
-	sums   [Tiers]float64
+	window    time.Duration
+	lastDecay time.Time
+	sums      [Tiers]float64
 }
 
 func (s *tokenShares) decay(now time.Time) {
-	if s.last.IsZero() {
-		s.last = now
+	if s.lastDecay.IsZero() {
+		s.lastDecay = now
 		return
 	}
-	if dt := now.Sub(s.last); dt > 0 {
+	if dt := now.Sub(s.lastDecay); dt > 0 {
 		k := math.Exp(-dt.Seconds() / max(s.window.Seconds(), 1e-3))
 		for i := range s.sums {
 			s.sums[i] *= k
 		}
-		s.last = now
+		s.lastDecay = now
 	}
 }
 
--- a/internal/admission/preempt.go
+++ b/internal/admission/preempt.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		waitingAhead += q.tiers[t].order.Len()
-		if v := q.findVictim(now, t, head, waitingAhead); v != nil {
+		if v := q.victimForTier(now, t, head, waitingAhead); v != nil {
 			q.requeue(v)
 			q.slotReserved = true
 			return v
@@ -30,8 +30,8 @@
 	return nil
 }
 
-func (q *Queue) findVictim(now time.Time, t int, head *Job, waitingAhead int) *Job {
-	urgent := q.urgent(now, t)
+func (q *Queue) victimForTier(now time.Time, t int, head *Job, waitingAhead int) *Job {
+	urgent := q.hasUrgentJob(now, t)
 	if !urgent && !q.willMissFirstToken(now, head, waitingAhead) {
 		return nil
 	}
@@ -40,7 +40,7 @@
 
 // urgent reports whether a job of tier t is about to be shed: its start deadline
 // is near, or its queue is over the limit.
-func (q *Queue) urgent(now time.Time, t int) bool {
+func (q *Queue) hasUrgentJob(now time.Time, t int) bool {
 	deadline, ok := q.tiers[t].earliestDeadline()
 	return (ok && deadline.Sub(now) < deadlineMargin) || q.tiers[t].order.Len() > q.cfg.QueueLimit
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -82,14 +82,14 @@
 // safe for concurrent use.
 type Queue struct {
 	cfg         Config
-	tiers       [Tiers]tier
+	tiers       [Tiers]tierQueue
 	running     map[*Job]struct{}
-	seq         uint64
+	lastSeq     uint64
 	tokenShares tokenShares
 	// serviceTime is the mean time in a slot by tier, serviceTimeAll over all tiers.
-	serviceTime    [Tiers]ewma
-	serviceTimeAll ewma
-	floorRuns      int // running jobs that were started by a floor
+	serviceTime      [Tiers]ewma
+	serviceTimeAll   ewma
+	floorStartedJobs int // running jobs that were started by a floor
 	// slotReserved is set when preemption has freed a slot for the waiting job of
 	// highest priority, so that floors do not take it.
 	slotReserved bool
@@ -98,7 +98,7 @@
 func New(cfg Config) *Queue {
 	q := &Queue{cfg: cfg, running: map[*Job]struct{}{}, tokenShares: tokenShares{window: cfg.FloorWindow}}
 	for i := range q.tiers {
-		q.tiers[i] = tier{order: newOrderHeap(), deadlines: newDeadlineHeap(), flows: map[string]*flow{}}
+		q.tiers[i] = tierQueue{order: newOrderHeap(), deadlines: newDeadlineHeap(), flows: map[string]*flowState{}}
 	}
 	return q
 }
@@ -149,8 +149,8 @@
 		return fault.New(fault.WaitTooLong, "expected queue wait of %s exceeds the start deadline", wait.Round(time.Millisecond)).
 			WithOutcome(fault.NotRun).WithRetryAfter(q.RetryAfter(j.Tier))
 	}
-	q.seq++
-	j.seq, j.arrived, j.state = q.seq, now, Waiting
+	q.lastSeq++
+	j.seq, j.arrived, j.state = q.lastSeq, now, Waiting
 	q.tiers[t].push(j, q.cfg)
 	return nil
 }
@@ -199,7 +199,7 @@
 	q.tiers[q.queueIndex(j)].remove(j)
 	j.state, j.started, j.startedByFloor = Running, now, byFloor
 	if byFloor {
-		q.floorRuns++
+		q.floorStartedJobs++
 	}
 	q.running[j] = struct{}{}
 	return j, true
@@ -226,7 +226,7 @@
 		if j == nil || j.Floor <= 0 || !q.higherTierWaiting(t) || q.tokenShares.share(now, t) >= j.Floor {
 			continue
 		}
-		if q.floorRuns < q.floorSlots(j.Floor) && q.hasSlack(now, t) {
+		if q.floorStartedJobs < q.maxFloorStartedJobs(j.Floor) && q.higherTiersHaveSlack(now, t) {
 			return j
 		}
 	}
@@ -243,16 +243,16 @@
 }
 
 // floorSlots returns the limit on slots held by jobs that were started by a floor.
-func (q *Queue) floorSlots(floor float64) int {
+func (q *Queue) maxFloorStartedJobs(floor float64) int {
 	return max(1, int(math.Ceil(floor*float64(q.cfg.Slots))))
 }
 
 // hasSlack reports whether every waiting job above tier t would still start within
 // half of its remaining time if a job of tier t took a slot now.
-func (q *Queue) hasSlack(now time.Time, t int) bool {
-	left := q.cfg.Slots - q.floorRuns - 1
+func (q *Queue) higherTiersHaveSlack(now time.Time, t int) bool {
+	left := q.cfg.Slots - q.floorStartedJobs - 1
 	for u := range t {
-		if q.urgent(now, u) {
+		if q.hasUrgentJob(now, u) {
 			return false
 		}
 		deadline, ok := q.tiers[u].earliestDeadline()
@@ -295,7 +295,7 @@
 func (q *Queue) releaseSlot(j *Job) {
 	delete(q.running, j)
 	if j.startedByFloor {
-		q.floorRuns--
+		q.floorStartedJobs--
 		j.startedByFloor = false
 	}
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -25,13 +25,13 @@
 	now        time.Time
 	tokensLeft map[*Job]int // tokens still to generate
 	started    map[*Job]bool
-	finished   map[*Job]bool
+	completed  map[*Job]bool
 	shed       map[*Job]bool
 }
 
 func newHarness(g Gomega, cfg Config) *harness {
 	return &harness{g: g, q: New(cfg), now: epoch, tokensLeft: map[*Job]int{}, started: map[*Job]bool{},
-		finished: map[*Job]bool{}, shed: map[*Job]bool{}}
+		completed: map[*Job]bool{}, shed: map[*Job]bool{}}
 }
 
 const tick = 10 * time.Millisecond
@@ -80,7 +80,7 @@
 		b.q.AddTokens(b.now, j, 1)
 		if b.tokensLeft[j]--; b.tokensLeft[j] <= 0 {
 			b.q.Remove(b.now, j)
-			b.finished[j] = true
+			b.completed[j] = true
 		}
 	}
 	b.schedule()
@@ -92,12 +92,12 @@
 	b.schedule()
 }
 
-func helpline(id int, now time.Time) *Job {
+func newHelplineCall(id int, now time.Time) *Job {
 	return &Job{ID: fmt.Sprint("h", id), Tier: 0, Flow: "board", Cost: 10, FirstTokenTarget: 200 * time.Millisecond,
 		StartDeadline: now.Add(2 * time.Second)}
 }
 
-func report(id int) *Job {
+func newReport(id int) *Job {
 	return &Job{ID: fmt.Sprint("r", id), Tier: 3, Flow: "field", Cost: 200, Floor: 0.1, Preemptible: true,
 		StartDeadline: epoch.Add(time.Hour)}
 }
@@ -138,7 +138,7 @@
 			b.tick()
 		}
 		for _, j := range accepted {
-			g.Expect(b.finished[j] != b.shed[j]).To(BeTrue(), "job %s: finished %v, shed %v", j.ID, b.finished[j], b.shed[j])
+			g.Expect(b.completed[j] != b.shed[j]).To(BeTrue(), "job %s: finished %v, shed %v", j.ID, b.completed[j], b.shed[j])
 		}
 	})
 }
@@ -151,21 +151,21 @@
 	const reportTokens, callTokens = 100, 10
 	var reports []*Job
 	for i := range 4 {
-		r := report(i)
+		r := newReport(i)
 		g.Expect(b.offer(r, reportTokens)).To(BeNil())
 		reports = append(reports, r)
 	}
 	calls := 0
 	for i := range 10 * reportTokens {
 		if i%3 == 0 { // 4 slots serve 0.4 calls per tick
-			g.Expect(b.offer(helpline(calls, b.now), callTokens)).To(BeNil())
+			g.Expect(b.offer(newHelplineCall(calls, b.now), callTokens)).To(BeNil())
 			calls++
 		}
 		b.tick()
 	}
 	g.Expect(b.shed).To(BeEmpty())
 	for _, r := range reports {
-		g.Expect(b.finished[r]).To(BeTrue(), r.ID)
+		g.Expect(b.completed[r]).To(BeTrue(), r.ID)
 		g.Expect(r.preemptions).To(BeNumerically("<=", 2))
 	}
 }
@@ -177,13 +177,13 @@
 	b := newHarness(g, fullConfig(4))
 	var reports []*Job
 	for i := range 4 {
-		r := report(i)
+		r := newReport(i)
 		g.Expect(b.offer(r, 100)).To(BeNil())
 		reports = append(reports, r)
 	}
 	refused := 0
 	for i := range 1000 {
-		if b.offer(helpline(i, b.now), 10) != nil {
+		if b.offer(newHelplineCall(i, b.now), 10) != nil {
 			refused++
 		}
 		b.tick()
@@ -193,7 +193,7 @@
 		b.tick()
 	}
 	for _, r := range reports {
-		g.Expect(b.finished[r]).To(BeTrue(), r.ID)
+		g.Expect(b.completed[r]).To(BeTrue(), r.ID)
 	}
 }
 
@@ -217,21 +217,21 @@
 		b.tick()
 	}
 	for _, j := range small {
-		g.Expect(b.finished[j]).To(BeTrue(), j.ID)
+		g.Expect(b.completed[j]).To(BeTrue(), j.ID)
 	}
 }
 
 func TestEarlyRefusalCarriesRetryAfter(t *testing.T) {
 	g := NewWithT(t)
 	b := newHarness(g, fullConfig(1))
-	g.Expect(b.offer(helpline(0, b.now), 100)).To(BeNil())
+	g.Expect(b.offer(newHelplineCall(0, b.now), 100)).To(BeNil())
 	for range 100 {
 		b.tick()
 	}
 	for i := range 3 { // each takes 1 s, so the fourth cannot start within its 2 s
-		g.Expect(b.offer(helpline(i+1, b.now), 100)).To(BeNil())
+		g.Expect(b.offer(newHelplineCall(i+1, b.now), 100)).To(BeNil())
 	}
-	err := b.offer(helpline(9, b.now), 100)
+	err := b.offer(newHelplineCall(9, b.now), 100)
 	g.Expect(err).NotTo(BeNil())
 	g.Expect(err.Code).To(Equal(fault.WaitTooLong))
 	g.Expect(err.RetryAfter).To(BeNumerically("~", 2500*time.Millisecond, 200*time.Millisecond))
--- a/internal/admission/tier.go
+++ b/internal/admission/tier.go
@@ -10,25 +10,25 @@
 const preemptedTag = -1
 
 // flow is the fair queueing state of one team in a tier.
-type flow struct {
+type flowState struct {
 	finishTag float64 // finish tag of its last job
 	waiting   int
 }
 
 // tier holds the waiting jobs of one tier.
-type tier struct {
+type tierQueue struct {
 	order       jobHeap
 	deadlines   jobHeap
-	flows       map[string]*flow
+	flows       map[string]*flowState
 	virtualTime float64 // highest start tag of the jobs taken so far
 }
 
 // push assigns the job its start tag and inserts it.
-func (t *tier) push(j *Job, cfg Config) {
+func (t *tierQueue) push(j *Job, cfg Config) {
 	if cfg.Fairness && !cfg.FIFO {
 		f := t.flows[j.Flow]
 		if f == nil {
-			f = &flow{}
+			f = &flowState{}
 			t.flows[j.Flow] = f
 		}
 		j.startTag = math.Max(t.virtualTime, f.finishTag)
@@ -39,7 +39,7 @@
 	t.insert(j)
 }
 
-func (t *tier) insert(j *Job) {
+func (t *tierQueue) insert(j *Job) {
 	if f := t.flows[j.Flow]; f != nil {
 		f.waiting++
 	}
@@ -52,7 +52,7 @@
 
 // remove takes the job out. A flow with no waiting jobs whose finish tag has passed is
 // deleted, so that the map holds only active teams.
-func (t *tier) remove(j *Job) {
+func (t *tierQueue) remove(j *Job) {
 	heap.Remove(&t.order, j.orderIndex)
 	if j.deadlineIndex >= 0 {
 		heap.Remove(&t.deadlines, j.deadlineIndex)
@@ -68,10 +68,10 @@
 	}
 }
 
-func (t *tier) head() *Job { return t.order.first() }
+func (t *tierQueue) head() *Job { return t.order.first() }
 
 // earliestDeadline returns the earliest start deadline of the waiting jobs.
-func (t *tier) earliestDeadline() (time.Time, bool) {
+func (t *tierQueue) earliestDeadline() (time.Time, bool) {
 	if j := t.deadlines.first(); j != nil {
 		return j.StartDeadline, true
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -156,7 +156,7 @@
 	a.loop.drain()
 }
 
-func (a *Agent) hello(role string) wire.Hello {
+func (a *Agent) newHello(role string) wire.Hello {
 	return wire.Hello{Role: role, Name: a.settings.Name, Incarnation: a.incarnation, FailureDomain: a.settings.FailureDomain,
 		Revision: a.config.View().Revision}
 }
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -65,7 +65,7 @@
 }
 
 // loggedClaim is a record in an agent's claim stream on the log.
-type loggedClaim struct {
+type claimRecord struct {
 	Key      string `json:"key"`
 	Digest   uint64 `json:"digest"`
 	WindowMS int64  `json:"window_ms"`
@@ -73,9 +73,9 @@
 
 // logClaim appends a claim to the log and then lets the call start. The call is
 // refused if the append fails.
-func (a *Agent) logClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
+func (a *Agent) appendClaim(ctx context.Context, k execution.AttemptKey, o *wire.Offer) {
 	decision := receipt.Run
-	data, err := json.Marshal(loggedClaim{o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS})
+	data, err := json.Marshal(claimRecord{o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS})
 	if err == nil {
 		_, err = a.configLog.Append(ctx, configlog.ClaimStream(a.settings.Name), data)
 	}
@@ -94,9 +94,9 @@
 		return
 	}
 	for ctx.Err() == nil {
-		var claims []loggedClaim
+		var claims []claimRecord
 		_, _, err := configlog.ReadAll(ctx, a.configLog, configlog.ClaimStream(a.settings.Name), func(e configlog.Entry) {
-			var c loggedClaim
+			var c claimRecord
 			if json.Unmarshal(e.Data, &c) == nil {
 				claims = append(claims, c)
 			}
@@ -112,7 +112,7 @@
 	}
 }
 
-func (a *Agent) restoreClaims(now time.Time, claims []loggedClaim) {
+func (a *Agent) restoreClaims(now time.Time, claims []claimRecord) {
 	keys := a.loop.core.Keys()
 	for _, c := range claims {
 		keys.AddLoggedClaim(now, c.Key, c.Digest, settings.Millis(int(c.WindowMS)))
--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -149,8 +149,8 @@
 }
 
 var (
-	dataPrefix          = []byte("data: ")
-	endMarker           = []byte("[DONE]")
+	eventDataPrefix     = []byte("data: ")
+	streamEndMarker     = []byte("[DONE]")
 	errMissingEndMarker = errors.New("the event stream ended without [DONE]")
 )
 
@@ -160,11 +160,11 @@
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for lines.Scan() {
-		data, ok := bytes.CutPrefix(lines.Bytes(), dataPrefix)
+		data, ok := bytes.CutPrefix(lines.Bytes(), eventDataPrefix)
 		if !ok {
 			continue
 		}
-		if bytes.Equal(data, endMarker) {
+		if bytes.Equal(data, streamEndMarker) {
 			return end, nil
 		}
 		var ev streamEvent
@@ -221,7 +221,7 @@
 
 // order is the request body of POST /v1/orders, which makes the engine load or
 // unload a target.
-type order struct {
+type engineOrder struct {
 	Op      string `json:"op"`
 	Target  string `json:"target"`
 	Adapter bool   `json:"adapter"`
@@ -230,7 +230,7 @@
 }
 
 // postOrder sends an order and waits until the engine has carried it out.
-func (c *engineClient) postOrder(ctx context.Context, o order) error {
+func (c *engineClient) postOrder(ctx context.Context, o engineOrder) error {
 	data, err := json.Marshal(o)
 	if err != nil {
 		return fmt.Errorf("engine order: %w", err)
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -55,14 +55,14 @@
 
 func (a *Agent) serveLink(ctx context.Context, nc net.Conn) {
 	p := &peerLink{agent: a, id: execution.LinkID(a.loop.lastLinkID.Add(1))}
-	conn, err := link.Open(nc, a.hello("agent"), a.linkOptions(p.heartbeat))
+	conn, err := link.Open(nc, a.newHello("agent"), a.linkOptions(p.newHeartbeat))
 	if err != nil {
 		telemetry.Count("merlinpost_links_failed_total", "code", string(fault.From(err).Code))
 		return
 	}
 	p.conn = conn
 	a.loop.post(ctx, func(now time.Time) { p.onOpen(now) })
-	err = conn.Run(ctx, func(m wire.Message) { p.dispatch(ctx, m) })
+	err = conn.Run(ctx, func(m wire.Message) { p.handleMessage(ctx, m) })
 	telemetry.Count("merlinpost_links_ended_total", "code", string(fault.From(err).Code))
 	a.loop.post(ctx, func(now time.Time) { p.onClose(now) })
 }
@@ -73,7 +73,7 @@
 	// The first heartbeat must follow the registration in conns. A change before
 	// it is included in the heartbeat; a later one reaches this link through
 	// sendHeartbeats, which only covers registered links.
-	p.conn.Send(p.heartbeat())
+	p.conn.Send(p.newHeartbeat())
 	if p.conn.Peer().Role == "router" {
 		if old := l.core.LinkUp(now, p.id, p.conn.Peer().Name+"/"+p.conn.Peer().Incarnation); old != 0 {
 			if c := l.conns[old]; c != nil {
@@ -91,8 +91,8 @@
 
 // heartbeat returns a heartbeat with the complete list of targets, so that each
 // heartbeat corrects lost or reordered ones.
-func (p *peerLink) heartbeat() *wire.Heartbeat {
-	b := p.agent.loop.heartbeat()
+func (p *peerLink) newHeartbeat() *wire.Heartbeat {
+	b := p.agent.loop.newHeartbeat()
 	load := *b.Load
 	load.Serving = p.agent.servingTargets.list()
 	b.Load = &load
@@ -100,7 +100,7 @@
 }
 
 // dispatch passes a received message to the component that handles it.
-func (p *peerLink) dispatch(ctx context.Context, m wire.Message) {
+func (p *peerLink) handleMessage(ctx context.Context, m wire.Message) {
 	a, l := p.agent, p.agent.loop
 	switch m := m.(type) {
 	case *wire.Offer:
--- a/internal/agent/links_test.go
+++ b/internal/agent/links_test.go
@@ -18,7 +18,7 @@
 // If the first heartbeat were sent before the link is registered, a change between the
 // two would be in neither that heartbeat nor the one sent on all registered links, and
 // the router would miss it until the next periodic heartbeat, 20 s later on an idle link.
-func TestALinkThatIsTakenInHearsOfTargetsThatChangeMeanwhile(t *testing.T) {
+func TestTargetChangeDuringLinkOpeningReachesRouter(t *testing.T) {
 	g := NewWithT(t)
 	cfg := settings.Agent{Name: "a", Listen: "127.0.0.1:0", Metrics: "127.0.0.1:0", Link: settings.Link{HeartbeatMS: 20000, SilentMS: 60000}}
 	a, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -45,7 +45,7 @@
 	// The core loop is not running, so the link's registration stays in its inbox.
 	register := <-a.loop.inbox
 	a.servingTargets.set([]string{"model/x"})
-	a.loop.sendHeartbeats()
+	a.loop.triggerHeartbeats()
 	register(time.Now())
 	g.Eventually(received, 5*time.Second).Should(Receive(Equal([]string{"model/x"})))
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -36,15 +36,15 @@
 // coreLoop is the event loop that owns the execution core. It implements
 // execution.Effects; those methods run on that goroutine.
 type coreLoop struct {
-	agent      *Agent
-	inbox      chan event
-	core       *execution.Core
-	conns      map[execution.LinkID]*link.Conn
-	calls      map[runID]context.CancelFunc
-	ctx        context.Context // parent context of the calls to the backend server
-	load       atomic.Pointer[wire.Load]
-	reported   execution.Counters
-	lastLinkID atomic.Uint64
+	agent            *Agent
+	inbox            chan event
+	core             *execution.Core
+	conns            map[execution.LinkID]*link.Conn
+	cancelByRun      map[runID]context.CancelFunc
+	runCtx           context.Context // parent context of the calls to the backend server
+	load             atomic.Pointer[wire.Load]
+	reportedCounters execution.Counters
+	lastLinkID       atomic.Uint64
 }
 
 type runID struct {
@@ -54,7 +54,7 @@
 
 func newCoreLoop(a *Agent) *coreLoop {
 	l := &coreLoop{agent: a, inbox: make(chan event, inboxCapacity), conns: map[execution.LinkID]*link.Conn{},
-		calls: map[runID]context.CancelFunc{}}
+		cancelByRun: map[runID]context.CancelFunc{}}
 	s := a.settings.Admission
 	l.core = execution.New(execution.Config{
 		Admission: admission.Config{Slots: a.settings.Server.Slots, QueueLimit: s.QueueLimit, MaxPreemptions: s.MaxPreemptions,
@@ -77,7 +77,7 @@
 }
 
 func (l *coreLoop) run(ctx context.Context) {
-	l.ctx = ctx
+	l.runCtx = ctx
 	timer := time.NewTimer(idleTickInterval)
 	defer timer.Stop()
 	swept, soon := time.Now(), false
@@ -114,16 +114,16 @@
 }
 
 // isIdle reports whether the core holds no attempts.
-func (l *coreLoop) isIdle(ctx context.Context) bool { return l.query(ctx, l.core.Idle) }
+func (l *coreLoop) isIdle(ctx context.Context) bool { return l.evaluate(ctx, l.core.Idle) }
 
 // hasAttemptFor reports whether the core holds an attempt for the target.
 func (l *coreLoop) hasAttemptFor(ctx context.Context, target string) bool {
-	return l.query(ctx, func() bool { return l.core.HasAttemptFor(target) })
+	return l.evaluate(ctx, func() bool { return l.core.HasAttemptFor(target) })
 }
 
 // query evaluates a condition on the core's goroutine. It returns false if ctx is
 // cancelled first.
-func (l *coreLoop) query(ctx context.Context, condition func() bool) bool {
+func (l *coreLoop) evaluate(ctx context.Context, condition func() bool) bool {
 	result := make(chan bool, 1)
 	l.post(ctx, func(time.Time) { result <- condition() })
 	select {
@@ -139,19 +139,19 @@
 	l.post(context.Background(), func(time.Time) {
 		l.core.Drain()
 		l.load.Store(l.core.Load())
-		l.sendHeartbeats()
+		l.triggerHeartbeats()
 	})
 }
 
 // sendHeartbeats sends a heartbeat on every link immediately.
-func (l *coreLoop) sendHeartbeats() {
+func (l *coreLoop) triggerHeartbeats() {
 	for _, c := range l.conns {
 		c.TriggerHeartbeat()
 	}
 }
 
 // heartbeat returns a heartbeat without the list of targets.
-func (l *coreLoop) heartbeat() *wire.Heartbeat {
+func (l *coreLoop) newHeartbeat() *wire.Heartbeat {
 	return &wire.Heartbeat{Revision: l.agent.config.View().Revision, Load: l.load.Load()}
 }
 
@@ -159,15 +159,15 @@
 func (l *coreLoop) reportMetrics() {
 	c := l.core.Counters()
 	add := func(name string, now, before uint64) { telemetry.Add(name, int(now-before)) }
-	add("merlinpost_agent_accepted_total", c.Accepted, l.reported.Accepted)
-	add("merlinpost_agent_expired_total", c.Expired, l.reported.Expired)
-	add("merlinpost_agent_started_total", c.Started, l.reported.Started)
-	add("merlinpost_agent_preempted_total", c.Preempted, l.reported.Preempted)
-	add("merlinpost_agent_cancelled_total", c.Cancelled, l.reported.Cancelled)
-	add("merlinpost_agent_orphaned_total", c.Orphaned, l.reported.Orphaned)
-	add("merlinpost_agent_tokens_total", c.Tokens, l.reported.Tokens)
-	add("merlinpost_agent_tombstoned_offers_total", c.Tombstoned, l.reported.Tombstoned)
-	l.reported = c
+	add("merlinpost_agent_accepted_total", c.Accepted, l.reportedCounters.Accepted)
+	add("merlinpost_agent_expired_total", c.Expired, l.reportedCounters.Expired)
+	add("merlinpost_agent_started_total", c.Started, l.reportedCounters.Started)
+	add("merlinpost_agent_preempted_total", c.Preempted, l.reportedCounters.Preempted)
+	add("merlinpost_agent_cancelled_total", c.Cancelled, l.reportedCounters.Cancelled)
+	add("merlinpost_agent_orphaned_total", c.Orphaned, l.reportedCounters.Orphaned)
+	add("merlinpost_agent_tokens_total", c.Tokens, l.reportedCounters.Tokens)
+	add("merlinpost_agent_tombstoned_offers_total", c.Tombstoned, l.reportedCounters.Tombstoned)
+	l.reportedCounters = c
 	for class, n := range l.core.TakeWastedTokens() {
 		telemetry.Add("merlinpost_agent_wasted_tokens_total", int(n), "class", class)
 	}
@@ -186,17 +186,17 @@
 }
 
 // Use implements execution.Effects.
-func (l *coreLoop) Use(id execution.LinkID, n int) {
+func (l *coreLoop) AddLinkRequests(id execution.LinkID, n int) {
 	if c := l.conns[id]; c != nil {
 		c.AddRequests(int64(n))
 	}
 }
 
 // Start implements execution.Effects.
-func (l *coreLoop) Start(r execution.Run) {
-	ctx, cancel := context.WithCancel(l.ctx)
+func (l *coreLoop) StartRun(r execution.Run) {
+	ctx, cancel := context.WithCancel(l.runCtx)
 	id := runID{r.Key, r.Number}
-	l.calls[id] = cancel
+	l.cancelByRun[id] = cancel
 	if r.Offer.Kind == wire.KindService {
 		go l.callService(ctx, id, r)
 		return
@@ -205,14 +205,16 @@
 }
 
 // Stop implements execution.Effects.
-func (l *coreLoop) Stop(k execution.AttemptKey, number int) {
-	if cancel := l.calls[runID{k, number}]; cancel != nil {
+func (l *coreLoop) StopRun(k execution.AttemptKey, number int) {
+	if cancel := l.cancelByRun[runID{k, number}]; cancel != nil {
 		cancel()
 	}
 }
 
 // Claim implements execution.Effects.
-func (l *coreLoop) Claim(k execution.AttemptKey, o *wire.Offer) { go l.agent.claimKey(l.ctx, k, o) }
+func (l *coreLoop) ClaimKey(k execution.AttemptKey, o *wire.Offer) {
+	go l.agent.claimKey(l.runCtx, k, o)
+}
 
 func (l *coreLoop) callEngine(ctx context.Context, id runID, r execution.Run) {
 	end, err := l.agent.engine.generate(ctx, r, func(data []byte) {
@@ -229,10 +231,10 @@
 // reportRunEnd reports the end of a run to the core. body is the complete response
 // of a plain service, otherwise nil.
 func (l *coreLoop) reportRunEnd(id runID, r execution.Run, body []byte, end wire.End, e *fault.Error) {
-	l.post(l.ctx, func(now time.Time) {
-		if cancel := l.calls[id]; cancel != nil {
+	l.post(l.runCtx, func(now time.Time) {
+		if cancel := l.cancelByRun[id]; cancel != nil {
 			cancel()
-			delete(l.calls, id)
+			delete(l.cancelByRun, id)
 		}
 		if body != nil {
 			l.core.Output(now, r.Key, r.Number, body, 0)
@@ -248,7 +250,7 @@
 		window := time.Duration(o.KeyRetentionMS) * time.Millisecond
 		decision := l.core.Keys().Decide(now, window, reply, moved)
 		if decision == receipt.RunAfterLogging {
-			go l.agent.logClaim(ctx, k, o)
+			go l.agent.appendClaim(ctx, k, o)
 			return
 		}
 		l.core.ClaimDecided(now, k, decision)
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -13,8 +13,8 @@
 
 // Intervals and timeouts of loading and unloading targets.
 const (
-	reconcileInterval = time.Second
-	orderTimeout      = 10 * time.Minute
+	reconcileInterval  = time.Second
+	engineOrderTimeout = 10 * time.Minute
 	// unloadDelay is how long a version stays loaded after the configuration
 	// dropped it. It must be longer than a router may continue to send
 	// requests for it.
@@ -32,7 +32,7 @@
 func desiredTargets(v *resource.View, server string) []target {
 	var out []target
 	for name, m := range v.Models {
-		if pool := v.Pools[m.Pool]; pool == nil || !pool.Has(server) {
+		if pool := v.Pools[m.Pool]; pool == nil || !pool.HasServer(server) {
 			continue
 		}
 		out = append(out, target{name + "@" + resource.BaseVersion, false})
@@ -77,13 +77,13 @@
 		if slices.Contains(loaded, t.name) {
 			delete(since, t.name)
 		} else if mismatchAge(since, t.name) >= a.loadDelay(v, t.name) {
-			a.sendOrder(ctx, order{Op: "load", Target: t.name, Adapter: t.adapter})
+			a.sendOrder(ctx, engineOrder{Op: "load", Target: t.name, Adapter: t.adapter})
 		}
 	}
 	for _, name := range loaded {
 		unwanted := len(wanted) > 0 && !slices.ContainsFunc(wanted, func(t target) bool { return t.name == name })
 		if unwanted && mismatchAge(since, name) >= unloadDelay && !a.loop.hasAttemptFor(ctx, name) {
-			a.sendOrder(ctx, order{Op: "unload", Target: name})
+			a.sendOrder(ctx, engineOrder{Op: "unload", Target: name})
 			delete(since, name)
 		}
 	}
@@ -116,11 +116,11 @@
 // engine that supports fencing rejects orders with an outdated fencing number.
 // For other engines the lease is checked on the log just before the order, and
 // the next reconciliation corrects the effect of an order sent too late.
-func (a *Agent) sendOrder(ctx context.Context, o order) {
+func (a *Agent) sendOrder(ctx context.Context, o engineOrder) {
 	if a.lease.FencingToken() == 0 || (!a.settings.Server.Fencing && !a.lease.VerifyHeld(ctx)) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, engineOrderTimeout)
 	defer cancel()
 	o.Fence, o.By = a.lease.FencingToken(), a.incarnation
 	err := a.engine.postOrder(ctx, o)
--- a/internal/agent/pools.go
+++ b/internal/agent/pools.go
@@ -14,10 +14,10 @@
 
 // poolHistory records the current servers of each pool and the last change.
 type poolHistory struct {
-	mu        sync.Mutex
-	current   map[string][]string // servers by pool
-	previous  map[string][]string
-	changedAt map[string]time.Time
+	mu              sync.Mutex
+	currentServers  map[string][]string // servers by pool
+	previousServers map[string][]string
+	changedAt       map[string]time.Time
 }
 
 // watchPools tracks changes to the servers of this agent's pools, because they
@@ -45,12 +45,12 @@
 	for _, pool := range v.PoolsWithServer(self) {
 		names := serverNames(v.Pools[pool])
 		slices.Sort(names)
-		before, known := h.current[pool]
+		before, known := h.currentServers[pool]
 		if known && !slices.Equal(before, names) {
-			h.previous[pool], h.changedAt[pool] = before, time.Now()
+			h.previousServers[pool], h.changedAt[pool] = before, time.Now()
 			changed = true
 		}
-		h.current[pool] = names
+		h.currentServers[pool] = names
 	}
 	return changed
 }
@@ -64,7 +64,7 @@
 	if s == nil {
 		return true
 	}
-	before := h.previous[s.Pool]
+	before := h.previousServers[s.Pool]
 	return before != nil && time.Since(h.changedAt[s.Pool]) < settings.Millis(int(o.KeyRetentionMS)) &&
 		rendezvous.First(o.IdempotencyKey, before) != a.settings.Name
 }
--- a/internal/agent/serving.go
+++ b/internal/agent/serving.go
@@ -63,7 +63,7 @@
 
 // notifyPeers sends a heartbeat on every link immediately.
 func (a *Agent) notifyPeers(ctx context.Context) {
-	a.loop.post(ctx, func(time.Time) { a.loop.sendHeartbeats() })
+	a.loop.post(ctx, func(time.Time) { a.loop.triggerHeartbeats() })
 }
 
 // updateServing sets the served targets and notifies the peers of a change.
@@ -97,7 +97,7 @@
 func assignedServices(v *resource.View, server string) []string {
 	out := []string{}
 	for name, s := range v.Services {
-		if pool := v.Pools[s.Pool]; pool != nil && pool.Has(server) {
+		if pool := v.Pools[s.Pool]; pool != nil && pool.HasServer(server) {
 			out = append(out, name)
 		}
 	}
--- a/internal/agent/witness.go
+++ b/internal/agent/witness.go
@@ -32,7 +32,7 @@
 
 func newWitnessClient(a *Agent) *witnessClient {
 	return &witnessClient{agent: a, links: map[string]*witnessLink{},
-		history: poolHistory{current: map[string][]string{}, previous: map[string][]string{}, changedAt: map[string]time.Time{}}}
+		history: poolHistory{currentServers: map[string][]string{}, previousServers: map[string][]string{}, changedAt: map[string]time.Time{}}}
 }
 
 // claim sends a claim to the agent of server s and waits up to claimTimeout for
@@ -44,7 +44,7 @@
 	if l == nil {
 		return receipt.WitnessUnreachable
 	}
-	reply := l.send(c)
+	reply := l.sendClaim(c)
 	select {
 	case m, ok := <-reply:
 		if !ok {
@@ -56,7 +56,7 @@
 		case wire.ClaimTaken:
 			return receipt.WitnessTaken
 		}
-		return receipt.WitnessCannotVouch
+		return receipt.WitnessNotReady
 	case <-ctx.Done():
 		return receipt.WitnessUnreachable
 	}
@@ -79,13 +79,13 @@
 	if err != nil {
 		return nil
 	}
-	conn, err := link.Open(nc, w.agent.hello("agent"), w.agent.linkOptions(w.agent.loop.heartbeat))
+	conn, err := link.Open(nc, w.agent.newHello("agent"), w.agent.linkOptions(w.agent.loop.newHeartbeat))
 	if err != nil {
 		return nil
 	}
 	l := &witnessLink{conn: conn, pending: map[uint64]chan *wire.ClaimResponse{}}
 	w.links[address] = l
-	go l.run(w.agent.loop.ctx)
+	go l.run(w.agent.loop.runCtx)
 	return l
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-func (l *witnessLink) send(c *wire.ClaimRequest) <-chan *wire.ClaimResponse {
+func (l *witnessLink) sendClaim(c *wire.ClaimRequest) <-chan *wire.ClaimResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seq++
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -91,7 +91,7 @@
 	className     string
 	class         *resource.Class
 	streamStarted bool // errors are sent as stream events from now on
-	observation   *telemetry.Observation
+	observation   *telemetry.RequestObservation
 }
 
 // serve authenticates the caller, runs the handler and writes its error, if any.
@@ -120,7 +120,7 @@
 	if !ok {
 		return fault.New(fault.Unauthorized, "missing bearer token: a team's API key is required").WithField("Authorization").WithOutcome(fault.NotRun)
 	}
-	if x.teamName, ok = x.view.TeamByKey(key); !ok {
+	if x.teamName, ok = x.view.TeamByAPIKey(key); !ok {
 		return fault.New(fault.Unauthorized, "unknown API key").WithField("Authorization").WithOutcome(fault.NotRun)
 	}
 	x.team = x.view.Teams[x.teamName]
@@ -211,7 +211,7 @@
 		code, outcome = string(e.Code), string(e.Outcome)
 	}
 	if x.observation != nil {
-		x.observation.End(time.Now(), code, outcome)
+		x.observation.RecordEnd(time.Now(), code, outcome)
 		return
 	}
 	if e != nil {
--- a/internal/callerapi/completion.go
+++ b/internal/callerapi/completion.go
@@ -171,7 +171,7 @@
 		if !x.streamStarted {
 			x.startStream(f)
 		}
-		x.observation.Token(time.Now())
+		x.observation.RecordToken(time.Now())
 		return x.writeEvent(f.chunk(string(data), "", nil))
 	}
 	end, e := x.api.backend.Do(x.r.Context(), req, deliver)
@@ -218,7 +218,7 @@
 func (x *exchange) respond(f *format, req *router.Request) *fault.Error {
 	var text strings.Builder
 	end, e := x.api.backend.Do(x.r.Context(), req, func(data []byte) error {
-		x.observation.Token(time.Now())
+		x.observation.RecordToken(time.Now())
 		text.Write(data)
 		return nil
 	})
--- a/internal/callerapi/service.go
+++ b/internal/callerapi/service.go
@@ -42,7 +42,7 @@
 		ClassName: x.className, Class: x.class, Pool: s.Pool, Target: name, MayRepeat: s.MayRepeat, IdempotencyKey: key,
 		IdempotencyWindow: settings.Millis(s.KeyWindowMS), Body: body, MaxTokens: 1, ContentType: contentType},
 		func(data []byte) error {
-			x.observation.Token(time.Now())
+			x.observation.RecordToken(time.Now())
 			response.Write(data)
 			return nil
 		})
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -231,7 +231,7 @@
 				return err
 			}
 			for _, p := range status.Processes {
-				if _, err := fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%d\n", address, p.Name, p.Role, p.Up, p.Leaving,
+				if _, err := fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%d\n", address, p.Name, p.Role, p.Up, p.Draining,
 					p.Revision, p.Running, p.Queued); err != nil {
 					return err
 				}
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -89,7 +89,7 @@
 		if !ok {
 			return fault.New(fault.BadRequest, "member %q does not have the form role,name,address", m).WithField("--member")
 		}
-		memberList.Set(membership.Member{Name: name, Role: role, Address: address, State: membership.Live}, false)
+		memberList.Set(membership.Member{Name: name, Role: role, Address: address, State: membership.StateLive}, false)
 	}
 	return serveUntilStopped(ctx, out, c.Listen, memberList.Handler())
 }
--- a/internal/configshare/configshare.go
+++ b/internal/configshare/configshare.go
@@ -42,7 +42,7 @@
 	// Mbit/s, it corresponds to 7.5 MB or 400 differences of 1,400 routes.
 	maxSendBacklog = 300 * time.Millisecond
 	// maxConns limits the connections from peers. It is far below the limit of file descriptors.
-	maxConns = 512
+	maxPeerConns = 512
 )
 
 // Dial opens a connection to another gateway.
@@ -98,7 +98,7 @@
 	defer stop()
 	var handlers sync.WaitGroup
 	defer handlers.Wait()
-	slots := make(chan struct{}, maxConns)
+	slots := make(chan struct{}, maxPeerConns)
 	for {
 		conn, err := ln.Accept()
 		switch {
@@ -142,7 +142,7 @@
 		telemetry.Count("merlinpost_config_handed_total", "result", "broken")
 		return
 	}
-	reply, done := s.prepareReply(ask.HaveVersion)
+	reply, done := s.prepareResponse(ask.HaveVersion)
 	defer done()
 	if err := send(conn, reply); err != nil {
 		telemetry.Count("merlinpost_config_handed_total", "result", "broken")
@@ -158,7 +158,7 @@
 
 // prepareReply returns the reply to a peer that has the given version. done must be called when it
 // has been sent.
-func (s *Share) prepareReply(have int64) (reply *wire.ConfigDeltaResponse, done func()) {
+func (s *Share) prepareResponse(have int64) (reply *wire.ConfigDeltaResponse, done func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.newest.Table == nil || s.newest.Table.Version <= have {
--- a/internal/configshare/configshare_test.go
+++ b/internal/configshare/configshare_test.go
@@ -22,12 +22,12 @@
 	"github.com/merlinpost/merlinpost/internal/wire"
 )
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // table returns a version with the given number of routes. The first routes are the same in all
 // versions.
 func table(version int64, routes int) *routing.Table {
-	c := routing.Contents{Version: version, Teams: map[string]*routing.Team{}}
+	c := routing.Config{Version: version, Teams: map[string]*routing.Team{}}
 	for i := range routes {
 		c.Routes = append(c.Routes, routing.Route{Name: fmt.Sprint("r-", i), Host: fmt.Sprintf("%d.example", i*7919%10007), PathPrefix: "/a/",
 			Timeout: time.Second, Targets: []routing.Target{{Service: "s1", Weight: 1}}})
@@ -44,27 +44,27 @@
 
 // pair is a gateway that serves its configuration and a client, on links with the same rate.
 type pair struct {
-	net                    *memnet.Network
+	network                *memnet.Network
 	serverHost, clientHost *memnet.Host
 	server, client         *Share
 	serving                sync.WaitGroup
 	stop                   context.CancelFunc
-	serverContext          context.Context
+	serverCtx              context.Context
 }
 
 // newPair starts a pair with links of the given rate in bit/s. It must be called in a synctest
 // bubble; end stops the pair.
 func newPair(rate float64) (p *pair, end func()) {
-	p = &pair{net: memnet.New(time.Millisecond)}
-	p.serverHost, p.clientHost = p.net.Host(rate), p.net.Host(rate)
-	p.server, p.client = New(p.serverHost.DialContext, rate/1e6, quiet()), New(p.clientHost.DialContext, rate/1e6, quiet())
-	p.serverContext, p.stop = context.WithCancel(context.Background())
+	p = &pair{network: memnet.New(time.Millisecond)}
+	p.serverHost, p.clientHost = p.network.Host(rate), p.network.Host(rate)
+	p.server, p.client = New(p.serverHost.DialContext, rate/1e6, discardLogger()), New(p.clientHost.DialContext, rate/1e6, discardLogger())
+	p.serverCtx, p.stop = context.WithCancel(context.Background())
 	listener := p.serverHost.Listen(port)
-	p.serving.Go(func() { p.server.Serve(p.serverContext, listener) })
+	p.serving.Go(func() { p.server.Serve(p.serverCtx, listener) })
 	return p, func() {
 		p.stop()
 		p.serving.Wait()
-		p.net.Close()
+		p.network.Close()
 		time.Sleep(2 * idleTimeout) // for connections that were being opened
 	}
 }
@@ -149,7 +149,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(time.Since(start)).To(BeNumerically(">", 2*idleTimeout))
 
-		time.AfterFunc(100*time.Millisecond, func() { p.net.SetPartitioned(p.serverHost, p.clientHost, true) })
+		time.AfterFunc(100*time.Millisecond, func() { p.network.SetPartitioned(p.serverHost, p.clientHost, true) })
 		start = time.Now()
 		_, _, err = p.fetch(nil)
 		g.Expect(fault.Is(err, fault.LinkLost)).To(BeTrue())
@@ -179,7 +179,7 @@
 			}
 		}()
 		for range replies {
-			_, _, err := New(client.DialContext, 0, quiet()).Fetch(context.Background(), server.Address(port), nil)
+			_, _, err := New(client.DialContext, 0, discardLogger()).Fetch(context.Background(), server.Address(port), nil)
 			g.Expect(fault.Is(err, fault.BadFrame)).To(BeTrue(), "%v", err)
 		}
 		network.Close()
@@ -188,12 +188,12 @@
 }
 
 // failing is a listener for which every second Accept fails.
-type failing struct {
+type failingListener struct {
 	net.Listener
 	calls int
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	f.calls++
 	if f.calls%2 == 1 {
 		return nil, errors.New("too many open files")
@@ -206,13 +206,13 @@
 		g := NewWithT(t)
 		network := memnet.New(time.Millisecond)
 		server, client := network.Host(0), network.Host(0)
-		share := New(server.DialContext, 0, quiet())
+		share := New(server.DialContext, 0, discardLogger())
 		share.Put(Version{Table: table(5, 1)})
 		ctx, stop := context.WithCancel(context.Background())
-		listener := &failing{Listener: server.Listen(port)}
+		listener := &failingListener{Listener: server.Listen(port)}
 		go share.Serve(ctx, listener)
 		for range 3 {
-			_, _, err := New(client.DialContext, 0, quiet()).Fetch(context.Background(), server.Address(port), nil)
+			_, _, err := New(client.DialContext, 0, discardLogger()).Fetch(context.Background(), server.Address(port), nil)
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		stop()
@@ -228,7 +228,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		New(nil, 0, quiet()).Serve(ctx, listener)
+		New(nil, 0, discardLogger()).Serve(ctx, listener)
 		close(done)
 	}()
 	idle, err := net.Dial("tcp", listener.Addr().String())
--- a/internal/configshare/conn.go
+++ b/internal/configshare/conn.go
@@ -36,13 +36,13 @@
 type idleTimeoutConn struct{ net.Conn }
 
 // maxChunkBytes limits a single read or write. It takes 13 ms on a link of 10 Mbit/s.
-const maxChunkBytes = 16 << 10
+const maxIOBytes = 16 << 10
 
 func (c idleTimeoutConn) Read(p []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return 0, err
 	}
-	return c.Conn.Read(p[:min(len(p), maxChunkBytes)])
+	return c.Conn.Read(p[:min(len(p), maxIOBytes)])
 }
 
 func (c idleTimeoutConn) Write(p []byte) (sent int, err error) {
@@ -50,7 +50,7 @@
 		if err := c.SetWriteDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return sent, err
 		}
-		n, err := c.Conn.Write(p[:min(len(p), maxChunkBytes)])
+		n, err := c.Conn.Write(p[:min(len(p), maxIOBytes)])
 		sent, p = sent+n, p[n:]
 		if err != nil {
 			return sent, err
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -249,7 +249,7 @@
 		return err
 	}
 	d.Router = r
-	d.Members.Set(membership.Member{Name: set.Name, Role: "router", Address: r.PeersAddress(), FailureDomain: set.FailureDomain, State: membership.Live}, false)
+	d.Members.Set(membership.Member{Name: set.Name, Role: "router", Address: r.QuotaAddress(), FailureDomain: set.FailureDomain, State: membership.StateLive}, false)
 	d.tasks.Go(func() {
 		if err := r.Serve(ctx, d.stopRouter); err != nil {
 			logger.Error("router failed", "error", err)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -67,7 +67,7 @@
 }
 
 // eligible is the filter that every Picker applies.
-func eligible(c *Candidate) bool {
+func isEligible(c *Candidate) bool {
 	return c.Connected && !c.Draining && c.TargetLoaded && !c.Excluded
 }
 
@@ -79,7 +79,7 @@
 	for range cs {
 		i := p.next % len(cs)
 		p.next++
-		if eligible(&cs[i]) {
+		if isEligible(&cs[i]) {
 			return i, true
 		}
 	}
@@ -94,7 +94,7 @@
 func (leastLoadedPicker) Pick(_ Request, cs []Candidate, _ Rand) (int, bool) {
 	best, found := 0, false
 	for i := range cs {
-		if eligible(&cs[i]) && (!found || cs[i].Queued+cs[i].Running < cs[best].Queued+cs[best].Running) {
+		if isEligible(&cs[i]) && (!found || cs[i].Queued+cs[i].Running < cs[best].Queued+cs[best].Running) {
 			best, found = i, true
 		}
 	}
@@ -110,7 +110,7 @@
 func (p *scoredPicker) Pick(req Request, cs []Candidate, rnd Rand) (int, bool) {
 	count := 0
 	for i := range cs {
-		if eligible(&cs[i]) {
+		if isEligible(&cs[i]) {
 			count++
 		}
 	}
@@ -132,7 +132,7 @@
 	}
 	best := a
 	for i := range cs {
-		cached := p.opts.PrefixAffinity && cs[i].CachedPrefixShare > 0 && eligible(&cs[i])
+		cached := p.opts.PrefixAffinity && cs[i].CachedPrefixShare > 0 && isEligible(&cs[i])
 		if (i == b || cached) && p.score(req, &cs[i], mean) < p.score(req, &cs[best], mean) {
 			best = i
 		}
@@ -143,7 +143,7 @@
 // nthEligible returns the index of the n-th eligible server, counted from 0.
 func nthEligible(cs []Candidate, n int) int {
 	for i := range cs {
-		if eligible(&cs[i]) {
+		if isEligible(&cs[i]) {
 			if n == 0 {
 				return i
 			}
@@ -174,10 +174,10 @@
 	// domainPenalty is added for a server in another failure domain. The additional
 	// network latency of a few milliseconds is small compared with the service time, so
 	// the penalty decides only between servers with otherwise similar scores.
-	domainPenalty = 0.1
+	crossDomainPenalty = 0.1
 	// prefixBonus is subtracted for a fully cached prompt. A cached prefix saves its
 	// prefill, which takes at most about half of a short request's service time.
-	prefixBonus = 0.5
+	cachedPrefixBonus = 0.5
 	// stragglerFactor is the ratio of a server's time to first token to the mean above
 	// which the server is a straggler, and not only busy.
 	stragglerFactor = 3.0
@@ -193,10 +193,10 @@
 	}
 	s := load / math.Max(1, float64(c.Slots))
 	if p.opts.PrefixAffinity {
-		s -= prefixBonus * c.CachedPrefixShare
+		s -= cachedPrefixBonus * c.CachedPrefixShare
 	}
 	if p.opts.DomainAffinity && c.FailureDomain != req.FailureDomain {
-		s += domainPenalty
+		s += crossDomainPenalty
 	}
 	s = (s + 1) * math.Max(minServiceMS, c.ServiceMS)
 	if meanFirstToken > 0 && c.FirstTokenMS > stragglerFactor*meanFirstToken {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -30,14 +30,14 @@
 				cs[i].Draining = rapid.Bool().Draw(t, "draining")
 				cs[i].TargetLoaded = rapid.Bool().Draw(t, "target loaded")
 				cs[i].Excluded = rapid.Bool().Draw(t, "excluded")
-				anyEligible = anyEligible || eligible(&cs[i])
+				anyEligible = anyEligible || isEligible(&cs[i])
 			}
 			p, err := New(name, allOptions)
 			g.Expect(err).NotTo(HaveOccurred())
 			i, ok := p.Pick(Request{}, cs, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 			g.Expect(ok).To(Equal(anyEligible))
 			if ok {
-				g.Expect(eligible(&cs[i])).To(BeTrue())
+				g.Expect(isEligible(&cs[i])).To(BeTrue())
 			}
 		})
 	}
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -120,10 +120,10 @@
 // EngineModel is the speed of one engine relative to its service's average. It is not safe for
 // concurrent use.
 type EngineModel struct {
-	service    *ServiceModel
-	slowdown   float64 // time relative to an average engine, by this engine's observations
-	weight     float64 // of these observations
-	observedAt time.Time
+	service      *ServiceModel
+	slowdown     float64 // time relative to an average engine, by this engine's observations
+	observations float64 // of these observations
+	observedAt   time.Time
 }
 
 const (
@@ -146,13 +146,13 @@
 
 // SlowdownFactor returns how much longer than an average engine this one takes, as a factor.
 func (e *EngineModel) SlowdownFactor(now time.Time) float64 {
-	w := e.weightAt(now)
+	w := e.observationWeight(now)
 	return (serviceWeight + w*e.slowdown) / (serviceWeight + w)
 }
 
-func (e *EngineModel) weightAt(now time.Time) float64 {
+func (e *EngineModel) observationWeight(now time.Time) float64 {
 	idle := now.Sub(e.observedAt).Seconds() / engineDecayTime.Seconds()
-	return e.weight / (1 + max(idle, 0)*max(idle, 0))
+	return e.observations / (1 + max(idle, 0)*max(idle, 0))
 }
 
 // ObservePrefill records the time to the first event of a prompt with the given number of tokens to
@@ -163,9 +163,9 @@
 		return
 	}
 	factor := clamp(float64(took)/float64(expected), 1/maxDeviationFactor, maxDeviationFactor)
-	w := e.weightAt(now)
+	w := e.observationWeight(now)
 	e.slowdown = (e.slowdown*w + factor) / (w + 1)
-	e.weight, e.observedAt = min(w+1, maxEngineWeight), now
+	e.observations, e.observedAt = min(w+1, maxEngineWeight), now
 	e.service.observe(featuresOf(tokens, cached), factor*toMicroseconds(expected))
 }
 
@@ -197,10 +197,10 @@
 const (
 	// chunkedPrefillRatio is the ratio of a gap to a prefill time below which the gap shows that
 	// the engine generates tokens between prefill chunks.
-	chunkedPrefillRatio = 0.7
+	maxChunkedGapRatio = 0.7
 	// gapUpWeight and gapDownWeight are the weights of longer and shorter gaps in the moving
 	// estimate of the longest gap. They differ because it is meant to be an upper bound.
-	gapUpWeight, gapDownWeight = 0.2, 0.05
+	gapIncreaseWeight, gapDecreaseWeight = 0.2, 0.05
 	// minPrefillForGap is the prefill time below which a gap says nothing about chunks.
 	minPrefillForGap = 100 * time.Millisecond
 )
@@ -214,9 +214,9 @@
 	gapUs := float64(longestGap.Microseconds())
 	switch {
 	case gapUs > s.maxGapUs:
-		s.maxGapUs += gapUpWeight * (gapUs - s.maxGapUs)
-	case float64(longestGap) < chunkedPrefillRatio*float64(prefill):
-		s.maxGapUs += gapDownWeight * (gapUs - s.maxGapUs)
+		s.maxGapUs += gapIncreaseWeight * (gapUs - s.maxGapUs)
+	case float64(longestGap) < maxChunkedGapRatio*float64(prefill):
+		s.maxGapUs += gapDecreaseWeight * (gapUs - s.maxGapUs)
 	}
 }
 
--- a/internal/enginemodel/fit.go
+++ b/internal/enginemodel/fit.go
@@ -39,14 +39,14 @@
 
 // ridge is the regularization weight of each coefficient's initial value, equal to that of one
 // observation of a prompt of 1,000 tokens without cached tokens.
-const ridge = 1.0
+const ridgeWeight = 1.0
 
 // solve returns the non-negative coefficients, by Gaussian elimination.
 func (f *fit) solve(start features) features {
 	a, b := f.xx, f.xy
 	for i := range a {
-		a[i][i] += ridge
-		b[i] += ridge * start[i]
+		a[i][i] += ridgeWeight
+		b[i] += ridgeWeight * start[i]
 	}
 	for i := range a {
 		for j := i + 1; j < len(a); j++ {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -66,11 +66,11 @@
 	// Length is the length of the body, -1 if unknown.
 	Length int64
 
-	pool       *Pool
-	conn       *conn
-	raw        *http.Response
-	stopCancel func() bool // stops the request's context from closing the connection
-	complete   bool
+	pool          *Pool
+	conn          *conn
+	raw           *http.Response
+	detachContext func() bool // stops the request's context from closing the connection
+	complete      bool
 }
 
 // Read reads the body. io.EOF means that the body is complete.
@@ -90,9 +90,9 @@
 	}
 	c := r.conn
 	r.conn = nil
-	notCancelled := r.stopCancel()
+	notCancelled := r.detachContext()
 	if r.complete && notCancelled && !r.raw.Close && c.reader.Buffered() == 0 && c.written() {
-		r.pool.put(c, keepAliveTimeout(r.Header))
+		r.pool.putIdle(c, keepAliveTimeout(r.Header))
 		return
 	}
 	c.close()
@@ -100,7 +100,7 @@
 
 // maxMismatched bounds the responses to other requests that are skipped on a
 // connection before the exchange fails.
-const maxMismatched = 2
+const maxMismatchedResponses = 2
 
 // errResponseMismatch reports a response that carries another request's ID.
 var errResponseMismatch = errors.New("response belongs to another request")
@@ -125,31 +125,31 @@
 		return nil, err
 	}
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
-		pool: p, conn: c, raw: resp, stopCancel: stop}, nil
+		pool: p, conn: c, raw: resp, detachContext: stop}, nil
 }
 
 // roundTrip writes the request and reads the response header.
 func (c *conn) roundTrip(req *Request) (*http.Response, error) {
-	if err := c.send(req); err != nil {
+	if err := c.writeRequest(req); err != nil {
 		// The server may have responded before it closed the connection.
-		if resp, readErr := c.readHeader(req); readErr == nil {
+		if resp, readErr := c.readResponseHeader(req); readErr == nil {
 			resp.Close = true
 			return resp, nil
 		}
 		return nil, err
 	}
-	return c.readHeader(req)
+	return c.readResponseHeader(req)
 }
 
 // readHeader reads response headers until one belongs to the request.
-func (c *conn) readHeader(req *Request) (*http.Response, error) {
+func (c *conn) readResponseHeader(req *Request) (*http.Response, error) {
 	for skipped := 0; ; {
-		c.limit.left = maxHeaderBytes
+		c.limited.remaining = maxHeaderBytes
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: req.Method})
 		if err != nil {
 			return nil, &Error{Stage: Waiting, MayHaveRun: true, Err: err}
 		}
-		c.limit.left = -1
+		c.limited.remaining = -1
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
@@ -158,7 +158,7 @@
 			return resp, nil
 		}
 		skipped++
-		if skipped > maxMismatched || resp.Close || resp.ContentLength < 0 {
+		if skipped > maxMismatchedResponses || resp.Close || resp.ContentLength < 0 {
 			return nil, &Error{Stage: Mismatched, MayHaveRun: true, Err: errResponseMismatch}
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -174,22 +174,22 @@
 
 // send writes the request. Larger bodies are written concurrently with reading
 // the response, because a server may respond before it has read them.
-func (c *conn) send(req *Request) error {
+func (c *conn) writeRequest(req *Request) error {
 	header := appendHeader(c.headerBuf[:0], req)
 	c.headerBuf = header
-	c.sent = make(chan struct{})
+	c.writeDone = make(chan struct{})
 	if len(req.Body) <= maxInlineBodyBytes {
-		defer close(c.sent)
+		defer close(c.writeDone)
 		return c.write(append(header, req.Body...))
 	}
 	if err := c.write(header); err != nil {
-		close(c.sent)
+		close(c.writeDone)
 		return err
 	}
 	go func() {
-		defer close(c.sent)
+		defer close(c.writeDone)
 		// The reader of the response reports a failure.
-		_, c.sendErr = c.Write(req.Body)
+		_, c.writeErr = c.Write(req.Body)
 	}()
 	return nil
 }
@@ -199,7 +199,7 @@
 	if err == nil {
 		return nil
 	}
-	c.sendErr = err
+	c.writeErr = err
 	return &Error{Stage: Sending, MayHaveRun: n > 0, Err: err}
 }
 
@@ -235,18 +235,18 @@
 // limitedConn is a connection that fails reads beyond left bytes; -1 sets no limit.
 type limitedConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
 var errHeaderTooLarge = fmt.Errorf("response header exceeds %d bytes", maxHeaderBytes)
 
 func (l *limitedConn) Read(p []byte) (int, error) {
-	if l.left == 0 {
+	if l.remaining == 0 {
 		return 0, errHeaderTooLarge
 	}
 	n, err := l.Conn.Read(p)
-	if l.left > 0 {
-		l.left = max(0, l.left-n)
+	if l.remaining > 0 {
+		l.remaining = max(0, l.remaining-n)
 	}
 	return n, err
 }
@@ -255,11 +255,11 @@
 type conn struct {
 	net.Conn
 	address       string
-	limit         *limitedConn
+	limited       *limitedConn
 	reader        *bufio.Reader
 	headerBuf     []byte        // buffer for request headers
-	sent          chan struct{} // closed when the request is written
-	sendErr       error         // set before sent is closed
+	writeDone     chan struct{} // closed when the request is written
+	writeErr      error         // set before sent is closed
 	idleSince     time.Time     // when it became idle
 	reusableUntil time.Time     // when it is too old even for a request that may be repeated
 }
@@ -267,8 +267,8 @@
 // written reports whether the request has been written completely.
 func (c *conn) written() bool {
 	select {
-	case <-c.sent:
-		return c.sendErr == nil
+	case <-c.writeDone:
+		return c.writeErr == nil
 	default:
 		return false
 	}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -175,7 +175,7 @@
 		_, err := pool.Do(ctx, server.Address(), request("a", ""))
 		Expect(failure(err).MayHaveRun).To(BeTrue())
 		Expect(errors.Is(err, context.Canceled)).To(BeTrue())
-		Eventually(server.Disconnects).Should(Equal(1))
+		Eventually(server.DisconnectCount).Should(Equal(1))
 	})
 })
 
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -22,7 +22,7 @@
 	// unackedTimeout is how long sent bytes may stay unacknowledged before the
 	// connection counts as broken (TCP_USER_TIMEOUT). It tolerates the loss of a
 	// few packets in a row and detects a host without power within two seconds.
-	unackedTimeout = 1500 * time.Millisecond
+	tcpUserTimeout = 1500 * time.Millisecond
 	// keepAliveIdle, keepAliveInterval and keepAliveProbes detect a silent host
 	// while waiting for a response: after 1 s + 3 x 0.5 s.
 	keepAliveIdle     = time.Second
@@ -65,7 +65,7 @@
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
 			if ctlErr := raw.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			}); ctlErr != nil {
 				return ctlErr
 			}
@@ -88,7 +88,7 @@
 // get returns an idle connection that is still usable, or a new one.
 func (p *Pool) get(ctx context.Context, address string, mayRepeat bool) (*conn, error) {
 	for {
-		c := p.take(address, mayRepeat)
+		c := p.takeIdle(address, mayRepeat)
 		if c == nil {
 			break
 		}
@@ -102,13 +102,13 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, address: address, limit: &limitedConn{Conn: raw, left: -1}}
-	c.reader = bufio.NewReaderSize(c.limit, readBufferBytes)
+	c := &conn{Conn: raw, address: address, limited: &limitedConn{Conn: raw, remaining: -1}}
+	c.reader = bufio.NewReaderSize(c.limited, readBufferBytes)
 	return c, nil
 }
 
 // take removes and returns the most recently used idle connection, nil if it is too old.
-func (p *Pool) take(address string, mayRepeat bool) *conn {
+func (p *Pool) takeIdle(address string, mayRepeat bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -124,7 +124,7 @@
 }
 
 // put returns a connection to the pool, at most for the time that its server announced.
-func (p *Pool) put(c *conn, serverTimeout time.Duration) {
+func (p *Pool) putIdle(c *conn, serverTimeout time.Duration) {
 	keep := maxIdleRepeatable
 	if serverTimeout > 0 {
 		keep = min(keep, serverTimeout-keepAliveMargin)
--- a/internal/exchange/probe.go
+++ b/internal/exchange/probe.go
@@ -13,7 +13,7 @@
 
 // Refused reports whether the address refuses connections: its host is up, but the process has ended.
 // It is false if a connection opens or nothing comes back.
-func (p *Pool) Refused(ctx context.Context, address string) bool {
+func (p *Pool) RefusesConnections(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	p.onDial()
--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -51,15 +51,15 @@
 	// queue is full or the link does not exist.
 	Send(link LinkID, m wire.Message) bool
 	// Start begins a run, which is reported through Output and RunEnded.
-	Start(r Run)
+	StartRun(r Run)
 	// Stop aborts a run on the backend server.
-	Stop(k AttemptKey, number int)
+	StopRun(k AttemptKey, number int)
 	// Use adds n, which may be negative, to the number of attempts that use a
 	// link, so that a link without attempts can be maintained at lower cost.
-	Use(link LinkID, n int)
+	AddLinkRequests(link LinkID, n int)
 	// Claim claims an idempotency key with its witness or, if the witness is
 	// unreachable, on the log. The result is reported through ClaimDecided.
-	Claim(k AttemptKey, o *wire.Offer)
+	ClaimKey(k AttemptKey, o *wire.Offer)
 }
 
 // Config holds the limits of a Core.
@@ -94,7 +94,7 @@
 	phase         phase
 	job           *admission.Job
 	runNumber     int
-	buf           *answer.Buffer
+	buffer        *answer.Buffer
 	generatedText []byte // output so far, kept only if the request may be repeated
 	chunkCount    uint32 // chunks produced by all runs, including those before the offer
 	deadline      time.Time
@@ -113,20 +113,20 @@
 
 // Core is the state machine of an agent. Create it with New.
 type Core struct {
-	cfg           Config
-	effects       Effects
-	queue         *admission.Queue
-	keys          *receipt.Store
-	attempts      map[AttemptKey]*attempt
-	attemptsByJob map[*admission.Job]*attempt
-	coalesced     map[string][]*attempt // repeated calls waiting for the first one, by idempotency key
-	tombstones    *tombstones
-	peerByLink    map[LinkID]string     // peer process of each open link
-	linkByPeer    map[string]LinkID     // newest link of each peer process
-	blocked       map[*attempt]struct{} // messages pending, but the link's send queue is full
-	draining      bool
-	isServing     func(target string) bool
-	counters      Counters
+	cfg            Config
+	effects        Effects
+	queue          *admission.Queue
+	keys           *receipt.Store
+	attempts       map[AttemptKey]*attempt
+	attemptsByJob  map[*admission.Job]*attempt
+	coalescedByKey map[string][]*attempt // repeated calls waiting for the first one, by idempotency key
+	tombstones     *tombstoneSet
+	peerByLink     map[LinkID]string     // peer process of each open link
+	linkByPeer     map[string]LinkID     // newest link of each peer process
+	sendBlocked    map[*attempt]struct{} // messages pending, but the link's send queue is full
+	draining       bool
+	isServing      func(target string) bool
+	counters       Counters
 	// wastedTokens counts the tokens that were generated and then discarded,
 	// by class.
 	wastedTokens map[string]uint64
@@ -139,8 +139,8 @@
 func New(cfg Config, now time.Time, fx Effects, isServing func(string) bool) *Core {
 	return &Core{cfg: cfg, effects: fx, queue: admission.New(cfg.Admission), keys: receipt.NewStore(now),
 		peerByLink: map[LinkID]string{}, linkByPeer: map[string]LinkID{},
-		attempts: map[AttemptKey]*attempt{}, attemptsByJob: map[*admission.Job]*attempt{}, coalesced: map[string][]*attempt{},
-		tombstones: newTombstones(cfg.TombstoneRetention, cfg.MaxTombstones), blocked: map[*attempt]struct{}{}, isServing: isServing,
+		attempts: map[AttemptKey]*attempt{}, attemptsByJob: map[*admission.Job]*attempt{}, coalescedByKey: map[string][]*attempt{},
+		tombstones: newTombstoneSet(cfg.TombstoneRetention, cfg.MaxTombstones), sendBlocked: map[*attempt]struct{}{}, isServing: isServing,
 		wastedTokens: map[string]uint64{}, refusedOffers: map[fault.Code]uint64{}}
 }
 
@@ -236,21 +236,21 @@
 	if a := c.attempts[key]; a != nil { // duplicate offer: keep the first
 		c.counters.Duplicates++
 		c.attach(a, link)
-		c.sendVerdict(a.link, key, nil)
+		c.sendOfferResponse(a.link, key, nil)
 		return
 	}
 	if e := c.admit(now, link, key, o); e != nil {
 		c.refusedOffers[e.Code]++
 		c.tombstones.add(now, key, false)
-		c.sendVerdict(link, key, e)
+		c.sendOfferResponse(link, key, e)
 		return
 	}
 	c.counters.Accepted++
-	c.sendVerdict(link, key, nil)
+	c.sendOfferResponse(link, key, nil)
 	c.schedule(now)
 }
 
-func (c *Core) sendVerdict(link LinkID, key AttemptKey, e *fault.Error) {
+func (c *Core) sendOfferResponse(link LinkID, key AttemptKey, e *fault.Error) {
 	c.effects.Send(link, &wire.OfferResponse{ID: key.RequestID, Attempt: key.Attempt, Fault: wire.EncodeFault(e), Load: c.Load()})
 }
 
@@ -267,10 +267,10 @@
 		return fault.New(fault.NoBackendServer, "target %q is not loaded on this backend server", o.Target).WithOutcome(fault.NotRun)
 	}
 	if len(c.attempts) >= c.cfg.MaxAttempts {
-		return fault.New(fault.RecordsFull, "the agent already holds its maximum of %d attempts", len(c.attempts)).
+		return fault.New(fault.IdempotencyStoreFull, "the agent already holds its maximum of %d attempts", len(c.attempts)).
 			WithOutcome(fault.NotRun).WithRetryAfter(c.queue.RetryAfter(int(o.Tier)))
 	}
-	a := &attempt{key: key, offer: o, link: link, buf: answer.NewBuffer(o.ChunksDelivered, o.SendWindow), chunkCount: o.ChunksDelivered,
+	a := &attempt{key: key, offer: o, link: link, buffer: answer.NewBuffer(o.ChunksDelivered, o.SendWindow), chunkCount: o.ChunksDelivered,
 		generatedText: []byte(o.DeliveredText), deadline: now.Add(millis(o.RunTimeoutMS))}
 	if o.IdempotencyKey == "" {
 		if e := c.enqueue(now, a); e != nil {
@@ -280,17 +280,17 @@
 		return e
 	}
 	c.attempts[key] = a
-	c.effects.Use(link, 1)
+	c.effects.AddLinkRequests(link, 1)
 	return nil
 }
 
 // attach moves an attempt to a link; 0 detaches it.
 func (c *Core) attach(a *attempt, link LinkID) {
 	if a.link != 0 {
-		c.effects.Use(a.link, -1)
+		c.effects.AddLinkRequests(a.link, -1)
 	}
 	if link != 0 {
-		c.effects.Use(link, 1)
+		c.effects.AddLinkRequests(link, 1)
 	}
 	a.link = link
 	a.orphanedAt = time.Time{}
@@ -322,7 +322,7 @@
 			return
 		}
 		a := c.attemptsByJob[victim]
-		c.effects.Stop(a.key, a.runNumber)
+		c.effects.StopRun(a.key, a.runNumber)
 		a.phase = phaseQueued
 		c.counters.Preempted++
 	}
@@ -335,7 +335,7 @@
 		a.keyEntry.Phase = receipt.Running
 	}
 	c.counters.Started++
-	c.effects.Start(Run{Key: a.key, Number: a.runNumber, Offer: a.offer, GeneratedTokens: a.chunkCount, GeneratedText: string(a.generatedText)})
+	c.effects.StartRun(Run{Key: a.key, Number: a.runNumber, Offer: a.offer, GeneratedTokens: a.chunkCount, GeneratedText: string(a.generatedText)})
 }
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/execution/core_test.go
+++ b/internal/execution/core_test.go
@@ -23,14 +23,14 @@
 	claims  []AttemptKey
 }
 
-func (r *recorder) Send(_ LinkID, m wire.Message) bool { r.sent = append(r.sent, m); return true }
-func (r *recorder) Start(run Run)                      { r.started = append(r.started, run) }
-func (r *recorder) Stop(k AttemptKey, _ int)           { r.stopped = append(r.stopped, k) }
-func (r *recorder) Use(LinkID, int)                    {}
-func (r *recorder) Claim(k AttemptKey, _ *wire.Offer)  { r.claims = append(r.claims, k) }
+func (r *recorder) Send(_ LinkID, m wire.Message) bool   { r.sent = append(r.sent, m); return true }
+func (r *recorder) StartRun(run Run)                     { r.started = append(r.started, run) }
+func (r *recorder) StopRun(k AttemptKey, _ int)          { r.stopped = append(r.stopped, k) }
+func (r *recorder) AddLinkRequests(LinkID, int)          {}
+func (r *recorder) ClaimKey(k AttemptKey, _ *wire.Offer) { r.claims = append(r.claims, k) }
 
 // last returns the most recently sent message of type T.
-func last[T wire.Message](g Gomega, r *recorder) T {
+func lastSent[T wire.Message](g Gomega, r *recorder) T {
 	for i := len(r.sent) - 1; i >= 0; i-- {
 		if m, ok := r.sent[i].(T); ok {
 			return m
@@ -48,13 +48,13 @@
 	return c, r
 }
 
-func offer(id string, tier uint8) *wire.Offer {
+func newOffer(id string, tier uint8) *wire.Offer {
 	return &wire.Offer{ID: id, Attempt: 1, Class: fmt.Sprint("class", tier), Tier: tier, StartTimeoutMS: 5000, RunTimeoutMS: 10000, Retryable: true,
 		Preemptible: tier > 0, MaxTokens: 10, SendWindow: 8}
 }
 
-func keyedOffer(id string, digest uint64) *wire.Offer {
-	o := offer(id, 0)
+func newKeyedOffer(id string, digest uint64) *wire.Offer {
+	o := newOffer(id, 0)
 	o.Retryable, o.Kind, o.IdempotencyKey, o.BodyDigest, o.KeyRetentionMS = false, wire.KindService, "key", digest, 60000
 	return o
 }
@@ -62,10 +62,10 @@
 func TestRepeatedKeyedCallsShareOneRun(t *testing.T) {
 	g := NewWithT(t)
 	c, r := newCore(4, 100)
-	c.Offer(epoch, 1, keyedOffer("first", 7))
-	c.Offer(epoch, 1, keyedOffer("again", 7))
-	c.Offer(epoch, 1, keyedOffer("other body", 8))
-	g.Expect(last[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.IdempotencyKeyConflict)))
+	c.Offer(epoch, 1, newKeyedOffer("first", 7))
+	c.Offer(epoch, 1, newKeyedOffer("again", 7))
+	c.Offer(epoch, 1, newKeyedOffer("other body", 8))
+	g.Expect(lastSent[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.IdempotencyKeyConflict)))
 	g.Expect(r.claims).To(HaveLen(1))
 	g.Expect(r.started).To(BeEmpty(), "nothing starts before the claim is decided")
 	c.ClaimDecided(epoch, r.claims[0], receipt.Run)
@@ -84,10 +84,10 @@
 func TestRepeatedCallReplacesCancelledFirstCall(t *testing.T) {
 	g := NewWithT(t)
 	c, r := newCore(4, 100)
-	c.Offer(epoch, 1, keyedOffer("first", 7))
-	c.Offer(epoch, 1, keyedOffer("again", 7))
+	c.Offer(epoch, 1, newKeyedOffer("first", 7))
+	c.Offer(epoch, 1, newKeyedOffer("again", 7))
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "first", Attempt: 1})
-	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeFalse())
+	g.Expect(lastSent[*wire.Cancelled](g, r).Ran).To(BeFalse())
 	g.Expect(r.claims).To(Equal([]AttemptKey{{"first", 1}, {"again", 1}}))
 	c.ClaimDecided(epoch, AttemptKey{"first", 1}, receipt.Run) // late decision for the cancelled call
 	g.Expect(r.started).To(BeEmpty())
@@ -98,15 +98,15 @@
 func TestCancelDoesNotStopRunningKeyedCall(t *testing.T) {
 	g := NewWithT(t)
 	c, r := newCore(4, 100)
-	c.Offer(epoch, 1, keyedOffer("first", 7))
+	c.Offer(epoch, 1, newKeyedOffer("first", 7))
 	c.ClaimDecided(epoch, r.claims[0], receipt.Run)
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "first", Attempt: 1})
-	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeTrue())
+	g.Expect(lastSent[*wire.Cancelled](g, r).Ran).To(BeTrue())
 	g.Expect(r.stopped).To(BeEmpty())
 	c.Output(epoch, r.started[0].Key, 1, []byte("done"), 0)
 	c.RunEnded(epoch, r.started[0].Key, 1, wire.End{Status: 200}, nil)
-	c.Offer(epoch, 1, keyedOffer("again", 7))
-	g.Expect(string(last[*wire.Chunk](g, r).Data)).To(Equal("done"))
+	c.Offer(epoch, 1, newKeyedOffer("again", 7))
+	g.Expect(string(lastSent[*wire.Chunk](g, r).Data)).To(Equal("done"))
 	g.Expect(r.started).To(HaveLen(1))
 }
 
@@ -114,9 +114,9 @@
 	g := NewWithT(t)
 	c, r := newCore(4, 100)
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "late", Attempt: 1})
-	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeFalse())
-	c.Offer(epoch, 1, offer("late", 0))
-	g.Expect(last[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.RequestNotHeld)))
+	g.Expect(lastSent[*wire.Cancelled](g, r).Ran).To(BeFalse())
+	c.Offer(epoch, 1, newOffer("late", 0))
+	g.Expect(lastSent[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.RequestNotHeld)))
 	g.Expect(r.started).To(BeEmpty())
 }
 
@@ -127,33 +127,33 @@
 	g := NewWithT(t)
 	c, r := newCore(4, 1)
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "a", Attempt: 1})
-	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeFalse())
+	g.Expect(lastSent[*wire.Cancelled](g, r).Ran).To(BeFalse())
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "b", Attempt: 1})
-	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeTrue(), "the tombstone limit is reached")
+	g.Expect(lastSent[*wire.Cancelled](g, r).Ran).To(BeTrue(), "the tombstone limit is reached")
 	c, r = newCore(4, 100)
 	c.Cancel(epoch, 1, &wire.Cancel{ID: "old", Attempt: 1, AgeMS: 40_000})
-	g.Expect(last[*wire.Cancelled](g, r).Ran).To(BeTrue(), "its tombstone may have expired")
+	g.Expect(lastSent[*wire.Cancelled](g, r).Ran).To(BeTrue(), "its tombstone may have expired")
 }
 
 func TestMaxAttempts(t *testing.T) {
 	g := NewWithT(t)
 	c, r := newCore(1, 100)
 	for i := range 3 {
-		c.Offer(epoch, 1, offer(fmt.Sprint(i), 0))
-		g.Expect(last[*wire.OfferResponse](g, r).Fault).To(BeNil())
+		c.Offer(epoch, 1, newOffer(fmt.Sprint(i), 0))
+		g.Expect(lastSent[*wire.OfferResponse](g, r).Fault).To(BeNil())
 	}
-	c.Offer(epoch, 1, offer("one more", 0))
-	f := last[*wire.OfferResponse](g, r).Fault
-	g.Expect(f.Code).To(Equal(string(fault.RecordsFull)))
+	c.Offer(epoch, 1, newOffer("one more", 0))
+	f := lastSent[*wire.OfferResponse](g, r).Fault
+	g.Expect(f.Code).To(Equal(string(fault.IdempotencyStoreFull)))
 	g.Expect(f.Outcome).To(Equal(string(fault.NotRun)))
 	g.Expect(f.RetryAfterMS).To(BeNumerically(">", 0))
-	g.Expect(c.TakeRefusedOffers()).To(Equal(map[fault.Code]uint64{fault.RecordsFull: 1}))
+	g.Expect(c.TakeRefusedOffers()).To(Equal(map[fault.Code]uint64{fault.IdempotencyStoreFull: 1}))
 }
 
 func TestOrphanedAttemptEndsAndCountsWastedTokens(t *testing.T) {
 	g := NewWithT(t)
 	c, r := newCore(1, 100)
-	c.Offer(epoch, 1, offer("x", 2))
+	c.Offer(epoch, 1, newOffer("x", 2))
 	c.Output(epoch, AttemptKey{"x", 1}, 1, []byte("a"), 1)
 	c.Output(epoch, AttemptKey{"x", 1}, 1, []byte("b"), 1)
 	c.Ack(epoch, 1, &wire.Ack{ID: "x", Attempt: 1, Next: 1})
@@ -173,7 +173,7 @@
 func TestPreemptedRequestResumes(t *testing.T) {
 	g := NewWithT(t)
 	c, r := newCore(1, 100)
-	low, high := offer("low", 3), offer("high", 0)
+	low, high := newOffer("low", 3), newOffer("high", 0)
 	high.FirstTokenTargetMS = 1
 	c.Offer(epoch, 1, low)
 	c.Output(epoch, AttemptKey{"low", 1}, 1, []byte("a "), 1)
@@ -189,16 +189,16 @@
 	g.Expect(again.GeneratedTokens).To(Equal(uint32(1)))
 	g.Expect(again.GeneratedText).To(Equal("a "))
 	c.Output(now, AttemptKey{"low", 1}, 2, []byte("b"), 1)
-	g.Expect(last[*wire.Chunk](g, r).Seq).To(Equal(uint32(1)))
+	g.Expect(lastSent[*wire.Chunk](g, r).Seq).To(Equal(uint32(1)))
 }
 
 func TestDrainRefusesOffersAndCompletesHeldAttempts(t *testing.T) {
 	g := NewWithT(t)
 	c, r := newCore(1, 100)
-	c.Offer(epoch, 1, offer("x", 0))
+	c.Offer(epoch, 1, newOffer("x", 0))
 	c.Drain()
-	c.Offer(epoch, 1, offer("y", 0))
-	g.Expect(last[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.Draining)))
+	c.Offer(epoch, 1, newOffer("y", 0))
+	g.Expect(lastSent[*wire.OfferResponse](g, r).Fault.Code).To(Equal(string(fault.Draining)))
 	g.Expect(c.Idle()).To(BeFalse())
 	c.Output(epoch, AttemptKey{"x", 1}, 1, []byte("a"), 1)
 	c.RunEnded(epoch, AttemptKey{"x", 1}, 1, wire.End{}, nil)
--- a/internal/execution/keyed.go
+++ b/internal/execution/keyed.go
@@ -24,17 +24,17 @@
 			return e
 		}
 		a.keyEntry, a.phase = entry, phaseClaiming
-		c.effects.Claim(a.key, o)
+		c.effects.ClaimKey(a.key, o)
 		return nil
 	}
 	a.phase = phaseCoalesced
 	switch entry.Phase {
-	case receipt.Done:
+	case receipt.Completed:
 		c.replay(now, a, entry)
 	case receipt.OutcomeUnknown:
 		return mayHaveRunFault()
 	default:
-		c.coalesced[o.IdempotencyKey] = append(c.coalesced[o.IdempotencyKey], a)
+		c.coalescedByKey[o.IdempotencyKey] = append(c.coalescedByKey[o.IdempotencyKey], a)
 	}
 	return nil
 }
@@ -54,7 +54,7 @@
 	switch d {
 	case receipt.Run, receipt.RunAfterLogging:
 		e = c.enqueue(now, a)
-	case receipt.AlreadyRan:
+	case receipt.MayHaveRun:
 		e = mayHaveRunFault()
 		a.keyEntry.Phase = receipt.OutcomeUnknown
 		c.failKeyed(now, a, e)
@@ -80,8 +80,8 @@
 // releaseCoalesced calls f for each repeated call that waits for the key's first
 // call, and removes them from the waiting list.
 func (c *Core) releaseCoalesced(key string, f func(*attempt)) {
-	list := c.coalesced[key]
-	delete(c.coalesced, key)
+	list := c.coalescedByKey[key]
+	delete(c.coalescedByKey, key)
 	for _, w := range list {
 		if c.attempts[w.key] == w && w.phase == phaseCoalesced {
 			f(w)
@@ -96,7 +96,7 @@
 		c.finish(now, a, &wire.End{Fault: wire.EncodeFault(f)})
 		return
 	}
-	a.buf.Append(e.Result.Body)
+	a.buffer.Append(e.Result.Body)
 	a.chunkCount++
 	c.finish(now, a, &wire.End{Status: e.Result.Status, ContentType: e.Result.ContentType})
 }
--- a/internal/execution/progress.go
+++ b/internal/execution/progress.go
@@ -28,7 +28,7 @@
 		return
 	}
 	c.counters.Tokens += uint64(tokens)
-	a.buf.Append(data)
+	a.buffer.Append(data)
 	a.chunkCount++
 	if a.offer.Retryable {
 		a.generatedText = append(a.generatedText, data...)
@@ -66,7 +66,7 @@
 func (c *Core) recordKeyOutcome(now time.Time, a *attempt, end wire.End, e *fault.Error) {
 	switch {
 	case e == nil:
-		a.keyEntry.Complete(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buf)})
+		a.keyEntry.Complete(receipt.Result{Status: end.Status, ContentType: end.ContentType, Body: lastChunk(a.buffer)})
 		c.releaseCoalesced(a.offer.IdempotencyKey, func(w *attempt) { c.replay(now, w, a.keyEntry) })
 		return
 	case e.Outcome == fault.NotRun:
@@ -88,7 +88,7 @@
 
 // finish ends an attempt and sends the rest of its response.
 func (c *Core) finish(now time.Time, a *attempt, end *wire.End) {
-	c.leaveQueue(now, a)
+	c.releaseJob(now, a)
 	a.phase = phaseEnded
 	end.ID, end.Attempt, end.Total = a.key.RequestID, a.key.Attempt, a.chunkCount
 	a.end = end
@@ -99,7 +99,7 @@
 }
 
 // leaveQueue releases the attempt's slot or its place in the queue.
-func (c *Core) leaveQueue(now time.Time, a *attempt) {
+func (c *Core) releaseJob(now time.Time, a *attempt) {
 	if a.job == nil {
 		return
 	}
@@ -115,25 +115,25 @@
 		return
 	}
 	for {
-		seq, data, ok := a.buf.Peek()
+		seq, data, ok := a.buffer.Peek()
 		if !ok {
 			break
 		}
 		if !c.effects.Send(a.link, &wire.Chunk{ID: a.key.RequestID, Attempt: a.key.Attempt, Seq: seq, Data: data}) {
-			c.blocked[a] = struct{}{}
+			c.sendBlocked[a] = struct{}{}
 			return
 		}
-		a.buf.MarkSent()
+		a.buffer.MarkSent()
 	}
-	if a.end != nil && !a.endSent && a.buf.AllSent() {
+	if a.end != nil && !a.endSent && a.buffer.AllSent() {
 		a.end.Load = c.Load()
 		if !c.effects.Send(a.link, a.end) {
-			c.blocked[a] = struct{}{}
+			c.sendBlocked[a] = struct{}{}
 			return
 		}
 		a.endSent = true
 	}
-	delete(c.blocked, a)
+	delete(c.sendBlocked, a)
 }
 
 // Ack processes an acknowledgement.
@@ -142,9 +142,9 @@
 	if a == nil || a.link != link {
 		return
 	}
-	a.buf.Ack(m.Next)
+	a.buffer.Ack(m.Next)
 	if m.Final && a.phase == phaseEnded {
-		a.buf.Ack(a.buf.EndSeq())
+		a.buffer.Ack(a.buffer.EndSeq())
 		c.remove(now, a)
 		return
 	}
@@ -154,13 +154,13 @@
 // remove replaces an attempt by a tombstone. Generated chunks that were not
 // acknowledged are counted as wasted tokens.
 func (c *Core) remove(now time.Time, a *attempt) {
-	if n := a.buf.Unacknowledged(); n > 0 && a.offer.Kind == wire.KindGenerate {
+	if n := a.buffer.Unacknowledged(); n > 0 && a.offer.Kind == wire.KindGenerate {
 		c.wastedTokens[a.offer.Class] += uint64(n)
 	}
-	c.leaveQueue(now, a)
+	c.releaseJob(now, a)
 	c.attach(a, 0)
 	delete(c.attempts, a.key)
-	delete(c.blocked, a)
+	delete(c.sendBlocked, a)
 	c.tombstones.add(now, a.key, a.mayHaveRun())
 }
 
@@ -189,16 +189,16 @@
 		if c.tombstones.mayHaveRun(now, key, millis(m.AgeMS)) || !c.tombstones.add(now, key, false) {
 			outcome = fault.Unknown
 		}
-		c.sendVerdict(link, key, fault.New(fault.RequestNotHeld, "this agent does not hold the attempt").WithOutcome(outcome))
+		c.sendOfferResponse(link, key, fault.New(fault.RequestNotHeld, "this agent does not hold the attempt").WithOutcome(outcome))
 		return
 	}
 	c.attach(a, link)
 	a.endSent = false
-	if err := a.buf.Rewind(m.Next); err != nil {
-		c.sendVerdict(link, key, fault.From(err).WithOutcome(fault.Unknown))
+	if err := a.buffer.Rewind(m.Next); err != nil {
+		c.sendOfferResponse(link, key, fault.From(err).WithOutcome(fault.Unknown))
 		return
 	}
-	c.sendVerdict(link, key, nil)
+	c.sendOfferResponse(link, key, nil)
 	c.sendPending(a)
 }
 
@@ -231,7 +231,7 @@
 		a.orphanedAt = now
 		return
 	case a.phase == phaseRunning:
-		c.effects.Stop(a.key, a.runNumber)
+		c.effects.StopRun(a.key, a.runNumber)
 	case a.keyEntry != nil && (a.phase == phaseQueued || a.phase == phaseClaiming):
 		c.promoteCoalesced(now, a)
 	}
@@ -244,8 +244,8 @@
 func (c *Core) promoteCoalesced(now time.Time, a *attempt) {
 	key := a.offer.IdempotencyKey
 	c.keys.Delete(key)
-	list := c.coalesced[key]
-	delete(c.coalesced, key)
+	list := c.coalescedByKey[key]
+	delete(c.coalescedByKey, key)
 	for i, w := range list {
 		if c.attempts[w.key] != w || w.phase != phaseCoalesced {
 			continue
@@ -254,7 +254,7 @@
 			c.finish(now, w, &wire.End{Fault: wire.EncodeFault(e)})
 			continue
 		}
-		c.coalesced[key] = append(c.coalesced[key], list[i+1:]...)
+		c.coalescedByKey[key] = append(c.coalescedByKey[key], list[i+1:]...)
 		return
 	}
 }
@@ -262,7 +262,7 @@
 // NeedsFrequentTick reports whether Tick must be called every few milliseconds,
 // because attempts are queued or blocked on a full link.
 func (c *Core) NeedsFrequentTick() bool {
-	if len(c.blocked) > 0 {
+	if len(c.sendBlocked) > 0 {
 		return true
 	}
 	for _, n := range c.queue.Waiting() {
@@ -290,7 +290,7 @@
 		}
 		c.finish(now, a, &wire.End{Fault: wire.EncodeFault(e)})
 	}
-	for a := range c.blocked {
+	for a := range c.sendBlocked {
 		c.sendPending(a)
 	}
 	c.schedule(now)
@@ -325,7 +325,7 @@
 		outcome = fault.Partial
 	}
 	if a.phase == phaseRunning {
-		c.effects.Stop(a.key, a.runNumber)
+		c.effects.StopRun(a.key, a.runNumber)
 	}
 	c.finish(now, a, &wire.End{Fault: wire.EncodeFault(fault.New(fault.DeadlinePassed, "the request exceeded its deadline").WithOutcome(outcome))})
 }
--- a/internal/execution/tombstone.go
+++ b/internal/execution/tombstone.go
@@ -13,7 +13,7 @@
 // gets the correct outcome. The number of tombstones is limited. For one
 // retention period after a tombstone could not be stored, every unknown attempt
 // is reported as one that may have run.
-type tombstones struct {
+type tombstoneSet struct {
 	retention       time.Duration
 	limit           int
 	byKey           map[AttemptKey]tombstone
@@ -21,14 +21,14 @@
 	incompleteUntil time.Time
 }
 
-func newTombstones(retention time.Duration, limit int) *tombstones {
-	return &tombstones{retention: retention, limit: limit, byKey: map[AttemptKey]tombstone{}}
+func newTombstoneSet(retention time.Duration, limit int) *tombstoneSet {
+	return &tombstoneSet{retention: retention, limit: limit, byKey: map[AttemptKey]tombstone{}}
 }
 
-func (t *tombstones) len() int { return len(t.byKey) }
+func (t *tombstoneSet) len() int { return len(t.byKey) }
 
 // add records k and reports whether there was room.
-func (t *tombstones) add(now time.Time, k AttemptKey, mayHaveRun bool) bool {
+func (t *tombstoneSet) add(now time.Time, k AttemptKey, mayHaveRun bool) bool {
 	if old, known := t.byKey[k]; known {
 		old.mayHaveRun = old.mayHaveRun || mayHaveRun
 		t.byKey[k] = old
@@ -44,14 +44,14 @@
 	return true
 }
 
-func (t *tombstones) contains(now time.Time, k AttemptKey) bool {
+func (t *tombstoneSet) contains(now time.Time, k AttemptKey) bool {
 	s, ok := t.byKey[k]
 	return ok && now.Before(s.expires)
 }
 
 // mayHaveRun reports whether an attempt that is not held, and was offered age
 // ago, may have run.
-func (t *tombstones) mayHaveRun(now time.Time, k AttemptKey, age time.Duration) bool {
+func (t *tombstoneSet) mayHaveRun(now time.Time, k AttemptKey, age time.Duration) bool {
 	if s, ok := t.byKey[k]; ok {
 		return s.mayHaveRun
 	}
@@ -60,7 +60,7 @@
 	return age >= t.retention/2 || now.Before(t.incompleteUntil)
 }
 
-func (t *tombstones) removeExpired(now time.Time) {
+func (t *tombstoneSet) removeExpired(now time.Time) {
 	n := 0
 	for n < len(t.insertionOrder) && !now.Before(t.byKey[t.insertionOrder[n]].expires) {
 		delete(t.byKey, t.insertionOrder[n])
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -38,7 +38,7 @@
 	QueueFull            Code = "queue_full"
 	WaitTooLong          Code = "wait_too_long"
 	RetryBudgetSpent     Code = "retry_budget_spent"
-	RecordsFull          Code = "records_full"
+	IdempotencyStoreFull Code = "records_full"
 	LinkBusy             Code = "link_busy"
 	// ServerRateLimit: the backend servers' own rate limits are reached.
 	ServerRateLimit Code = "server_rate_limit"
@@ -155,7 +155,7 @@
 	RevisionConflict: http.StatusPreconditionFailed, InUse: http.StatusConflict,
 	TeamRateLimit: http.StatusTooManyRequests, ServerRateLimit: http.StatusTooManyRequests, TeamConcurrencyLimit: http.StatusTooManyRequests,
 	QueueFull: http.StatusTooManyRequests, WaitTooLong: http.StatusTooManyRequests,
-	RetryBudgetSpent: http.StatusServiceUnavailable, RecordsFull: http.StatusServiceUnavailable,
+	RetryBudgetSpent: http.StatusServiceUnavailable, IdempotencyStoreFull: http.StatusServiceUnavailable,
 	Quarantined: http.StatusServiceUnavailable, ServersInBackoff: http.StatusServiceUnavailable,
 	LinkBusy: http.StatusServiceUnavailable, NoBackendServer: http.StatusServiceUnavailable, BackendServersUnreachable: http.StatusServiceUnavailable,
 	Draining: http.StatusServiceUnavailable, NotReady: http.StatusServiceUnavailable,
--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -20,14 +20,14 @@
 	if _, anySmall := f.Peers.SmallHosts(); anySmall {
 		timing.ReadSpread += smallHostDelay
 	}
-	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: configReadMaxKB, timing: timing, interval: minReadInterval, longPoll: true,
-		slowestTransfer: freshness.TransferTime(f.configBytes, settings.RecordBytes, float64(f.Peers.SlowestLinkMbps())),
+	return topic{name: f.Topics.Configuration, key: f.Topics.ConfigurationKey, maxKB: maxConfigReadKB, timing: timing, interval: minReadInterval, longPoll: true,
+		slowestTransfer: freshness.EstimateTransferTime(f.configBytes, settings.RecordBytes, float64(f.Peers.SlowestLinkMbps())),
 		confirm:         func(at, _ time.Time) { f.Gateway.ConfirmTable(at) }, replace: f.applyConfig, apply: f.applyConfig,
 		sharedByPeers: true,
 		fetchFromPeer: f.fetchConfigFromPeer,
 		publish:       f.publishConfig,
-		observe: func(err error) {
-			f.configLag.observe(f.Gateway.ConfigVersion(), int64(f.Peers.ReportedState(f.Topics.Configuration)), err, settings.ApplyWithin, time.Now())
+		updateLag: func(err error) {
+			f.configLag.update(f.Gateway.ConfigVersion(), int64(f.Peers.ReportedState(f.Topics.Configuration)), err, settings.ApplyWithin, time.Now())
 		}}
 }
 
@@ -45,7 +45,7 @@
 			continue
 		}
 		f.configBytes = len(r.Value)
-		if f.Gateway.SetTable(f.shareUnchanged(table), b.asOf) {
+		if f.Gateway.SetTable(f.reuseUnchanged(table), b.confirmedAt) {
 			f.Logger.Info("configuration in force", "config", table.Version, "bytes", b.bytes(), "read_ms", b.duration.Milliseconds(),
 				"apply_ms", time.Since(b.sentAt.Add(b.duration)).Milliseconds(), "reads_for_all", b.byPrimary)
 		}
@@ -56,7 +56,7 @@
 
 // shareUnchanged returns the table with the routes and teams of the active one reused where they
 // are equal, so that the earlier versions kept for peers only take memory for what differs.
-func (f *Follower) shareUnchanged(table *routing.Table) *routing.Table {
+func (f *Follower) reuseUnchanged(table *routing.Table) *routing.Table {
 	active := f.Gateway.Table()
 	if active == nil || active.Version >= table.Version {
 		return table
@@ -95,8 +95,8 @@
 		f.Logger.Info("configuration in force", "config", v.Table.Version, "fetched_from", from, "fetched_bytes", fetchedBytes,
 			"took_ms", time.Since(start).Milliseconds())
 	}
-	r.next, r.loaded, r.behind, r.gotRecords = logposition.Later(r.next, v.Next), true, false, false
+	r.next, r.loaded, r.moreAvailable, r.gotRecords = logposition.Later(r.next, v.Next), true, false, false
 	f.Share.Put(v)
-	f.Peers.ReportState(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.upSince)
+	f.Peers.ReportState(f.Topics.Configuration, uint64(f.Gateway.ConfigVersion()), at, r.availableSince)
 	return true
 }
--- a/internal/follow/deployment_test.go
+++ b/internal/follow/deployment_test.go
@@ -30,7 +30,7 @@
 // simulatedGateway is a gateway of a deployment in simulated time.
 type simulatedGateway struct {
 	name    string
-	link    *memnet.Host
+	host    *memnet.Host
 	gateway *gateway.Gateway
 	peers   *peers.Peers
 }
@@ -40,7 +40,7 @@
 	net       *memnet.Network
 	store     *platformstore.Store
 	storeHost *memnet.Host
-	hosts     []*simulatedGateway
+	gateways  []*simulatedGateway
 }
 
 const (
@@ -59,7 +59,7 @@
 
 // deploy starts gateways that follow a store with one configuration, and waits until they have
 // discovered each other. The returned function stops them.
-func deploy(specs []hostSpec, first []byte) (*deployment, func()) {
+func startDeployment(specs []hostSpec, first []byte) (*deployment, func()) {
 	d := &deployment{net: memnet.New(100 * time.Microsecond), store: platformstore.New()}
 	d.storeHost = d.net.Host(0)
 	storeListener := d.storeHost.Listen(storePort)
@@ -69,22 +69,22 @@
 	var running sync.WaitGroup
 	running.Go(func() { _ = server.Serve(storeListener) }) // ends with ErrServerClosed
 	for _, spec := range specs {
-		h := &simulatedGateway{name: spec.name, link: d.net.Host(spec.rate)}
+		h := &simulatedGateway{name: spec.name, host: d.net.Host(spec.rate)}
 		servers := registry.New()
-		h.gateway = gateway.New(gateway.Settings{}, platform.Dialect{}, servers, quiet())
-		h.peers = peers.New(spec.name, h.link.ListenPacket(peerPort), peers.Capacity{Cores: spec.cores, LinkMbps: uint32(spec.rate / 1e6)}, h.gateway, quiet())
-		listener := h.link.Listen(peerPort)
+		h.gateway = gateway.New(gateway.Settings{}, platform.Dialect{}, servers, discardLogger())
+		h.peers = peers.New(spec.name, h.host.ListenPacket(peerPort), peers.Capacity{Cores: spec.cores, LinkMbps: uint32(spec.rate / 1e6)}, h.gateway, discardLogger())
+		listener := h.host.Listen(peerPort)
 		deps := dependencies(h.gateway, servers, h.peers)
-		deps.Share = configshare.New(h.link.DialContext, spec.rate/1e6, quiet())
+		deps.Share = configshare.New(h.host.DialContext, spec.rate/1e6, discardLogger())
 		deps.Connect = func(address string) follow.Store {
-			return platform.NewStoreOver(h.link.DialContext, address, slog.New(slog.DiscardHandler))
+			return platform.NewStoreWithDial(h.host.DialContext, address, slog.New(slog.DiscardHandler))
 		}
 		f := follow.New(deps, follow.Settings{Address: d.storeHost.Address(storePort).String(), DrainWithin: applyWithin,
 			ApplyWithin: applyWithin, RecordBytes: recordBytes})
 		running.Go(func() { h.peers.Run(ctx) })
 		running.Go(func() { deps.Share.Serve(ctx, listener) })
 		running.Go(func() { f.Run(ctx) })
-		d.hosts = append(d.hosts, h)
+		d.gateways = append(d.gateways, h)
 	}
 	time.Sleep(5 * time.Second) // all have read the list of gateways and exchanged heartbeats
 	return d, func() {
@@ -97,16 +97,18 @@
 }
 
 // host returns the gateway with the given name.
-func (d *deployment) host(name string) *simulatedGateway {
-	return d.hosts[slices.IndexFunc(d.hosts, func(h *simulatedGateway) bool { return h.name == name })]
+func (d *deployment) gatewayNamed(name string) *simulatedGateway {
+	return d.gateways[slices.IndexFunc(d.gateways, func(h *simulatedGateway) bool { return h.name == name })]
 }
 
 // write stores a configuration, which is confirmed on return.
-func (d *deployment) write(value []byte) { d.store.Put(platformstore.TopicOperator, "config", value) }
+func (d *deployment) writeConfig(value []byte) {
+	d.store.Put(platformstore.TopicOperator, "config", value)
+}
 
 // setDisconnected interrupts or restores the connection between a host and the store.
 func (d *deployment) setDisconnected(h *simulatedGateway, disconnected bool) {
-	d.net.SetPartitioned(h.link, d.storeHost, disconnected)
+	d.net.SetPartitioned(h.host, d.storeHost, disconnected)
 }
 
 // configOfSize returns a configuration of about the given number of bytes.
@@ -126,7 +128,7 @@
 }
 
 // hostsInReadOrder returns the names of n hosts in the order in which they read the configuration.
-func hostsInReadOrder(n int) []string {
+func namesInReadOrder(n int) []string {
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("edge-", i))
@@ -143,12 +145,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const slow = 8e6 // 10 Mbit/s, of which responses to callers take a fifth
-		d, end := deploy([]hostSpec{{"a", slow, 0.144}, {"b", slow, 0.144}, {"c", 200e6, 0.8}}, configOfSize(1, 1000))
+		d, end := startDeployment([]hostSpec{{"a", slow, 0.144}, {"b", slow, 0.144}, {"c", 200e6, 0.8}}, configOfSize(1, 1000))
 		defer end()
 		for version := int64(2); version <= 4; version++ {
-			d.write(configOfSize(version, 300_000*int(version-1)))
+			d.writeConfig(configOfSize(version, 300_000*int(version-1)))
 			time.Sleep(applyWithin)
-			for _, h := range d.hosts {
+			for _, h := range d.gateways {
 				g.Expect(h.gateway.ConfigVersion()).To(Equal(version), h.name)
 			}
 		}
@@ -165,22 +167,22 @@
 func TestConfirmationCountsFromTheRequestNotTheArrivalOfTheReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		names := hostsInReadOrder(3)
-		d, end := deploy([]hostSpec{{names[0], 2.5e6, 0.3}, {names[1], 200e6, 0.3}, {names[2], 200e6, 0.3}}, configOfSize(1, 1000))
+		names := namesInReadOrder(3)
+		d, end := startDeployment([]hostSpec{{names[0], 2.5e6, 0.3}, {names[1], 200e6, 0.3}, {names[2], 200e6, 0.3}}, configOfSize(1, 1000))
 		defer end()
-		d.write(configOfSize(2, 1_100_000)) // 3.2 s on the primary reader's link
-		for d.host(names[1]).gateway.ConfigVersion() < 2 || d.host(names[2]).gateway.ConfigVersion() < 2 {
+		d.writeConfig(configOfSize(2, 1_100_000)) // 3.2 s on the primary reader's link
+		for d.gatewayNamed(names[1]).gateway.ConfigVersion() < 2 || d.gatewayNamed(names[2]).gateway.ConfigVersion() < 2 {
 			time.Sleep(time.Millisecond)
 		}
-		d.write(configOfSize(3, 1000))
+		d.writeConfig(configOfSize(3, 1000))
 		written := time.Now()
-		for d.host(names[0]).gateway.ConfigVersion() < 2 { // until the primary reader's reply has arrived
+		for d.gatewayNamed(names[0]).gateway.ConfigVersion() < 2 { // until the primary reader's reply has arrived
 			time.Sleep(time.Millisecond)
 		}
-		d.setDisconnected(d.host(names[0]), true)
+		d.setDisconnected(d.gatewayNamed(names[0]), true)
 		time.Sleep(applyWithin - time.Since(written))
 		for _, name := range names[1:] {
-			g.Expect(d.host(name).gateway.ConfigVersion()).To(BeEquivalentTo(3), name)
+			g.Expect(d.gatewayNamed(name).gateway.ConfigVersion()).To(BeEquivalentTo(3), name)
 		}
 	})
 }
@@ -190,12 +192,12 @@
 func TestReplyWithContinuousDataIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		d, end := deploy([]hostSpec{{"a", 1e6, 0.144}}, configOfSize(1, 1000))
+		d, end := startDeployment([]hostSpec{{"a", 1e6, 0.144}}, configOfSize(1, 1000))
 		defer end()
 		d.store.SetChunked(true)
-		d.write(configOfSize(2, 1_100_000)) // 8 s on this link
+		d.writeConfig(configOfSize(2, 1_100_000)) // 8 s on this link
 		time.Sleep(10 * time.Second)
-		g.Expect(d.hosts[0].gateway.ConfigVersion()).To(BeEquivalentTo(2))
+		g.Expect(d.gateways[0].gateway.ConfigVersion()).To(BeEquivalentTo(2))
 	})
 }
 
@@ -206,11 +208,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const slow, fast = 10e6, 200e6
-		d, end := deploy([]hostSpec{{"a", slow, 0.144}, {"b", slow, 0.144}, {"c", fast, 0.8}, {"d", slow, 0.144}}, configOfSize(1, 600_000))
+		d, end := startDeployment([]hostSpec{{"a", slow, 0.144}, {"b", slow, 0.144}, {"c", fast, 0.8}, {"d", slow, 0.144}}, configOfSize(1, 600_000))
 		defer end()
-		d.write(configOfSize(2, 900_000))
+		d.writeConfig(configOfSize(2, 900_000))
 		time.Sleep(300 * time.Millisecond)
-		for _, h := range d.hosts {
+		for _, h := range d.gateways {
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(2), h.name)
 		}
 	})
@@ -223,24 +225,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		specs := []hostSpec{{"a", 10e6, 0.144}, {"b", 10e6, 0.144}, {"c", 200e6, 0.8}, {"d", 200e6, 0.8}, {"e", 10e6, 0.144}}
-		d, end := deploy(specs, configOfSize(1, 600_000))
+		d, end := startDeployment(specs, configOfSize(1, 600_000))
 		defer end()
 		for _, name := range []string{"c", "d"} {
-			if d.host(name).peers.Rank(platform.Topics.Configuration) == 0 {
-				d.setDisconnected(d.host(name), true)
+			if d.gatewayNamed(name).peers.Rank(platform.Topics.Configuration) == 0 {
+				d.setDisconnected(d.gatewayNamed(name), true)
 			}
 		}
 		before := map[string]int{}
-		for _, h := range d.hosts {
-			before[h.name] = h.link.Received()
+		for _, h := range d.gateways {
+			before[h.name] = h.host.ReceivedBytes()
 		}
 		d.store.SetResponseDelay(240 * time.Millisecond)
-		d.write(configOfSize(2, 900_000))
+		d.writeConfig(configOfSize(2, 900_000))
 		time.Sleep(applyWithin)
-		for i, h := range d.hosts {
+		for i, h := range d.gateways {
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(2), h.name)
 			if specs[i].rate == 10e6 {
-				g.Expect(h.link.Received()-before[h.name]).To(BeNumerically("<", 100_000), h.name)
+				g.Expect(h.host.ReceivedBytes()-before[h.name]).To(BeNumerically("<", 100_000), h.name)
 			}
 		}
 	})
@@ -251,16 +253,16 @@
 func TestHostDisconnectedFromStoreReceivesChangesFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		d, end := deploy([]hostSpec{{"a", 10e6, 0.3}, {"b", 10e6, 0.3}, {"c", 10e6, 0.3}}, configOfSize(1, 1000))
+		d, end := startDeployment([]hostSpec{{"a", 10e6, 0.3}, {"b", 10e6, 0.3}, {"c", 10e6, 0.3}}, configOfSize(1, 1000))
 		defer end()
-		for i, h := range d.hosts {
+		for i, h := range d.gateways {
 			d.setDisconnected(h, true)
 			time.Sleep(5 * time.Second)
-			d.write(configOfSize(int64(2+2*i), 20_000))
+			d.writeConfig(configOfSize(int64(2+2*i), 20_000))
 			time.Sleep(applyWithin)
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(2+2*i), h.name)
 			d.setDisconnected(h, false)
-			d.write(configOfSize(int64(3+2*i), 20_000))
+			d.writeConfig(configOfSize(int64(3+2*i), 20_000))
 			time.Sleep(applyWithin)
 			g.Expect(h.gateway.ConfigVersion()).To(BeEquivalentTo(3+2*i), h.name)
 		}
@@ -304,7 +306,7 @@
 	// slow links, wait until its last confirmation is 2.1 s old, and then read for longer than the
 	// rest of the 3 s.
 	var specs []hostSpec
-	for _, name := range hostsInReadOrder(5) {
+	for _, name := range namesInReadOrder(5) {
 		specs = append(specs, hostSpec{name, small.rate, small.cores})
 	}
 	events := []event{{host: 0, disconnect: true}, {at: time.Millisecond, bytes: 110_000}, {at: time.Millisecond, bytes: 1000}, {at: 2 * time.Millisecond, bytes: 30_000}}
@@ -313,7 +315,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		var specs []hostSpec
-		for _, name := range hostsInReadOrder(rapid.IntRange(2, 5).Draw(t, "hosts")) {
+		for _, name := range namesInReadOrder(rapid.IntRange(2, 5).Draw(t, "hosts")) {
 			spec := small
 			if rapid.Bool().Draw(t, "large") {
 				spec = large
@@ -331,7 +333,7 @@
 // was.
 func runEvents(specs []hostSpec, events []event) (late string) {
 	bubble := func(*testing.T) {
-		d, end := deploy(specs, configOfSize(1, 1000))
+		d, end := startDeployment(specs, configOfSize(1, 1000))
 		defer end()
 		start := time.Now()
 		lastDisconnect := map[int]time.Duration{} // hosts that were never interrupted are absent
@@ -343,15 +345,15 @@
 			if e.bytes == 0 {
 				isDisconnected[e.host] = e.disconnect
 				lastDisconnect[e.host] = e.at
-				d.setDisconnected(d.hosts[e.host], e.disconnect)
+				d.setDisconnected(d.gateways[e.host], e.disconnect)
 				continue
 			}
 			version++
-			d.write(configOfSize(version, e.bytes))
+			d.writeConfig(configOfSize(version, e.bytes))
 			written, at := version, e.at
 			checks = append(checks, func() {
 				time.Sleep(at + applyWithin - time.Since(start))
-				for i, h := range d.hosts {
+				for i, h := range d.gateways {
 					_, wasDisconnected := lastDisconnect[i]
 					if got := h.gateway.ConfigVersion(); !wasDisconnected && got < written && late == "" {
 						late = fmt.Sprintf("%s has %d in force %v after %d was written", h.name, got, applyWithin, written)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -31,26 +31,26 @@
 	// than usual, 0.1 s for 0.9 MB at 200 Mbit/s, and 0.13 s for the distribution.
 	smallHostDelay = 500 * time.Millisecond
 	// graceCheckInterval is how often deferred removals are checked.
-	graceCheckInterval = 200 * time.Millisecond
+	deferredRemovalCheckInterval = 200 * time.Millisecond
 	// serversReadMaxKB limits one read of the server list to 0.2 s on the slowest links, which
 	// carry 10 Mbit/s.
-	serversReadMaxKB = 256
+	maxServersReadKB = 256
 	// configReadMaxKB limits one read of a topic where only the newest record counts, to a single
 	// record or a few small ones. In a burst of versions of 300 KB, each superseded one would take
 	// 0.24 s on such a link.
-	configReadMaxKB = 16
+	maxConfigReadKB = 16
 	// minReadInterval is the minimum time between two reads of a topic by one gateway, for bursts
 	// of changes.
 	minReadInterval = 150 * time.Millisecond
 )
 
 // connection is a client of the store at the current address.
-type connection struct{ Store }
+type storeClient struct{ Store }
 
 // Follower keeps a gateway's configuration and list of backend servers in sync with the store.
 type Follower struct {
 	Dependencies
-	store    atomic.Pointer[connection]
+	store    atomic.Pointer[storeClient]
 	settings atomic.Pointer[Settings]
 	// storeUnavailable is set while the server list can't be read.
 	storeUnavailable atomic.Bool
@@ -58,9 +58,9 @@
 	// configBytes is the encoded size of the newest configuration.
 	configBytes int
 	// storeAnswered wakes pending retries when the store answers again.
-	storeAnswered broadcast
+	storeRecovered broadcast
 	// rejectionLog limits the log lines about invalid entries, by field.
-	rejectionLog decisionlog.Limiter
+	rejectionLogLimiter decisionlog.Limiter
 	// entryDigests has a digest of each entry by server ID. Their sum identifies the state of the
 	// list.
 	entryDigests map[string]uint64
@@ -78,7 +78,7 @@
 func (f *Follower) SetSettings(s Settings) {
 	old := f.settings.Swap(&s)
 	if old == nil || old.Address != s.Address {
-		f.store.Store(&connection{f.Connect(s.Address)})
+		f.store.Store(&storeClient{f.Connect(s.Address)})
 	}
 }
 
@@ -95,7 +95,7 @@
 	for ctx.Err() == nil {
 		t := current()
 		primary := f.Peers.Rank(t.name) == 0
-		if r.loaded && !r.down && !r.behind {
+		if r.loaded && !r.unavailable && !r.moreAvailable {
 			f.waitUntilDue(ctx, t, primary, &r)
 		}
 		if !t.fetchFromPeer(ctx, &r) {
@@ -114,12 +114,12 @@
 			maxAge = t.timing.MaxAge(t.slowestTransfer) + f.readDelay(t)
 		}
 		t.confirm(confirmed, f.graceStart(t.name, r))
-		t.observe(r.lastErr)
+		t.updateLag(r.lastErr)
 		remaining := maxAge - time.Since(confirmed)
 		if remaining <= 0 {
 			return
 		}
-		timer := time.NewTimer(min(remaining, graceCheckInterval))
+		timer := time.NewTimer(min(remaining, deferredRemovalCheckInterval))
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -156,7 +156,7 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-changed:
-	case <-f.storeAnswered.wait():
+	case <-f.storeRecovered.wait():
 	}
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -27,11 +27,11 @@
 // within is the timeout for a change to take effect with the simulated store.
 const within = 5 * time.Second
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // openPeers returns the peers of a gateway on a loopback address.
 func openPeers(host string) *peers.Peers {
-	p, err := peers.Open(host, "127.0.0.1:0", peers.Capacity{Cores: 0.3}, gateway.New(gateway.Settings{}, platform.Dialect{}, registry.New(), quiet()), quiet())
+	p, err := peers.Open(host, "127.0.0.1:0", peers.Capacity{Cores: 0.3}, gateway.New(gateway.Settings{}, platform.Dialect{}, registry.New(), discardLogger()), discardLogger())
 	if err != nil {
 		panic(err) // there is no loopback address
 	}
@@ -43,12 +43,12 @@
 func dependencies(gw *gateway.Gateway, servers *registry.Registry, others follow.Peers) follow.Dependencies {
 	return follow.Dependencies{
 		Connect: func(address string) follow.Store { return platform.NewStore(address, slog.New(slog.DiscardHandler)) }, Topics: platform.Topics, Decoder: platform.Decoder{},
-		Gateway: gw, Servers: servers, Peers: others, Share: configshare.New((&net.Dialer{}).DialContext, 0, quiet()), Logger: quiet(),
+		Gateway: gw, Servers: servers, Peers: others, Share: configshare.New((&net.Dialer{}).DialContext, 0, discardLogger()), Logger: discardLogger(),
 	}
 }
 
 // configVersion returns a small configuration.
-func configVersion(version int) []byte { return largeConfig(version, 1, 1) }
+func smallConfig(version int) []byte { return largeConfig(version, 1, 1) }
 
 // largeConfig returns a configuration with the given number of routes, of 270 bytes each, and
 // teams, of 110 bytes each.
@@ -103,7 +103,7 @@
 		store = platformstore.Start()
 		DeferCleanup(store.Close)
 		servers = registry.New()
-		gw = gateway.New(gateway.Settings{}, platform.Dialect{}, servers, quiet())
+		gw = gateway.New(gateway.Settings{}, platform.Dialect{}, servers, discardLogger())
 		set = follow.Settings{Address: store.Address(), DrainWithin: 60 * time.Millisecond, ApplyWithin: 200 * time.Millisecond}
 	})
 
@@ -112,22 +112,22 @@
 		start()
 		Eventually(ids, within).Should(ConsistOf("i-1"))
 		Expect(gw.Ready()).To(BeFalse())
-		store.Put(platformstore.TopicOperator, "config", configVersion(7))
+		store.Put(platformstore.TopicOperator, "config", smallConfig(7))
 		Eventually(gw.Ready, within).Should(BeTrue())
 		Expect(gw.ConfigVersion()).To(BeEquivalentTo(7))
 	})
 
 	It("keeps the last valid configuration in force", func() {
-		store.Put(platformstore.TopicOperator, "config", configVersion(7))
+		store.Put(platformstore.TopicOperator, "config", smallConfig(7))
 		start()
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(7))
 		store.Put(platformstore.TopicOperator, "config", []byte(`{"version":8,"routes":[{"kind":"odd"}]}`))
-		store.Put(platformstore.TopicOperator, "config", configVersion(6))
+		store.Put(platformstore.TopicOperator, "config", smallConfig(6))
 		store.Put(platformstore.TopicOperator, "other", []byte("x"))
 		reads := store.RequestCount()
 		Eventually(store.RequestCount, within).Should(BeNumerically(">", reads+4))
 		Expect(gw.ConfigVersion()).To(BeEquivalentTo(7))
-		store.Put(platformstore.TopicOperator, "config", configVersion(9))
+		store.Put(platformstore.TopicOperator, "config", smallConfig(9))
 		Eventually(gw.ConfigVersion, within).Should(BeEquivalentTo(9))
 	})
 
@@ -160,12 +160,12 @@
 	It("loads the newest records when older ones have been deleted", func() {
 		store.PageSize = 1
 		put("i-1", "ready")
-		store.Put(platformstore.TopicOperator, "config", configVersion(7))
+		store.Put(platformstore.TopicOperator, "config", smallConfig(7))
 		start()
 		Eventually(ids, within).Should(ConsistOf("i-1"))
 		put("i-2", "ready")
 		store.Put(platformstore.TopicServers, "i-1", nil)
-		store.Put(platformstore.TopicOperator, "config", configVersion(8))
+		store.Put(platformstore.TopicOperator, "config", smallConfig(8))
 		store.Truncate(platformstore.TopicServers)
 		store.Truncate(platformstore.TopicOperator)
 		Eventually(ids, within).Should(ConsistOf("i-2"))
@@ -186,7 +186,7 @@
 	It("keeps serving during an outage of the store, and defers the removal of entries that expired meanwhile", func() {
 		put("i-1", "ready")
 		put("i-2", "ready")
-		store.Put(platformstore.TopicOperator, "config", configVersion(7))
+		store.Put(platformstore.TopicOperator, "config", smallConfig(7))
 		start()
 		Eventually(gw.Ready, within).Should(BeTrue())
 		store.SetMode(platformstore.ModeUnavailable)
@@ -216,7 +216,7 @@
 		running.Go(func() { other.Run(ctx) })
 		running.Go(func() { f.Run(ctx) })
 		running.Go(func() {
-			follow.New(dependencies(gateway.New(gateway.Settings{}, platform.Dialect{}, others, quiet()), others, other), set).Run(ctx)
+			follow.New(dependencies(gateway.New(gateway.Settings{}, platform.Dialect{}, others, discardLogger()), others, other), set).Run(ctx)
 		})
 		DeferCleanup(func() { cancel(); running.Wait() })
 		Eventually(ids, within).Should(ConsistOf("i-1", "i-2"))
@@ -235,7 +235,7 @@
 	})
 
 	It("abandons a call that gets no reply", func() {
-		store.Put(platformstore.TopicOperator, "config", configVersion(7))
+		store.Put(platformstore.TopicOperator, "config", smallConfig(7))
 		store.SetMode(platformstore.ModeUnresponsive)
 		start()
 		Eventually(store.RequestCount, within).Should(BeNumerically(">=", 2))
@@ -249,13 +249,13 @@
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	others := openPeers("h1")
 	rapid.Check(t, func(t *rapid.T) {
-		gw := gateway.New(gateway.Settings{}, platform.Dialect{}, registry.New(), quiet())
+		gw := gateway.New(gateway.Settings{}, platform.Dialect{}, registry.New(), discardLogger())
 		f := follow.New(dependencies(gw, registry.New(), others), follow.Settings{})
 		var last int64
 		for range rapid.IntRange(1, 8).Draw(t, "reads") {
 			var records []follow.Record
 			for range rapid.IntRange(0, 4).Draw(t, "records") {
-				records = append(records, follow.Record{Key: platform.Topics.ConfigurationKey, Value: configVersion(rapid.IntRange(1, 20).Draw(t, "version"))})
+				records = append(records, follow.Record{Key: platform.Topics.ConfigurationKey, Value: smallConfig(rapid.IntRange(1, 20).Draw(t, "version"))})
 			}
 			f.ApplyConfig(records)
 			version := gw.ConfigVersion()
--- a/internal/follow/gateways.go
+++ b/internal/follow/gateways.go
@@ -12,10 +12,10 @@
 // gatewaysInterval is how often the list of gateways is read. Gateways usually discover each other
 // through heartbeats; the list is only needed by gateways that have not received any from each
 // other.
-const gatewaysInterval = 20 * time.Second
+const gatewayListInterval = 20 * time.Second
 
 // gatewayEntry is the stored record of a gateway. Its key is the host name.
-type gatewayEntry struct {
+type gatewayRecord struct {
 	Address netip.AddrPort `json:"address"`
 }
 
@@ -24,11 +24,11 @@
 func (f *Follower) followGateways(ctx context.Context) {
 	registered := false
 	for ctx.Err() == nil {
-		delay := gatewaysInterval
+		delay := gatewayListInterval
 		if !registered {
 			registered = f.registerGateway(ctx)
 		}
-		if !f.readGateways(ctx) || !registered {
+		if !f.loadGateways(ctx) || !registered {
 			delay = maxRetryDelay
 		}
 		sleep(ctx, delay)
@@ -37,7 +37,7 @@
 
 func (f *Follower) registerGateway(ctx context.Context) bool {
 	self := f.Peers.Self()
-	value, err := json.Marshal(gatewayEntry{self.Address})
+	value, err := json.Marshal(gatewayRecord{self.Address})
 	if err == nil {
 		err = f.store.Load().Put(ctx, f.Topics.Gateways, Record{self.Host, value}, readTimeout)
 	}
@@ -47,7 +47,7 @@
 	return err == nil
 }
 
-func (f *Follower) readGateways(ctx context.Context) bool {
+func (f *Follower) loadGateways(ctx context.Context) bool {
 	records, _, err := f.store.Load().Newest(ctx, f.Topics.Gateways, readTimeout)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -57,7 +57,7 @@
 	}
 	var list []peers.Member
 	for _, r := range records {
-		var doc gatewayEntry
+		var doc gatewayRecord
 		if err := json.Unmarshal(r.Value, &doc); err != nil {
 			f.Logger.Error("gateway entry rejected", "host", r.Key, "error", err)
 			continue
--- a/internal/follow/lag.go
+++ b/internal/follow/lag.go
@@ -18,7 +18,7 @@
 // observe records the active version and the newest one reported. A lag longer than within is
 // logged once, with the reason why the newest version could not be read, and once more when it
 // ends.
-func (l *lagMonitor) observe(inForce, newest int64, why error, within time.Duration, now time.Time) {
+func (l *lagMonitor) update(inForce, newest int64, why error, within time.Duration, now time.Time) {
 	telemetry.SetGauge("merlinpost_config_newest_heard", float64(max(inForce, newest)))
 	if newest <= inForce {
 		if l.logged {
--- a/internal/follow/lag_test.go
+++ b/internal/follow/lag_test.go
@@ -19,7 +19,7 @@
 	observe := func(inForce, newest int64, after time.Duration) string {
 		out.Reset()
 		now = now.Add(after)
-		monitor.observe(inForce, newest, errors.New("cut"), time.Second, now)
+		monitor.update(inForce, newest, errors.New("cut"), time.Second, now)
 		return out.String()
 	}
 	g.Expect(observe(3, 3, 0)).To(BeEmpty())
--- a/internal/follow/readstate.go
+++ b/internal/follow/readstate.go
@@ -13,17 +13,17 @@
 
 // readState is the progress of reading a topic.
 type readState struct {
-	next        logposition.Position
-	loaded      bool      // the newest record of each key has been read
-	gotRecords  bool      // the last read returned records
-	behind      bool      // and more were left at the store
-	down        bool      // the last call failed
-	lastErr     error     // error of the last call, nil if it succeeded
-	lastSuccess time.Time // time of the last successful call
-	upSince     time.Time // start of the current period without failures
-	outageStart time.Time // start of the last outage
-	outageEnd   time.Time // end of the last outage, zero if there was none
-	restoredAt  time.Time // when the store was found to have been restored from an older copy
+	next           logposition.Position
+	loaded         bool      // the newest record of each key has been read
+	gotRecords     bool      // the last read returned records
+	moreAvailable  bool      // and more were left at the store
+	unavailable    bool      // the last call failed
+	lastErr        error     // error of the last call, nil if it succeeded
+	lastSuccess    time.Time // time of the last successful call
+	availableSince time.Time // start of the current period without failures
+	outageStart    time.Time // start of the last outage
+	outageEnd      time.Time // end of the last outage, zero if there was none
+	restoredAt     time.Time // when the store was found to have been restored from an older copy
 }
 
 // read reads the topic once and applies the result.
@@ -34,7 +34,7 @@
 		err       error
 	)
 	apply, wait := t.apply, time.Duration(0)
-	if t.longPoll && primary && !r.down && !r.gotRecords {
+	if t.longPoll && primary && !r.unavailable && !r.gotRecords {
 		// A read that returned records is followed by one that does not wait, which confirms that
 		// there are no more.
 		wait = t.timing.PollWait(t.timing.MaxAge(t.slowestTransfer))
@@ -63,27 +63,27 @@
 	case err != nil:
 		f.markUnavailable(t, r, err)
 		r.lastErr = err
-		t.observe(err)
+		t.updateLag(err)
 		f.waitBeforeRetry(ctx, t)
 		return
-	case r.down:
-		r.down, r.outageEnd, r.upSince, r.outageStart = false, time.Now(), time.Now(), r.lastSuccess
+	case r.unavailable:
+		r.unavailable, r.outageEnd, r.availableSince, r.outageStart = false, time.Now(), time.Now(), r.lastSuccess
 		f.Logger.Info("regained the store", "topic", t.name, "offset", next.Offset)
-		f.storeAnswered.notify()
+		f.storeRecovered.notify()
 		if t.name == f.Topics.Servers {
 			f.storeUnavailable.Store(false)
 		}
 	}
 	r.lastErr, r.gotRecords, r.loaded, r.lastSuccess = nil, len(records) > 0, true, time.Now()
-	if r.upSince.IsZero() {
-		r.upSince = r.lastSuccess
+	if r.availableSince.IsZero() {
+		r.availableSince = r.lastSuccess
 	}
-	b := batch{records: records, sentAt: sent, duration: r.lastSuccess.Sub(sent), asOf: freshness.ConfirmedAt(sent, r.lastSuccess, wait, len(records) == 0), byPrimary: primary}
+	b := batch{records: records, sentAt: sent, duration: r.lastSuccess.Sub(sent), confirmedAt: freshness.ConfirmedAt(sent, r.lastSuccess, wait, len(records) == 0), byPrimary: primary}
 	state := apply(b, f.graceStart(t.name, r))
 	r.advance(t, records, next, end)
-	if !r.behind {
+	if !r.moreAvailable {
 		t.publish(r.next)
-		f.Peers.ReportState(t.name, state, b.asOf, r.upSince)
+		f.Peers.ReportState(t.name, state, b.confirmedAt, r.availableSince)
 	}
 }
 
@@ -92,9 +92,9 @@
 // and transfers less than loading the newest records, a page of which is a third larger because of
 // its encoding. If that last record has another key, the newest records are loaded after all.
 func (r *readState) advance(t topic, records []Record, next, end logposition.Position) {
-	wasBehind := r.behind
-	r.next, r.behind = next, t.key != "" && next.Offset < end.Offset
-	if r.behind {
+	wasBehind := r.moreAvailable
+	r.next, r.moreAvailable = next, t.key != "" && next.Offset < end.Offset
+	if r.moreAvailable {
 		r.next.Offset = end.Offset - 1
 	}
 	if wasBehind && t.key != "" && !slices.ContainsFunc(records, func(rec Record) bool { return rec.Key == t.key }) {
@@ -118,11 +118,11 @@
 
 // markUnavailable records that the store can't be read, and logs the start of the outage.
 func (f *Follower) markUnavailable(t topic, r *readState, err error) {
-	if !r.down {
+	if !r.unavailable {
 		f.Logger.Warn("lost the store", "topic", t.name, "error", err)
 		telemetry.Count("merlinpost_store_lost_total", "topic", t.name)
 	}
-	r.down = true
+	r.unavailable = true
 	if t.name == f.Topics.Servers {
 		f.storeUnavailable.Store(true)
 	}
--- a/internal/follow/servers.go
+++ b/internal/follow/servers.go
@@ -26,8 +26,8 @@
 		}
 	}
 	now := time.Now()
-	f.logDropped(f.Servers.Apply(invalid, now, time.Time{}))
-	f.logDropped(f.Servers.Replace(list, now, graceEnd(graceStart)))
+	f.logRemoved(f.Servers.Apply(invalid, now, time.Time{}))
+	f.logRemoved(f.Servers.Replace(list, now, graceEnd(graceStart)))
 	return f.serversDigest()
 }
 
@@ -43,13 +43,13 @@
 		s := f.decodeServer(r)
 		changes = append(changes, registry.Change{ID: r.Key, Server: s, Invalid: s == nil})
 	}
-	f.logDropped(f.Servers.Apply(changes, time.Now(), graceEnd(graceStart)))
+	f.logRemoved(f.Servers.Apply(changes, time.Now(), graceEnd(graceStart)))
 	return f.serversDigest()
 }
 
 // confirmServers records that the server list was unchanged at a time.
 func (f *Follower) confirmServers(at, graceStart time.Time) {
-	f.logDropped(f.Servers.Confirm(at, time.Now(), graceEnd(graceStart)))
+	f.logRemoved(f.Servers.Confirm(at, time.Now(), graceEnd(graceStart)))
 }
 
 // serversDigest returns the digest of the server list.
@@ -68,7 +68,7 @@
 		delete(f.entryDigests, r.Key)
 		reason := fault.From(err).Field
 		telemetry.Count("merlinpost_server_entries_rejected_total", "reason", reason)
-		if f.rejectionLog.Allow(reason, time.Now()) {
+		if f.rejectionLogLimiter.Allow(reason, time.Now()) {
 			f.Logger.Error("server entry rejected", "server", r.Key, "field", reason, "error", err)
 		}
 		return nil
@@ -77,7 +77,7 @@
 	return s
 }
 
-func (f *Follower) logDropped(ids []string) {
+func (f *Follower) logRemoved(ids []string) {
 	if len(ids) > 0 {
 		f.Logger.Info("backend servers dropped", "servers", ids)
 	}
--- a/internal/follow/servers_test.go
+++ b/internal/follow/servers_test.go
@@ -17,7 +17,7 @@
 	"github.com/merlinpost/merlinpost/platform"
 )
 
-const goodEntry = `{"service":"s1","address":"10.0.0.1:80","zone":"z","version":"v1","slots":6,"state":"ready",` +
+const validEntry = `{"service":"s1","address":"10.0.0.1:80","zone":"z","version":"v1","slots":6,"state":"ready",` +
 	`"cold_remaining_ms":0,"sequence":4,"born":1764720000000,"stage":"colocated"}`
 
 // noPeers is the peers of a gateway that is the only one.
@@ -29,7 +29,7 @@
 // newOfflineFollower returns a follower that is not connected to a store, and its server list.
 func newOfflineFollower() (*follow.Follower, *registry.Registry) {
 	servers := registry.New()
-	gw := gateway.New(gateway.Settings{}, platform.Dialect{}, servers, quiet())
+	gw := gateway.New(gateway.Settings{}, platform.Dialect{}, servers, discardLogger())
 	return follow.New(dependencies(gw, servers, noPeers{}), follow.Settings{Address: "127.0.0.1:1"}), servers
 }
 
@@ -50,7 +50,7 @@
 		entry := rapid.Custom(func(t *rapid.T) follow.Record {
 			r := follow.Record{Key: rapid.SampledFrom([]string{"i-1", "i-2", "i-3"}).Draw(t, "server")}
 			doc := map[string]any{}
-			if err := json.Unmarshal([]byte(goodEntry), &doc); err != nil {
+			if err := json.Unmarshal([]byte(validEntry), &doc); err != nil {
 				t.Fatal(err)
 			}
 			doc["address"] = fmt.Sprint("10.0.0.", rapid.IntRange(1, 3).Draw(t, "address"), ":80")
@@ -105,7 +105,7 @@
 func TestInvalidEntryIsNotDeferred(t *testing.T) {
 	g := NewWithT(t)
 	f, servers := newOfflineFollower()
-	f.ReplaceServers([]follow.Record{{Key: "i-1", Value: []byte(goodEntry)}, {Key: "i-2", Value: []byte(goodEntry)}, {Key: "i-3", Value: []byte(goodEntry)}}, time.Time{})
+	f.ReplaceServers([]follow.Record{{Key: "i-1", Value: []byte(validEntry)}, {Key: "i-2", Value: []byte(validEntry)}, {Key: "i-3", Value: []byte(validEntry)}}, time.Time{})
 	g.Expect(readyServers(servers)).To(HaveLen(3))
 	outageEnd := time.Now()
 	f.ApplyServerChanges([]follow.Record{{Key: "i-1", Value: []byte(`{}`)}}, outageEnd)
--- a/internal/follow/topic.go
+++ b/internal/follow/topic.go
@@ -36,7 +36,7 @@
 	key   string
 	maxKB int // maximum size of one read
 	// observe is called with the error of the last read, nil if it succeeded.
-	observe func(err error)
+	updateLag func(err error)
 	// replace and apply process the newest records of all keys and the changes since, and return
 	// the resulting state of the topic. graceStart is when the store came back after an outage,
 	// zero if removals are not deferred.
@@ -45,11 +45,11 @@
 
 // batch is the result of one read.
 type batch struct {
-	records   []Record
-	sentAt    time.Time     // when the request was sent
-	duration  time.Duration // until the reply was complete
-	asOf      time.Time     // when these records were known to be the newest
-	byPrimary bool          // read by the primary reader
+	records     []Record
+	sentAt      time.Time     // when the request was sent
+	duration    time.Duration // until the reply was complete
+	confirmedAt time.Time     // when these records were known to be the newest
+	byPrimary   bool          // read by the primary reader
 }
 
 // bytes returns the total length of the values.
@@ -71,7 +71,7 @@
 // time within which a draining server must stop receiving new requests.
 func (f *Follower) serversTopic() topic {
 	within := f.settings.Load().DrainWithin
-	return topic{name: f.Topics.Servers, maxKB: serversReadMaxKB, timing: newTiming(within, 0.45), interval: within / 3,
+	return topic{name: f.Topics.Servers, maxKB: maxServersReadKB, timing: newTiming(within, 0.45), interval: within / 3,
 		confirm: f.confirmServers, replace: f.replaceServers, apply: f.applyServerChanges,
-		fetchFromPeer: func(context.Context, *readState) bool { return false }, publish: func(logposition.Position) {}, observe: func(error) {}}
+		fetchFromPeer: func(context.Context, *readState) bool { return false }, publish: func(logposition.Position) {}, updateLag: func(error) {}}
 }
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -31,7 +31,7 @@
 // TransferTime returns how long the transfer of a topic's next value may take on a link of the
 // given speed, 0 if the speed is unknown. last is the size of the newest value in bytes, and usual
 // the assumed size while none is known.
-func TransferTime(last, usual int, linkMbps float64) time.Duration {
+func EstimateTransferTime(last, usual int, linkMbps float64) time.Duration {
 	if linkMbps <= 0 {
 		return 0
 	}
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -22,10 +22,10 @@
 
 func TestTransferTimeDependsOnValueAndLink(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(TransferTime(0, 262144, 10)).To(BeNumerically("~", 300*time.Millisecond, 10*time.Millisecond))
-	g.Expect(TransferTime(887_000, 262144, 10)).To(BeNumerically("~", 1520*time.Millisecond, 10*time.Millisecond))
-	g.Expect(TransferTime(887_000, 262144, 200)).To(BeNumerically("<", 80*time.Millisecond))
-	g.Expect(TransferTime(887_000, 262144, 0)).To(BeZero())
+	g.Expect(EstimateTransferTime(0, 262144, 10)).To(BeNumerically("~", 300*time.Millisecond, 10*time.Millisecond))
+	g.Expect(EstimateTransferTime(887_000, 262144, 10)).To(BeNumerically("~", 1520*time.Millisecond, 10*time.Millisecond))
+	g.Expect(EstimateTransferTime(887_000, 262144, 200)).To(BeNumerically("<", 80*time.Millisecond))
+	g.Expect(EstimateTransferTime(887_000, 262144, 0)).To(BeZero())
 }
 
 // For any transfer time, the maximum age, the read spread and the transfer fit into the bound,
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -32,11 +32,11 @@
 	// mayHaveRun: it is unknown whether the request ran, or it ran and failed.
 	mayHaveRun
 	// brokenOff: the response failed after part of it was relayed.
-	brokenOff
+	truncated
 )
 
 var sendResultNames = map[sendResult]string{
-	delivered: "delivered", notRun: "not_run", mayHaveRun: "may_have_run", brokenOff: "broken_off",
+	delivered: "delivered", notRun: "not_run", mayHaveRun: "may_have_run", truncated: "broken_off",
 }
 
 const (
@@ -49,7 +49,7 @@
 	maxConnectFailures = 8
 	// borrowPause is the time for which other gateways are not asked for repeats to a service after none of them
 	// granted one.
-	borrowPause = 100 * time.Millisecond
+	borrowRetryDelay = 100 * time.Millisecond
 	// maxGrantAge is the age beyond which the grant of a repeat is renewed before the repeat is sent.
 	maxGrantAge = 250 * time.Millisecond
 )
@@ -64,14 +64,14 @@
 		if err := g.checkRetry(ctx, q, rel, try, ran, last); err != nil {
 			return err
 		}
-		result, err := g.sendInTurn(ctx, q, tried, ran > 0, rel)
+		result, err := g.sendOnce(ctx, q, tried, ran > 0, rel)
 		if result == unsent {
 			return finalError(last, err)
 		}
 		switch result {
 		case delivered:
 			return nil
-		case mayHaveRun, brokenOff:
+		case mayHaveRun, truncated:
 			ran++
 		}
 		last = err
@@ -86,23 +86,23 @@
 
 // sendInTurn waits until the quarantine tracker allows the request to run, chooses a server and sends
 // the request to it.
-func (g *Gateway) sendInTurn(ctx context.Context, q *request, tried map[string]bool, ran bool, rel *relay) (sendResult, error) {
-	t, err := g.awaitTurn(ctx, q, ran)
+func (g *Gateway) sendOnce(ctx context.Context, q *request, tried map[string]bool, ran bool, rel *relay) (sendResult, error) {
+	t, err := g.beginTrackedRun(ctx, q, ran)
 	if err != nil {
 		return unsent, err
 	}
 	if t.key != 0 {
-		defer func() { g.quarantine.Done(q.quarantineID(), t.key, g.now()) }()
+		defer func() { g.quarantine.EndRun(q.quarantineID(), t.key, g.now()) }()
 	}
 	choice, permitted, err := g.chooseServer(ctx, q, g.excludedServers(q, t, tried), t, rel)
 	if err != nil {
 		return unsent, err
 	}
-	if err := g.checkQuarantine(q, t, ran); err != nil {
+	if err := g.recheckQuarantine(q, t, ran); err != nil {
 		permitted.End(permit.StreamStats{})
 		return unsent, err
 	}
-	if !g.renewRepeat(q) {
+	if !g.renewRetry(q) {
 		permitted.End(permit.StreamStats{})
 		return unsent, nil
 	}
@@ -119,7 +119,7 @@
 		return true
 	case mayHaveRun:
 		return q.route.MayRepeat()
-	case brokenOff:
+	case truncated:
 		return q.route.Resumable && rel.canResume()
 	}
 	return false
@@ -140,7 +140,7 @@
 	if ran >= q.route.MaxAttempts || try >= maxSends {
 		return last
 	}
-	if !g.requestRepeat(ctx, q, rel) {
+	if !g.requestRetry(ctx, q, rel) {
 		return last
 	}
 	return nil
@@ -148,15 +148,15 @@
 
 // requestRepeat asks the service's retry budget for a repeated send and reports whether it was granted. It may wait
 // for the decision, which is recorded in the entry of the failed send and in metrics.
-func (g *Gateway) requestRepeat(ctx context.Context, q *request, rel *relay) bool {
-	d := g.claimRepeat(ctx, q, rel)
+func (g *Gateway) requestRetry(ctx context.Context, q *request, rel *relay) bool {
+	d := g.claimRetry(ctx, q, rel)
 	verdict := "denied"
 	if d.Granted {
 		verdict = "granted"
 	}
-	q.repeat, q.repeatDecidedAt = d, g.now()
-	failed := q.lastSent()
-	failed.Repeat = &d
+	q.retryDecision, q.retryDecidedAt = d, g.now()
+	failed := q.lastSend()
+	failed.RetryDecision = &d
 	telemetry.Count("merlinpost_retry_budget_decisions_total", "service", q.service, "cause", failed.Result, "verdict", verdict)
 	telemetry.SetGauge("merlinpost_retry_budget_taken", float64(d.Taken), "service", q.service)
 	telemetry.SetGauge("merlinpost_retry_budget_allowed", d.Allowed, "service", q.service)
@@ -167,15 +167,15 @@
 // renewRepeat reports whether the request may be sent now. If it is a repeat whose grant is older than maxGrantAge, the
 // retry budget decides again, because repeats count when they reach a server. A denial is recorded in the entry of the
 // failed send and in metrics.
-func (g *Gateway) renewRepeat(q *request) bool {
+func (g *Gateway) renewRetry(q *request) bool {
 	now := g.now()
-	if !q.repeat.Granted || now.Sub(q.repeatDecidedAt) <= maxGrantAge {
+	if !q.retryDecision.Granted || now.Sub(q.retryDecidedAt) <= maxGrantAge {
 		return true
 	}
-	d := g.budget(q.service).Renew(q.repeat, now)
-	q.repeat, q.repeatDecidedAt = d, now
+	d := g.budget(q.service).Renew(q.retryDecision, now)
+	q.retryDecision, q.retryDecidedAt = d, now
 	if !d.Granted {
-		q.lastSent().Repeat = &d
+		q.lastSend().RetryDecision = &d
 		telemetry.Count("merlinpost_retry_budget_decisions_total", "service", q.service, "cause", "waited_for_turn", "verdict", "denied")
 	}
 	return d.Granted
@@ -184,16 +184,16 @@
 // claimRepeat claims a repeat and waits for the decision until ctx ends. A repeat that this gateway's budget does not
 // grant immediately may be borrowed from another gateway, because the failures of one server are distributed unevenly
 // over the gateways.
-func (g *Gateway) claimRepeat(ctx context.Context, q *request, rel *relay) retrybudget.Decision {
+func (g *Gateway) claimRetry(ctx context.Context, q *request, rel *relay) retrybudget.Decision {
 	budget := g.budget(q.service)
 	claimedAt := g.now()
-	claim := g.claim(q, rel)
+	claim := g.retryClaim(q, rel)
 	d, pending := budget.Claim(claim, claimedAt)
 	if d.Granted {
 		return d
 	}
 	if pending == nil {
-		d.Borrowed = g.borrowRepeat(ctx, q)
+		d.Borrowed = g.borrowRetry(ctx, q)
 		d.Granted, d.Waited = d.Borrowed, g.now().Sub(claimedAt)
 		return d
 	}
@@ -204,7 +204,7 @@
 		case d := <-pending.Decided():
 			return d
 		case <-ctx.Done():
-			d := pending.Withdraw()
+			d := pending.Cancel()
 			d.Granted, d.Waited = false, g.now().Sub(claimedAt)
 			return d
 		case <-timer.C:
@@ -212,8 +212,8 @@
 			spread := time.Duration((0.5 + g.random()) * float64(budget.PollInterval()))
 			timer.Reset(max(retrybudget.GrantInterval, min(spread, claim.Expires.Sub(g.now()))))
 		}
-		if pending.Undecided() && g.borrowRepeat(ctx, q) {
-			d := pending.Withdraw()
+		if pending.Undecided() && g.borrowRetry(ctx, q) {
+			d := pending.Cancel()
 			d.Granted, d.Borrowed, d.Waited = true, true, g.now().Sub(claimedAt)
 			return d
 		}
@@ -222,7 +222,7 @@
 
 // borrowRepeat asks other gateways for a repeat and reports whether one granted it. It does not ask within borrowPause
 // of an unsuccessful attempt for the same service.
-func (g *Gateway) borrowRepeat(ctx context.Context, q *request) bool {
+func (g *Gateway) borrowRetry(ctx context.Context, q *request) bool {
 	if g.peers == nil {
 		return false
 	}
@@ -232,11 +232,11 @@
 	if paused {
 		return false
 	}
-	if g.peers.BorrowRepeat(ctx, q.service, q.info.ID) {
+	if g.peers.BorrowRetry(ctx, q.service, q.info.ID) {
 		return true
 	}
 	g.mu.Lock()
-	g.borrowPausedUntil[q.service] = g.now().Add(borrowPause)
+	g.borrowPausedUntil[q.service] = g.now().Add(borrowRetryDelay)
 	g.mu.Unlock()
 	return false
 }
@@ -245,7 +245,7 @@
 // caller without losing the stream, so it waits for as long as the stream can still be completed and the caller
 // tolerates a pause. Other requests wait until their latency target, for two grant intervals at least, but not past
 // their deadline, so that the caller can still retry in time.
-func (g *Gateway) claim(q *request, rel *relay) retrybudget.Claim {
+func (g *Gateway) retryClaim(q *request, rel *relay) retrybudget.Claim {
 	now := g.now()
 	c := retrybudget.Claim{Rank: engineRank(q.route.Priority, q.priority), Due: q.start.Add(q.route.TargetLatency)}
 	if rel.started {
@@ -299,7 +299,7 @@
 	b := choice.Candidate.Backend
 	server := choice.Candidate.Server
 	sentAt := g.now()
-	_, shared := q.info.Prompt.Shared()
+	_, shared := q.info.Prompt.SharedPrefix()
 	unread := q.info.Prompt.Tokens - shared
 	b.BeginRequest(unread)
 	promptRead := sync.OnceFunc(func() { b.RecordFirstToken(unread) })
@@ -315,7 +315,7 @@
 	defer cancel()
 	resp, err := g.pool.Do(ctx, server.Address, g.outgoingRequest(q, server, choice.FetchFrom, rel))
 	var result sendResult
-	var notices *notice.Statement
+	var notices *notice.ResponseNotices
 	if err != nil {
 		result, err = g.exchangeError(ctx, b, err)
 	} else {
@@ -331,8 +331,8 @@
 		g.recordHealth(ctx, b, resp.Status, result)
 	}
 	stats.EngineFailed = ctx.Err() == nil && (result != delivered || resp.Status >= http.StatusInternalServerError)
-	s := send{Server: server.ID, Reason: choice.Reason, FetchFrom: choice.FetchFrom, Result: sendResultNames[result],
-		Running: choice.Candidate.View.InFlight, UnreadTokens: choice.Candidate.View.UnreadTokens,
+	s := sendRecord{Server: server.ID, Reason: choice.Reason, FetchFrom: choice.FetchFrom, Result: sendResultNames[result],
+		Running: choice.Candidate.View.InFlight, PendingPrefillTokens: choice.Candidate.View.UnreadTokens,
 		ExpectedPrefill: choice.ExpectedPrefill, TimeToFirstEvent: stats.TimeToFirstEvent, LongestGap: stats.LongestGap, SentAfter: sentAt.Sub(q.start), Took: g.now().Sub(sentAt), Notices: notices}
 	if err != nil {
 		s.Cause = err.Error()
@@ -340,7 +340,7 @@
 	g.quarantine.RecordRun(g.now().Sub(sentAt), g.now())
 	switch {
 	case connectionBroke(ctx, result, err):
-		s.ServerExited = g.runInterrupted(q, server, quarantine.Crash{Server: server.InstanceID(), SentAt: sentAt, At: g.now()})
+		s.ServerExited = g.handleInterruptedRun(q, server, quarantine.Crash{Server: server.InstanceID(), SentAt: sentAt, At: g.now()})
 	case result == delivered && resp.Status < http.StatusInternalServerError && g.quarantine.HasEntries():
 		g.quarantine.RecordResponse(q.quarantineID(), g.now())
 	}
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -35,13 +35,13 @@
 	net.Listener
 	limits func() routing.Limits
 
-	mu       sync.Mutex
-	open     map[*callerConn]struct{}
-	draining bool
+	mu        sync.Mutex
+	openConns map[*callerConn]struct{}
+	draining  bool
 }
 
 func newCallerListener(l net.Listener, limits func() routing.Limits) *callerListener {
-	return &callerListener{Listener: l, limits: limits, open: map[*callerConn]struct{}{}}
+	return &callerListener{Listener: l, limits: limits, openConns: map[*callerConn]struct{}{}}
 }
 
 // Accept implements net.Listener.
@@ -52,7 +52,7 @@
 	}
 	caller := &callerConn{Conn: c, listener: l}
 	l.mu.Lock()
-	l.open[caller] = struct{}{}
+	l.openConns[caller] = struct{}{}
 	l.mu.Unlock()
 	return caller, nil
 }
@@ -61,7 +61,7 @@
 func (l *callerListener) closeIdle() {
 	l.mu.Lock()
 	l.draining = true
-	open := slices.Collect(maps.Keys(l.open))
+	open := slices.Collect(maps.Keys(l.openConns))
 	l.mu.Unlock()
 	for _, c := range open {
 		c.closeIfIdle()
@@ -86,7 +86,7 @@
 		}
 	case http.StateClosed, http.StateHijacked:
 		l.mu.Lock()
-		delete(l.open, caller)
+		delete(l.openConns, caller)
 		l.mu.Unlock()
 	}
 }
--- a/internal/gateway/callers_test.go
+++ b/internal/gateway/callers_test.go
@@ -74,7 +74,7 @@
 	g.Expect(err).To(HaveOccurred())
 
 	conns.onStateChange(c, http.StateClosed)
-	g.Expect(conns.open).To(BeEmpty())
+	g.Expect(conns.openConns).To(BeEmpty())
 }
 
 // A read that was in progress when the gateway closed the connection returns no data.
@@ -156,5 +156,5 @@
 func openConns(conns *callerListener) []*callerConn {
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
-	return slices.Collect(maps.Keys(conns.open))
+	return slices.Collect(maps.Keys(conns.openConns))
 }
--- a/internal/gateway/choose_server.go
+++ b/internal/gateway/choose_server.go
@@ -16,7 +16,7 @@
 }
 
 // chooseServer selects the backend server for the next send and acquires a permit for it where one is required.
-func (g *Gateway) chooseServer(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Permit, error) {
+func (g *Gateway) chooseServer(ctx context.Context, q *request, tried map[string]bool, t trackedRun, rel *relay) (placement.Choice, peers.Permit, error) {
 	if g.needsPermit(q) {
 		return g.acquirePermit(ctx, q, tried, t, rel)
 	}
@@ -30,7 +30,7 @@
 // request is charged to this gateway's share of it.
 func (g *Gateway) chooseLocally(q *request, listed []placement.Candidate) (placement.Choice, error) {
 	for {
-		available, exhausted, wait := g.available(listed)
+		available, exhausted, wait := g.filterAvailable(listed)
 		c := g.selectServer(q, available)
 		switch {
 		case c.Candidate == nil && exhausted > 0:
@@ -46,7 +46,7 @@
 
 // available returns the candidates that accept a request from this gateway now, the number of candidates
 // whose rate limit is exhausted, and the time until the first of those accepts a request again.
-func (g *Gateway) available(listed []placement.Candidate) (available []placement.Candidate, exhausted int, wait time.Duration) {
+func (g *Gateway) filterAvailable(listed []placement.Candidate) (available []placement.Candidate, exhausted int, wait time.Duration) {
 	if g.notices.Empty() {
 		return listed, 0, 0
 	}
--- a/internal/gateway/claims_test.go
+++ b/internal/gateway/claims_test.go
@@ -25,7 +25,7 @@
 				time.Sleep(time.Duration(i) * 3 * time.Millisecond)
 				start := time.Now()
 				q := &request{service: "s", route: &routing.Route{}, start: start, deadline: start.Add(5 * time.Second)}
-				d := g.claimRepeat(context.Background(), q, &relay{})
+				d := g.claimRetry(context.Background(), q, &relay{})
 				if d.Granted || time.Since(start) > 4*retrybudget.GrantInterval {
 					t.Errorf("claim %d: got %+v after %s, want a denial within %s", i, d, time.Since(start), 4*retrybudget.GrantInterval)
 				}
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -57,5 +57,5 @@
 	// Load is nil if the server did not report its load.
 	Load *registry.Load
 	// Notices are the server's notices; nil if the response is not from the server itself.
-	Notices *notice.Statement
+	Notices *notice.ResponseNotices
 }
--- a/internal/gateway/errors_and_logs.go
+++ b/internal/gateway/errors_and_logs.go
@@ -15,7 +15,7 @@
 const (
 	// startRetryAfter is the Retry-After value while no configuration is loaded. A process
 	// loads it within some hundred ms of its start unless the store is unavailable.
-	startRetryAfter = 500 * time.Millisecond
+	notReadyRetryAfter = 500 * time.Millisecond
 	// noServerRetryAfter is the Retry-After value when no server accepted the request. It
 	// is about the time after which an avoided server is tried again.
 	noServerRetryAfter = 500 * time.Millisecond
@@ -70,7 +70,7 @@
 func (g *Gateway) logFailure(q *request, e *fault.Error, status int) {
 	telemetry.Count("merlinpost_gateway_failures_total", "code", string(e.Code), "outcome", string(e.Outcome))
 	kind := string(e.Code)
-	if q.repeatDenied() {
+	if q.retryDenied() {
 		// A rate limit of its own keeps other failures with this code from suppressing the line.
 		kind += " repeat denied"
 	}
@@ -83,26 +83,26 @@
 }
 
 // logBrokenOff counts and logs a response that failed after it had started.
-func (g *Gateway) logBrokenOff(q *request, rel *relay, err error) {
+func (g *Gateway) logIncompleteResponse(q *request, rel *relay, err error) {
 	e := fault.From(err)
 	telemetry.Count("merlinpost_gateway_failures_total", "code", string(e.Code), "outcome", string(fault.Partial))
 	g.logger.Warn("answer broken off", append(g.logFields(q),
-		slog.Int("events", rel.events), slog.Duration("first", rel.first), slog.String("code", string(e.Code)), slog.String("cause", e.Message))...)
+		slog.Int("events", rel.events), slog.Duration("first", rel.timeToFirstEvent), slog.String("code", string(e.Code)), slog.String("cause", e.Message))...)
 }
 
 // logAnswered counts a request whose response was delivered, and logs it. Successes with a single send are
 // sampled; others of them are logged within a rate limit if a response had notices.
-func (g *Gateway) logAnswered(q *request, rel *relay) {
+func (g *Gateway) logResponse(q *request, rel *relay) {
 	telemetry.Count("merlinpost_gateway_answers_total", "class", q.route.Name, "status", strconv.Itoa(rel.status))
 	if rel.events > 0 {
-		g.responseTime(q.route.Name).Observe(g.now().Sub(q.start)-rel.first, q.info.Prompt.OutputTokens)
+		g.responseTime(q.route.Name).Observe(g.now().Sub(q.start)-rel.timeToFirstEvent, q.info.Prompt.OutputTokens)
 	}
 	plain := rel.status < http.StatusBadRequest && len(q.sends) == 1 && !decisionlog.Sampled(q.info.ID, g.settings.Load().LogOneIn)
 	if plain && !(q.hasNotices() && g.logLimiter.Allow("notice", g.now())) {
 		return
 	}
 	g.logger.Info("request answered", append(g.logFields(q),
-		slog.Int("status", rel.status), slog.Int("events", rel.events), slog.Duration("first", rel.first))...)
+		slog.Int("status", rel.status), slog.Int("events", rel.events), slog.Duration("first", rel.timeToFirstEvent))...)
 }
 
 // logFields returns the log attributes of a request: its routing decisions, the age of the data on
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -90,12 +90,12 @@
 		}),
 		budgets: map[string]*retrybudget.Budget{}, slackShare: 1, borrowPausedUntil: map[string]time.Time{},
 		responseTimes: map[string]*placement.ResponseTimeEstimator{},
-		exits:         exitTracker{byInstance: map[string]*exitCheck{}, pending: map[string][]interruptedRun{}},
+		exits:         exitTracker{exitChecks: map[string]*exitCheck{}, pendingRuns: map[string][]interruptedRun{}},
 		quarantine:    quarantine.New(),
 	}
 	g.notices = notice.NewRegistry(ratelimit.New(g.random), g.logNoticeChange)
 	servers.OnRestart(g.pool.CloseIdle)
-	servers.OnEnd(g.serverExited)
+	servers.OnUnexpectedExit(g.serverExited)
 	g.settings.Store(&set)
 	g.shutdownCtx, g.abortRequests = context.WithCancel(context.Background())
 	return g
@@ -103,7 +103,7 @@
 
 // UseNetwork sets the function that dials backend servers. It must be called before the gateway
 // handles requests.
-func (g *Gateway) UseNetwork(dial exchange.Dial) {
+func (g *Gateway) UseDialer(dial exchange.Dial) {
 	g.pool = exchange.NewPoolWithDialer(dial, time.Now, func() {})
 	g.servers.OnRestart(g.pool.CloseIdle)
 }
@@ -116,7 +116,7 @@
 		g.logger.Warn("listen addresses changed; restart required to apply them", "callers", set.CallerAddress)
 	}
 	if old.Retries != set.Retries {
-		g.eachBudget(func(b *retrybudget.Budget) { b.SetSettings(set.Retries, g.now()) })
+		g.forEachBudget(func(b *retrybudget.Budget) { b.SetSettings(set.Retries, g.now()) })
 	}
 }
 
@@ -132,13 +132,13 @@
 	g.slackShare = share
 	g.mu.Unlock()
 	if changed {
-		g.eachBudget(func(b *retrybudget.Budget) { b.SetShare(share, g.now()) })
+		g.forEachBudget(func(b *retrybudget.Budget) { b.SetSlackShare(share, g.now()) })
 	}
 }
 
 // LendRepeat grants another gateway a repeated send to a service from this gateway's retry budget, and reports whether
 // the budget permitted it.
-func (g *Gateway) LendRepeat(service string) bool { return g.budget(service).Lend(g.now()) }
+func (g *Gateway) LendRetry(service string) bool { return g.budget(service).Lend(g.now()) }
 
 // RecordStall records that the process was stalled since the given time. Requests that arrived during the stall may
 // be old, so requests counted until the backlog is processed do not add to the retry budgets.
@@ -146,11 +146,11 @@
 	g.mu.Lock()
 	g.stalledUntil = until
 	g.mu.Unlock()
-	g.eachBudget(func(b *retrybudget.Budget) { b.Stalled(since, until, g.now()) })
+	g.forEachBudget(func(b *retrybudget.Budget) { b.RecordStall(since, until, g.now()) })
 }
 
 // eachBudget calls do for the budget of every service.
-func (g *Gateway) eachBudget(do func(*retrybudget.Budget)) {
+func (g *Gateway) forEachBudget(do func(*retrybudget.Budget)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range g.budgets {
@@ -208,7 +208,7 @@
 	return getOrCreate(g, g.budgets, service, func() *retrybudget.Budget {
 		now := g.now()
 		b := retrybudget.New(g.settings.Load().Retries, g.slackShare, now)
-		b.Stalled(now, g.stalledUntil, now)
+		b.RecordStall(now, g.stalledUntil, now)
 		return b
 	})
 }
--- a/internal/gateway/gateway_suite_test.go
+++ b/internal/gateway/gateway_suite_test.go
@@ -71,7 +71,7 @@
 }
 
 func table() *routing.Table {
-	contents := routing.Contents{Version: 1, Limits: routing.Limits{BodyBytes: 1000, HeaderBytes: 2000},
+	contents := routing.Config{Version: 1, Limits: routing.Limits{BodyBytes: 1000, HeaderBytes: 2000},
 		Teams: map[string]*routing.Team{"key": {Name: "team"}}}
 	for _, r := range routes {
 		r.Targets = []routing.Target{{Service: "s", Weight: 1}}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -195,7 +195,7 @@
 			r := startHarness(1)
 			r.workers[0].SetBehaviour(worker.Behaviour{Hang: true})
 			Expect(r.post("/short/", "a").status).To(Equal(504))
-			Eventually(r.workers[0].Disconnects).Should(Equal(1))
+			Eventually(r.workers[0].DisconnectCount).Should(Equal(1))
 		})
 
 		It("responds with 503 and Retry-After if the only worker refuses connections", func() {
@@ -287,7 +287,7 @@
 			_, err = io.ReadFull(resp.Body, make([]byte, len(worker.Event("a", 1))))
 			Expect(err).NotTo(HaveOccurred())
 			cancel()
-			Eventually(r.workers[0].Disconnects).Should(Equal(1))
+			Eventually(r.workers[0].DisconnectCount).Should(Equal(1))
 		})
 	})
 
@@ -301,7 +301,7 @@
 			cancel()
 		}()
 		Expect(r.send(r.request(ctx, "/again/", "a", "")).err).To(HaveOccurred())
-		Eventually(r.workers[0].Disconnects).Should(Equal(1))
+		Eventually(r.workers[0].DisconnectCount).Should(Equal(1))
 		Expect(r.runs()).To(HaveLen(1))
 	})
 })
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -14,7 +14,7 @@
 
 // applyNotices applies and counts the notices in a response to a request that was sent at sentAt. It
 // returns them for the request's log line, or nil if there are none.
-func (g *Gateway) applyNotices(server registry.Server, notices *notice.Statement, sentAt time.Time) *notice.Statement {
+func (g *Gateway) applyNotices(server registry.Server, notices *notice.ResponseNotices, sentAt time.Time) *notice.ResponseNotices {
 	if notices == nil {
 		return nil
 	}
@@ -23,7 +23,7 @@
 	for _, kind := range notices.Kinds() {
 		telemetry.Count("merlinpost_server_notices_total", "service", server.Service, "kind", string(kind))
 	}
-	for _, kind := range notices.Unreadable {
+	for _, kind := range notices.Malformed {
 		telemetry.Count("merlinpost_server_notices_unreadable_total", "service", server.Service, "kind", string(kind))
 		if g.logLimiter.Allow("notice unreadable", now) {
 			g.logger.Warn("notice of a backend server can't be read", "server", server.InstanceID(), "kind", string(kind))
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -162,7 +162,7 @@
 		r := startHarness(2)
 		d := &fakePeers{decisions: []permit.Decision{{Verdict: permit.Granted, Engine: "i-0"}, {Verdict: permit.Granted, Engine: "i-1"}}}
 		d.onRequest = func() {
-			r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
+			r.gateway.Notices().ReceiveReport(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		}
 		r.gateway.UsePeers(d)
 		r.gateway.SetGateways(1)
@@ -173,7 +173,7 @@
 
 	It("remains listed as a closed engine, so that others can fetch cached prompt parts from it", func() {
 		r := startHarness(2)
-		r.gateway.Notices().Receive(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
+		r.gateway.Notices().ReceiveReport(notice.Report{Server: "i-0", Draining: true}, "edge-b", time.Now())
 		open := map[string]bool{}
 		for _, e := range r.gateway.Engines(permit.Group{Service: "s"}) {
 			open[e.ID] = e.Accepting
@@ -244,6 +244,6 @@
 		r := startHarness(1)
 		r.workers[0].SetBehaviour(refusing)
 		Expect(r.post("/once/", "a").status).To(Equal(503))
-		Expect(r.gateway.Notices().All(time.Now())).To(BeEmpty())
+		Expect(r.gateway.Notices().AllReports(time.Now())).To(BeEmpty())
 	})
 })
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -18,17 +18,17 @@
 	// A caller waits for the first or the next event for the longest of minCallerWait,
 	// callerWaitTargets times the route's target latency, and callerWaitGaps times its
 	// target gap between events.
-	minCallerWait                     = 2 * time.Second
-	callerWaitTargets, callerWaitGaps = 4, 8
+	minCallerWait                                = 2 * time.Second
+	callerWaitLatencyFactor, callerWaitGapFactor = 4, 8
 	// minRemainingShare is the fraction of a broken stream's expected remaining duration
 	// that must be left before the deadline when another engine resumes it. With less, the
 	// engine would process the prompt again for a response that is cut off at the deadline.
-	minRemainingShare = 0.5
+	minRemainingFraction = 0.5
 	// minPermitWait is the shortest limit on the time to the first token in a permit request.
 	minPermitWait = 500 * time.Millisecond
 	// maxGroups limits the groups of engines that are tried for one send: if two groups of
 	// some 60 engines have no capacity, the whole service most likely has none.
-	maxGroups = 2
+	maxGroupsPerSend = 2
 	// maxExcludedEngines limits the unusable engines listed in the first permit request, so
 	// that it fits in a datagram.
 	maxExcludedEngines = 16
@@ -45,7 +45,7 @@
 	RequestPermit(ctx context.Context, group permit.Group, a permit.Ask) (permit.Decision, peers.Permit)
 	// BorrowRepeat asks other gateways to grant a repeated send to a service from their retry budgets and reports
 	// whether one did. The key determines which gateways are asked.
-	BorrowRepeat(ctx context.Context, service, key string) bool
+	BorrowRetry(ctx context.Context, service, key string) bool
 }
 
 // UsePeers sets the peers from which the gateway requests permits. It must be called before
@@ -62,9 +62,9 @@
 // reach, because other gateways may reach them and list the engines that they can't in their permit
 // requests.
 func (g *Gateway) Engines(group permit.Group) []permit.Engine {
-	var spec routing.Engine
+	var spec routing.EngineSettings
 	if t := g.table.Load(); t != nil {
-		spec = t.Engine(group.Service)
+		spec = t.EngineSettings(group.Service)
 	}
 	groups := g.groupCount(group.Service)
 	var out []permit.Engine
@@ -86,12 +86,12 @@
 // acquirePermit requests a permit to send the request, from one group of engines after
 // the other, and waits for it. An error means that the request was not sent because no
 // engine is available, the service has no capacity, or ctx has ended.
-func (g *Gateway) acquirePermit(ctx context.Context, q *request, tried map[string]bool, t turn, rel *relay) (placement.Choice, peers.Permit, error) {
+func (g *Gateway) acquirePermit(ctx context.Context, q *request, tried map[string]bool, t trackedRun, rel *relay) (placement.Choice, peers.Permit, error) {
 	candidates := g.candidates(q.service, tried)
 	if !slices.ContainsFunc(candidates, usable) {
 		return placement.Choice{}, peers.Permit{}, g.unavailableError(q, candidates)
 	}
-	part, _ := q.info.Prompt.Shared()
+	part, _ := q.info.Prompt.SharedPrefix()
 	if part == "" {
 		part = q.info.ID
 	}
@@ -103,9 +103,9 @@
 	ask.ExcludedEngines = unusableEngines(candidates)
 	g.recordNotices(q)
 	var refused permit.Decision
-	for n, group := 0, 0; n < maxPermitRequests && group < min(maxGroups, len(groups)); n++ {
-		ask.ID = fmt.Sprintf("%s/%d", q.info.ID, q.permitRequests)
-		q.permitRequests++
+	for n, group := 0, 0; n < maxPermitRequests && group < min(maxGroupsPerSend, len(groups)); n++ {
+		ask.ID = fmt.Sprintf("%s/%d", q.info.ID, q.permitRequestCount)
+		q.permitRequestCount++
 		decision, permitted := g.peers.RequestPermit(ctx, permit.Group{Service: q.service, Index: groups[group]}, ask)
 		if ctx.Err() != nil {
 			permitted.End(permit.StreamStats{})
@@ -125,7 +125,7 @@
 			continue
 		}
 		if decision.Engine == "" {
-			choice, err := g.chooseUncoordinated(q, candidates)
+			choice, err := g.chooseWithoutPermit(q, candidates)
 			return choice, peers.Permit{}, err
 		}
 		candidates = g.candidates(q.service, tried) // the wait may have taken seconds
@@ -146,7 +146,7 @@
 }
 
 // chooseUncoordinated selects a server when no gateway is available to grant a permit.
-func (g *Gateway) chooseUncoordinated(q *request, candidates []placement.Candidate) (placement.Choice, error) {
+func (g *Gateway) chooseWithoutPermit(q *request, candidates []placement.Candidate) (placement.Choice, error) {
 	choice, err := g.chooseLocally(q, candidates)
 	if err == nil && !usable(*choice.Candidate) {
 		return placement.Choice{}, g.noServerError(q)
@@ -186,19 +186,19 @@
 
 // recordRefusal adds a refused permit request to the sends in the request's log line.
 func (g *Gateway) recordRefusal(q *request, decision permit.Decision) {
-	q.sends = append(q.sends, send{Result: decision.Verdict.String(), Wait: decision.Wait, UnreadTokens: int64(decision.BacklogTokens), RateLimited: decision.RateLimitedEngines,
+	q.sends = append(q.sends, sendRecord{Result: decision.Verdict.String(), Wait: decision.Wait, PendingPrefillTokens: int64(decision.BacklogTokens), RateLimitedServers: decision.RateLimitedEngines,
 		SentAfter: g.now().Sub(q.start)})
 }
 
 // callerWait returns how long a caller of the route is expected to wait for an event.
 func callerWait(r *routing.Route) time.Duration {
-	return max(minCallerWait, callerWaitTargets*r.TargetLatency, callerWaitGaps*r.TargetGap)
+	return max(minCallerWait, callerWaitLatencyFactor*r.TargetLatency, callerWaitGapFactor*r.TargetGap)
 }
 
 // permitRequest returns a permit request, without ID and unusable engines.
 func (g *Gateway) permitRequest(q *request, rel *relay) permit.Ask {
 	prompt := q.info.Prompt
-	part, shared := prompt.Shared()
+	part, shared := prompt.SharedPrefix()
 	a := permit.Ask{Plain: !q.route.PrefixAffinity, UniqueTokens: prompt.Tokens - shared, PrefixID: part, PrefixTokens: shared, OutputTokens: prompt.OutputTokens, MaxEventGap: q.route.TargetGap,
 		FailureDomain: g.settings.Load().FailureDomain}
 	now := g.now()
@@ -209,8 +209,8 @@
 	a.Priority = engineRank(q.route.Priority, q.priority)
 	if rel.started {
 		a.Resumed = true
-		remaining := max(0, responseTime-(elapsed-rel.first))
-		a.FirstTokenTimeout = max(left-time.Duration(minRemainingShare*float64(remaining)), minPermitWait)
+		remaining := max(0, responseTime-(elapsed-rel.timeToFirstEvent))
+		a.FirstTokenTimeout = max(left-time.Duration(minRemainingFraction*float64(remaining)), minPermitWait)
 		a.FirstTokenTarget = a.FirstTokenTimeout
 		return a
 	}
--- a/internal/gateway/permits_test.go
+++ b/internal/gateway/permits_test.go
@@ -40,7 +40,7 @@
 	return decision, peers.Permit{}
 }
 
-func (d *fakePeers) BorrowRepeat(context.Context, string, string) bool { return false }
+func (d *fakePeers) BorrowRetry(context.Context, string, string) bool { return false }
 
 // requests returns the permit requests so far.
 func (d *fakePeers) requests() []permit.Ask {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -30,7 +30,7 @@
 
 // turn is the quarantine tracker's permission for one run of a request. The zero turn is used while
 // the tracker has no entries.
-type turn struct {
+type trackedRun struct {
 	key      uint64
 	isolated bool // the request must not share a server with another suspect
 }
@@ -38,19 +38,19 @@
 // awaitTurn waits until the quarantine tracker allows the request to be sent. An error is the final result of
 // the request. Without this check, each retry of a caller would be sent to another server, through
 // any gateway, and a single request could crash all servers of a service.
-func (g *Gateway) awaitTurn(ctx context.Context, q *request, ran bool) (turn, error) {
+func (g *Gateway) beginTrackedRun(ctx context.Context, q *request, ran bool) (trackedRun, error) {
 	if !g.quarantine.HasEntries() {
-		return turn{}, nil
+		return trackedRun{}, nil
 	}
-	t := turn{key: max(rand.Uint64(), 1)}
+	t := trackedRun{key: max(rand.Uint64(), 1)}
 	for {
-		decision := g.quarantine.Begin(q.quarantineID(), t.key, g.now())
+		decision := g.quarantine.BeginRun(q.quarantineID(), t.key, g.now())
 		if decision.ConfirmAfter > 0 {
 			if err := g.waitForChange(ctx, q, ran, nil, decision.ConfirmAfter); err != nil {
-				g.quarantine.Done(q.quarantineID(), t.key, g.now())
+				g.quarantine.EndRun(q.quarantineID(), t.key, g.now())
 				return t, err
 			}
-			decision = g.quarantine.Confirm(q.quarantineID(), t.key, g.now())
+			decision = g.quarantine.ConfirmRun(q.quarantineID(), t.key, g.now())
 		}
 		t.isolated = decision.Isolate
 		switch {
@@ -85,7 +85,7 @@
 }
 
 // claimTrial claims the trial of a request whose quarantine period has ended.
-func (g *Gateway) claimTrial(ctx context.Context, q *request, t turn, ran bool) error {
+func (g *Gateway) claimTrial(ctx context.Context, q *request, t trackedRun, ran bool) error {
 	if g.trials == nil {
 		if v := g.quarantine.Verdict(q.quarantineID()); v != nil {
 			g.quarantine.BeginTrial(q.quarantineID(), t.key, v.WithTrial(g.now()), g.now())
@@ -121,11 +121,11 @@
 
 // checkQuarantine checks again, after a server has been chosen, that the request is not quarantined,
 // because waiting for a permit may take seconds.
-func (g *Gateway) checkQuarantine(q *request, t turn, ran bool) error {
+func (g *Gateway) recheckQuarantine(q *request, t trackedRun, ran bool) error {
 	if !g.quarantine.HasEntries() {
 		return nil
 	}
-	if decision := g.quarantine.Check(q.quarantineID(), t.key); decision.Verdict != nil {
+	if decision := g.quarantine.RecheckVerdict(q.quarantineID(), t.key); decision.Verdict != nil {
 		return g.quarantinedError(q, decision.Verdict, ran)
 	}
 	return nil
@@ -134,7 +134,7 @@
 // excludedServers returns the servers that the request is not sent to: those that were tried and, for
 // a strong suspect, those that run another suspect, so that the next crash identifies its cause. If
 // that leaves no usable server, only those that were tried are excluded.
-func (g *Gateway) excludedServers(q *request, t turn, tried map[string]bool) map[string]bool {
+func (g *Gateway) excludedServers(q *request, t trackedRun, tried map[string]bool) map[string]bool {
 	if !t.isolated {
 		return tried
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -16,13 +16,13 @@
 
 // relay is the state of the response that is being relayed to the caller.
 type relay struct {
-	w       http.ResponseWriter
-	started bool // the status and headers have been sent, or are about to be
-	status  int
-	events  int
-	first   time.Duration // time from the request's start to its first event, 0 before that
-	lastID  int64
-	hasID   bool
+	w                http.ResponseWriter
+	started          bool // the status and headers have been sent, or are about to be
+	status           int
+	events           int
+	timeToFirstEvent time.Duration // time from the request's start to its first event, 0 before that
+	lastID           int64
+	hasID            bool
 }
 
 // canResume reports whether another server can continue the stream after the last relayed event.
@@ -38,7 +38,7 @@
 
 // maxBufferedBody limits the size in bytes of a response body that is buffered before
 // it is relayed. It is far above what services send and a small part of a host's memory.
-const maxBufferedBody = 8 << 20
+const maxBufferedBodyBytes = 8 << 20
 
 // relayResponse reads the server's response and relays it to the caller, unless it is a refusal or
 // a failure that is reported or retried instead.
@@ -50,19 +50,19 @@
 		return mayHaveRun, fault.New(fault.EngineFailed, "the response has no seal").WithOutcome(fault.Unknown)
 	}
 	if q.route.Kind == routing.Streaming && resp.Status/100 == 2 {
-		return g.stream(ctx, q, rel, resp, meter)
+		return g.relayStream(ctx, q, rel, resp, meter)
 	}
 	if rel.started {
-		return brokenOff, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).WithOutcome(fault.Partial)
+		return truncated, fault.New(fault.EngineFailed, "the server answered %d to a resumed stream", resp.Status).WithOutcome(fault.Partial)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedBodyBytes+1))
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return mayHaveRun, contextError(ctx, true)
 	case err != nil:
 		return mayHaveRun, fault.New(fault.IncompleteResponse, "the response ended early: %w", err).WithOutcome(fault.Unknown)
-	case len(body) > maxBufferedBody:
-		return mayHaveRun, fault.New(fault.IncompleteResponse, "the response exceeds %d bytes", maxBufferedBody).WithOutcome(fault.Unknown)
+	case len(body) > maxBufferedBodyBytes:
+		return mayHaveRun, fault.New(fault.IncompleteResponse, "the response exceeds %d bytes", maxBufferedBodyBytes).WithOutcome(fault.Unknown)
 	}
 	if resp.Status >= http.StatusInternalServerError && q.route.MayRepeat() && len(q.sends) == 0 && q.route.MaxAttempts > 1 {
 		return mayHaveRun, fault.New(fault.EngineFailed, "the server answered %d", resp.Status).WithOutcome(fault.Unknown)
@@ -77,7 +77,7 @@
 // refusalError returns the error for a response in which the server states that it did not run the request.
 func refusalError(resp *exchange.Response) (sendResult, error) {
 	// Drain the body so that the connection can be reused. Errors do not affect the result.
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxBufferedBody))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxBufferedBodyBytes))
 	code := fault.QueueFull
 	if resp.Status == http.StatusMisdirectedRequest {
 		code = fault.NoBackendServer
@@ -110,7 +110,7 @@
 }
 
 // stream relays each event as soon as it is complete.
-func (g *Gateway) stream(ctx context.Context, q *request, rel *relay, resp *exchange.Response, meter *streamMeter) (sendResult, error) {
+func (g *Gateway) relayStream(ctx context.Context, q *request, rel *relay, resp *exchange.Response, meter *streamMeter) (sendResult, error) {
 	flusher := http.NewResponseController(rel.w)
 	var events eventReader
 	buf := make([]byte, 4<<10)
@@ -119,11 +119,11 @@
 		events.add(buf[:n])
 		wrote := false
 		for event := events.next(); event != nil; event = events.next() {
-			if !rel.accept(event) {
+			if !rel.recordIfNew(event) {
 				continue
 			}
-			if rel.first == 0 {
-				rel.first = g.now().Sub(q.start)
+			if rel.timeToFirstEvent == 0 {
+				rel.timeToFirstEvent = g.now().Sub(q.start)
 			}
 			meter.recordEvent()
 			if !rel.started {
@@ -131,16 +131,16 @@
 				rel.w.WriteHeader(resp.Status)
 			}
 			if _, werr := rel.w.Write(event); werr != nil {
-				return brokenOff, fault.New(fault.Cancelled, "the caller has left: %w", werr)
+				return truncated, fault.New(fault.Cancelled, "the caller has left: %w", werr)
 			}
 			wrote = true
 		}
 		if err == io.EOF {
-			return rel.finish(resp, events.remainder())
+			return rel.finishStream(resp, events.remainder())
 		}
 		if wrote {
 			if ferr := flusher.Flush(); ferr != nil {
-				return brokenOff, fault.New(fault.Cancelled, "the caller has left: %w", ferr)
+				return truncated, fault.New(fault.Cancelled, "the caller has left: %w", ferr)
 			}
 		}
 		if err != nil {
@@ -174,7 +174,7 @@
 
 // accept reports whether the event is to be relayed and, if so, records it. Events that were
 // already relayed, which a server may send again when it resumes a stream, are skipped.
-func (r *relay) accept(event []byte) bool {
+func (r *relay) recordIfNew(event []byte) bool {
 	if id, ok := eventID(event); ok {
 		if r.hasID && id <= r.lastID {
 			return false
@@ -186,7 +186,7 @@
 }
 
 // finish relays what follows the last complete event and ends the stream.
-func (r *relay) finish(resp *exchange.Response, remainder []byte) (sendResult, error) {
+func (r *relay) finishStream(resp *exchange.Response, remainder []byte) (sendResult, error) {
 	if !r.started {
 		r.startResponse(resp)
 		r.w.WriteHeader(resp.Status)
@@ -201,7 +201,7 @@
 func (r *relay) streamError(ctx context.Context, err error) (sendResult, error) {
 	result, reported := mayHaveRun, fault.Unknown
 	if r.started {
-		result, reported = brokenOff, fault.Partial
+		result, reported = truncated, fault.Partial
 	}
 	if ctx.Err() != nil {
 		return result, contextError(ctx, true)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -38,11 +38,11 @@
 	start         time.Time
 	deadline      time.Time // the earlier of the caller's deadline and the route's timeout
 	priority      int
-	sends         []send
+	sends         []sendRecord
 	// repeat is the most recent decision of the retry budget, made at repeatDecidedAt.
-	repeat          retrybudget.Decision
-	repeatDecidedAt time.Time
-	permitRequests  int // number of permit requests so far
+	retryDecision      retrybudget.Decision
+	retryDecidedAt     time.Time
+	permitRequestCount int // number of permit requests so far
 	// knownNotices are the notices in force for the service's servers when a server was last chosen.
 	knownNotices []notice.ActiveNotice
 	// cachedQuarantineID caches the result of quarantineID.
@@ -60,7 +60,7 @@
 
 // send is the log record of one try to have a server run the request. An entry without a server is a
 // refused permit request.
-type send struct {
+type sendRecord struct {
 	Server           string        `json:"server"`
 	Reason           string        `json:"reason"` // why the server was chosen
 	FetchFrom        string        `json:"fetch,omitempty"`
@@ -70,39 +70,39 @@
 	ExpectedPrefill  time.Duration `json:"expect,omitempty"` // predicted time to the first event
 	TimeToFirstEvent time.Duration `json:"first,omitempty"`  // measured time to the first event
 	// RateLimited is the number of servers at their stated rate limits when a permit was refused.
-	RateLimited  int           `json:"limited,omitempty"`
-	Running      int           `json:"running"`
-	UnreadTokens int64         `json:"unread"`
-	LongestGap   time.Duration `json:"longest,omitempty"` // pause between two consecutive events
-	SentAfter    time.Duration `json:"at"`                // time from the request's arrival to this send
-	Took         time.Duration `json:"took"`              // duration of the send, until the response was relayed or failed
+	RateLimitedServers   int           `json:"limited,omitempty"`
+	Running              int           `json:"running"`
+	PendingPrefillTokens int64         `json:"unread"`
+	LongestGap           time.Duration `json:"longest,omitempty"` // pause between two consecutive events
+	SentAfter            time.Duration `json:"at"`                // time from the request's arrival to this send
+	Took                 time.Duration `json:"took"`              // duration of the send, until the response was relayed or failed
 	// ServerEnded is set if the connection broke because the server process exited.
 	ServerExited bool `json:"ended,omitempty"`
 	// Notices are the notices in the response headers, or nil if there are none.
-	Notices *notice.Statement `json:"said,omitempty"`
+	Notices *notice.ResponseNotices `json:"said,omitempty"`
 	// Repeat is the retry budget's decision on repeating this send, nil if the budget was not consulted.
-	Repeat *retrybudget.Decision `json:"repeat,omitempty"`
+	RetryDecision *retrybudget.Decision `json:"repeat,omitempty"`
 }
 
 // lastSent returns the most recent entry that names a server, or a new empty entry if there is none.
-func (q *request) lastSent() *send {
+func (q *request) lastSend() *sendRecord {
 	for i := len(q.sends) - 1; i >= 0; i-- {
 		if q.sends[i].Server != "" {
 			return &q.sends[i]
 		}
 	}
-	return &send{}
+	return &sendRecord{}
 }
 
 // repeatDenied reports whether the retry budget denied a repeat of the last send.
-func (q *request) repeatDenied() bool {
-	d := q.lastSent().Repeat
+func (q *request) retryDenied() bool {
+	d := q.lastSend().RetryDecision
 	return d != nil && !d.Granted
 }
 
 // sharedPrefix returns the ID of the shared prompt part that determines placement.
 func (q *request) sharedPrefix() string {
-	id, _ := q.info.Prompt.Shared()
+	id, _ := q.info.Prompt.SharedPrefix()
 	return id
 }
 
@@ -151,7 +151,7 @@
 	}
 	q.table = g.table.Load()
 	if q.table == nil {
-		return q, fault.New(fault.NotReady, "no configuration has been loaded yet").WithOutcome(fault.NotRun).WithRetryAfter(startRetryAfter)
+		return q, fault.New(fault.NotReady, "no configuration has been loaded yet").WithOutcome(fault.NotRun).WithRetryAfter(notReadyRetryAfter)
 	}
 	if err := checkHeaderSize(r, q.table.Limits.HeaderBytes); err != nil {
 		return q, err
@@ -168,12 +168,12 @@
 	if q.team, err = q.table.Authenticate(q.route, info.APIKey); err != nil {
 		return q, err
 	}
-	q.setLimits(info)
+	q.applyRoute(info)
 	return q, g.readBody(q, r)
 }
 
 // setLimits sets the request's deadline, priority and service.
-func (q *request) setLimits(info RequestInfo) {
+func (q *request) applyRoute(info RequestInfo) {
 	timeout := q.route.Timeout
 	if info.Deadline > 0 {
 		timeout = min(timeout, info.Deadline)
@@ -183,19 +183,19 @@
 	if q.team != nil && q.team.Priority != nil {
 		q.priority = *q.team.Priority
 	}
-	q.service = q.route.Service(xxhash.Sum64String(info.ID))
+	q.service = q.route.PickService(xxhash.Sum64String(info.ID))
 }
 
 // serve sends the request to backend servers, relays the response to the caller and logs the result.
 func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, q *request) {
-	g.budget(q.service).Request(g.now())
+	g.budget(q.service).RecordRequest(g.now())
 	rel := &relay{w: w}
 	err := g.runAttempts(ctx, q, rel)
 	switch {
 	case err == nil:
-		g.logAnswered(q, rel)
+		g.logResponse(q, rel)
 	case rel.started:
-		g.logBrokenOff(q, rel, err)
+		g.logIncompleteResponse(q, rel, err)
 		// The response has started, so closing the connection is the only way to signal that it is incomplete.
 		panic(http.ErrAbortHandler)
 	default:
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -12,7 +12,7 @@
 	// listenAfterStop is how long new connections are accepted after shutdown has
 	// begun. The load balancer checks readiness once a second and acts on the second
 	// failure, so that new connections arrive for slightly more than two seconds.
-	listenAfterStop = 2600 * time.Millisecond
+	listenerCloseDelay = 2600 * time.Millisecond
 	// exitMargin is the time reserved at the end of DrainGrace for the process to exit.
 	// abortMargin is the time before that for answering the requests still in progress.
 	exitMargin, abortMargin = 300 * time.Millisecond, 300 * time.Millisecond
@@ -94,7 +94,7 @@
 		case <-tick.C:
 		}
 		now := g.now()
-		if listening && now.Sub(startedAt) >= listenAfterStop {
+		if listening && now.Sub(startedAt) >= listenerCloseDelay {
 			_ = conns.Close() // fails only if the listener is already closed
 			listening = false
 		}
--- a/internal/gateway/server_exits.go
+++ b/internal/gateway/server_exits.go
@@ -17,12 +17,12 @@
 // them too. Requests that are interrupted at a server at about the same time share a check.
 type exitTracker struct {
 	mu         sync.Mutex
-	byInstance map[string]*exitCheck
+	exitChecks map[string]*exitCheck
 	// pending are the interrupted runs for which it is not known yet whether the server has
 	// exited, keyed by the server's instance ID.
-	pending map[string][]interruptedRun
+	pendingRuns map[string][]interruptedRun
 	// lastProbe is the time of the most recent call of probeServers that probed.
-	lastProbe time.Time
+	lastProbeRound time.Time
 }
 
 // interruptedRun is a run of a request whose connection to the server broke.
@@ -42,7 +42,7 @@
 
 // runInterrupted records that the connection to a server broke while it ran the request, and
 // reports whether the server is known to have exited.
-func (g *Gateway) runInterrupted(q *request, server registry.Server, crash quarantine.Crash) bool {
+func (g *Gateway) handleInterruptedRun(q *request, server registry.Server, crash quarantine.Crash) bool {
 	if g.notices.Draining(server.InstanceID()) {
 		return false // a planned shutdown
 	}
@@ -59,7 +59,7 @@
 // recordExit records in the quarantine tracker that a server exited while it ran a request. If this
 // makes the request a strong suspect, listed servers are probed in the background.
 func (g *Gateway) recordExit(r interruptedRun) {
-	g.quarantine.SetServerCount(g.servers.Reachable(g.now()))
+	g.quarantine.SetServerCount(g.servers.ReachableCount(g.now()))
 	if g.quarantine.RecordCrash(r.id, r.crash, g.now()) {
 		go func() {
 			g.probeServers()
@@ -81,9 +81,9 @@
 // that idle servers have exited too.
 func (g *Gateway) probeServers() {
 	g.exits.mu.Lock()
-	due := g.now().Sub(g.exits.lastProbe) >= probeInterval
+	due := g.now().Sub(g.exits.lastProbeRound) >= probeInterval
 	if due {
-		g.exits.lastProbe = g.now()
+		g.exits.lastProbeRound = g.now()
 	}
 	g.exits.mu.Unlock()
 	if !due {
@@ -92,7 +92,7 @@
 	var probes sync.WaitGroup
 	for _, server := range g.servers.Sample(maxProbes, g.random, func(s registry.Server) bool { return !g.quarantine.KnownCrashed(s.InstanceID()) }) {
 		probes.Go(func() {
-			if g.pool.Refused(context.Background(), server.Address) {
+			if g.pool.RefusesConnections(context.Background(), server.Address) {
 				g.quarantine.RecordServerCrash(server.InstanceID(), g.now())
 			}
 		})
@@ -104,14 +104,14 @@
 func (t *exitTracker) addPending(r interruptedRun) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for instance, runs := range t.pending {
+	for instance, runs := range t.pendingRuns {
 		if r.crash.At.Sub(runs[len(runs)-1].crash.At) > exitReportTimeout {
-			delete(t.pending, instance)
+			delete(t.pendingRuns, instance)
 		}
 	}
-	runs := t.pending[r.crash.Server]
-	if len(runs) < maxPendingRuns && (runs != nil || len(t.pending) < maxPendingServers) {
-		t.pending[r.crash.Server] = append(runs, r)
+	runs := t.pendingRuns[r.crash.Server]
+	if len(runs) < maxPendingRuns && (runs != nil || len(t.pendingRuns) < maxPendingServers) {
+		t.pendingRuns[r.crash.Server] = append(runs, r)
 	}
 }
 
@@ -125,8 +125,8 @@
 	now := g.now()
 	g.quarantine.RecordServerCrash(instance, now)
 	g.exits.mu.Lock()
-	runs := g.exits.pending[instance]
-	delete(g.exits.pending, instance)
+	runs := g.exits.pendingRuns[instance]
+	delete(g.exits.pendingRuns, instance)
 	g.exits.mu.Unlock()
 	for _, r := range runs {
 		if now.Sub(r.crash.At) <= exitReportTimeout {
@@ -151,24 +151,24 @@
 	g.exits.mu.Lock()
 	defer g.exits.mu.Unlock()
 	now, instance := g.now(), server.InstanceID()
-	if c := g.exits.byInstance[instance]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
+	if c := g.exits.exitChecks[instance]; c != nil && now.Sub(c.startedAt) < exitCheckTTL {
 		return c
 	}
-	for other, c := range g.exits.byInstance {
+	for other, c := range g.exits.exitChecks {
 		if now.Sub(c.startedAt) >= exitCheckTTL {
-			delete(g.exits.byInstance, other)
+			delete(g.exits.exitChecks, other)
 		}
 	}
 	c := &exitCheck{startedAt: now, done: make(chan struct{})}
-	g.exits.byInstance[instance] = c
-	go g.probe(server, c)
+	g.exits.exitChecks[instance] = c
+	go g.runExitCheck(server, c)
 	return c
 }
 
 // probe sets the result of a check: the server has exited if its address refuses connections.
-func (g *Gateway) probe(server registry.Server, c *exitCheck) {
+func (g *Gateway) runExitCheck(server registry.Server, c *exitCheck) {
 	defer close(c.done)
-	c.exited = g.pool.Refused(context.Background(), server.Address)
+	c.exited = g.pool.RefusesConnections(context.Background(), server.Address)
 	if c.exited {
 		telemetry.Count("merlinpost_backend_servers_ended_total", "service", server.Service)
 		g.logger.Warn("backend server ended", slog.String("server", server.InstanceID()), slog.String("service", server.Service),
@@ -179,6 +179,6 @@
 // connectionBroke reports whether a send failed because its connection broke, other than by
 // cancellation of ctx.
 func connectionBroke(ctx context.Context, result sendResult, err error) bool {
-	return (result == mayHaveRun || result == brokenOff) && ctx.Err() == nil &&
+	return (result == mayHaveRun || result == truncated) && ctx.Err() == nil &&
 		(fault.Is(err, fault.LinkLost) || fault.Is(err, fault.IncompleteResponse))
 }
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -26,7 +26,7 @@
 
 // maxChunkBytes limits a single read. A read of a chunked body only returns when its buffer is
 // full, and filling 200 KB over a slow link takes longer than the idle timeout.
-const maxChunkBytes = 16 << 10
+const maxReadBytes = 16 << 10
 
 // Reply is a response with its whole body, or, with an error, the part of it that was received.
 type Reply struct {
@@ -48,7 +48,7 @@
 	defer func() { _ = resp.Body.Close() }() // the body has been read
 	reader := readerFunc(func(p []byte) (int, error) {
 		idleTimer.Reset(l.IdleTimeout)
-		return resp.Body.Read(p[:min(len(p), maxChunkBytes)])
+		return resp.Body.Read(p[:min(len(p), maxReadBytes)])
 	})
 	body, err := io.ReadAll(io.LimitReader(reader, l.MaxBytes+1))
 	if err == nil && int64(len(body)) > l.MaxBytes {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -35,8 +35,8 @@
 }
 
 const (
-	retryInterval = 100 * time.Millisecond
-	pollTimeout   = 10 * time.Second
+	retryInterval   = 100 * time.Millisecond
+	longPollTimeout = 10 * time.Second
 )
 
 // New returns a Lease that is not held yet. Renewals keep a record of the agent within
@@ -68,7 +68,7 @@
 	}
 	lastRenewal := time.Now()
 	for ctx.Err() == nil {
-		batch, err := l.log.Read(ctx, l.stream, next, min(pollTimeout, l.renewInterval))
+		batch, err := l.log.Read(ctx, l.stream, next, min(longPollTimeout, l.renewInterval))
 		if fault.Is(err, fault.LogTruncated) {
 			next = batch.First
 			continue
--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -44,8 +44,8 @@
 	socket *datagram.Socket[message]
 	home   Home
 
-	mu      sync.Mutex
-	waiting map[uint64]chan quota.GrantResponse
+	mu               sync.Mutex
+	pendingResponses map[uint64]chan quota.GrantResponse
 }
 
 // Open listens on an IP address and port. home handles the messages of other routers.
@@ -54,21 +54,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Transport{socket: socket, home: home, waiting: map[uint64]chan quota.GrantResponse{}}, nil
+	return &Transport{socket: socket, home: home, pendingResponses: map[uint64]chan quota.GrantResponse{}}, nil
 }
 
 // Address returns the address that the socket is bound to.
 func (t *Transport) Address() string { return t.socket.Address().String() }
 
 // pendingRequest is a received request and the address to respond to.
-type pendingRequest struct {
+type receivedRequest struct {
 	req  quota.GrantRequest
 	from netip.AddrPort
 }
 
 // Run receives messages until ctx ends: one goroutine reads, another one responds.
 func (t *Transport) Run(ctx context.Context) {
-	requests := make(chan pendingRequest, requestQueueSize)
+	requests := make(chan receivedRequest, requestQueueSize)
 	var responding sync.WaitGroup
 	responding.Go(func() {
 		for pending := range requests {
@@ -81,29 +81,29 @@
 	responding.Wait()
 }
 
-func (t *Transport) handle(m message, from netip.AddrPort, requests chan<- pendingRequest) {
+func (t *Transport) handle(m message, from netip.AddrPort, requests chan<- receivedRequest) {
 	switch {
 	case m.Ping != "":
 		t.home.MarkReachable(m.Ping)
 	case m.Release != nil:
 		t.home.Release(*m.Release)
 	case m.Response != nil:
-		t.deliver(*m.Response)
+		t.deliverResponse(*m.Response)
 	case m.Request != nil:
 		select {
-		case requests <- pendingRequest{*m.Request, from}:
+		case requests <- receivedRequest{*m.Request, from}:
 		default:
 			telemetry.Count("merlinpost_lending_overrun_total")
 		}
 	}
 }
 
-func (t *Transport) deliver(resp quota.GrantResponse) {
+func (t *Transport) deliverResponse(resp quota.GrantResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if ch := t.waiting[resp.Seq]; ch != nil {
+	if ch := t.pendingResponses[resp.Seq]; ch != nil {
 		ch <- resp // does not block: the channel has room for its only response
-		delete(t.waiting, resp.Seq)
+		delete(t.pendingResponses, resp.Seq)
 	}
 }
 
@@ -130,7 +130,7 @@
 	}
 	ch := make(chan quota.GrantResponse, 1)
 	t.mu.Lock()
-	t.waiting[req.Seq] = ch
+	t.pendingResponses[req.Seq] = ch
 	t.mu.Unlock()
 	t.socket.Send(message{Request: &req}, to)
 	timer := time.NewTimer(requestTimeout)
@@ -143,6 +143,6 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.waiting, req.Seq)
+	delete(t.pendingResponses, req.Seq)
 	return quota.GrantResponse{}, false
 }
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -30,7 +30,7 @@
 	return p
 }
 
-func TestAcquireReturnsTheResponseOfTheHome(t *testing.T) {
+func TestAcquireReturnsResponseOfHome(t *testing.T) {
 	g := NewWithT(t)
 	home := startTransport(t, func(req quota.GrantRequest) quota.GrantResponse {
 		return quota.GrantResponse{Seq: req.Seq, Granted: req.Team == "known", RetryAfterMS: 7}
@@ -61,7 +61,7 @@
 	g.Expect(ok).To(BeTrue())
 	_, ok = router.Acquire(context.Background(), "127.0.0.1:1", quota.GrantRequest{Seq: 4, Team: "t"})
 	g.Expect(ok).To(BeFalse())
-	g.Expect(router.waiting).To(BeEmpty())
+	g.Expect(router.pendingResponses).To(BeEmpty())
 }
 
 // Datagrams are encoded by field name. A renamed field without a tag would make routers of
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -22,14 +22,14 @@
 // sendQueueSize is the number of messages that can wait for the writer. Chunks leave
 // reservedSlots of it free for messages that must not be dropped.
 const (
-	sendQueueSize = 2048
-	reservedSlots = 512
+	sendQueueSize  = 2048
+	controlReserve = 512
 )
 
 // idleIntervalFactor lengthens the heartbeat interval and the peer timeout of a link
 // without requests. No caller waits for an answer on such a link, and the next offer
 // detects a broken one.
-const idleIntervalFactor = 20
+const idleTimeFactor = 20
 
 // Options configures a link.
 type Options struct {
@@ -45,18 +45,18 @@
 // Conn is a link after a successful handshake.
 type Conn struct {
 	peer      wire.Hello
-	nc        *countingConn
-	r         *wire.Reader
-	w         *wire.Writer
+	netConn   *countingConn
+	reader    *wire.Reader
+	writer    *wire.Writer
 	opts      Options
 	sendQueue chan wire.Message
-	once      sync.Once
+	closeOnce sync.Once
 	done      chan struct{}
 	// inFlight counts the requests on the link. peerBusy reports whether, by its last
 	// heartbeat, the peer has requests on the link.
-	inFlight     atomic.Int64
-	peerBusy     atomic.Bool
-	heartbeatNow chan struct{} // signals the writer to send a heartbeat immediately
+	activeRequests   atomic.Int64
+	peerHasRequests  atomic.Bool
+	heartbeatTrigger chan struct{} // signals the writer to send a heartbeat immediately
 	// announcedInterval is the time until the next message that the last heartbeat
 	// announced to the peer. Only the writer goroutine uses it.
 	announcedInterval time.Duration
@@ -89,9 +89,9 @@
 
 // Open performs the handshake with the peer. It closes nc on failure.
 func Open(nc net.Conn, self wire.Hello, opts Options) (*Conn, error) {
-	c := &Conn{nc: &countingConn{nc}, opts: opts, sendQueue: make(chan wire.Message, sendQueueSize), done: make(chan struct{}),
-		heartbeatNow: make(chan struct{}, 1)}
-	c.r, c.w = wire.NewReader(c.nc), wire.NewWriter(c.nc)
+	c := &Conn{netConn: &countingConn{nc}, opts: opts, sendQueue: make(chan wire.Message, sendQueueSize), done: make(chan struct{}),
+		heartbeatTrigger: make(chan struct{}, 1)}
+	c.reader, c.writer = wire.NewReader(c.netConn), wire.NewWriter(c.netConn)
 	self.Version = wire.Version
 	if err := c.handshake(&self); err != nil {
 		_ = nc.Close() // the handshake error is the one to report
@@ -101,16 +101,16 @@
 }
 
 func (c *Conn) handshake(self *wire.Hello) error {
-	if err := c.nc.SetDeadline(time.Now().Add(c.opts.PeerTimeout)); err != nil {
+	if err := c.netConn.SetDeadline(time.Now().Add(c.opts.PeerTimeout)); err != nil {
 		return fault.New(fault.LinkLost, "set deadline: %w", err)
 	}
-	if err := c.w.Write(self); err != nil {
+	if err := c.writer.Write(self); err != nil {
 		return err
 	}
-	if err := c.w.Flush(); err != nil {
+	if err := c.writer.Flush(); err != nil {
 		return fault.New(fault.LinkLost, "send hello: %w", err)
 	}
-	m, err := c.r.Read()
+	m, err := c.reader.Read()
 	if err != nil {
 		return fault.New(fault.LinkLost, "read hello: %w", err)
 	}
@@ -122,7 +122,7 @@
 		return fault.New(fault.BadVersion, "peer %q uses protocol version %d, this process uses %d", hello.Name, hello.Version, wire.Version)
 	}
 	c.peer = *hello
-	if err := c.nc.SetDeadline(time.Time{}); err != nil {
+	if err := c.netConn.SetDeadline(time.Time{}); err != nil {
 		return fault.New(fault.LinkLost, "clear deadline: %w", err)
 	}
 	return nil
@@ -133,35 +133,35 @@
 
 // AddRequests adds n, which may be negative, to the number of requests on the link.
 func (c *Conn) AddRequests(n int64) {
-	if now := c.inFlight.Add(n); n > 0 && now == n {
+	if now := c.activeRequests.Add(n); n > 0 && now == n {
 		c.TriggerHeartbeat()
 		// A link with requests has a shorter timeout, so replace the pending read deadline.
-		_ = c.nc.SetReadDeadline(time.Now().Add(c.opts.PeerTimeout)) // fails only on a closed link, which ends by itself
+		_ = c.netConn.SetReadDeadline(time.Now().Add(c.opts.PeerTimeout)) // fails only on a closed link, which ends by itself
 	}
 }
 
 // TriggerHeartbeat sends a heartbeat immediately, because its content has changed.
 func (c *Conn) TriggerHeartbeat() {
 	select {
-	case c.heartbeatNow <- struct{}{}:
+	case c.heartbeatTrigger <- struct{}{}:
 	default: // a heartbeat is already pending
 	}
 }
 
 // heartbeatInterval returns the current time between heartbeats.
 func (c *Conn) heartbeatInterval() time.Duration {
-	if c.inFlight.Load() > 0 {
+	if c.activeRequests.Load() > 0 {
 		return c.opts.HeartbeatInterval
 	}
-	return idleIntervalFactor * c.opts.HeartbeatInterval
+	return idleTimeFactor * c.opts.HeartbeatInterval
 }
 
 // readTimeout returns how long to wait for a message before closing the link.
 func (c *Conn) readTimeout() time.Duration {
-	if c.inFlight.Load() > 0 || c.peerBusy.Load() {
+	if c.activeRequests.Load() > 0 || c.peerHasRequests.Load() {
 		return c.opts.PeerTimeout
 	}
-	return idleIntervalFactor * c.opts.PeerTimeout
+	return idleTimeFactor * c.opts.PeerTimeout
 }
 
 // Done is closed when the link is closed.
@@ -171,7 +171,7 @@
 // has no room for a chunk, the caller can send it later. If it has no room for any other
 // message, the link is closed, and the peers resynchronize over the next link.
 func (c *Conn) Send(m wire.Message) bool {
-	if _, isChunk := m.(*wire.Chunk); isChunk && len(c.sendQueue) >= sendQueueSize-reservedSlots {
+	if _, isChunk := m.(*wire.Chunk); isChunk && len(c.sendQueue) >= sendQueueSize-controlReserve {
 		return false
 	}
 	select {
@@ -187,9 +187,9 @@
 }
 
 func (c *Conn) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
-		_ = c.nc.Close() // nothing can be done about a failed close
+		_ = c.netConn.Close() // nothing can be done about a failed close
 	})
 }
 
@@ -199,30 +199,30 @@
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
 	var writer sync.WaitGroup
-	writer.Go(c.write)
-	err := c.read(handle)
+	writer.Go(c.writeLoop)
+	err := c.readLoop(handle)
 	c.Close()
 	writer.Wait()
 	return err
 }
 
-func (c *Conn) read(handle func(wire.Message)) error {
+func (c *Conn) readLoop(handle func(wire.Message)) error {
 	for {
-		if err := c.nc.SetReadDeadline(time.Now().Add(c.readTimeout())); err != nil {
+		if err := c.netConn.SetReadDeadline(time.Now().Add(c.readTimeout())); err != nil {
 			return fault.New(fault.LinkLost, "set deadline: %w", err)
 		}
-		m, err := c.r.Read()
+		m, err := c.reader.Read()
 		if err != nil {
-			return readError(err)
+			return classifyReadError(err)
 		}
 		if b, ok := m.(*wire.Heartbeat); ok {
-			c.peerBusy.Store(b.NextMS <= c.opts.HeartbeatInterval.Milliseconds())
+			c.peerHasRequests.Store(b.NextMS <= c.opts.HeartbeatInterval.Milliseconds())
 		}
 		handle(m)
 	}
 }
 
-func readError(err error) error {
+func classifyReadError(err error) error {
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
@@ -237,7 +237,7 @@
 // write sends queued messages in batches, and a heartbeat if nothing was sent for the
 // interval announced to the peer. The interval changes only with a heartbeat that
 // announces the new one, so the peer always knows it.
-func (c *Conn) write() {
+func (c *Conn) writeLoop() {
 	c.announcedInterval = c.heartbeatInterval()
 	timer := time.NewTimer(c.announcedInterval)
 	defer timer.Stop()
@@ -248,7 +248,7 @@
 		case m = <-c.sendQueue:
 		case <-timer.C:
 			m = c.opts.NewHeartbeat()
-		case <-c.heartbeatNow:
+		case <-c.heartbeatTrigger:
 			m = c.opts.NewHeartbeat()
 		case <-c.done:
 			return
@@ -262,7 +262,7 @@
 
 // writeBatch writes m and all queued messages, then flushes.
 func (c *Conn) writeBatch(m wire.Message) error {
-	if err := c.nc.SetWriteDeadline(time.Now().Add(c.opts.PeerTimeout)); err != nil {
+	if err := c.netConn.SetWriteDeadline(time.Now().Add(c.opts.PeerTimeout)); err != nil {
 		return err
 	}
 	for {
@@ -270,7 +270,7 @@
 			c.announcedInterval = c.heartbeatInterval()
 			b.NextMS = c.announcedInterval.Milliseconds()
 		}
-		if err := c.w.Write(m); err != nil {
+		if err := c.writer.Write(m); err != nil {
 			return err
 		}
 		select {
@@ -278,6 +278,6 @@
 			continue
 		default:
 		}
-		return c.w.Flush()
+		return c.writer.Flush()
 	}
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -19,7 +19,7 @@
 )
 
 // pair opens a link over the loopback interface and returns both ends.
-func pair(g Gomega) (*Conn, *Conn) {
+func openPair(g Gomega) (*Conn, *Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer ln.Close()
@@ -51,7 +51,7 @@
 // their heartbeat intervals and timeouts at different times.
 func TestLinkSurvivesIdleAndBusyPhases(t *testing.T) {
 	g := NewWithT(t)
-	a, b := pair(g)
+	a, b := openPair(g)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var received atomic.Int64
@@ -70,7 +70,7 @@
 // A link with requests ends within the peer timeout when the peer stops sending.
 func TestLinkEndsWhenPeerStopsSending(t *testing.T) {
 	g := NewWithT(t)
-	a, b := pair(g) // b does not run, so it neither reads nor sends
+	a, b := openPair(g) // b does not run, so it neither reads nor sends
 	defer b.Close()
 	a.AddRequests(1)
 	err := a.Run(context.Background(), func(wire.Message) {})
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -16,16 +16,16 @@
 
 // result is the outcome of one request.
 type result struct {
-	req           *request
-	firstToken    time.Duration // from the intended send time to the first token
-	total         time.Duration // from the intended send time to the end of the response
-	tokenGaps     []time.Duration
-	tokens        int // tokens received
-	code          string
-	outcome       string
-	hasRetryAfter bool // the refusal had a Retry-After header
-	wrongContent  bool // the content is not the one expected for the prompt
-	wrongLength   bool // the response ended normally, with too few or too many tokens
+	req               *request
+	firstTokenLatency time.Duration // from the intended send time to the first token
+	totalLatency      time.Duration // from the intended send time to the end of the response
+	tokenGaps         []time.Duration
+	tokens            int // tokens received
+	code              string
+	outcome           string
+	hasRetryAfter     bool // the refusal had a Retry-After header
+	wrongContent      bool // the content is not the one expected for the prompt
+	wrongLength       bool // the response ended normally, with too few or too many tokens
 }
 
 // answered reports whether the response was complete and correct.
@@ -39,7 +39,7 @@
 func (r *result) metTargets() bool {
 	s := r.req.stream
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	if !r.answered() || (s.FirstTokenMS > 0 && r.firstToken > ms(s.FirstTokenMS)) || (s.TotalMS > 0 && r.total > ms(s.TotalMS)) {
+	if !r.answered() || (s.FirstTokenMS > 0 && r.firstTokenLatency > ms(s.FirstTokenMS)) || (s.TotalMS > 0 && r.totalLatency > ms(s.TotalMS)) {
 		return false
 	}
 	slow := 0
@@ -72,7 +72,7 @@
 	router := c.routers[r.number%len(c.routers)]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+path, bytes.NewReader(body))
 	if err != nil {
-		return out.fail("bad_request", err)
+		return out.setError("bad_request", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+r.team.Key)
 	req.Header.Set("Merlinpost-Class", r.stream.Class)
@@ -82,7 +82,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return out.fail("connection", err)
+		return out.setError("connection", err)
 	}
 	defer resp.Body.Close()
 	switch {
@@ -95,11 +95,11 @@
 	default:
 		out.readStream(resp.Body, intended)
 	}
-	out.total = time.Since(intended)
+	out.totalLatency = time.Since(intended)
 	return out
 }
 
-func (r *result) fail(code string, _ error) *result {
+func (r *result) setError(code string, _ error) *result {
 	r.code = code
 	return r
 }
@@ -134,10 +134,10 @@
 		Echo string `json:"echo"`
 	}
 	if err := json.NewDecoder(body).Decode(&reply); err != nil {
-		r.fail("connection", err)
+		r.setError("connection", err)
 		return
 	}
-	r.firstToken = time.Since(intended)
+	r.firstTokenLatency = time.Since(intended)
 	r.wrongContent = reply.Echo != r.req.prompt || reply.Run != 1
 }
 
@@ -170,7 +170,7 @@
 		}
 		now := time.Now()
 		if r.tokens == 0 {
-			r.firstToken = now.Sub(intended)
+			r.firstTokenLatency = now.Sub(intended)
 		} else {
 			r.tokenGaps = append(r.tokenGaps, now.Sub(last))
 		}
@@ -182,7 +182,7 @@
 	}
 	switch {
 	case !ended:
-		r.fail("connection", lines.Err())
+		r.setError("connection", lines.Err())
 	case r.tokens != r.req.outputTokens:
 		r.wrongLength = true
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -90,9 +90,9 @@
 		return &request{sendOffset: at, stream: &s.Streams[0], outputTokens: 2}
 	}
 	rep := buildReport(s, []*result{
-		{req: req(0), firstToken: time.Second, tokens: 2},                                        // warm-up
-		{req: req(2 * time.Second), firstToken: 50 * time.Millisecond, tokens: 2},                // met
-		{req: req(3 * time.Second), firstToken: 150 * time.Millisecond, tokens: 2},               // missed
+		{req: req(0), firstTokenLatency: time.Second, tokens: 2},                                 // warm-up
+		{req: req(2 * time.Second), firstTokenLatency: 50 * time.Millisecond, tokens: 2},         // met
+		{req: req(3 * time.Second), firstTokenLatency: 150 * time.Millisecond, tokens: 2},        // missed
 		{req: req(4 * time.Second), code: "queue_full", outcome: "not_run", hasRetryAfter: true}, // refused
 	}, 10*time.Second)
 	c := rep.Classes[0]
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -74,8 +74,8 @@
 			if policy.Choice != "" {
 				r.Policy.Choice = policy.Choice
 			}
-			r.Policy.Prefix, r.Policy.Domain = !disabled("prefix"), !disabled("domain")
-			r.Policy.Straggler, r.Policy.Corrected = !disabled("straggler"), !disabled("corrected")
+			r.Policy.PrefixAffinity, r.Policy.DomainAffinity = !disabled("prefix"), !disabled("domain")
+			r.Policy.StragglerPenalty, r.Policy.CountUnreported = !disabled("straggler"), !disabled("corrected")
 			r.Callers.MaxRequests = 1_000_000
 		}}, logger)
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -21,8 +21,8 @@
 
 // States of a member.
 const (
-	Live    State = "live"
-	Leaving State = "leaving"
+	StateLive    State = "live"
+	StateLeaving State = "leaving"
 )
 
 // Member is a router or agent process on a host.
@@ -63,7 +63,7 @@
 func (r *Reader) Members() map[string]Member { return *r.members.Load() }
 
 // Leaving reports whether the named member is listed as leaving.
-func (r *Reader) Leaving(name string) bool { return r.Members()[name].State == Leaving }
+func (r *Reader) Leaving(name string) bool { return r.Members()[name].State == StateLeaving }
 
 // Run polls until ctx is done. If the list can't be read, the last one stays in use.
 func (r *Reader) Run(ctx context.Context) {
--- a/internal/notice/days_test.go
+++ b/internal/notice/days_test.go
@@ -140,14 +140,14 @@
 			if p.draining(i) && now >= p.drainFrom {
 				lines = append(lines, "Server-Leaving: 1")
 			}
-			p.CurrentWorker(s).SetHeaders(lines...)
+			p.RunningWorker(s).SetHeaders(lines...)
 		}
 		if refuse := now >= p.refuseFrom && now < p.refuseFrom+p.refuseFor; p.backoffServers > 0 && refuse != refusing {
 			refusing = refuse
 			p.SetEventInterval(0)
 			for _, s := range p.Servers[:p.backoffServers] {
 				if refuse {
-					p.CurrentWorker(s).SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: strconv.FormatFloat(p.backoff.Seconds(), 'f', 3, 64)})
+					p.RunningWorker(s).SetBehaviour(worker.Behaviour{Reject: true, RetryAfter: strconv.FormatFloat(p.backoff.Seconds(), 'f', 3, 64)})
 				}
 			}
 		}
@@ -237,11 +237,11 @@
 
 // checkHeeded returns an error message if a gateway did not follow a notice that it had received, and ""
 // otherwise.
-func (p *scenarioRun) checkHeeded() string {
+func (p *scenarioRun) checkCompliance() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, s := range p.Servers {
-		for host, arrivals := range p.arrivalsByGateway(p.CurrentWorker(s)) {
+		for host, arrivals := range p.arrivalsByGateway(p.RunningWorker(s)) {
 			slices.SortFunc(arrivals, func(a, b worker.Arrival) int { return a.At.Compare(b.At) })
 			if p.draining(i) {
 				if id := requestAfterDraining(arrivals, p.begin.Add(p.drainFrom+10*time.Millisecond), p.sentAt); id != "" {
@@ -296,18 +296,18 @@
 // check returns an error message if a gateway did not follow the notices or refused a request incorrectly, and
 // "" otherwise.
 func (p *scenarioRun) check() string {
-	if failure := p.checkHeeded(); failure != "" {
+	if failure := p.checkCompliance(); failure != "" {
 		return failure
 	}
 	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(p.limitUntil)
 	ran := map[string]bool{}
 	for _, s := range p.Servers {
-		for _, r := range p.CurrentWorker(s).Executions() {
+		for _, r := range p.RunningWorker(s).Executions() {
 			ran[r.ID] = true
 		}
 	}
 	for _, s := range p.Servers[:p.limitedServers] {
-		if n, allowed := maxInWindow(arrivals(p.CurrentWorker(s)), from, to), 1.5*p.rate*window.Seconds()+5; float64(n) > allowed {
+		if n, allowed := maxInWindow(arrivals(p.RunningWorker(s)), from, to), 1.5*p.rate*window.Seconds()+5; float64(n) > allowed {
 			return fmt.Sprintf("%s received %d requests in 4 s, allowed %v", s.ID, n, allowed)
 		}
 	}
@@ -339,7 +339,7 @@
 	from, to := p.begin.Add(p.limitFrom+propagationTime), p.begin.Add(min(p.limitUntil, scenarioDuration-time.Second))
 	n := 0
 	for _, s := range p.Servers {
-		for _, at := range arrivals(p.CurrentWorker(s)) {
+		for _, at := range arrivals(p.RunningWorker(s)) {
 			if at.After(from) && at.Before(to) {
 				n++
 			}
