--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -18,7 +18,7 @@
 )
 
 // Statement holds the notices of one response.
-type Statement struct {
+type ResponseNotices struct {
 	Draining bool `json:"draining,omitempty"`
 	// Limited reports whether a rate limit is stated; Limit is the limit in requests per second.
 	Limited bool    `json:"limited,omitempty"`
@@ -26,16 +26,16 @@
 	// Backoff is the time for which the server wants no requests, or 0 if none is stated.
 	Backoff time.Duration `json:"backoff,omitempty"`
 	// Unreadable are the kinds of notices that could not be parsed. Earlier notices of these kinds stay in force.
-	Unreadable []Kind `json:"unreadable,omitempty"`
+	Malformed []Kind `json:"unreadable,omitempty"`
 }
 
 // Empty reports whether the response has no notices, not even unreadable ones.
-func (s Statement) Empty() bool {
-	return !s.Draining && !s.Limited && s.Backoff == 0 && len(s.Unreadable) == 0
+func (s ResponseNotices) Empty() bool {
+	return !s.Draining && !s.Limited && s.Backoff == 0 && len(s.Malformed) == 0
 }
 
 // Kinds returns the kinds of the readable notices.
-func (s Statement) Kinds() []Kind {
+func (s ResponseNotices) Kinds() []Kind {
 	var out []Kind
 	if s.Draining {
 		out = append(out, Draining)
@@ -50,11 +50,11 @@
 }
 
 // unreadable reports whether the response has a notice of a kind that could not be parsed.
-func (s Statement) unreadable(kind Kind) bool { return slices.Contains(s.Unreadable, kind) }
+func (s ResponseNotices) isMalformed(kind Kind) bool { return slices.Contains(s.Malformed, kind) }
 
 // MaxLimit is the highest valid rate limit in requests per second. A backend server runs tens to
 // hundreds of requests at once.
-const MaxLimit = 1e6
+const MaxRateLimit = 1e6
 
 // MaxBackoff is the longest valid backoff. A server that wants no requests for longer should be removed
 // from the list.
--- a/internal/notice/registry.go
+++ b/internal/notice/registry.go
@@ -21,10 +21,10 @@
 // Registry holds the notices that a gateway knows from responses and from the reports of other
 // gateways, by instance ID: a restarted server has a new entry. It is safe for concurrent use.
 type Registry struct {
-	limits  *ratelimit.Limiter
-	notify  func(Event)
-	size    atomic.Int32  // number of servers, for a fast check without the lock: usually 0
-	pending chan struct{} // signals that there are changes to send
+	limits       *ratelimit.Limiter
+	notify       func(Event)
+	serverCount  atomic.Int32  // number of servers, for a fast check without the lock: usually 0
+	reportsReady chan struct{} // signals that there are changes to send
 
 	mu      sync.Mutex
 	servers map[string]*serverState
@@ -63,19 +63,19 @@
 // NewRegistry returns an empty registry that applies rate limits to limits. Notify is called with
 // each change; it must not call the registry.
 func NewRegistry(limits *ratelimit.Limiter, notify func(Event)) *Registry {
-	return &Registry{limits: limits, notify: notify, pending: make(chan struct{}, 1), servers: map[string]*serverState{}}
+	return &Registry{limits: limits, notify: notify, reportsReady: make(chan struct{}, 1), servers: map[string]*serverState{}}
 }
 
 // Limits returns the limiter to which rate limits are applied.
 func (r *Registry) Limits() *ratelimit.Limiter { return r.limits }
 
 // Empty reports whether no notices are recorded for any server.
-func (r *Registry) Empty() bool { return r.size.Load() == 0 }
+func (r *Registry) Empty() bool { return r.serverCount.Load() == 0 }
 
 // RecordResponse records the notices of a response to a request that was sent at the given time.
 // Responses may be reordered: a higher limit, or none, counts only if the request was sent after the current
 // limit was last stated.
-func (r *Registry) RecordResponse(server string, stated Statement, sent, now time.Time) {
+func (r *Registry) RecordResponse(server string, stated ResponseNotices, sent, now time.Time) {
 	if stated.Empty() && r.Empty() {
 		return
 	}
@@ -95,7 +95,7 @@
 	switch {
 	case stated.Limited && (!s.limited || stated.Limit <= s.limit || newer):
 		r.setLimit(server, s, stated.Limit, now, "", now)
-	case !stated.Limited && !stated.unreadable(RateLimit) && s.limited && newer:
+	case !stated.Limited && !stated.isMalformed(RateLimit) && s.limited && newer:
 		r.clearLimit(server, s, sent, "", now)
 	}
 }
@@ -107,7 +107,7 @@
 	if s == nil && create && len(r.servers) < maxServers {
 		s = &serverState{listedAt: now}
 		r.servers[server] = s
-		r.size.Store(int32(len(r.servers)))
+		r.serverCount.Store(int32(len(r.servers)))
 	}
 	return s
 }
@@ -179,7 +179,7 @@
 	}
 	s.resends.start(now)
 	select {
-	case r.pending <- struct{}{}:
+	case r.reportsReady <- struct{}{}:
 	default: // a signal is already pending
 	}
 }
@@ -219,7 +219,7 @@
 }
 
 // inForce reports whether any notice is in force that is reported to the other gateways.
-func (s *serverState) inForce() bool { return s.draining || s.limited }
+func (s *serverState) reportable() bool { return s.draining || s.limited }
 
 // Sweep removes servers that have not been listed for unlistedRetention. It calls listed without
 // holding the registry's lock, because listed may take locks under which the registry is called.
@@ -239,11 +239,11 @@
 		}
 	}
 	for server, s := range r.servers {
-		ended := !s.inForce() && now.After(s.backoffUntil) && now.Sub(s.limitClearedAt) > unlistedRetention
+		ended := !s.reportable() && now.After(s.backoffUntil) && now.Sub(s.limitClearedAt) > unlistedRetention
 		if ended || now.Sub(s.listedAt) > unlistedRetention {
 			r.limits.Remove(server)
 			delete(r.servers, server)
 		}
 	}
-	r.size.Store(int32(len(r.servers)))
+	r.serverCount.Store(int32(len(r.servers)))
 }
--- a/internal/notice/report.go
+++ b/internal/notice/report.go
@@ -51,16 +51,16 @@
 }
 
 // Pending returns a channel that receives a value when there are changes to send.
-func (r *Registry) Pending() <-chan struct{} { return r.pending }
+func (r *Registry) ReportsReady() <-chan struct{} { return r.reportsReady }
 
 // Due returns the reports that are due to be sent to all gateways.
-func (r *Registry) Due(now time.Time) []Report {
-	return r.collect(now, func(s *serverState) bool { return s.resends.due(now) })
+func (r *Registry) DueReports(now time.Time) []Report {
+	return r.collectReports(now, func(s *serverState) bool { return s.resends.due(now) })
 }
 
 // All returns the reports of all servers with notices in force, for a gateway that has just started.
-func (r *Registry) All(now time.Time) []Report {
-	return r.collect(now, (*serverState).inForce)
+func (r *Registry) AllReports(now time.Time) []Report {
+	return r.collectReports(now, (*serverState).reportable)
 }
 
 // Report returns the report of one server, and whether the server is known.
@@ -74,7 +74,7 @@
 	return s.report(server, now), true
 }
 
-func (r *Registry) collect(now time.Time, include func(*serverState) bool) []Report {
+func (r *Registry) collectReports(now time.Time, include func(*serverState) bool) []Report {
 	if r.Empty() {
 		return nil
 	}
@@ -106,7 +106,7 @@
 
 // Receive processes a report of another gateway. If this gateway knows that the reported limit has
 // ended, it returns its own report as the reply, because an earlier one may have been lost.
-func (r *Registry) Receive(report Report, from string, now time.Time) (reply *Report) {
+func (r *Registry) ReceiveReport(report Report, from string, now time.Time) (reply *Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.lookup(report.Server, report.Limited || report.Draining, now)
--- a/internal/peers/estimates.go
+++ b/internal/peers/estimates.go
@@ -49,7 +49,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best engineEstimates
-	for _, m := range p.members.known {
+	for _, m := range p.members.peers {
 		for _, e := range m.estimates {
 			if e.Service == service && e.Observations > best.Observations {
 				best = e
--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -18,12 +18,12 @@
 // handleHeartbeat processes a received heartbeat.
 func (p *Peers) handleHeartbeat(b heartbeat, from netip.AddrPort, now time.Time) {
 	if b.Starting {
-		defer p.greet(b.Host, from, now)
+		defer p.sendInitialState(b.Host, from, now)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.members.recordHeartbeat(Member{b.Host, from, b.Capacity}, b.Leaving, now)
-	if m := p.members.known[b.Host]; m != nil && b.Estimates != nil {
+	if m := p.members.peers[b.Host]; m != nil && b.Estimates != nil {
 		m.estimates = b.Estimates
 	}
 	for _, report := range b.States {
@@ -40,10 +40,10 @@
 	if len(reports) > 0 {
 		interval = ReportInterval
 	}
-	due := now.Sub(p.heartbeatAt) >= interval || p.states.unsent
+	due := now.Sub(p.heartbeatAt) >= interval || p.states.reportPending
 	if due {
 		p.heartbeatAt = now
-		p.states.unsent = false
+		p.states.reportPending = false
 	}
 	live := len(p.members.live(now))
 	changed := live != p.loggedLive && now.Sub(p.liveLoggedAt) >= liveLogInterval
@@ -78,8 +78,8 @@
 // sendAll sends a message to all known members.
 func (p *Peers) sendAll(m message) {
 	p.mu.Lock()
-	addresses := make([]netip.AddrPort, 0, len(p.members.known))
-	for _, member := range p.members.known {
+	addresses := make([]netip.AddrPort, 0, len(p.members.peers))
+	for _, member := range p.members.peers {
 		addresses = append(addresses, member.Address)
 	}
 	p.mu.Unlock()
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -33,7 +33,7 @@
 	maxMissedHeartbeats = 3
 	// unresponsiveFor is how long a member that did not answer counts as down, unless a heartbeat
 	// arrives from it earlier.
-	unresponsiveFor = 3 * time.Second
+	unresponsivePeriod = 3 * time.Second
 	// largeHostFraction is the fraction of the largest member's cores that a member needs to be the
 	// home of a group of engines, and the fraction of cores and link speed that it needs to be
 	// preferred for reading the store on behalf of the others. A small host would be overloaded by
@@ -55,7 +55,7 @@
 type members struct {
 	self  Member
 	start time.Time
-	known map[string]*peerState // by host, excluding self
+	peers map[string]*peerState // by host, excluding self
 	// listedAt is when the store first listed this gateway.
 	listedAt time.Time
 	// stalledAt is the end of the last stall of this process. It received no heartbeats during the stall.
@@ -65,21 +65,21 @@
 // peerState is the state of another gateway.
 type peerState struct {
 	Member
-	heartbeatAt time.Time // time of the last heartbeat, zero if none
-	listedAt    time.Time // when the store first listed it
-	downUntil   time.Time
-	leaving     bool
-	estimates   []engineEstimates // from its last heartbeat that had any
-	greetedAt   time.Time
+	heartbeatAt        time.Time // time of the last heartbeat, zero if none
+	listedAt           time.Time // when the store first listed it
+	unresponsiveUntil  time.Time
+	leaving            bool
+	estimates          []engineEstimates // from its last heartbeat that had any
+	initialStateSentAt time.Time
 }
 
 func newMembers(self Member, now time.Time) *members {
-	return &members{self: self, start: now, known: map[string]*peerState{}}
+	return &members{self: self, start: now, peers: map[string]*peerState{}}
 }
 
 // heartbeatInterval returns the interval at which each member is sent a heartbeat.
 func (m *members) heartbeatInterval() time.Duration {
-	return max(minHeartbeatInterval, time.Duration(len(m.known))*heartbeatIntervalPerMember)
+	return max(minHeartbeatInterval, time.Duration(len(m.peers))*heartbeatIntervalPerMember)
 }
 
 // addListed adds members listed in the store. A listed member is not necessarily up.
@@ -91,7 +91,7 @@
 			}
 			continue
 		}
-		if p := m.peer(member); p.listedAt.IsZero() {
+		if p := m.getOrCreate(member); p.listedAt.IsZero() {
 			p.listedAt = now
 		}
 	}
@@ -99,11 +99,11 @@
 
 // peer returns the state of a member and creates it if necessary. The state is reset when the
 // member's address changes.
-func (m *members) peer(member Member) *peerState {
-	p := m.known[member.Host]
+func (m *members) getOrCreate(member Member) *peerState {
+	p := m.peers[member.Host]
 	if p == nil || p.Address != member.Address {
 		p = &peerState{Member: member}
-		m.known[member.Host] = p
+		m.peers[member.Host] = p
 	}
 	return p
 }
@@ -113,16 +113,16 @@
 	if member.Host == m.self.Host {
 		return
 	}
-	p := m.peer(member)
+	p := m.getOrCreate(member)
 	p.Capacity = member.Capacity
-	p.heartbeatAt, p.leaving, p.downUntil = now, leaving, time.Time{}
+	p.heartbeatAt, p.leaving, p.unresponsiveUntil = now, leaving, time.Time{}
 }
 
 // markUnresponsive records that the member at an address did not answer.
 func (m *members) markUnresponsive(at netip.AddrPort, now time.Time) {
-	for _, p := range m.known {
+	for _, p := range m.peers {
 		if p.Address == at {
-			p.downUntil = now.Add(unresponsiveFor)
+			p.unresponsiveUntil = now.Add(unresponsivePeriod)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 // live returns the hosts that are up, including this one, in alphabetical order.
 func (m *members) live(now time.Time) []string {
 	hosts := []string{m.self.Host}
-	for host, p := range m.known {
+	for host, p := range m.peers {
 		if m.isLive(p, now) {
 			hosts = append(hosts, host)
 		}
@@ -141,9 +141,9 @@
 
 // rateSharers returns the number of gateways, including this one, that share the rate limits of servers:
 // all that may be sending requests, including silent ones.
-func (m *members) rateSharers(now time.Time) int {
+func (m *members) rateShareCount(now time.Time) int {
 	n := 1
-	for _, p := range m.known {
+	for _, p := range m.peers {
 		if !p.leaving && now.Sub(p.lastSeen()) <= max(rateShareRetention, maxMissedHeartbeats*m.heartbeatInterval()) {
 			n++
 		}
@@ -157,12 +157,12 @@
 // slackSharers returns the number of gateways, including this one, that share the slack of the retry budgets;
 // 0 while the others may not know of this one. A silent member may be partitioned and still use its share, so
 // it is counted for slackShareRetention, and for as long as at least a third of all gateways are silent.
-func (m *members) slackSharers(now time.Time) int {
+func (m *members) slackShareCount(now time.Time) int {
 	if m.listedAt.IsZero() || now.Sub(m.listedAt) < max(joinDelay, time.Duration(joinDelayIntervals*float64(m.heartbeatInterval()))) {
 		return 0
 	}
 	all, live, counted := 1, 1, 1
-	for _, p := range m.known {
+	for _, p := range m.peers {
 		if p.leaving {
 			continue
 		}
@@ -190,28 +190,28 @@
 
 // isLive reports whether a member is up.
 func (m *members) isLive(p *peerState, now time.Time) bool {
-	return !p.heartbeatAt.IsZero() && !p.leaving && now.After(p.downUntil) && now.Sub(p.heartbeatAt) <= maxMissedHeartbeats*m.heartbeatInterval()
+	return !p.heartbeatAt.IsZero() && !p.leaving && now.After(p.unresponsiveUntil) && now.Sub(p.heartbeatAt) <= maxMissedHeartbeats*m.heartbeatInterval()
 }
 
 // home returns the live gateway that schedules the group with a key, chosen by rendezvous hashing among those
 // with enough cores.
 func (m *members) home(key string, now time.Time) Member {
 	maxCores := m.self.Cores
-	for _, p := range m.known {
+	for _, p := range m.peers {
 		if m.isLive(p, now) {
 			maxCores = max(maxCores, p.Cores)
 		}
 	}
-	hosts := make([]string, 0, len(m.known)+1)
+	hosts := make([]string, 0, len(m.peers)+1)
 	if m.self.Cores >= largeHostFraction*maxCores {
 		hosts = append(hosts, m.self.Host)
 	}
-	for host, p := range m.known {
+	for host, p := range m.peers {
 		if m.isLive(p, now) && p.Cores >= largeHostFraction*maxCores {
 			hosts = append(hosts, host)
 		}
 	}
-	if p := m.known[rendezvous.First(key, hosts)]; p != nil {
+	if p := m.peers[rendezvous.First(key, hosts)]; p != nil {
 		return p.Member
 	}
 	return m.self
@@ -254,7 +254,7 @@
 }
 
 func (m *members) capacity(host string) Capacity {
-	if p := m.known[host]; p != nil {
+	if p := m.peers[host]; p != nil {
 		return p.Capacity
 	}
 	return m.self.Capacity
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -11,7 +11,7 @@
 
 const (
 	// noticesPerDatagram limits the notices in one datagram: each takes up to 73 of the 1,200 bytes.
-	noticesPerDatagram = 16
+	maxNoticesPerDatagram = 16
 	// stallThreshold is the time between two iterations of Run's loop above which the process counts as
 	// stalled. backlogPeriod is the time allowed for processing the backlog after a stall.
 	stallThreshold, backlogPeriod = 500 * time.Millisecond, 200 * time.Millisecond
@@ -19,14 +19,14 @@
 
 // loanState is the state of the loans of rate limit shares.
 type loanState struct {
-	lentAt      time.Time // when shares were last lent
-	loopedAt    time.Time // time of the last iteration of Run's loop
-	ignoreUntil time.Time // end of the period in which received loans are ignored
+	lentAt           time.Time // when shares were last lent
+	lastIterationAt  time.Time // time of the last iteration of Run's loop
+	ignoreLoansUntil time.Time // end of the period in which received loans are ignored
 }
 
 // sendNotices sends notices that are due to the other gateways.
 func (p *Peers) sendNotices(now time.Time) {
-	for batch := range slices.Chunk(p.notices.Due(now), noticesPerDatagram) {
+	for batch := range slices.Chunk(p.notices.DueReports(now), maxNoticesPerDatagram) {
 		p.sendAll(message{Notices: batch})
 	}
 }
@@ -37,7 +37,7 @@
 	host := p.hostAt(from)
 	var newer []notice.Report
 	for _, n := range notices {
-		if reply := p.notices.Receive(n, host, now); reply != nil {
+		if reply := p.notices.ReceiveReport(n, host, now); reply != nil {
 			newer = append(newer, *reply)
 		}
 	}
@@ -50,7 +50,7 @@
 func (p *Peers) hostAt(at netip.AddrPort) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for host, member := range p.members.known {
+	for host, member := range p.members.peers {
 		if member.Address == at {
 			return host
 		}
@@ -67,7 +67,7 @@
 	}
 	p.loans.lentAt = now
 	p.mu.Lock()
-	limits.SetGateways(p.members.rateSharers(now))
+	limits.SetGateways(p.members.rateShareCount(now))
 	p.mu.Unlock()
 	due := map[netip.AddrPort][]notice.Report{}
 	for group, servers := range p.local.RateLimitedServers() {
@@ -85,7 +85,7 @@
 		}
 	}
 	for address, notices := range due {
-		for batch := range slices.Chunk(notices, noticesPerDatagram) {
+		for batch := range slices.Chunk(notices, maxNoticesPerDatagram) {
 			p.send(message{Loans: batch}, address)
 		}
 	}
@@ -95,7 +95,7 @@
 // servers, because an earlier datagram with the rate limit may have been lost.
 func (p *Peers) handleLoans(loans []notice.Report, from netip.AddrPort, now time.Time) {
 	p.handleNotices(loans, from, now)
-	if now.Before(p.loans.ignoreUntil) {
+	if now.Before(p.loans.ignoreLoansUntil) {
 		return
 	}
 	for _, l := range loans {
@@ -110,15 +110,15 @@
 	if p.leaving {
 		return // AnnounceLeave has given up the share
 	}
-	p.local.SetGateways(p.members.slackSharers(now))
+	p.local.SetGateways(p.members.slackShareCount(now))
 }
 
 // checkStall detects that the process was stalled and then returns borrowed shares and ignores the loans
 // in the backlog: the lenders may have reclaimed these shares during the stall.
 func (p *Peers) checkStall(now time.Time) {
-	last := p.loans.loopedAt
+	last := p.loans.lastIterationAt
 	stalled := !last.IsZero() && now.Sub(last) > stallThreshold
-	p.loans.loopedAt = now
+	p.loans.lastIterationAt = now
 	if stalled {
 		p.mu.Lock()
 		p.members.recordStall(now)
@@ -128,6 +128,6 @@
 	if stalled && !p.notices.Empty() {
 		telemetry.Count("merlinpost_rate_shares_returned_total")
 		p.notices.Limits().DropBorrowed(now)
-		p.loans.ignoreUntil = now.Add(backlogPeriod)
+		p.loans.ignoreLoansUntil = now.Add(backlogPeriod)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -25,7 +25,7 @@
 const (
 	// busyInterval is the interval at which queued permit requests are checked in the absence of
 	// events; idleInterval is the interval of Run's loop when none is queued.
-	busyInterval, idleInterval = 20 * time.Millisecond, 100 * time.Millisecond
+	queuedPollInterval, idlePollInterval = 20 * time.Millisecond, 100 * time.Millisecond
 	// inboxSize is the number of received datagrams that may be waiting for Run.
 	inboxSize = 1024
 )
@@ -44,8 +44,8 @@
 	// Loans are the rate limits of which the sender lends its share to the receiver.
 	Loans []notice.Report `msgpack:"l,omitempty"`
 	// RepeatRequest asks the receiver for a repeat from its retry budget; RepeatResponse is the reply.
-	RepeatRequest  *repeatRequest  `msgpack:"r,omitempty"`
-	RepeatResponse *repeatResponse `msgpack:"p,omitempty"`
+	RetryRequest  *retryRequest  `msgpack:"r,omitempty"`
+	RetryResponse *retryResponse `msgpack:"p,omitempty"`
 }
 
 // heartbeat announces a gateway and reports the states that it has read from the store.
@@ -69,9 +69,9 @@
 
 // firstToken reports that an engine has completed a request's prefill.
 type firstToken struct {
-	Group permit.Group  `msgpack:"g"`
-	ID    string        `msgpack:"i"`
-	Took  time.Duration `msgpack:"t,omitempty"`
+	Group            permit.Group  `msgpack:"g"`
+	ID               string        `msgpack:"i"`
+	TimeToFirstToken time.Duration `msgpack:"t,omitempty"`
 }
 
 // requestEnd reports that a request has ended.
@@ -96,14 +96,14 @@
 	SetGateways(n int)
 	// LendRepeat grants another gateway a repeated send to a service from this gateway's retry budget, and reports
 	// whether the budget permitted it.
-	LendRepeat(service string) bool
+	LendRetry(service string) bool
 	// RecordStall records that the process was stalled since the given time and is expected to process
 	// the backlog until the other.
 	RecordStall(since, until time.Time)
 }
 
 // received is a message with its sender.
-type received struct {
+type receivedMessage struct {
 	message
 	from netip.AddrPort
 }
@@ -113,7 +113,7 @@
 	socket     *datagram.Socket[message]
 	self       netip.AddrPort
 	logger     *slog.Logger
-	inbox      chan received
+	inbox      chan receivedMessage
 	scheduler  *permit.Scheduler[netip.AddrPort] // used only by Run's goroutine
 	local      LocalGateway
 	quarantine *quarantine.Tracker
@@ -126,8 +126,8 @@
 	states         topicStates
 	estimates      []engineEstimates               // by this gateway, as sent in heartbeats
 	pendingPermits map[string]chan permit.Decision // by request ID
-	pendingRepeats map[uint64]chan bool            // waiting for a repeatResponse, by ID
-	lastRepeatID   uint64                          // ID of the newest repeatRequest
+	pendingRetries map[uint64]chan bool            // waiting for a repeatResponse, by ID
+	lastRetryID    uint64                          // ID of the newest repeatRequest
 	leaving        bool
 	heartbeatAt    time.Time
 	loggedLive     int // number of live gateways last logged, at liveLoggedAt
@@ -154,8 +154,8 @@
 func newPeers(host string, socket *datagram.Socket[message], capacity Capacity, local LocalGateway, logger *slog.Logger) *Peers {
 	self := socket.Address()
 	now := time.Now()
-	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan received, inboxSize), local: local, quarantine: local.Quarantine(), notices: local.Notices(), start: now,
-		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRepeats: map[uint64]chan bool{}}
+	p := &Peers{socket: socket, self: self, logger: logger, inbox: make(chan receivedMessage, inboxSize), local: local, quarantine: local.Quarantine(), notices: local.Notices(), start: now,
+		members: newMembers(Member{host, self, capacity}, now), pendingPermits: map[string]chan permit.Decision{}, pendingRetries: map[uint64]chan bool{}}
 	p.scheduler = permit.NewScheduler[netip.AddrPort](local.Engines, p.peerEstimates, p.notices.Limits(), permit.Policy{})
 	return p
 }
@@ -172,23 +172,23 @@
 	var receiving sync.WaitGroup
 	defer receiving.Wait()
 	receiving.Go(func() {
-		p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.enqueue(received{m, from}) })
+		p.socket.Receive(ctx, func(m message, from netip.AddrPort) { p.enqueue(receivedMessage{m, from}) })
 	})
-	timer := time.NewTimer(idleInterval)
+	timer := time.NewTimer(idlePollInterval)
 	defer timer.Stop()
 	estimatesLogged := time.Now()
 	for {
-		var r received
+		var r receivedMessage
 		select {
 		case <-ctx.Done():
 			return
 		case r = <-p.inbox:
 		case <-p.quarantine.UpdatesReady():
-		case <-p.notices.Pending():
+		case <-p.notices.ReportsReady():
 		case <-timer.C:
-			next := idleInterval
+			next := idlePollInterval
 			if p.scheduler.QueuedCount() > 0 {
-				next = busyInterval
+				next = queuedPollInterval
 			}
 			timer.Reset(next)
 		}
@@ -222,7 +222,7 @@
 }
 
 // enqueue passes a received message to Run. It drops the message if the inbox is full.
-func (p *Peers) enqueue(r received) {
+func (p *Peers) enqueue(r receivedMessage) {
 	select {
 	case p.inbox <- r:
 	default:
@@ -234,14 +234,14 @@
 // cannot be sent is dropped.
 func (p *Peers) send(m message, to netip.AddrPort) {
 	if to == p.self {
-		p.enqueue(received{m, p.self})
+		p.enqueue(receivedMessage{m, p.self})
 		return
 	}
 	p.socket.Send(m, to)
 }
 
 // handle processes a received message.
-func (p *Peers) handle(r received, now time.Time) {
+func (p *Peers) handle(r receivedMessage, now time.Time) {
 	switch {
 	case r.Heartbeat != nil:
 		p.handleHeartbeat(*r.Heartbeat, r.from, now)
@@ -250,7 +250,7 @@
 	case r.PermitDecision != nil:
 		p.deliverDecision(*r.PermitDecision)
 	case r.FirstToken != nil:
-		p.scheduler.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.Took, now)
+		p.scheduler.RecordFirstToken(r.FirstToken.Group, r.FirstToken.ID, r.FirstToken.TimeToFirstToken, now)
 	case r.End != nil:
 		p.scheduler.Finish(r.End.Group, r.End.ID, r.End.StreamStats, now)
 	case r.Suspects != nil:
@@ -259,10 +259,10 @@
 		p.handleNotices(r.Notices, r.from, now)
 	case r.Loans != nil:
 		p.handleLoans(r.Loans, r.from, now)
-	case r.RepeatRequest != nil:
-		p.lendRepeat(*r.RepeatRequest, r.from)
-	case r.RepeatResponse != nil:
-		p.deliverRepeat(*r.RepeatResponse)
+	case r.RetryRequest != nil:
+		p.lendRetry(*r.RetryRequest, r.from)
+	case r.RetryResponse != nil:
+		p.deliverRetryResponse(*r.RetryResponse)
 	}
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -47,7 +47,7 @@
 }
 
 func (fakeGateway) RateLimitedServers() map[permit.Group][]string { return nil }
-func (fakeGateway) LendRepeat(string) bool                        { return false }
+func (fakeGateway) LendRetry(string) bool                         { return false }
 func (fakeGateway) SetGateways(int)                               {}
 func (fakeGateway) RecordStall(time.Time, time.Time)              {}
 
@@ -74,7 +74,7 @@
 	g.Expect(m.live(now.Add(time.Second))).To(Equal([]string{"a", "b"}))
 	g.Expect(m.live(now.Add(10 * time.Second))).To(Equal([]string{"a"}))
 	m.recordHeartbeat(member("b", at(9)), false, now) // replaced at another address
-	g.Expect(m.known["b"].Address).To(Equal(at(9)))
+	g.Expect(m.peers["b"].Address).To(Equal(at(9)))
 }
 
 // Gateways with the same view agree on the home of each key, and the loss of a gateway moves only
@@ -158,7 +158,7 @@
 	g.Expect(alone.rank("t", now)).To(Equal(0))
 }
 
-func TestHeartbeatsStayWithinTheirBytes(t *testing.T) {
+func TestHeartbeatTrafficIsLimited(t *testing.T) {
 	g := NewWithT(t)
 	m := newMembers(member("a", at(1)), time.Unix(0, 0))
 	for i := range 389 {
@@ -172,7 +172,7 @@
 
 // Guards the message sizes on which docs/CAPACITY.md is based, and those of messages that must fit
 // into a datagram.
-func TestMessagesStaySmall(t *testing.T) {
+func TestMessageSizes(t *testing.T) {
 	g := NewWithT(t)
 	in := permit.Group{Service: "model-120b", Index: 3}
 	id := "9c41d07be2a35f68/0"
@@ -187,7 +187,7 @@
 			FirstTokenTarget: 2400 * time.Millisecond, MaxEventGap: 800 * time.Millisecond, FirstTokenTimeout: 9 * time.Second, ResponseTimeout: 15 * time.Second,
 			FailureDomain: "barrage-hall"}}}},
 		{"permit decision", 80, message{PermitDecision: &permit.Decision{ID: id, Verdict: permit.Granted, Engine: "i-7f3a91c2e4", FetchFrom: "i-1698e780c4", BacklogTokens: 120000}}},
-		{"first token", 60, message{FirstToken: &firstToken{Group: in, ID: id, Took: 180 * time.Millisecond}}},
+		{"first token", 60, message{FirstToken: &firstToken{Group: in, ID: id, TimeToFirstToken: 180 * time.Millisecond}}},
 		{"end", 75, message{End: &requestEnd{in, id, permit.StreamStats{Events: 64, Duration: 5 * time.Second, LongestGap: 150 * time.Millisecond}}}},
 		{"heartbeat", 45, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}}}},
 		{"heartbeat with estimates", 230, message{Heartbeat: &heartbeat{Host: "edge-barrage-hall-1", Capacity: Capacity{0.304, 1000}, Estimates: []engineEstimates{estimates, estimates, estimates}}}},
@@ -195,7 +195,7 @@
 		{"strong suspect", 240, message{Suspects: suspects(1, 3)}},
 		{"notice", 80, message{Notices: []notice.Report{rated}}},
 		{"loan", 80, message{Loans: []notice.Report{rated}}},
-		{"a datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Report{rated}, noticesPerDatagram)}},
+		{"a datagram of loans", 1200, message{Loans: slices.Repeat([]notice.Report{rated}, maxNoticesPerDatagram)}},
 	} {
 		data, err := msgpack.Marshal(m.message)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -238,7 +238,7 @@
 	g.Expect(f.reports(now)).To(HaveLen(1))
 	f.receive(stateReport{"t", 7, 100, 5000}, at(9), now.Add(time.Second))
 	g.Expect(f.topic("t").confirmedAt()).To(Equal(now.Add(900 * time.Millisecond)))
-	g.Expect(f.topic("t").remote.since).To(Equal(now.Add(-4 * time.Second)))
+	g.Expect(f.topic("t").remote.storeUpSince).To(Equal(now.Add(-4 * time.Second)))
 	g.Expect(f.reports(now.Add(time.Second))).To(BeEmpty()) // another gateway reports it
 	changed := f.topic("t").changed
 	f.receive(stateReport{"t", 8, 0, 0}, at(9), now.Add(2*time.Second))
@@ -280,9 +280,9 @@
 	f.topic("t").versioned = true
 	f.receive(stateReport{"t", 8, 0, 0}, at(2), now)
 	f.record("t", 8, now, now)
-	g.Expect(f.unsent).To(BeFalse())
+	g.Expect(f.reportPending).To(BeFalse())
 	f.record("t", 9, now.Add(time.Second), now)
-	g.Expect(f.unsent).To(BeTrue())
+	g.Expect(f.reportPending).To(BeTrue())
 }
 
 var _ = Describe("gateways on one network", func() {
--- a/internal/peers/permits.go
+++ b/internal/peers/permits.go
@@ -12,13 +12,13 @@
 	// answerTimeout limits the wait for the answer of a home. It allows for a round trip of up to
 	// 6 ms and a home process on a seventh of a core. An unreachable home delays a request by
 	// maxMissedAnswers+1 time-outs.
-	answerTimeout = 80 * time.Millisecond
+	responseTimeout = 80 * time.Millisecond
 	// queuedRetryInterval is the interval at which a queued permit request is repeated, in case its
 	// grant was lost or the home has terminated. At four repeats a second, about a hundred queued
 	// requests took most of the processor time of a home on a seventh of a core.
-	queuedRetryInterval = time.Second
+	queuedResendInterval = time.Second
 	// maxMissedAnswers is the number of answers in a row that may be missing before a home counts as down.
-	maxMissedAnswers = 2
+	maxMissedResponses = 2
 	// maxHomeAttempts is the number of homes that are tried in turn.
 	maxHomeAttempts = 2
 )
@@ -36,7 +36,7 @@
 // request to its first event.
 func (t Permit) FirstToken(took time.Duration) {
 	if t.peers != nil {
-		t.peers.send(message{FirstToken: &firstToken{Group: t.group, ID: t.id, Took: took}}, t.home)
+		t.peers.send(message{FirstToken: &firstToken{Group: t.group, ID: t.id, TimeToFirstToken: took}}, t.home)
 	}
 }
 
@@ -99,7 +99,7 @@
 func (p *Peers) requestFromHome(ctx context.Context, home netip.AddrPort, q pendingRequest, ch <-chan permit.Decision) (permit.Decision, bool) {
 	p.send(q.message(), home)
 	missed := 0
-	timer := time.NewTimer(answerTimeout)
+	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -111,13 +111,13 @@
 				return decision, true
 			}
 			missed = 0
-			timer.Reset(queuedRetryInterval)
+			timer.Reset(queuedResendInterval)
 		case <-timer.C:
-			if missed++; missed > maxMissedAnswers {
+			if missed++; missed > maxMissedResponses {
 				return permit.Decision{}, false
 			}
 			p.send(q.message(), home)
-			timer.Reset(answerTimeout)
+			timer.Reset(responseTimeout)
 		}
 	}
 }
--- a/internal/peers/repeats.go
+++ b/internal/peers/repeats.go
@@ -13,28 +13,28 @@
 const (
 	// repeatTimeout limits the wait for another gateway's answer. A later answer is ignored: the lender counted the
 	// repeat when it answered, and a send long after that may fall into another window.
-	repeatTimeout = 50 * time.Millisecond
+	retryResponseTimeout = 50 * time.Millisecond
 	// maxLenders is the maximum number of gateways that are asked for one repeat.
 	maxLenders = 3
 )
 
 // repeatRequest asks a gateway for a repeated send to a service from its retry budget.
-type repeatRequest struct {
+type retryRequest struct {
 	ID      uint64 `msgpack:"i"`
 	Service string `msgpack:"s"`
 }
 
 // repeatResponse is the reply to the repeatRequest with the same ID.
-type repeatResponse struct {
+type retryResponse struct {
 	ID      uint64 `msgpack:"i"`
 	Granted bool   `msgpack:"g,omitempty"`
 }
 
 // BorrowRepeat asks up to maxLenders other gateways, one at a time, to grant a repeated send to a service from
 // their retry budgets, and reports whether one did. Different keys distribute the load over the gateways.
-func (p *Peers) BorrowRepeat(ctx context.Context, service, key string) bool {
+func (p *Peers) BorrowRetry(ctx context.Context, service, key string) bool {
 	for _, lender := range p.lenders(key) {
-		if p.borrowRepeat(ctx, service, lender) {
+		if p.borrowRetry(ctx, service, lender) {
 			telemetry.Count("merlinpost_retry_budget_borrowed_total", "service", service)
 			return true
 		}
@@ -53,31 +53,31 @@
 	ranked := rendezvous.Rank(key, hosts)
 	var out []netip.AddrPort
 	for _, host := range ranked[:min(len(ranked), maxLenders)] {
-		out = append(out, p.members.known[host].Address)
+		out = append(out, p.members.peers[host].Address)
 	}
 	return out
 }
 
 // borrowRepeat asks one gateway for a repeat and waits for its answer.
-func (p *Peers) borrowRepeat(ctx context.Context, service string, lender netip.AddrPort) bool {
+func (p *Peers) borrowRetry(ctx context.Context, service string, lender netip.AddrPort) bool {
 	answer := make(chan bool, 1)
 	p.mu.Lock()
-	p.lastRepeatID++
-	id := p.lastRepeatID
-	p.pendingRepeats[id] = answer
+	p.lastRetryID++
+	id := p.lastRetryID
+	p.pendingRetries[id] = answer
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.pendingRepeats, id)
+		delete(p.pendingRetries, id)
 		p.mu.Unlock()
 	}()
 	askedAt := time.Now()
-	p.send(message{RepeatRequest: &repeatRequest{id, service}}, lender)
-	timer := time.NewTimer(repeatTimeout)
+	p.send(message{RetryRequest: &retryRequest{id, service}}, lender)
+	timer := time.NewTimer(retryResponseTimeout)
 	defer timer.Stop()
 	select {
 	case granted := <-answer:
-		return granted && time.Since(askedAt) <= repeatTimeout
+		return granted && time.Since(askedAt) <= retryResponseTimeout
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -85,16 +85,16 @@
 }
 
 // lendRepeat answers a repeatRequest from another gateway.
-func (p *Peers) lendRepeat(r repeatRequest, from netip.AddrPort) {
-	p.send(message{RepeatResponse: &repeatResponse{r.ID, p.local.LendRepeat(r.Service)}}, from)
+func (p *Peers) lendRetry(r retryRequest, from netip.AddrPort) {
+	p.send(message{RetryResponse: &retryResponse{r.ID, p.local.LendRetry(r.Service)}}, from)
 }
 
 // deliverRepeat delivers an answer to the borrowRepeat call that waits for it.
-func (p *Peers) deliverRepeat(a repeatResponse) {
+func (p *Peers) deliverRetryResponse(a retryResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if ch := p.pendingRepeats[a.ID]; ch != nil {
+	if ch := p.pendingRetries[a.ID]; ch != nil {
 		ch <- a.Granted
-		delete(p.pendingRepeats, a.ID)
+		delete(p.pendingRetries, a.ID)
 	}
 }
--- a/internal/peers/slack_test.go
+++ b/internal/peers/slack_test.go
@@ -15,7 +15,7 @@
 	Member
 	members     *members // nil while it is down
 	leaving     bool
-	cut         bool      // partitioned from the other gateways, not from the store
+	partitioned bool      // partitioned from the other gateways, not from the store
 	heartbeatAt time.Time // time of its last heartbeats
 	listReadAt  time.Time // time of its last read of the store's list
 }
@@ -56,13 +56,13 @@
 }
 
 // listEvery is the interval at which gateways read the store's list.
-const listEvery = 20 * time.Second
+const listReadInterval = 20 * time.Second
 
 // sendHeartbeats sends a heartbeat to each known gateway; each is lost with probability loss.
 func (f *slackFleet) sendHeartbeats(n *slackNode, loss float64) {
 	n.heartbeatAt = f.now
 	for _, other := range f.nodes {
-		if other.members != nil && !other.cut && !n.cut && n.members.known[other.Host] != nil && f.rnd.Float64() >= loss {
+		if other.members != nil && !other.partitioned && !n.partitioned && n.members.peers[other.Host] != nil && f.rnd.Float64() >= loss {
 			other.members.recordHeartbeat(n.Member, n.leaving, f.now)
 		}
 	}
@@ -84,7 +84,7 @@
 		n.leaving = true
 		f.sendHeartbeats(n, 0)
 	case kind == 4:
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case kind == 5:
 		n.members.recordStall(f.now)
 	}
@@ -94,7 +94,7 @@
 func (f *slackFleet) step() {
 	f.now = f.now.Add(500 * time.Millisecond)
 	for _, n := range f.nodes {
-		if n.members != nil && f.now.Sub(n.listReadAt) >= listEvery {
+		if n.members != nil && f.now.Sub(n.listReadAt) >= listReadInterval {
 			f.readList(n)
 		}
 		if n.members != nil && f.now.Sub(n.heartbeatAt) >= n.members.heartbeatInterval() {
@@ -110,7 +110,7 @@
 		if n.members == nil || n.leaving {
 			continue
 		}
-		if sharing := n.members.slackSharers(f.now); sharing > 0 {
+		if sharing := n.members.slackShareCount(f.now); sharing > 0 {
 			sum += 1 / float64(sharing)
 		}
 	}
@@ -132,13 +132,13 @@
 						f.injectFault()
 					}
 					f.step()
-					most = max(most, f.totalShare()*retrybudget.SlackInUse)
+					most = max(most, f.totalShare()*retrybudget.UsedSlackFraction)
 					if most > 1 {
 						t.Fatalf("seed %d: all gateways together use %.3f of the slack", seed, most)
 					}
 				}
 			}
-			if most < 0.5*retrybudget.SlackInUse {
+			if most < 0.5*retrybudget.UsedSlackFraction {
 				t.Errorf("all gateways together use at most %.3f of the slack, too little", most)
 			}
 		})
@@ -155,13 +155,13 @@
 	for range 60 {
 		f.step()
 	}
-	if n := f.nodes[0].members.slackSharers(f.now); n != 4 {
+	if n := f.nodes[0].members.slackShareCount(f.now); n != 4 {
 		t.Fatalf("%d gateways are counted 30 s after the last heartbeat of one, want 4", n)
 	}
 	for range 2 * 3600 {
 		f.step()
 	}
-	if n := f.nodes[0].members.slackSharers(f.now); n != 3 {
+	if n := f.nodes[0].members.slackShareCount(f.now); n != 3 {
 		t.Fatalf("%d gateways are counted an hour after the last heartbeat of one, want 3", n)
 	}
 }
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -14,7 +14,7 @@
 	// and notices. In a small deployment it spans several heartbeats, because one may be lost.
 	startupPeriod = 3 * time.Second
 	// maxGreeters is the number of gateways that send a new gateway what they know.
-	maxGreeters = 2
+	maxInitialStateSenders = 2
 	// maxSuspectBytes limits the estimated size of the suspects in one datagram.
 	maxSuspectBytes = 1000
 )
@@ -28,22 +28,22 @@
 
 // greet sends a gateway that has just started this gateway's engine estimates, so that it need not wait
 // for the next heartbeat. Only maxGreeters gateways also send suspects and notices.
-func (p *Peers) greet(host string, at netip.AddrPort, now time.Time) {
+func (p *Peers) sendInitialState(host string, at netip.AddrPort, now time.Time) {
 	p.mu.Lock()
-	if m := p.members.known[host]; m != nil && now.Sub(m.greetedAt) >= startupPeriod {
-		m.greetedAt = now
+	if m := p.members.peers[host]; m != nil && now.Sub(m.initialStateSentAt) >= startupPeriod {
+		m.initialStateSentAt = now
 		defer p.send(message{Heartbeat: p.newHeartbeat(nil)}, at)
 	}
 	live := slices.DeleteFunc(p.members.live(now), func(h string) bool { return h == host })
 	position := slices.Index(rendezvous.Rank("requests/"+host, live), p.members.self.Host)
 	p.mu.Unlock()
-	if position < 0 || position >= maxGreeters {
+	if position < 0 || position >= maxInitialStateSenders {
 		return
 	}
 	for _, batch := range suspectBatches(p.quarantine.Snapshot(now)) {
 		p.send(message{Suspects: batch}, at)
 	}
-	for batch := range slices.Chunk(p.notices.All(now), noticesPerDatagram) {
+	for batch := range slices.Chunk(p.notices.AllReports(now), maxNoticesPerDatagram) {
 		p.send(message{Notices: batch}, at)
 	}
 }
--- a/internal/peers/topicstates.go
+++ b/internal/peers/topicstates.go
@@ -17,29 +17,29 @@
 
 // observedState is a state with the time at which it was read, by this gateway's clock.
 type observedState struct {
-	state uint64
-	at    time.Time
-	since time.Time // when the store began to answer the reader's calls without interruption
-	from  netip.AddrPort
+	state        uint64
+	readAt       time.Time
+	storeUpSince time.Time // when the store began to answer the reader's calls without interruption
+	from         netip.AddrPort
 }
 
 // topicState is the state of a topic as read by this gateway and as reported by the others.
 type topicState struct {
 	// versioned is set if states are versions: a higher one is newer regardless of when it was read,
 	// and reports of lower versions are ignored.
-	versioned   bool
-	own, remote observedState
-	changed     chan struct{} // closed when a newer state is reported
+	versioned     bool
+	local, remote observedState
+	changed       chan struct{} // closed when a newer state is reported
 }
 
 // topicStates holds the states of all topics. It is not safe for concurrent use.
 type topicStates struct {
-	topics map[string]*topicState
-	unsent bool // this gateway has read a state that it has not reported yet
+	topics        map[string]*topicState
+	reportPending bool // this gateway has read a state that it has not reported yet
 }
 
 // reportFor is how long a gateway reports a state after reading it.
-const reportFor = 2 * time.Second
+const reportPeriod = 2 * time.Second
 
 func (s *topicStates) topic(name string) *topicState {
 	if s.topics == nil {
@@ -57,10 +57,10 @@
 func (s *topicStates) record(name string, state uint64, at, since time.Time) {
 	t := s.topic(name)
 	// A state that another gateway has reported need not be reported again.
-	if t.own.state != state && (state != t.remote.state || at.After(t.remote.at)) {
-		s.unsent = true
+	if t.local.state != state && (state != t.remote.state || at.After(t.remote.readAt)) {
+		s.reportPending = true
 	}
-	t.own = observedState{state: state, at: at, since: since}
+	t.local = observedState{state: state, readAt: at, storeUpSince: since}
 }
 
 // receive processes a report of another gateway.
@@ -83,15 +83,15 @@
 	if t.versioned && next.state != t.remote.state {
 		return next.state > t.remote.state
 	}
-	return next.at.After(t.remote.at)
+	return next.readAt.After(t.remote.readAt)
 }
 
 // outdated reports whether another gateway has a newer state.
 func (t *topicState) outdated() bool {
 	if t.versioned {
-		return t.remote.state > t.own.state
+		return t.remote.state > t.local.state
 	}
-	return t.remote.state != t.own.state && t.remote.at.After(t.own.at)
+	return t.remote.state != t.local.state && t.remote.readAt.After(t.local.readAt)
 }
 
 // reports returns the states to report to the others: those that this gateway has read recently, and later than
@@ -99,8 +99,8 @@
 func (s *topicStates) reports(now time.Time) []stateReport {
 	var out []stateReport
 	for name, t := range s.topics {
-		if age := now.Sub(t.own.at); !t.own.at.IsZero() && age < reportFor && t.own.at.After(t.remote.at) {
-			out = append(out, stateReport{name, t.own.state, age.Milliseconds(), now.Sub(t.own.since).Milliseconds()})
+		if age := now.Sub(t.local.readAt); !t.local.readAt.IsZero() && age < reportPeriod && t.local.readAt.After(t.remote.readAt) {
+			out = append(out, stateReport{name, t.local.state, age.Milliseconds(), now.Sub(t.local.storeUpSince).Milliseconds()})
 		}
 	}
 	return out
@@ -109,10 +109,10 @@
 // confirmedAt returns when this gateway's state was last read from the store, by this gateway or
 // another one.
 func (t *topicState) confirmedAt() time.Time {
-	if t.remote.state == t.own.state && t.remote.at.After(t.own.at) {
-		return t.remote.at
+	if t.remote.state == t.local.state && t.remote.readAt.After(t.local.readAt) {
+		return t.remote.readAt
 	}
-	return t.own.at
+	return t.local.readAt
 }
 
 // ReportState records the state of a topic that this gateway read at the given time, and since when the
@@ -128,7 +128,7 @@
 func (p *Peers) StoreUpSince(topic string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.states.topic(topic).remote.since
+	return p.states.topic(topic).remote.storeUpSince
 }
 
 // SetVersioned declares that the states of a topic are versions: higher ones are newer.
@@ -144,7 +144,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.states.topic(topic)
-	return t.remote.at, t.remote.from, t.outdated()
+	return t.remote.readAt, t.remote.from, t.outdated()
 }
 
 // ReportedState returns the state of a topic that other gateways have reported, or 0 if there is no report.
--- a/internal/permit/engine.go
+++ b/internal/permit/engine.go
@@ -35,20 +35,20 @@
 // engine is the scheduling state of one engine of a group.
 type engine struct {
 	Engine
-	model           *enginemodel.EngineModel
-	position        float64 // in the order of preference for short prompts, 0 to 1
-	requests        map[string]*entry
-	reservedTokens  int // KV cache tokens reserved for its requests
-	pendingPrefills int // granted requests whose prefill is not complete
-	pendingTokens   int // prompt tokens of these requests
+	model                *enginemodel.EngineModel
+	preference           float64 // in the order of preference for short prompts, 0 to 1
+	requests             map[string]*entry
+	reservedTokens       int // KV cache tokens reserved for its requests
+	pendingPrefills      int // granted requests whose prefill is not complete
+	pendingPrefillTokens int // prompt tokens of these requests
 	// prefillUntil is when all granted prefills are expected to be complete.
-	prefillUntil time.Time
+	expectedPrefillEnd time.Time
 	// prefillTotal is the expected duration of all completed prefills.
 	prefillTotal time.Duration
 	// prefillBurst is the duration of consecutive prefills, up to prefillEnd, without enough
 	// time in between for an event of each stream.
 	prefillBurst        time.Duration
-	prefillEnd          time.Time
+	lastPrefillEnd      time.Time
 	prefills            [recentPrefills]completedPrefill
 	prefillCount        int
 	consecutiveFailures int
@@ -85,7 +85,7 @@
 // prefillWait returns the expected time until the granted prefills are complete. For an engine
 // that is overdue it returns overdueWait, as there is no better estimate.
 func (e *engine) prefillWait(now time.Time) time.Duration {
-	left := e.prefillUntil.Sub(now)
+	left := e.expectedPrefillEnd.Sub(now)
 	switch {
 	case e.pendingPrefills == 0:
 		return 0
@@ -98,7 +98,7 @@
 // currentBurst returns the duration of the prefill burst that is in progress or has just ended.
 // eventInterval is the time in which each stream yields an event while no prefill is running.
 func (e *engine) currentBurst(eventInterval time.Duration, now time.Time) time.Duration {
-	if e.pendingPrefills > 0 || now.Sub(e.prefillEnd) < eventInterval {
+	if e.pendingPrefills > 0 || now.Sub(e.lastPrefillEnd) < eventInterval {
 		return e.prefillBurst
 	}
 	return 0
@@ -108,22 +108,22 @@
 // yields an event while no prefill is running.
 func (e *engine) startPrefill(en *entry, eventInterval time.Duration, now time.Time) {
 	e.prefillBurst = e.currentBurst(eventInterval, now) + en.expectedPrefill
-	if e.pendingPrefills == 0 || e.prefillUntil.Before(now) {
-		e.prefillUntil = now
+	if e.pendingPrefills == 0 || e.expectedPrefillEnd.Before(now) {
+		e.expectedPrefillEnd = now
 	}
 	en.exclusive = e.pendingPrefills == 0
-	e.prefillUntil = e.prefillUntil.Add(en.expectedPrefill)
+	e.expectedPrefillEnd = e.expectedPrefillEnd.Add(en.expectedPrefill)
 	e.pendingPrefills++
-	e.pendingTokens += en.prefillTokens
-	e.reservedTokens += en.ask.tokenDemand()
-	e.requests[en.ask.ID] = en
+	e.pendingPrefillTokens += en.prefillTokens
+	e.reservedTokens += en.request.tokenDemand()
+	e.requests[en.request.ID] = en
 }
 
 // startPlain accounts for a granted request without a prefill.
-func (e *engine) startPlain(en *entry, now time.Time) {
+func (e *engine) startPlainRequest(en *entry, now time.Time) {
 	en.prefillDone, en.firstTokenAt = true, now
-	e.reservedTokens += en.ask.tokenDemand()
-	e.requests[en.ask.ID] = en
+	e.reservedTokens += en.request.tokenDemand()
+	e.requests[en.request.ID] = en
 }
 
 // finishPrefill accounts for a completed prefill.
@@ -133,9 +133,9 @@
 	}
 	en.prefillDone, en.firstTokenAt = true, now
 	e.pendingPrefills--
-	e.pendingTokens -= en.prefillTokens
+	e.pendingPrefillTokens -= en.prefillTokens
 	if e.pendingPrefills == 0 {
-		e.prefillUntil, e.prefillEnd = now, now
+		e.expectedPrefillEnd, e.lastPrefillEnd = now, now
 	}
 	e.prefillTotal += en.expectedPrefill
 	e.prefills[e.prefillCount%recentPrefills] = completedPrefill{now, en.expectedPrefill}
@@ -144,10 +144,10 @@
 }
 
 // remove removes a granted request.
-func (e *engine) remove(en *entry, now time.Time) {
+func (e *engine) release(en *entry, now time.Time) {
 	e.finishPrefill(en, now)
-	e.reservedTokens -= en.ask.tokenDemand()
-	delete(e.requests, en.ask.ID)
+	e.reservedTokens -= en.request.tokenDemand()
+	delete(e.requests, en.request.ID)
 }
 
 // observeStream updates the service's model with the observed response.
@@ -169,23 +169,23 @@
 
 // slack returns how much of a stream's remaining time it does not need for its remaining output.
 func (e *engine) slack(en *entry, service *enginemodel.ServiceModel, now time.Time) time.Duration {
-	if en.ask.ResponseTimeout == 0 {
+	if en.request.ResponseTimeout == 0 {
 		return time.Hour
 	}
 	prefill := e.prefillTotal - en.prefillTotalAtFirstToken
 	generated := service.TokensGenerated(now.Sub(en.firstTokenAt)-prefill, prefill, e.TokensPerEvent)
-	rest := max(float64(en.ask.OutputTokens)-generated, minOutputLeftShare*float64(en.ask.OutputTokens))
-	return en.ask.ResponseTimeout - now.Sub(en.arrivedAt) - time.Duration(rest*float64(service.TokenTime()))
+	rest := max(float64(en.request.OutputTokens)-generated, minOutputLeftShare*float64(en.request.OutputTokens))
+	return en.request.ResponseTimeout - now.Sub(en.arrivedAt) - time.Duration(rest*float64(service.TokenTime()))
 }
 
 // succeeded records a successful request and ends the backoff.
-func (e *engine) succeeded(now time.Time) {
+func (e *engine) recordSuccess(now time.Time) {
 	e.failureRate.Add(now, false)
 	e.consecutiveFailures = 0
 	e.backoffUntil = time.Time{}
 }
 
-func (e *engine) failed(now time.Time) {
+func (e *engine) recordFailure(now time.Time) {
 	e.failureRate.Add(now, true)
 	e.backoffUntil = now.Add(min(initialBackoff<<min(e.consecutiveFailures, maxBackoffDoublings), maxBackoff))
 	e.consecutiveFailures++
--- a/internal/permit/limits_test.go
+++ b/internal/permit/limits_test.go
@@ -23,7 +23,7 @@
 }
 
 // The stated rate of a server applies even if the server caches the prompt's shared prefix.
-func TestStatedRateIsNotExceeded(t *testing.T) {
+func TestAdvertisedRateLimitIsNotExceeded(t *testing.T) {
 	g := NewWithT(t)
 	q, now := rateLimitedQueue(2, 1, 1)
 	granted := map[string]int{}
@@ -138,8 +138,8 @@
 func TestWaitingRequestsEndWhenNoEngineAccepts(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("running", longPromptTokens), now)
-	g.Expect(q.Submit(reportRequest("waiting", longPromptTokens), now).Verdict).To(Equal(Queued))
+	q.Submit(backgroundRequest("running", longPromptTokens), now)
+	g.Expect(q.Submit(backgroundRequest("waiting", longPromptTokens), now).Verdict).To(Equal(Queued))
 	leaving := acceptingEngines(1)
 	leaving[0].Accepting = false
 	q.SetEngines(leaving)
@@ -147,5 +147,5 @@
 	due := q.Poll(now)
 	g.Expect(due).To(HaveLen(1))
 	g.Expect(due[0].Verdict).To(Equal(NoEngine))
-	g.Expect(q.Submit(reportRequest("later", longPromptTokens), now).Verdict).To(Equal(NoEngine))
+	g.Expect(q.Submit(backgroundRequest("later", longPromptTokens), now).Verdict).To(Equal(NoEngine))
 }
--- a/internal/permit/load.go
+++ b/internal/permit/load.go
@@ -10,18 +10,18 @@
 const loadTimeConstant = 2 * time.Second
 
 // priorities is the number of priorities whose load is measured separately.
-const priorities = 10
+const priorityLevels = 10
 
 // loads is the offered load by priority.
-type loads [priorities]load
+type loadByPriority [priorityLevels]load
 
-func (l *loads) add(rank int, work time.Duration, now time.Time) {
-	l[min(max(rank, 0), priorities-1)].add(work, now)
+func (l *loadByPriority) add(rank int, work time.Duration, now time.Time) {
+	l[min(max(rank, 0), priorityLevels-1)].add(work, now)
 }
 
 // enginesNeededUpTo returns how many engines the load of a priority and all more urgent ones keeps busy.
-func (l *loads) enginesNeededUpTo(rank int, now time.Time) (sum float64) {
-	for i := range l[:min(max(rank+1, 0), priorities)] {
+func (l *loadByPriority) enginesNeededUpTo(rank int, now time.Time) (sum float64) {
+	for i := range l[:min(max(rank+1, 0), priorityLevels)] {
 		sum += l[i].enginesNeeded(now)
 	}
 	return sum
@@ -29,18 +29,18 @@
 
 // load measures the offered prefill time as a number of engines.
 type load struct {
-	work      float64 // seconds of prefill, exponentially decayed
-	updatedAt time.Time
+	engineSeconds float64 // seconds of prefill, exponentially decayed
+	updatedAt     time.Time
 }
 
 func (l *load) add(reading time.Duration, now time.Time) {
 	l.decay(now)
-	l.work += reading.Seconds()
+	l.engineSeconds += reading.Seconds()
 }
 
 func (l *load) decay(now time.Time) {
 	if elapsed := now.Sub(l.updatedAt); elapsed > 0 {
-		l.work *= math.Exp(-float64(elapsed) / float64(loadTimeConstant))
+		l.engineSeconds *= math.Exp(-float64(elapsed) / float64(loadTimeConstant))
 		l.updatedAt = now
 	}
 }
@@ -48,5 +48,5 @@
 // enginesNeeded returns how many engines the load keeps busy.
 func (l *load) enginesNeeded(now time.Time) float64 {
 	l.decay(now)
-	return l.work / loadTimeConstant.Seconds()
+	return l.engineSeconds / loadTimeConstant.Seconds()
 }
--- a/internal/permit/place.go
+++ b/internal/permit/place.go
@@ -20,7 +20,7 @@
 	preferenceCost = 150 * time.Millisecond
 	// packedShare is the share of its slots above which an engine is no longer filled with
 	// short prompts, and packedCost scales the cost of the share above it.
-	packedShare, packedCost = 0.5, 200 * time.Millisecond
+	occupancyThreshold, occupancyCost = 0.5, 200 * time.Millisecond
 	// recomputeFactor is the cost of a shared prefix that has to be prefilled again, in
 	// multiples of its prefill time, and fetchFactor the cost of fetching it. Both also take time
 	// from other requests.
@@ -38,9 +38,9 @@
 	// to maxExtraDisruptions more as it approaches its timeout: late responses of others are
 	// preferred to its refusal. With lower values the longest prompts are served far less often
 	// than the others.
-	dueShare            = 0.6
-	baseDisruptions     = 1
-	maxExtraDisruptions = 10.0
+	nonDisruptiveWaitShare = 0.6
+	baseDisruptions        = 1
+	maxExtraDisruptions    = 10.0
 	// failureCost is the cost of an engine that fails every request.
 	failureCost = 2 * time.Second
 	// plainRequestCost is the cost of each running request on a plain server.
@@ -50,7 +50,7 @@
 	// of the server show when its limit ends.
 	rateProbeInterval, rateProbeBonus = 2 * time.Second, time.Hour
 	// defaultShortestGap is the shortest tolerated gap that is assumed while none is known.
-	defaultShortestGap = 400 * time.Millisecond
+	defaultToleratedGap = 400 * time.Millisecond
 )
 
 // candidate is an engine that can take a request, with the cost of placing it there.
@@ -116,8 +116,8 @@
 // place grants the request on the cheapest engine that can take it, if any.
 func (q *Queue) place(e *entry, now time.Time) bool {
 	due, allowed := q.disruptionAllowance(e, now)
-	for _, s := range q.candidates(e.ask, now) {
-		if !q.policy.IgnoreInterference && q.disruptedStreams(s, e.ask, due, now) > allowed {
+	for _, s := range q.candidates(e.request, now) {
+		if !q.policy.IgnoreInterference && q.disruptedStreams(s, e.request, due, now) > allowed {
 			continue
 		}
 		if !q.limiter.Allow(s.engine.ID, now) {
@@ -133,20 +133,20 @@
 	e.grantedAt, e.engine, e.prefillTokens, e.cachedTokens, e.expectedPrefill, e.fetchFrom = now, s.engine, s.prefillTokens, s.cachedTokens, s.prefill, s.fetchFrom
 	e.prefillDeadline = now.Add(prefillTimeoutFactor*(s.wait+s.prefill) + prefillTimeoutMargin)
 	s.engine.lastGrant = now
-	if e.ask.Plain {
-		s.engine.startPlain(e, now)
+	if e.request.Plain {
+		s.engine.startPlainRequest(e, now)
 	} else {
 		s.engine.startPrefill(e, q.eventInterval(s.engine), now)
 	}
-	q.granted[e.ask.ID] = e
+	q.granted[e.request.ID] = e
 }
 
 // candidates returns the engines that can take the request now, the cheapest first.
 func (q *Queue) candidates(a Ask, now time.Time) []candidate {
 	at := q.locatePrefix(a, now)
-	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestGap(now)))
+	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestToleratedGap(now)))
 	out := q.candidateBuf[:0]
-	for _, en := range q.ordered {
+	for _, en := range q.sortedEngines {
 		if !en.usable(now) || !en.hasCapacity(a) || slices.Contains(a.ExcludedEngines, en.ID) {
 			continue
 		}
@@ -187,11 +187,11 @@
 	streams := float64(len(s.engine.requests) - s.engine.pendingPrefills)
 	out := weight * interferenceWeight * streams * float64(s.prefill)
 	if !q.policy.NoEnginePreference {
-		out += float64(preferenceCost) * (1 - weight) * s.engine.position
+		out += float64(preferenceCost) * (1 - weight) * s.engine.preference
 	}
 	if slots := s.engine.Slots; slots > 0 {
 		full := float64(len(s.engine.requests)) / float64(slots)
-		out += float64(packedCost) * max(full-packedShare, 0)
+		out += float64(occupancyCost) * max(full-occupancyThreshold, 0)
 	}
 	return time.Duration(out)
 }
@@ -200,14 +200,14 @@
 // disrupts no stream, and how many more urgent streams it may then disrupt. The number grows
 // as the request approaches its timeout.
 func (q *Queue) disruptionAllowance(e *entry, now time.Time) (due bool, allowed int) {
-	waited, bound := float64(now.Sub(e.arrivedAt)), e.ask.FirstTokenTimeout
-	if e.ask.FirstTokenTarget > 0 {
-		bound = min(bound, e.ask.FirstTokenTarget)
+	waited, bound := float64(now.Sub(e.arrivedAt)), e.request.FirstTokenTimeout
+	if e.request.FirstTokenTarget > 0 {
+		bound = min(bound, e.request.FirstTokenTarget)
 	}
-	if waited < dueShare*float64(bound) {
+	if waited < nonDisruptiveWaitShare*float64(bound) {
 		return false, 0
 	}
-	return true, baseDisruptions + int(maxExtraDisruptions*min(waited/float64(max(e.ask.FirstTokenTimeout, 1)), 1))
+	return true, baseDisruptions + int(maxExtraDisruptions*min(waited/float64(max(e.request.FirstTokenTimeout, 1)), 1))
 }
 
 // disruptedStreams counts the streams of an engine that would exceed their event gap or response
@@ -218,10 +218,10 @@
 	gap := q.model.EventGap(burst, s.engine.TokensPerEvent)
 	n := 0
 	for _, other := range s.engine.requests {
-		if !other.prefillDone || due && other.ask.Priority >= a.Priority {
+		if !other.prefillDone || due && other.request.Priority >= a.Priority {
 			continue
 		}
-		tooLong := other.ask.MaxEventGap > 0 && gap > other.ask.MaxEventGap
+		tooLong := other.request.MaxEventGap > 0 && gap > other.request.MaxEventGap
 		slack := s.engine.slack(other, q.model, now)
 		if tooLong || slack > 0 && slack < s.prefill && !q.policy.IgnoreResponseTimeouts {
 			n++
@@ -236,19 +236,19 @@
 	return time.Duration(max(e.TokensPerEvent, 1)) * q.model.TokenTime()
 }
 
-const shortestGapTTL = 10 * time.Second
+const toleratedGapTTL = 10 * time.Second
 
 // shortestGap returns the shortest event gap that recent requests tolerate.
-func (q *Queue) shortestGap(now time.Time) time.Duration {
-	if q.minGap == 0 || now.Sub(q.minGapAt) > shortestGapTTL {
-		return defaultShortestGap
+func (q *Queue) shortestToleratedGap(now time.Time) time.Duration {
+	if q.minToleratedGap == 0 || now.Sub(q.minToleratedGapAt) > toleratedGapTTL {
+		return defaultToleratedGap
 	}
-	return q.minGap
+	return q.minToleratedGap
 }
 
 // recordGap updates the shortest tolerated event gap.
-func (q *Queue) recordGap(gap time.Duration, now time.Time) {
-	if gap > 0 && (q.minGap == 0 || gap <= q.minGap || now.Sub(q.minGapAt) > shortestGapTTL) {
-		q.minGap, q.minGapAt = gap, now
+func (q *Queue) recordToleratedGap(gap time.Duration, now time.Time) {
+	if gap > 0 && (q.minToleratedGap == 0 || gap <= q.minToleratedGap || now.Sub(q.minToleratedGapAt) > toleratedGapTTL) {
+		q.minToleratedGap, q.minToleratedGapAt = gap, now
 	}
 }
--- a/internal/permit/place_test.go
+++ b/internal/permit/place_test.go
@@ -24,7 +24,7 @@
 // noticeable prefill goes to an engine whose streams tolerate it, or waits for a while; a short one
 // may go anywhere. Without this rule half of all interactive requests of one deployment had gaps
 // that were too long; with it most of them do not.
-func TestALongPromptIsKeptFromStreamsThatBearNoSuchPause(t *testing.T) {
+func TestLongPromptAvoidsStreamsThatDoNotTolerateItsGap(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(2)
 	for range 20 { // gaps as long as the prefill: large chunks
@@ -32,10 +32,10 @@
 	}
 	at := startStream(q, interactiveRequest("q1"), now)
 	now = now.Add(time.Second)
-	first := q.Submit(reportRequest("first", 20000), now) // 515 ms
+	first := q.Submit(backgroundRequest("first", 20000), now) // 515 ms
 	g.Expect(first.Engine).NotTo(Equal(at.ID))
-	g.Expect(q.Submit(reportRequest("second", 20000), now).Verdict).To(Equal(Queued))
-	g.Expect(q.Submit(reportRequest("short", 3000), now).Verdict).To(Equal(Queued)) // behind "second"
+	g.Expect(q.Submit(backgroundRequest("second", 20000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(backgroundRequest("short", 3000), now).Verdict).To(Equal(Queued)) // behind "second"
 	due := q.Poll(now)
 	g.Expect(due).To(HaveLen(1))
 	g.Expect(due[0].ID).To(Equal("short"))
@@ -49,7 +49,7 @@
 
 // A request is never delayed for streams that are not more urgent than itself. A less urgent request
 // eventually disrupts one more urgent stream instead of being refused.
-func TestNobodyWaitsForEqualsUntilRefused(t *testing.T) {
+func TestStreamsOfEqualPriorityDoNotDelayRequests(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for range 20 {
@@ -59,7 +59,7 @@
 		startStream(q, interactiveRequest(fmt.Sprint(i)), now.Add(time.Duration(i)*time.Second))
 	}
 	now = now.Add(6 * time.Second)
-	equal, report := interactiveRequest("equal"), reportRequest("report", 20000)
+	equal, report := interactiveRequest("equal"), backgroundRequest("report", 20000)
 	equal.UniqueTokens = 20000
 	g.Expect(q.Submit(equal, now).Verdict).To(Equal(Queued))
 	g.Expect(q.Submit(report, now).Verdict).To(Equal(Queued))
@@ -72,7 +72,7 @@
 }
 
 // A prompt that has waited for long may disrupt a stream.
-func TestOverduePromptMayDisruptAStream(t *testing.T) {
+func TestPromptMayDisruptAStreamAfterWaiting(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for range 20 {
@@ -80,7 +80,7 @@
 	}
 	startStream(q, interactiveRequest("q1"), now)
 	now = now.Add(time.Second)
-	g.Expect(q.Submit(reportRequest("a", 20000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(backgroundRequest("a", 20000), now).Verdict).To(Equal(Queued))
 	g.Expect(q.Poll(now.Add(time.Second))).To(BeEmpty())
 	due := q.Poll(now.Add(1600 * time.Millisecond)) // of a target of 2.5 s
 	g.Expect(due).To(HaveLen(1))
@@ -93,7 +93,7 @@
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	startStream(q, interactiveRequest("q1"), now)
-	g.Expect(q.Submit(reportRequest("a", 20000), now.Add(time.Second)).Verdict).To(Equal(Granted))
+	g.Expect(q.Submit(backgroundRequest("a", 20000), now.Add(time.Second)).Verdict).To(Equal(Granted))
 }
 
 // Two prefills without time for an event between them form a single gap.
@@ -105,12 +105,12 @@
 	}
 	startStream(q, interactiveRequest("q1"), now)
 	now = now.Add(time.Second)
-	g.Expect(q.Submit(reportRequest("a", 8000), now).Verdict).To(Equal(Granted)) // 215 ms
-	g.Expect(q.Submit(reportRequest("b", 8000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(backgroundRequest("a", 8000), now).Verdict).To(Equal(Granted)) // 215 ms
+	g.Expect(q.Submit(backgroundRequest("b", 8000), now).Verdict).To(Equal(Queued))
 	now = now.Add(215 * time.Millisecond)
 	q.RecordFirstToken("a", 215*time.Millisecond, now)
 	g.Expect(q.Poll(now)).To(BeEmpty())
-	event := q.eventInterval(q.ordered[0])
+	event := q.eventInterval(q.sortedEngines[0])
 	g.Expect(q.Poll(now.Add(event))).To(HaveLen(1))
 }
 
@@ -122,8 +122,8 @@
 	a := interactiveRequest("q1")
 	a.MaxEventGap, a.ResponseTimeout = 0, 3500*time.Millisecond // 300 tokens take 3 s
 	startStream(q, a, now)
-	g.Expect(q.Submit(reportRequest("a", 30000), now).Verdict).To(Equal(Queued)) // 765 ms
-	g.Expect(q.Submit(reportRequest("b", 10000), now).Verdict).To(Equal(Queued)) // behind "a"
+	g.Expect(q.Submit(backgroundRequest("a", 30000), now).Verdict).To(Equal(Queued)) // 765 ms
+	g.Expect(q.Submit(backgroundRequest("b", 10000), now).Verdict).To(Equal(Queued)) // behind "a"
 	due := q.Poll(now)
 	g.Expect(due).To(HaveLen(1))
 	g.Expect(due[0].ID).To(Equal("b"))
@@ -140,7 +140,7 @@
 	refused := map[string]time.Duration{}
 	for i := range 200 { // one every 100 ms, each takes 265 ms
 		id := fmt.Sprint(i)
-		if a := q.Submit(reportRequest(id, 10000), now); a.Verdict == Refused {
+		if a := q.Submit(backgroundRequest(id, 10000), now); a.Verdict == Refused {
 			refused[id] = 0
 		}
 		now = now.Add(100 * time.Millisecond)
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -31,7 +31,7 @@
 	// lost, or the engine is not responding and gets nothing for a while.
 	prefillTimeoutFactor, prefillTimeoutMargin = 3, 150 * time.Millisecond
 	// repeatTimeout is how long a request waits without being repeated; its gateway is then gone.
-	repeatTimeout = 3500 * time.Millisecond
+	resubmitTimeout = 3500 * time.Millisecond
 	// sweepInterval is the time between two sweeps of all waiting and granted requests for
 	// those that are lost or can't be served in time.
 	sweepInterval = 50 * time.Millisecond
@@ -47,9 +47,9 @@
 
 // entry is a waiting or granted request.
 type entry struct {
-	ask             Ask
+	request         Ask
 	arrivedAt       time.Time
-	lastHeardAt     time.Time // time of the last repeat
+	lastSubmittedAt time.Time // time of the last repeat
 	sequence        uint64    // in the order of arrival
 	prefillDeadline time.Time // when the prefill is assumed complete without a report
 	grantedAt       time.Time
@@ -67,23 +67,23 @@
 
 // Queue schedules requests for one group of engines. It is not safe for concurrent use.
 type Queue struct {
-	policy       Policy
-	model        *enginemodel.ServiceModel
-	limiter      *ratelimit.Limiter
-	engines      map[string]*engine
-	ordered      []*engine // by ID
-	prefixes     prefixIndex
-	waiting      []*entry
-	waitingByID  map[string]*entry
-	granted      map[string]*entry
-	lastSequence uint64        // of the last request
-	prefillsDone int           // prefills completed so far
-	minGap       time.Duration // the shortest event gap that a request tolerates, recorded at minGapAt
-	minGapAt     time.Time
-	load         loads
-	lastSweep    time.Time // when waiting and granted requests were last swept
-	candidateBuf []candidate
-	capacityBuf  capacity // reused buffer
+	policy            Policy
+	model             *enginemodel.ServiceModel
+	limiter           *ratelimit.Limiter
+	engines           map[string]*engine
+	sortedEngines     []*engine // by ID
+	prefixes          prefixIndex
+	waiting           []*entry
+	waitingByID       map[string]*entry
+	granted           map[string]*entry
+	lastSequence      uint64        // of the last request
+	prefillsDone      int           // prefills completed so far
+	minToleratedGap   time.Duration // the shortest event gap that a request tolerates, recorded at minGapAt
+	minToleratedGapAt time.Time
+	load              loadByPriority
+	lastSweep         time.Time // when waiting and granted requests were last swept
+	candidateBuf      []candidate
+	capacityBuf       capacity // reused buffer
 }
 
 // NewQueue returns an empty queue without engines.
@@ -93,7 +93,7 @@
 
 // SetEngines updates the engines of the group.
 func (q *Queue) SetEngines(list []Engine) {
-	changed := len(list) != len(q.ordered)
+	changed := len(list) != len(q.sortedEngines)
 	listed := make(map[string]bool, len(list))
 	for _, l := range list {
 		listed[l.ID] = true
@@ -101,7 +101,7 @@
 		if e == nil {
 			e = newEngine(l, q.model)
 			q.engines[l.ID] = e
-			q.ordered = append(q.ordered, e)
+			q.sortedEngines = append(q.sortedEngines, e)
 			changed = true
 		}
 		e.Engine = l
@@ -109,27 +109,27 @@
 	if !changed {
 		return
 	}
-	q.ordered = slices.DeleteFunc(q.ordered, func(e *engine) bool {
+	q.sortedEngines = slices.DeleteFunc(q.sortedEngines, func(e *engine) bool {
 		if !listed[e.ID] {
 			e.Accepting = false
 			delete(q.engines, e.ID)
 		}
 		return !listed[e.ID]
 	})
-	slices.SortFunc(q.ordered, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
-	q.setPositions()
+	slices.SortFunc(q.sortedEngines, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
+	q.setPreferences()
 }
 
 // setPositions sets the order of preference for short prompts. The order alternates between
 // failure domains and is the same on every gateway.
-func (q *Queue) setPositions() {
-	ids := make([]string, len(q.ordered))
-	for i, e := range q.ordered {
+func (q *Queue) setPreferences() {
+	ids := make([]string, len(q.sortedEngines))
+	for i, e := range q.sortedEngines {
 		ids[i] = e.ID
 	}
 	domain := func(id string) string { return q.engines[id].FailureDomain }
 	for i, id := range rendezvous.Spread("positions", ids, domain, len(ids)) {
-		q.engines[id].position = float64(i) / float64(len(ids))
+		q.engines[id].preference = float64(i) / float64(len(ids))
 	}
 }
 
@@ -139,18 +139,18 @@
 		return q.grantDecision(e, now)
 	}
 	if e := q.waitingByID[a.ID]; e != nil {
-		e.lastHeardAt = now
+		e.lastSubmittedAt = now
 		return Decision{ID: a.ID, Verdict: Queued}
 	}
 	q.lastSequence++
-	e := &entry{ask: a, arrivedAt: now, lastHeardAt: now, sequence: q.lastSequence}
-	if len(q.ordered) == 0 {
+	e := &entry{request: a, arrivedAt: now, lastSubmittedAt: now, sequence: q.lastSequence}
+	if len(q.sortedEngines) == 0 {
 		// This gateway has not read the list of engines yet, or has an older one. The requesting
 		// gateway chooses from its own list.
 		return Decision{ID: a.ID, Verdict: Granted}
 	}
-	q.recordGap(a.MaxEventGap, now)
-	q.load.add(a.Priority, q.work(a), now)
+	q.recordToleratedGap(a.MaxEventGap, now)
+	q.load.add(a.Priority, q.engineTime(a), now)
 	if !q.anyEligible(a, now) {
 		return q.newDecision(a.ID, NoEngine, minRetryAfter, now)
 	}
@@ -178,8 +178,8 @@
 		e.engine.model.ObservePrefill(e.prefillTokens, e.cachedTokens, took, now)
 	}
 	q.prefillsDone++
-	e.engine.succeeded(now)
-	q.prefixes.recordUse(e.ask.PrefixID, e.engine.ID, now)
+	e.engine.recordSuccess(now)
+	q.prefixes.recordUse(e.request.PrefixID, e.engine.ID, now)
 	e.engine.finishPrefill(e, now)
 }
 
@@ -189,12 +189,12 @@
 		if e.prefillDone && !q.policy.NoLearning {
 			e.engine.observeStream(q.model, e, s)
 		}
-		e.engine.remove(e, now)
+		e.engine.release(e, now)
 		switch {
-		case e.ask.Plain: // the requesting gateway lists unreachable servers itself
+		case e.request.Plain: // the requesting gateway lists unreachable servers itself
 			e.engine.failureRate.Add(now, s.EngineFailed)
 		case s.EngineFailed:
-			e.engine.failed(now)
+			e.engine.recordFailure(now)
 		}
 		delete(q.granted, id)
 	}
@@ -205,7 +205,7 @@
 
 // removeWaiting removes the waiting request with the given index.
 func (q *Queue) removeWaiting(i int) {
-	delete(q.waitingByID, q.waiting[i].ask.ID)
+	delete(q.waitingByID, q.waiting[i].request.ID)
 	q.waiting = slices.Delete(q.waiting, i, i+1)
 }
 
@@ -251,19 +251,19 @@
 // no longer repeated.
 func (q *Queue) expire(now time.Time) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
-		silent := now.Sub(e.lastHeardAt) > repeatTimeout
+		silent := now.Sub(e.lastSubmittedAt) > resubmitTimeout
 		if silent {
-			delete(q.waitingByID, e.ask.ID)
+			delete(q.waitingByID, e.request.ID)
 		}
 		return silent
 	})
 	for id, e := range q.granted {
 		if !e.prefillDone && now.After(e.prefillDeadline) {
 			e.engine.finishPrefill(e, now)
-			e.engine.failed(now)
+			e.engine.recordFailure(now)
 		}
-		if now.Sub(e.grantedAt) > grantTTL || e.ask.ResponseTimeout > 0 && now.Sub(e.arrivedAt) > e.ask.ResponseTimeout+responseTimeoutGrace {
-			e.engine.remove(e, now)
+		if now.Sub(e.grantedAt) > grantTTL || e.request.ResponseTimeout > 0 && now.Sub(e.arrivedAt) > e.request.ResponseTimeout+responseTimeoutGrace {
+			e.engine.release(e, now)
 			delete(q.granted, id)
 		}
 	}
@@ -275,8 +275,8 @@
 	if prefixID == "" {
 		return ""
 	}
-	ids := make([]string, 0, len(q.ordered))
-	for _, en := range q.ordered {
+	ids := make([]string, 0, len(q.sortedEngines))
+	for _, en := range q.sortedEngines {
 		ids = append(ids, en.ID)
 	}
 	return rendezvous.First(prefixID, ids)
@@ -285,35 +285,35 @@
 // anyCapacity reports whether an idle engine can take a prompt, or one that is running a prefill
 // could take a short one.
 func (q *Queue) anyCapacity(now time.Time) bool {
-	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestGap(now)))
-	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
+	concurrentLimit := time.Duration(concurrentPrefillShare * float64(q.shortestToleratedGap(now)))
+	return slices.ContainsFunc(q.sortedEngines, func(e *engine) bool {
 		return e.usable(now) && e.prefillWait(now) < concurrentLimit && !q.rateExhausted(e, now)
 	})
 }
 
 // anyEligible reports whether any engine may take the request, now or after its backoff.
 func (q *Queue) anyEligible(a Ask, now time.Time) bool {
-	return slices.ContainsFunc(q.ordered, func(e *engine) bool {
+	return slices.ContainsFunc(q.sortedEngines, func(e *engine) bool {
 		return e.Accepting && e.backoffUntil.Sub(now) <= a.FirstTokenTimeout && !slices.Contains(a.ExcludedEngines, e.ID)
 	})
 }
 
 func (q *Queue) grantDecision(e *entry, now time.Time) Decision {
-	a := q.newDecision(e.ask.ID, Granted, 0, now)
+	a := q.newDecision(e.request.ID, Granted, 0, now)
 	a.Engine, a.FetchFrom, a.ExpectedPrefill = e.engine.ID, e.fetchFrom, e.expectedPrefill
 	return a
 }
 
 func (q *Queue) newDecision(id string, verdict Verdict, wait time.Duration, now time.Time) Decision {
 	backlog, limited, all := 0, 0, q.allRateLimited(now)
-	for _, en := range q.ordered {
-		backlog += en.pendingTokens
+	for _, en := range q.sortedEngines {
+		backlog += en.pendingPrefillTokens
 		if b := q.limiter.Budget(en.ID, now); b.Wait > 0 || all && b.Limited {
 			limited++
 		}
 	}
 	for _, e := range q.waiting {
-		backlog += e.ask.UniqueTokens
+		backlog += e.request.UniqueTokens
 	}
 	return Decision{ID: id, Verdict: verdict, Wait: wait, BacklogTokens: backlog, RateLimitedEngines: limited}
 }
--- a/internal/permit/queue_test.go
+++ b/internal/permit/queue_test.go
@@ -13,13 +13,13 @@
 	"github.com/merlinpost/merlinpost/internal/ratelimit"
 )
 
-func reportRequest(id string, own int) Ask {
+func backgroundRequest(id string, own int) Ask {
 	return Ask{ID: id, Priority: 6, UniqueTokens: own, FirstTokenTarget: 2500 * time.Millisecond, FirstTokenTimeout: 10 * time.Second}
 }
 
 // sharedPrefixRequest returns a request with a shared prefix of 5,000 tokens.
 func sharedPrefixRequest(id, part string, own int) Ask {
-	a := reportRequest(id, own)
+	a := backgroundRequest(id, own)
 	a.PrefixID, a.PrefixTokens = part, 5000
 	return a
 }
@@ -44,14 +44,14 @@
 // Guards against refusals based on initial estimates: a gateway that had started 0.1 s before, without
 // peers and observations, overestimated the time for 85,000 tokens tenfold and answered an
 // interactive request with 429, as for overload, 0.2 ms after its arrival.
-func TestNoRefusalByInitialEstimates(t *testing.T) {
+func TestInitialEstimatesDoNotCauseRefusals(t *testing.T) {
 	g := NewWithT(t)
 	q := NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{})
 	q.SetEngines(acceptingEngines(1))
 	now := time.Unix(100, 0)
 	refused := func(name string, asks int) (n int) {
 		for i := range asks {
-			if q.Submit(reportRequest(fmt.Sprint(name, i), 10000), now).Verdict == Refused {
+			if q.Submit(backgroundRequest(fmt.Sprint(name, i), 10000), now).Verdict == Refused {
 				n++
 			}
 		}
@@ -62,7 +62,7 @@
 	now = now.Add(10 * time.Second) // nor later, while few prefills are completed
 	q = NewQueue(enginemodel.NewServiceModel(), ratelimit.New(rand.Float64), Policy{NoLearning: true})
 	q.SetEngines(acceptingEngines(1))
-	for i := range minPrefills {
+	for i := range minCalibrationPrefills {
 		g.Expect(refused(fmt.Sprint("few-", i, "-"), 1)).To(BeZero())
 		for id := range q.granted {
 			q.RecordFirstToken(id, time.Millisecond, now)
@@ -79,12 +79,12 @@
 func TestLongPrefillsRunOneAtATime(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	first := q.Submit(reportRequest("a", 6000), now)
+	first := q.Submit(backgroundRequest("a", 6000), now)
 	g.Expect(first.Verdict).To(Equal(Granted))
 	g.Expect(first.Engine).To(Equal("e0"))
 	g.Expect(first.ExpectedPrefill).To(BeNumerically("~", 165*time.Millisecond, time.Millisecond))
-	g.Expect(q.Submit(reportRequest("b", 6000), now).Verdict).To(Equal(Queued))
-	g.Expect(q.Submit(reportRequest("b", 6000), now).Verdict).To(Equal(Queued)) // submitted again
+	g.Expect(q.Submit(backgroundRequest("b", 6000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(backgroundRequest("b", 6000), now).Verdict).To(Equal(Queued)) // submitted again
 	g.Expect(q.Poll(now)).To(BeEmpty())
 	now = now.Add(150 * time.Millisecond)
 	q.RecordFirstToken("a", 150*time.Millisecond, now)
@@ -92,7 +92,7 @@
 	g.Expect(due).To(HaveLen(1))
 	g.Expect(due[0].ID).To(Equal("b"))
 	g.Expect(due[0].Verdict).To(Equal(Granted))
-	g.Expect(q.Submit(reportRequest("b", 6000), now).Verdict).To(Equal(Granted)) // the grant was lost
+	g.Expect(q.Submit(backgroundRequest("b", 6000), now).Verdict).To(Equal(Granted)) // the grant was lost
 	q.Finish("a", StreamStats{}, now)
 	q.Finish("b", StreamStats{}, now)
 	g.Expect(q.Idle()).To(BeTrue())
@@ -104,9 +104,9 @@
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	for i := range 4 {
-		g.Expect(q.Submit(reportRequest(fmt.Sprint(i), 200), now).Verdict).To(Equal(Granted)) // 20 ms each
+		g.Expect(q.Submit(backgroundRequest(fmt.Sprint(i), 200), now).Verdict).To(Equal(Granted)) // 20 ms each
 	}
-	g.Expect(q.Submit(reportRequest("more", 2000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(backgroundRequest("more", 2000), now).Verdict).To(Equal(Queued))
 }
 
 func TestExcessLoadIsRefusedImmediately(t *testing.T) {
@@ -115,7 +115,7 @@
 		q, now := newQueue(engines)
 		refused := 0
 		for i := range 100 * engines {
-			a := q.Submit(reportRequest(fmt.Sprint(i), 10000), now)
+			a := q.Submit(backgroundRequest(fmt.Sprint(i), 10000), now)
 			if a.Verdict == Refused {
 				refused++
 				g.Expect(a.Wait).To(BeNumerically(">=", minRetryAfter))
@@ -131,9 +131,9 @@
 func TestMoreUrgentRequestsGoFirst(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("running", longPromptTokens), now)
-	q.Submit(reportRequest("early", 1000), now)
-	urgent := reportRequest("urgent", 1000)
+	q.Submit(backgroundRequest("running", longPromptTokens), now)
+	q.Submit(backgroundRequest("early", 1000), now)
+	urgent := backgroundRequest("urgent", 1000)
 	urgent.Priority = 0
 	q.Submit(urgent, now.Add(time.Millisecond))
 	q.RecordFirstToken("running", 100*time.Millisecond, now.Add(100*time.Millisecond))
@@ -144,11 +144,11 @@
 func TestOnTimeRequestsPrecedeLateOnes(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("running", longPromptTokens), now)
-	q.Submit(reportRequest("late", 3000), now)
+	q.Submit(backgroundRequest("running", longPromptTokens), now)
+	q.Submit(backgroundRequest("late", 3000), now)
 	now = now.Add(2300 * time.Millisecond)
 	q.granted["running"].prefillDeadline = now.Add(time.Second)
-	q.Submit(reportRequest("timely", 3000), now)
+	q.Submit(backgroundRequest("timely", 3000), now)
 	q.RecordFirstToken("running", 100*time.Millisecond, now)
 	due := q.Poll(now)
 	g.Expect(due[0].ID).To(Equal("timely"))
@@ -160,8 +160,8 @@
 func TestLostReportDoesNotBlockEngine(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("lost", 3000), now) // 90 ms
-	q.Submit(reportRequest("next", 3000), now)
+	q.Submit(backgroundRequest("lost", 3000), now) // 90 ms
+	q.Submit(backgroundRequest("next", 3000), now)
 	g.Expect(q.Poll(now.Add(300 * time.Millisecond))).To(BeEmpty())
 	g.Expect(q.Poll(now.Add(430 * time.Millisecond))).To(BeEmpty()) // assumed complete, but the engine may not be responding
 	due := q.Poll(now.Add(430*time.Millisecond + initialBackoff + sweepInterval))
@@ -170,20 +170,20 @@
 	g.Expect(q.Idle()).To(BeFalse())
 	q.Poll(now.Add(grantTTL + time.Millisecond)) // the end of "lost" was never reported
 	g.Expect(q.Idle()).To(BeTrue())
-	g.Expect(q.ordered[0].requests).To(BeEmpty())
+	g.Expect(q.sortedEngines[0].requests).To(BeEmpty())
 }
 
 // A request that is not repeated no longer has a gateway.
-func TestUnrepeatedRequestIsDropped(t *testing.T) {
+func TestRequestNotResubmittedIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("running", longPromptTokens), now)
-	q.Submit(reportRequest("gone", longPromptTokens), now)
-	q.Submit(reportRequest("kept", longPromptTokens), now)
+	q.Submit(backgroundRequest("running", longPromptTokens), now)
+	q.Submit(backgroundRequest("gone", longPromptTokens), now)
+	q.Submit(backgroundRequest("kept", longPromptTokens), now)
 	q.granted["running"].prefillDeadline = now.Add(time.Minute)
 	for range 4 {
 		now = now.Add(time.Second)
-		g.Expect(q.Submit(reportRequest("kept", longPromptTokens), now).Verdict).To(Equal(Queued))
+		g.Expect(q.Submit(backgroundRequest("kept", longPromptTokens), now).Verdict).To(Equal(Queued))
 		q.Poll(now)
 	}
 	g.Expect(q.waitingByID).To(HaveKey("kept"))
@@ -197,7 +197,7 @@
 	for i := range 400 {
 		id := fmt.Sprint(i)
 		own := 2000 + 100*(i%60)
-		g.Expect(q.Submit(reportRequest(id, own), now).Verdict).To(Equal(Granted))
+		g.Expect(q.Submit(backgroundRequest(id, own), now).Verdict).To(Equal(Granted))
 		took := time.Duration(own) * 50 * time.Microsecond // 20 tokens a ms
 		now = now.Add(took)
 		q.RecordFirstToken(id, took, now)
@@ -264,7 +264,7 @@
 
 // A gateway that takes over the scheduling does not know where prefixes are cached. Every gateway
 // chooses the same engine for a prefix, so that prefixes prefilled earlier are found again.
-func TestAPartOfWhichNothingIsKnownGoesToItsHome(t *testing.T) {
+func TestPrefixNotKnownToBeCachedGoesToItsHomeEngine(t *testing.T) {
 	g := NewWithT(t)
 	before, now := newQueue(5)
 	homes := map[string]bool{}
@@ -278,11 +278,11 @@
 		g.Expect(second.FetchFrom).To(BeEmpty())
 		homes[second.Engine] = true
 		// While the home engine is busy, the prefix is still fetched from there.
-		after.Submit(reportRequest("y", longPromptTokens), now)
+		after.Submit(backgroundRequest("y", longPromptTokens), now)
 		busy, _ := newQueue(5)
-		for _, e := range busy.ordered {
+		for _, e := range busy.sortedEngines {
 			if e.ID == first.Engine {
-				busy.grant(&entry{ask: reportRequest("busy", longPromptTokens)}, candidate{engine: e, prefillTokens: longPromptTokens, prefill: time.Second}, now)
+				busy.grant(&entry{request: backgroundRequest("busy", longPromptTokens)}, candidate{engine: e, prefillTokens: longPromptTokens, prefill: time.Second}, now)
 			}
 		}
 		g.Expect(busy.Submit(sharedPrefixRequest("z", part, 1000), now).FetchFrom).To(Equal(first.Engine))
@@ -293,11 +293,11 @@
 func TestRequestThatCannotStartInTimeIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
-	q.Submit(reportRequest("running", 5*longPromptTokens), now) // 1.1 s
-	tight := reportRequest("tight", 1000)
+	q.Submit(backgroundRequest("running", 5*longPromptTokens), now) // 1.1 s
+	tight := backgroundRequest("tight", 1000)
 	tight.FirstTokenTimeout = 500 * time.Millisecond
 	g.Expect(q.Submit(tight, now).Verdict).To(Equal(Refused))
-	g.Expect(q.Submit(reportRequest("other", 1000), now).Verdict).To(Equal(Queued))
+	g.Expect(q.Submit(backgroundRequest("other", 1000), now).Verdict).To(Equal(Queued))
 }
 
 func TestPrefixesExpire(t *testing.T) {
@@ -318,7 +318,7 @@
 	at := map[string]int{}
 	for i := range 400 {
 		id := fmt.Sprint(i)
-		a := q.Submit(reportRequest(id, 5000), now)
+		a := q.Submit(backgroundRequest(id, 5000), now)
 		if a.Verdict == Granted {
 			at[a.Engine]++
 			if a.Engine == "e0" {
@@ -346,20 +346,20 @@
 func TestExcludedEnginesAreNotUsed(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(2)
-	a := reportRequest("a", 2000)
+	a := backgroundRequest("a", 2000)
 	a.ExcludedEngines = []string{"e0"}
 	g.Expect(q.Submit(a, now).Engine).To(Equal("e1"))
-	b := reportRequest("b", 2000)
+	b := backgroundRequest("b", 2000)
 	b.ExcludedEngines = []string{"e0", "e1"}
 	g.Expect(q.Submit(b, now).Verdict).To(Equal(NoEngine)) // regardless of the load
 }
 
 // A gateway that has not read the list of engines yet, for example one that started while the store
 // was unavailable, must not refuse requests that others could serve.
-func TestUnknownGroupIsGrantedWithoutEngine(t *testing.T) {
+func TestRequestIsGrantedWithoutEngineIfGroupIsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(0)
-	a := q.Submit(reportRequest("a", 2000), now)
+	a := q.Submit(backgroundRequest("a", 2000), now)
 	g.Expect(a.Verdict).To(Equal(Granted))
 	g.Expect(a.Engine).To(BeEmpty())
 	g.Expect(q.Idle()).To(BeTrue())
@@ -377,8 +377,8 @@
 				open[a.ID] = true
 				return
 			case Granted:
-				if (a.Engine == "") != (len(q.ordered) == 0) || a.Engine != "" && a.Engine == a.FetchFrom {
-					t.Fatalf("granted %q of %d engines with the prefix from %q", a.Engine, len(q.ordered), a.FetchFrom)
+				if (a.Engine == "") != (len(q.sortedEngines) == 0) || a.Engine != "" && a.Engine == a.FetchFrom {
+					t.Fatalf("granted %q of %d engines with the prefix from %q", a.Engine, len(q.sortedEngines), a.FetchFrom)
 				}
 				granted[a.ID] = 1
 			}
@@ -419,9 +419,9 @@
 		for id := range granted {
 			q.Finish(id, StreamStats{}, now)
 		}
-		for _, e := range q.ordered {
-			if e.pendingTokens != 0 || e.pendingPrefills != 0 || len(e.requests) != 0 || e.reservedTokens != 0 {
-				t.Fatalf("state remains at %s: %d tokens, %d requests", e.ID, e.pendingTokens, len(e.requests))
+		for _, e := range q.sortedEngines {
+			if e.pendingPrefillTokens != 0 || e.pendingPrefills != 0 || len(e.requests) != 0 || e.reservedTokens != 0 {
+				t.Fatalf("state remains at %s: %d tokens, %d requests", e.ID, e.pendingPrefillTokens, len(e.requests))
 			}
 		}
 		if len(q.waiting) != 0 || len(q.waitingByID) != 0 || len(q.granted) != 0 {
@@ -439,9 +439,9 @@
 			prompts[e.engine]++
 		}
 	}
-	for _, e := range q.ordered {
-		if reading[e] != e.pendingTokens || prompts[e] != e.pendingPrefills {
-			t.Fatalf("%s has %d pending tokens of %d prompts, accounted %d of %d", e.ID, reading[e], prompts[e], e.pendingTokens, e.pendingPrefills)
+	for _, e := range q.sortedEngines {
+		if reading[e] != e.pendingPrefillTokens || prompts[e] != e.pendingPrefills {
+			t.Fatalf("%s has %d pending tokens of %d prompts, accounted %d of %d", e.ID, reading[e], prompts[e], e.pendingPrefillTokens, e.pendingPrefills)
 		}
 	}
 	if len(q.waitingByID) != len(q.waiting) {
@@ -456,9 +456,9 @@
 	d := NewScheduler[string](func(Group) []Engine { lists++; return acceptingEngines(1) }, told, ratelimit.New(rand.Float64), Policy{})
 	now := time.Unix(100, 0)
 	one, two := Group{Service: "s"}, Group{Service: "s", Index: 1}
-	g.Expect(d.Submit(one, reportRequest("a", longPromptTokens), "gw1", now).Verdict).To(Equal(Granted))
-	g.Expect(d.Submit(one, reportRequest("b", longPromptTokens), "gw2", now).Verdict).To(Equal(Queued))
-	g.Expect(d.Submit(two, reportRequest("c", longPromptTokens), "gw2", now).Verdict).To(Equal(Granted))
+	g.Expect(d.Submit(one, backgroundRequest("a", longPromptTokens), "gw1", now).Verdict).To(Equal(Granted))
+	g.Expect(d.Submit(one, backgroundRequest("b", longPromptTokens), "gw2", now).Verdict).To(Equal(Queued))
+	g.Expect(d.Submit(two, backgroundRequest("c", longPromptTokens), "gw2", now).Verdict).To(Equal(Granted))
 	g.Expect(lists).To(Equal(2))
 	g.Expect(d.QueuedCount()).To(Equal(1))
 	d.RecordFirstToken(one, "a", 100*time.Millisecond, now)
@@ -474,22 +474,22 @@
 
 // BenchmarkAsk measures one submission, first token and end in a queue of 400 requests for 64 engines
 // with 30 streams each. A short prompt on engines without a backlog takes a third of that time.
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkSubmit(b *testing.B) {
 	q, now := newQueue(64)
 	for i := range 64 * 30 {
 		id := fmt.Sprint("stream", i)
-		q.Submit(reportRequest(id, 100), now)
+		q.Submit(backgroundRequest(id, 100), now)
 		q.RecordFirstToken(id, time.Millisecond, now)
 	}
 	for i := range 64 {
-		q.Submit(reportRequest(fmt.Sprint("running", i), longPromptTokens), now)
+		q.Submit(backgroundRequest(fmt.Sprint("running", i), longPromptTokens), now)
 	}
 	for i := range 400 {
-		q.Submit(reportRequest(fmt.Sprint("w", i), 100), now)
+		q.Submit(backgroundRequest(fmt.Sprint("w", i), 100), now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		a := reportRequest("x", 100)
+		a := backgroundRequest("x", 100)
 		q.Submit(a, now)
 		q.Poll(now)
 		q.Finish("x", StreamStats{}, now)
@@ -498,7 +498,7 @@
 
 // Guards against refusing bursts of interactive requests while reports are still granted, which
 // happened because reports expected to arrive meanwhile were counted as if they went first.
-func TestABurstOfUrgentRequestsIsNotRefusedForTheSakeOfOthers(t *testing.T) {
+func TestUrgentBurstIsNotRefusedInFavorOfBackgroundRequests(t *testing.T) {
 	g := NewWithT(t)
 	q, now := newQueue(1)
 	sent, refused := map[int]int{}, map[int]int{}
@@ -518,7 +518,7 @@
 	}
 	for i := range 1000 { // 20 s
 		if i%10 == 0 {
-			ask(reportRequest(fmt.Sprint("report-", i), 8000))
+			ask(backgroundRequest(fmt.Sprint("report-", i), 8000))
 		}
 		if i%100 < 8 { // a burst every 2 s, together half of the engine's time
 			urgent := Ask{ID: fmt.Sprint("question-", i), UniqueTokens: 3500, FirstTokenTarget: 300 * time.Millisecond, FirstTokenTimeout: 2 * time.Second}
--- a/internal/permit/scheduler.go
+++ b/internal/permit/scheduler.go
@@ -95,7 +95,7 @@
 			if group.Service == service {
 				l.Queued += len(k.waiting)
 				l.Running += len(k.granted)
-				for _, e := range k.ordered {
+				for _, e := range k.sortedEngines {
 					if e.Accepting {
 						l.AvailableEngines++
 					}
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -10,14 +10,14 @@
 	// refusalShare is the share of a request's timeout above which an expected wait leads to
 	// immediate refusal. It is close to 1 because a late response is worth more to the caller
 	// than a refusal, and expected waits are about right.
-	refusalShare = 0.85
+	earlyRefusalShare = 0.85
 	// onTimeShare is the share of its target after which a waiting request counts as late. The
 	// rest is for its prefill. The expected prefill time itself is not considered, so that long
 	// prompts are not delayed or refused sooner than short ones.
-	onTimeShare = 0.75
+	onTimeWaitShare = 0.75
 	// minCapacityShare is the lower bound of the share of engine time that is assumed to be left
 	// for late requests.
-	minCapacityShare = 0.1
+	minLateCapacityShare = 0.1
 )
 
 // trueFirst returns the comparison result for two items of which only one has a property: the one
@@ -32,11 +32,11 @@
 // compare orders waiting requests by priority, then those with a partial response, then those that
 // can still be on time, then by arrival.
 func (q *Queue) compare(a, b *entry, now time.Time) int {
-	if c := cmp.Compare(a.ask.Priority, b.ask.Priority); c != 0 {
+	if c := cmp.Compare(a.request.Priority, b.request.Priority); c != 0 {
 		return c
 	}
-	if a.ask.Resumed != b.ask.Resumed {
-		return trueFirst(a.ask.Resumed)
+	if a.request.Resumed != b.request.Resumed {
+		return trueFirst(a.request.Resumed)
 	}
 	if x, y := q.onTime(a, now), q.onTime(b, now); x != y && !q.policy.IgnoreLateness {
 		return trueFirst(x)
@@ -48,7 +48,7 @@
 
 // onTime reports whether the request can be on time if granted now.
 func (q *Queue) onTime(e *entry, now time.Time) bool {
-	return now.Sub(e.arrivedAt) <= time.Duration(onTimeShare*float64(e.ask.FirstTokenTarget))
+	return now.Sub(e.arrivedAt) <= time.Duration(onTimeWaitShare*float64(e.request.FirstTokenTarget))
 }
 
 // expectedWait returns the expected time until an engine starts the request, assuming that
@@ -59,26 +59,26 @@
 	count := 0
 	for _, other := range q.waiting {
 		if other != e && q.precedes(other, e, now) {
-			ahead += q.work(other.ask)
+			ahead += q.engineTime(other.request)
 			count++
 		}
 	}
-	c := q.capacity(meanOr(ahead, count, q.work(e.ask)), now)
+	c := q.capacity(meanOrDefault(ahead, count, q.engineTime(e.request)), now)
 	return c.nextFree(ahead), c.total()
 }
 
 // plainWork is the engine time of a plain request; plain servers run many concurrently.
-const plainWork = time.Millisecond
+const plainEngineTime = time.Millisecond
 
 // work returns the engine time that a request takes.
-func (q *Queue) work(a Ask) time.Duration {
+func (q *Queue) engineTime(a Ask) time.Duration {
 	if a.Plain {
-		return plainWork
+		return plainEngineTime
 	}
 	return q.model.PrefillTime(a.UniqueTokens, a.PrefixTokens)
 }
 
-func meanOr(sum time.Duration, count int, fallback time.Duration) time.Duration {
+func meanOrDefault(sum time.Duration, count int, fallback time.Duration) time.Duration {
 	if count == 0 {
 		return fallback
 	}
@@ -88,8 +88,8 @@
 // engineCapacity is when a usable engine can take its next request, and the share of its time that
 // its stated rate lets it spend on requests.
 type engineCapacity struct {
-	wait  time.Duration
-	speed float64
+	wait           time.Duration
+	availableShare float64
 }
 
 // capacity lists the usable engines, ordered by when they can take their next request.
@@ -98,13 +98,13 @@
 // capacity returns the capacity for requests that each take the given engine time.
 func (q *Queue) capacity(perRequest time.Duration, now time.Time) capacity {
 	out := q.capacityBuf[:0]
-	for _, en := range q.ordered {
+	for _, en := range q.sortedEngines {
 		if !en.usable(now) {
 			continue
 		}
 		s := engineCapacity{en.prefillWait(now), 1}
 		if b := q.limiter.Budget(en.ID, now); b.Limited {
-			s.wait, s.speed = max(s.wait, b.Wait), min(1, b.Rate*perRequest.Seconds())
+			s.wait, s.availableShare = max(s.wait, b.Wait), min(1, b.Rate*perRequest.Seconds())
 		}
 		out = append(out, s)
 	}
@@ -116,7 +116,7 @@
 // total returns the capacity in engines.
 func (c capacity) total() (sum float64) {
 	for _, s := range c {
-		sum += s.speed
+		sum += s.availableShare
 	}
 	return sum
 }
@@ -132,7 +132,7 @@
 			break
 		}
 		ahead -= work
-		at, speed = s.wait, speed+s.speed
+		at, speed = s.wait, speed+s.availableShare
 		if ahead <= 0 {
 			return at
 		}
@@ -149,22 +149,22 @@
 	var out []Decision
 	var all time.Duration
 	for _, e := range q.waiting {
-		all += q.work(e.ask)
+		all += q.engineTime(e.request)
 	}
-	engines := q.capacity(meanOr(all, len(q.waiting), 0), now)
+	engines := q.capacity(meanOrDefault(all, len(q.waiting), 0), now)
 	verdict, ahead := Refused, time.Duration(0)
 	if len(engines) == 0 {
 		verdict = NoEngine
 	}
-	noneAccepting := !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting })
+	noneAccepting := !slices.ContainsFunc(q.sortedEngines, func(e *engine) bool { return e.Accepting })
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
 		wait := engines.nextFree(ahead)
 		if !noneAccepting && !q.unservable(e, wait, engines.total(), now) {
-			ahead += q.work(e.ask)
+			ahead += q.engineTime(e.request)
 			return false
 		}
-		delete(q.waitingByID, e.ask.ID)
-		out = append(out, q.newDecision(e.ask.ID, verdict, q.retryAfter(wait, e.ask, engines.total(), now), now))
+		delete(q.waitingByID, e.request.ID)
+		out = append(out, q.newDecision(e.request.ID, verdict, q.retryAfter(wait, e.request, engines.total(), now), now))
 		return true
 	})
 	return out
@@ -175,30 +175,30 @@
 // is none, waiting would be in vain.
 func (q *Queue) unservable(e *entry, wait time.Duration, engines float64, now time.Time) bool {
 	age := now.Sub(e.arrivedAt)
-	if age > e.ask.FirstTokenTimeout || q.policy.NoEarlyRefusal || q.uncalibrated(now) {
-		return age > e.ask.FirstTokenTimeout
+	if age > e.request.FirstTokenTimeout || q.policy.NoEarlyRefusal || q.uncalibrated(now) {
+		return age > e.request.FirstTokenTimeout
 	}
-	if age+wait > time.Duration(onTimeShare*float64(e.ask.FirstTokenTarget)) {
-		wait = q.waitWithArrivals(wait, e.ask.Priority, engines, now)
+	if age+wait > time.Duration(onTimeWaitShare*float64(e.request.FirstTokenTarget)) {
+		wait = q.waitWithArrivals(wait, e.request.Priority, engines, now)
 	}
-	return age+wait > time.Duration(refusalShare*float64(e.ask.FirstTokenTimeout))
+	return age+wait > time.Duration(earlyRefusalShare*float64(e.request.FirstTokenTimeout))
 }
 
 // minPrefills is the number of completed prefills after which the estimates are trusted without
 // calibration. Short prompts are prefilled together, which yields few observations, so that for
 // some services few prompts are ever observed alone.
-const minPrefills = 100
+const minCalibrationPrefills = 100
 
 // uncalibrated reports whether the estimates are mostly initial values, in which case no request is
 // refused early. Otherwise a gateway that has just started, or schedules few requests, would
 // overestimate the time for a backlog tenfold and refuse interactive requests at once.
 func (q *Queue) uncalibrated(now time.Time) bool {
-	return q.prefillsDone < minPrefills && !q.model.Calibrated() && !q.allRateLimited(now)
+	return q.prefillsDone < minCalibrationPrefills && !q.model.Calibrated() && !q.allRateLimited(now)
 }
 
 // allRateLimited reports whether every engine states a rate. Waits then follow from the rates alone.
 func (q *Queue) allRateLimited(now time.Time) bool {
-	return !slices.ContainsFunc(q.ordered, func(e *engine) bool { return e.Accepting && !q.limiter.Budget(e.ID, now).Limited })
+	return !slices.ContainsFunc(q.sortedEngines, func(e *engine) bool { return e.Accepting && !q.limiter.Budget(e.ID, now).Limited })
 }
 
 // rateExhausted reports whether an engine accepts nothing now because of its stated rate.
@@ -211,14 +211,14 @@
 	if engines == 0 {
 		engines = 1
 	}
-	left := minCapacityShare
+	left := minLateCapacityShare
 	if q.load.enginesNeededUpTo(priority, now) < engines {
 		// Requests of equal priority that arrive meanwhile leave capacity over, so only more urgent
 		// ones are counted. Counting equals as well refused urgent requests in a burst while less
 		// urgent ones were served after it.
 		left = 1 - q.load.enginesNeededUpTo(priority-1, now)/engines
 	}
-	return time.Duration(float64(wait) / max(left, minCapacityShare))
+	return time.Duration(float64(wait) / max(left, minLateCapacityShare))
 }
 
 // retryAfter returns when a refused caller should retry: when the backlog has shrunk to what the
--- a/internal/placement/groups.go
+++ b/internal/placement/groups.go
@@ -9,10 +9,10 @@
 // groupSize is the approximate number of engines per group, each of which is scheduled by one
 // gateway: large enough that some engine has capacity while others are busy, small enough that
 // many gateways share the scheduling of a large service.
-const groupSize = 64
+const enginesPerGroup = 64
 
 // GroupCount returns the number of groups for a service with the given number of engines.
-func GroupCount(engines int) int { return max(1, (engines+groupSize-1)/groupSize) }
+func GroupCount(engines int) int { return max(1, (engines+enginesPerGroup-1)/enginesPerGroup) }
 
 // RankGroups returns the groups in the order in which a request with the key tries them. Requests
 // with the same shared prefix start with the same group.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -27,7 +27,7 @@
 
 // Shared returns the ID of the last part that other requests may share, and the number of tokens up
 // to its end. The last part of a prompt is not shared.
-func (p Prompt) Shared() (id string, tokens int) {
+func (p Prompt) SharedPrefix() (id string, tokens int) {
 	if len(p.Parts) < 2 {
 		return "", 0
 	}
@@ -86,30 +86,30 @@
 	prefillTokensPerMs = 57
 	// runningRequestMs is what a running request adds to the wait of a new one: its share of a
 	// step, multiplied by the tokens of an event.
-	runningRequestMs = 3.0
+	runningRequestCostMs = 3.0
 	// reportedRequestMs is the same for a request in the load that the server itself reports. With
 	// many gateways the requests of one of them say little about a server's load, and the home of a
 	// popular part would never be considered overloaded.
-	reportedRequestMs = 3.0
+	reportedRequestCostMs = 3.0
 	// maxFallbacks is the number of servers that are tried instead of an overloaded home.
 	maxFallbacks = 3
 	// homeSlackMs is how much longer the wait at the home may be before the request goes to another
 	// server, which fetches the shared parts (about 5 ms for 5,000 tokens, plus the connection
 	// between engines).
-	homeSlackMs = 60.0
+	maxExtraHomeWaitMs = 60.0
 	// minFetchTokens is the number of shared tokens from which a fetch is worth its round trip;
 	// fewer are prefilled in 4 ms.
 	minFetchTokens = 256
 	// errorShareMs is the cost of a server that fails all requests. A server that fails 30% of
 	// them costs more than a full queue.
-	errorShareMs = 2000.0
+	errorRateCostMs = 2000.0
 	// unreachableMs ranks servers that could not be reached after all others.
-	unreachableMs = 1e6
+	unreachableCostMs = 1e6
 	// alreadyTriedMs ranks servers that have failed this request after unreachable ones.
-	alreadyTriedMs = 1e7
+	triedCostMs = 1e7
 	// crossDomainMs is the cost of another failure domain: the round trip and the price of
 	// traffic between domains.
-	crossDomainMs = 4.0
+	crossDomainCostMs = 4.0
 )
 
 // ChooseEngine chooses among the servers of a model service without a scheduling gateway, from the
@@ -120,18 +120,18 @@
 	}
 	servers := pointersTo(candidates)
 	assumeMeanLoad(servers)
-	return chooseHome(req, servers, leastCost(servers, req, loadCost), loadCost)
+	return chooseByPrefixAffinity(req, servers, leastCost(servers, req, loadCost), loadCost)
 }
 
 // chooseHome chooses the home of the request's shared part, or a fallback, if it costs hardly more than
 // the best server, and otherwise the best server.
-func chooseHome(req Request, servers []*Candidate, best *Candidate, cost costFunc) Choice {
-	shared, tokens := req.Prompt.Shared()
+func chooseByPrefixAffinity(req Request, servers []*Candidate, best *Candidate, cost costFunc) Choice {
+	shared, tokens := req.Prompt.SharedPrefix()
 	if shared == "" {
 		return Choice{Candidate: best, Reason: Least}
 	}
 	homes := rankHomes(shared, servers)
-	bound := cost(best, req) + homeSlackMs
+	bound := cost(best, req) + maxExtraHomeWaitMs
 	if cost(homes[0], req) <= bound {
 		return Choice{Candidate: homes[0], Reason: Home}
 	}
@@ -176,7 +176,7 @@
 	if len(candidates) == 0 {
 		return Choice{}
 	}
-	return Choice{Candidate: leastCost(pointersTo(candidates), req, cost), Reason: Least}
+	return Choice{Candidate: leastCost(pointersTo(candidates), req, localCost), Reason: Least}
 }
 
 func pointersTo(candidates []Candidate) []*Candidate {
@@ -224,22 +224,22 @@
 // loadCost includes the load that the server reports. It is comparable only among the servers of one
 // choice, as other servers may report a different kind of load.
 func loadCost(c *Candidate, req Request) float64 {
-	return cost(c, req) + reportedRequestMs*float64(c.View.Load.Running+c.View.Load.Waiting)
+	return localCost(c, req) + reportedRequestCostMs*float64(c.View.Load.Running+c.View.Load.Waiting)
 }
 
 // cost returns the wait in ms that the request would have at the server, as far as this gateway can
 // tell.
-func cost(c *Candidate, req Request) float64 {
+func localCost(c *Candidate, req Request) float64 {
 	v := c.View
-	ms := float64(v.UnreadTokens)/prefillTokensPerMs + runningRequestMs*float64(v.InFlight) + errorShareMs*v.ErrorRate
+	ms := float64(v.UnreadTokens)/prefillTokensPerMs + runningRequestCostMs*float64(v.InFlight) + errorRateCostMs*v.ErrorRate
 	if c.Server.FailureDomain != req.FailureDomain {
-		ms += crossDomainMs
+		ms += crossDomainCostMs
 	}
 	if v.Avoided {
-		ms += unreachableMs
+		ms += unreachableCostMs
 	}
 	if c.Tried {
-		ms += alreadyTriedMs
+		ms += triedCostMs
 	}
 	return ms
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -24,12 +24,12 @@
 	return Prompt{Tokens: 12000, OutputTokens: 300, Parts: []Part{{ID: "all", Tokens: 500}, {ID: shared, Tokens: 4500}, {ID: "own", Tokens: 7000}}}
 }
 
-func TestSharedPartIsNextToLast(t *testing.T) {
+func TestSharedPrefixEndsBeforeLastPart(t *testing.T) {
 	g := NewWithT(t)
-	id, tokens := sharedPrompt("x").Shared()
+	id, tokens := sharedPrompt("x").SharedPrefix()
 	g.Expect(id).To(Equal("x"))
 	g.Expect(tokens).To(Equal(5000))
-	id, tokens = Prompt{Parts: []Part{{ID: "own", Tokens: 7}}}.Shared()
+	id, tokens = Prompt{Parts: []Part{{ID: "own", Tokens: 7}}}.SharedPrefix()
 	g.Expect(id).To(BeEmpty())
 	g.Expect(tokens).To(BeZero())
 }
@@ -51,7 +51,7 @@
 
 // The home of a popular part can be overloaded although each gateway sends it few requests. Based on
 // the load that the home reports, gateways use the fallbacks instead, all in the same order.
-func TestHomeWithHighReportedLoadIsLeft(t *testing.T) {
+func TestHomeWithHighReportedLoadIsNotChosen(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(12)
 	req := Request{Prompt: sharedPrompt("x")}
@@ -61,7 +61,7 @@
 	}
 	home := ChooseEngine(req, all)
 	g.Expect(home.Reason).To(Equal(Home))
-	home.Candidate.View.Load.Running = 10 + homeSlackMs/reportedRequestMs
+	home.Candidate.View.Load.Running = 10 + maxExtraHomeWaitMs/reportedRequestCostMs
 	g.Expect(ChooseEngine(req, all).Reason).To(Equal(Home))
 	home.Candidate.View.Load.Running++
 	next := ChooseEngine(req, all)
@@ -96,7 +96,7 @@
 
 func TestGroupsAreEvenAndStable(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect([]int{GroupCount(0), GroupCount(1), GroupCount(groupSize), GroupCount(groupSize + 1)}).To(Equal([]int{1, 1, 1, 2}))
+	g.Expect([]int{GroupCount(0), GroupCount(1), GroupCount(enginesPerGroup), GroupCount(enginesPerGroup + 1)}).To(Equal([]int{1, 1, 1, 2}))
 	groups := GroupCount(650)
 	size := make([]int, groups)
 	for i := range 650 {
@@ -120,7 +120,7 @@
 }
 
 // BenchmarkEngine measures one choice among the 50 engines of a deployment.
-func BenchmarkEngine(b *testing.B) {
+func BenchmarkChooseEngine(b *testing.B) {
 	all := engines(50)
 	req := Request{Prompt: sharedPrompt("x")}
 	b.ReportAllocs()
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -16,8 +16,8 @@
 
 // BenchmarkFlood measures one more server crash under a new request with a full tracker: 0.6 ms on a
 // quiet machine, 1.3 ms when the other crashed servers were looked up for each suspect.
-func BenchmarkFlood(b *testing.B) {
-	tracker := newObservedTracker(12)
+func BenchmarkRecordCrashFullTracker(b *testing.B) {
+	tracker := newTrackerWithHistory(12)
 	for i := range maxEntries {
 		tracker.RecordCrash(id(fmt.Sprint("flood-", i)), crashAt(fmt.Sprint("o-", i%100), 4), at(4))
 	}
--- a/internal/quarantine/crash.go
+++ b/internal/quarantine/crash.go
@@ -33,23 +33,23 @@
 	// four minutes at 4,400 runs a second. When nothing else crashes, three runs of 10 s reach
 	// 2 in 100 million; when each server crashes every 3 s, runs of 60 ms need four crashes and
 	// runs of 1 s need eleven.
-	maxChance = 1e-6
+	maxChanceProbability = 1e-6
 	// recentWindow is the time around a crash in which crashes of other servers count towards its
 	// probability. It covers those that the server list reports only seconds later.
-	recentWindow = 10 * time.Second
+	recentCrashWindow = 10 * time.Second
 	// clockTolerance is how much the times reported by two gateways may differ: the delay of a
 	// datagram to a busy process.
-	clockTolerance = 5 * time.Millisecond
+	clockSkewTolerance = 5 * time.Millisecond
 )
 
 // independent returns the crashes that are independent evidence: of runs at the same time only the
 // first counts, as servers in one rack fail together whatever they run.
-func independent(crashes []Crash) []Crash {
+func independentCrashes(crashes []Crash) []Crash {
 	sorted := slices.Clone(crashes)
 	slices.SortFunc(sorted, func(a, b Crash) int { return a.At.Compare(b.At) })
 	var out []Crash
 	for _, crash := range sorted {
-		if len(out) == 0 || crash.SentAt.After(out[len(out)-1].At.Add(-clockTolerance)) {
+		if len(out) == 0 || crash.SentAt.After(out[len(out)-1].At.Add(-clockSkewTolerance)) {
 			out = append(out, crash)
 		}
 	}
@@ -58,7 +58,7 @@
 
 // withoutWeakest removes the crash that adds the least evidence: one of overlapping runs, or else the oldest.
 func withoutWeakest(crashes []Crash) []Crash {
-	counted := independent(crashes)
+	counted := independentCrashes(crashes)
 	least := 0
 	for i, crash := range crashes {
 		counts := slices.ContainsFunc(counted, func(c Crash) bool { return c.Server == crash.Server })
@@ -75,7 +75,7 @@
 
 // conclusive reports whether the crashes are at least needed and too unlikely to have met the request by chance.
 func conclusive(crashes []Crash, needed int) bool {
-	counted := independent(crashes)
+	counted := independentCrashes(crashes)
 	if len(counted) < needed {
 		return false
 	}
@@ -83,5 +83,5 @@
 	for _, crash := range counted {
 		all *= crashProbability(crash.At.Sub(crash.SentAt), crash.rate)
 	}
-	return all < maxChance
+	return all < maxChanceProbability
 }
--- a/internal/quarantine/deployment_test.go
+++ b/internal/quarantine/deployment_test.go
@@ -15,7 +15,7 @@
 
 const (
 	// fatal is the body of a request that crashes the server which runs it, after crashDelay.
-	fatal      = "a prompt that ends every engine"
+	fatalBody  = "a prompt that ends every engine"
 	crashDelay = 60 * time.Millisecond
 	// restartDelay is how long a server is down after a crash.
 	restartDelay = 2500 * time.Millisecond
@@ -27,31 +27,31 @@
 type deployment struct {
 	*simfleet.Fleet
 
-	mu          sync.Mutex
-	fatalActive bool        // the fatal request still crashes servers
-	crashTimes  []time.Time // of crashes by the fatal request
-	answers     map[string]int
-	refused     []string // IDs of harmless requests that were refused as quarantined
+	mu             sync.Mutex
+	fatalEnabled   bool        // the fatal request still crashes servers
+	crashTimes     []time.Time // of crashes by the fatal request
+	responseCounts map[string]int
+	refusedIDs     []string // IDs of harmless requests that were refused as quarantined
 }
 
 func deploy(gateways, servers int, seed uint64) *deployment {
-	d := &deployment{fatalActive: true, answers: map[string]int{}}
-	d.Fleet = simfleet.New(gateways, servers, seed, d.armFatal)
+	d := &deployment{fatalEnabled: true, responseCounts: map[string]int{}}
+	d.Fleet = simfleet.New(gateways, servers, seed, d.enableFatal)
 	return d
 }
 
 // armFatal makes a server instance crash on the fatal request.
-func (d *deployment) armFatal(s *simfleet.Server, w *worker.Worker) {
+func (d *deployment) enableFatal(s *simfleet.Server, w *worker.Worker) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fatalActive {
-		w.CrashOn(fatal, crashDelay, func() { d.recordFatalCrash(s, w) })
+	if d.fatalEnabled {
+		w.CrashOn(fatalBody, crashDelay, func() { d.recordFatalCrash(s, w) })
 	}
 }
 
 // recordFatalCrash counts a crash by the fatal request.
 func (d *deployment) recordFatalCrash(s *simfleet.Server, w *worker.Worker) {
-	if d.CurrentWorker(s) != w {
+	if d.RunningWorker(s) != w {
 		return // the instance has stopped for another reason meanwhile
 	}
 	d.mu.Lock()
@@ -72,12 +72,12 @@
 }
 
 // heal makes the fatal request harmless.
-func (d *deployment) heal() {
+func (d *deployment) disableFatal() {
 	d.mu.Lock()
-	d.fatalActive = false
+	d.fatalEnabled = false
 	d.mu.Unlock()
 	for _, s := range d.Servers {
-		if w := d.CurrentWorker(s); w != nil {
+		if w := d.RunningWorker(s); w != nil {
 			w.CrashOn("", 0, nil)
 		}
 	}
@@ -93,7 +93,7 @@
 		n := d.Nodes[d.RandIntN(len(d.Nodes))]
 		id := fmt.Sprintf("fatal-%d-%d", d.NextID(), i)
 		asked.Go(func() {
-			r := d.SendRequest(n, kind, id, fatal)
+			r := d.SendRequest(n, kind, id, fatalBody)
 			mu.Lock()
 			last = r
 			mu.Unlock()
@@ -116,9 +116,9 @@
 			r := d.SendRequest(n, kind, id, fmt.Sprint("question ", i%bodies))
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.answers[fmt.Sprint(r.Status, " ", r.Code)]++
+			d.responseCounts[fmt.Sprint(r.Status, " ", r.Code)]++
 			if r.Code == "quarantined" {
-				d.refused = append(d.refused, id)
+				d.refusedIDs = append(d.refusedIDs, id)
 			}
 		})
 		time.Sleep(every)
--- a/internal/quarantine/evaluation.go
+++ b/internal/quarantine/evaluation.go
@@ -11,7 +11,7 @@
 	if e.verdict != nil || len(e.crashes) < minCrashes || now.Before(e.evaluateAt) {
 		return
 	}
-	if now.Sub(t.longerObserverAt) < recentWindow && t.observedFor(now) < recentWindow {
+	if now.Sub(t.longerObserverSeenAt) < recentCrashWindow && t.observedFor(now) < recentCrashWindow {
 		return // gateways with a longer observation know the crash rate better and evaluate the same crashes
 	}
 	t.updateCrashRates(e, now)
@@ -19,9 +19,9 @@
 		return
 	}
 	e.verdict = newVerdict(e.crashes, now)
-	t.emit(Event{Kind: Reached, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
+	t.emit(Event{Kind: EventQuarantined, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
 	t.explainAll(id, e, now)
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 }
 
 // evaluateDue evaluates the entries whose time has come.
@@ -42,7 +42,7 @@
 // the cause. Strong suspects run on separate servers, so the next crash tells them apart; after two
 // more crashes this is taken for granted.
 func (t *Tracker) ambiguous(id ID, e *entry) bool {
-	if len(independent(e.crashes)) >= minCrashes+2 {
+	if len(independentCrashes(e.crashes)) >= minCrashes+2 {
 		return false
 	}
 	for other, o := range t.entries {
@@ -61,7 +61,7 @@
 
 // requiredCrashes returns how many independent crashes are needed to quarantine the request.
 func (t *Tracker) requiredCrashes(id ID, e *entry, now time.Time) int {
-	n := minCrashes + min(len(t.otherCrashes(now, recentWindow, t.ownOrExplained(e))), maxExtraCrashes)
+	n := minCrashes + min(len(t.otherCrashes(now, recentCrashWindow, t.ownOrExplained(e))), maxExtraCrashes)
 	if t.hadCoRunner(id, e) {
 		n += coRunnerExtraCrashes
 	}
@@ -71,13 +71,13 @@
 // hadCoRunner reports whether another request ran on all crashed servers but the last, even if that
 // request was cleared since.
 func (t *Tracker) hadCoRunner(id ID, e *entry) bool {
-	counted := independent(e.crashes)
+	counted := independentCrashes(e.crashes)
 	if len(counted) < minCrashes {
 		return false
 	}
-	common := t.runningAtCrash[counted[0].Server]
+	common := t.requestsAtCrash[counted[0].Server]
 	for _, crash := range counted[1 : len(counted)-1] {
-		ids := t.runningAtCrash[crash.Server]
+		ids := t.requestsAtCrash[crash.Server]
 		common = slices.DeleteFunc(slices.Clone(common), func(other ID) bool { return !slices.Contains(ids, other) })
 	}
 	return slices.ContainsFunc(common, func(other ID) bool { return other != id })
@@ -86,7 +86,7 @@
 // ownOrExplained accepts the servers that crashed while running the request, and those whose crash is explained.
 func (t *Tracker) ownOrExplained(e *entry) func(instance string) bool {
 	return func(instance string) bool {
-		_, explained := t.explained[instance]
+		_, explained := t.explainedCrashes[instance]
 		return explained || slices.ContainsFunc(e.crashes, func(crash Crash) bool { return crash.Server == instance })
 	}
 }
@@ -94,7 +94,7 @@
 // otherCrashes returns the servers that crashed within a duration, as reported by any gateway or the
 // server list, without those that skip accepts.
 func (t *Tracker) otherCrashes(now time.Time, within time.Duration, skip func(instance string) bool) (instances []string) {
-	for instance, at := range t.crashed {
+	for instance, at := range t.crashedServers {
 		if now.Sub(at) < within && !skip(instance) {
 			instances = append(instances, instance)
 		}
@@ -106,8 +106,8 @@
 // single request is the only traffic, as no other run then observes crashes.
 func (t *Tracker) serverCrashRate(now time.Time, skip func(instance string) bool) float64 {
 	highest := 0.0
-	for _, window := range hazardWindows {
-		span := time.Duration(window) * hazardStep
+	for _, window := range hazardWindowBuckets {
+		span := time.Duration(window) * hazardBucketDuration
 		highest = max(highest, float64(len(t.otherCrashes(now, span, skip)))/span.Seconds()/float64(max(t.serverCount, 1)))
 	}
 	return highest
@@ -118,7 +118,7 @@
 	own := t.ownOrExplained(e)
 	rate := max(t.hazard.rate(now, own), t.serverCrashRate(now, own))
 	for i := range e.crashes {
-		if now.Sub(e.crashes[i].At) < recentWindow {
+		if now.Sub(e.crashes[i].At) < recentCrashWindow {
 			e.crashes[i].rate = max(e.crashes[i].rate, rate)
 		}
 	}
@@ -129,7 +129,7 @@
 	if t.hazard.startedAt.IsZero() {
 		return 0
 	}
-	return min(now.Sub(t.hazard.startedAt), recentWindow)
+	return min(now.Sub(t.hazard.startedAt), recentCrashWindow)
 }
 
 // explainAll marks all crashes of a quarantined request as explained by it.
@@ -144,7 +144,7 @@
 
 // explain attributes a crash to a quarantined request and removes it from the evidence against all others.
 func (t *Tracker) explain(by ID, instance string, now time.Time) {
-	t.recordFirst(t.explained, instance, now)
+	t.recordCrashTime(t.explainedCrashes, instance, now)
 	for id, e := range t.entries {
 		if id == by {
 			continue
@@ -156,7 +156,7 @@
 		before := len(e.crashes)
 		e.crashes = slices.DeleteFunc(e.crashes, func(crash Crash) bool { return crash.Server == instance })
 		if len(e.crashes) < before {
-			t.changed(e, false, now)
+			t.notifyChange(e, false, now)
 			t.removeIfEmpty(id, e)
 		}
 	}
@@ -173,7 +173,7 @@
 			return
 		}
 	}
-	t.emit(Event{Kind: Lifted, ID: id, Cause: Explained, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
+	t.emit(Event{Kind: EventLifted, ID: id, Cause: CauseExplained, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
 	e.clear(now)
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 }
--- a/internal/quarantine/events.go
+++ b/internal/quarantine/events.go
@@ -1,42 +1,42 @@
 package quarantine
 
 // Kind is the type of a change in what is known about a request.
-type Kind int
+type EventKind int
 
 // The event kinds.
 const (
-	Suspected Kind = iota // a server crashed while running the request for this gateway
-	Reached               // this gateway quarantined the request
-	Learnt                // a verdict was received from another gateway or read from the store
-	Renewed               // a trial of a quarantined request began
-	Lifted                // the quarantine ended
-	Dropped               // the entry was evicted because the tracker is full
+	EventSuspected       EventKind = iota // a server crashed while running the request for this gateway
+	EventQuarantined                      // this gateway quarantined the request
+	EventVerdictReceived                  // a verdict was received from another gateway or read from the store
+	EventTrialStarted                     // a trial of a quarantined request began
+	EventLifted                           // the quarantine ended
+	EventEvicted                          // the entry was evicted because the tracker is full
 )
 
-var kindNames = map[Kind]string{Suspected: "suspected", Reached: "reached", Learnt: "learnt", Renewed: "renewed", Lifted: "lifted", Dropped: "dropped"}
+var eventKindNames = map[EventKind]string{EventSuspected: "suspected", EventQuarantined: "reached", EventVerdictReceived: "learnt", EventTrialStarted: "renewed", EventLifted: "lifted", EventEvicted: "dropped"}
 
 // String returns the kind as it appears in logs and metrics.
-func (k Kind) String() string { return kindNames[k] }
+func (k EventKind) String() string { return eventKindNames[k] }
 
 // Cause is the reason why a quarantine ended.
-type Cause string
+type LiftCause string
 
 // The causes.
 const (
-	Answered   Cause = "answered"    // a server answered the request
-	ByOperator Cause = "by_operator" // an operator lifted it
-	Forgotten  Cause = "forgotten"   // it expired: no trial within verdictTTL
-	Explained  Cause = "explained"   // another request accounts for all of its crashes, and more
-	Elsewhere  Cause = "elsewhere"   // another gateway lifted it
+	CauseAnswered     LiftCause = "answered"    // a server answered the request
+	CauseOperator     LiftCause = "by_operator" // an operator lifted it
+	CauseExpired      LiftCause = "forgotten"   // it expired: no trial within verdictTTL
+	CauseExplained    LiftCause = "explained"   // another request accounts for all of its crashes, and more
+	CauseOtherGateway LiftCause = "elsewhere"   // another gateway lifted it
 )
 
 // Event is a change in what is known about a request.
 type Event struct {
-	Kind    Kind
+	Kind    EventKind
 	ID      ID
 	Crashes []Crash
 	Verdict *Verdict
-	Cause   Cause // set for Lifted
+	Cause   LiftCause // set for Lifted
 }
 
 // maxEvents bounds the queue of undelivered events. Further events are discarded.
--- a/internal/quarantine/hazard.go
+++ b/internal/quarantine/hazard.go
@@ -7,33 +7,33 @@
 
 const (
 	// hazardStep and hazardSteps are the length and number of the intervals in which runs and crashes are counted.
-	hazardStep  = 500 * time.Millisecond
-	hazardSteps = 20
+	hazardBucketDuration = 500 * time.Millisecond
+	hazardBucketCount    = 20
 	// priorRunSeconds is added to the observed run time, so that a single crash by another request
 	// under little traffic does not look like servers that crash all the time.
-	priorRunSeconds = 3.0
+	priorRunTimeSeconds = 3.0
 	// minRun is the shortest duration counted for a run. A request that is sent to a server which
 	// has just crashed fails within 1 ms.
-	minRun = 100 * time.Millisecond
+	minRunDuration = 100 * time.Millisecond
 	// minHazardRate, in crashes per second, is assumed when no other crash was observed: one an
 	// hour, far more often than engines are known to crash.
-	minHazardRate = 1.0 / 3600
+	minCrashRate = 1.0 / 3600
 )
 
 // hazardWindows are the windows, in steps, over which the rate is computed; the highest rate counts.
 // The short window reacts soon after servers begin to crash.
-var hazardWindows = []int64{2, hazardSteps}
+var hazardWindowBuckets = []int64{2, hazardBucketCount}
 
 // hazardEstimator estimates the crash rate from the total run time of requests at this gateway and
 // the crashes during these runs. The zero value has no observations.
 type hazardEstimator struct {
 	startedAt time.Time
-	buckets   [hazardSteps + 1]hazardBucket
+	buckets   [hazardBucketCount + 1]hazardBucket
 }
 
 // hazardBucket holds the counts of one step.
 type hazardBucket struct {
-	number     int64
+	index      int64
 	runSeconds float64
 	crashes    map[string]int // runs that were lost, by server instance
 }
@@ -43,10 +43,10 @@
 	if h.startedAt.IsZero() {
 		h.startedAt = now
 	}
-	number := max(0, int64(now.Sub(h.startedAt)/hazardStep))
+	number := max(0, int64(now.Sub(h.startedAt)/hazardBucketDuration))
 	c := &h.buckets[number%int64(len(h.buckets))]
-	if c.number != number {
-		*c = hazardBucket{number: number}
+	if c.index != number {
+		*c = hazardBucket{index: number}
 	}
 	return c
 }
@@ -62,19 +62,19 @@
 	if c.crashes == nil {
 		c.crashes = map[string]int{}
 	}
-	if len(c.crashes) < maxServers {
+	if len(c.crashes) < maxCrashedServers {
 		c.crashes[instance]++
 	}
 }
 
 // rate returns the crashes per second of run time, without the server instances that skip accepts.
 func (h *hazardEstimator) rate(now time.Time, skip func(instance string) bool) float64 {
-	newest := h.bucket(now).number
-	highest := minHazardRate
-	for _, window := range hazardWindows {
-		run, crashes := priorRunSeconds, 0
+	newest := h.bucket(now).index
+	highest := minCrashRate
+	for _, window := range hazardWindowBuckets {
+		run, crashes := priorRunTimeSeconds, 0
 		for _, c := range h.buckets {
-			if c.number <= newest-window || c.number > newest {
+			if c.index <= newest-window || c.index > newest {
 				continue
 			}
 			run += c.runSeconds
@@ -91,5 +91,5 @@
 
 // crashProbability returns the probability that a server crashes during a run of the given duration.
 func crashProbability(ran time.Duration, rate float64) float64 {
-	return 1 - math.Exp(-rate*max(ran, minRun).Seconds())
+	return 1 - math.Exp(-rate*max(ran, minRunDuration).Seconds())
 }
--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -45,10 +45,10 @@
 	logger  *slog.Logger
 	now     func() time.Time
 
-	logLimiter    decisionlog.Limiter
-	loaded        atomic.Bool
-	writes        chan ID
-	readRequested chan struct{} // holds one request
+	logLimiter   decisionlog.Limiter
+	loaded       atomic.Bool
+	writes       chan ID
+	readRequests chan struct{} // holds one request
 
 	mu        sync.Mutex
 	claiming  map[ID]bool
@@ -58,7 +58,7 @@
 // NewPersister returns a persister for the tracker of a host. Run starts it.
 func NewPersister(tracker *Tracker, store Store, host string, logger *slog.Logger) *Persister {
 	return &Persister{tracker: tracker, store: store, host: host, logger: logger, now: time.Now,
-		writes: make(chan ID, writeQueueSize), readRequested: make(chan struct{}, 1), claiming: map[ID]bool{}, unwritten: map[ID]bool{}}
+		writes: make(chan ID, writeQueueSize), readRequests: make(chan struct{}, 1), claiming: map[ID]bool{}, unwritten: map[ID]bool{}}
 }
 
 // Loaded reports whether the store has been read once, so that a gateway which starts does not send
@@ -78,7 +78,7 @@
 			return
 		case <-p.tracker.EventsReady():
 			for _, e := range p.tracker.DrainEvents() {
-				p.handle(e)
+				p.handleEvent(e)
 			}
 		case <-tick.C:
 			p.tracker.Sweep(p.now())
@@ -94,31 +94,31 @@
 }
 
 // handle logs and counts an event, and updates the store.
-func (p *Persister) handle(e Event) {
+func (p *Persister) handleEvent(e Event) {
 	telemetry.Count("merlinpost_quarantine_events_total", "event", e.Kind.String())
 	if p.logLimiter.Allow(e.Kind.String(), p.now()) {
-		p.log(e)
+		p.logEvent(e)
 	}
 	switch e.Kind {
-	case Suspected:
-		signal(p.readRequested)
-	case Reached:
+	case EventSuspected:
+		signal(p.readRequests)
+	case EventQuarantined:
 		p.queueWrite(e.ID)
-	case Lifted:
-		if e.Cause != Elsewhere {
+	case EventLifted:
+		if e.Cause != CauseOtherGateway {
 			p.queueWrite(e.ID)
 		}
 	}
 }
 
 // messages are the log messages of the events.
-var messages = map[Kind]string{
-	Suspected: "a server has ended that ran the request", Reached: "request quarantined", Learnt: "request quarantined by another gateway",
-	Renewed: "quarantined request on trial", Lifted: "quarantine ended", Dropped: "suspect evicted: tracker is full",
+var eventLogMessages = map[EventKind]string{
+	EventSuspected: "a server has ended that ran the request", EventQuarantined: "request quarantined", EventVerdictReceived: "request quarantined by another gateway",
+	EventTrialStarted: "quarantined request on trial", EventLifted: "quarantine ended", EventEvicted: "suspect evicted: tracker is full",
 }
 
-func (p *Persister) log(e Event) {
-	fields := []any{slog.String("request", e.ID.String()), slog.Any("servers", crashedServers(e.Crashes)), slog.Int("independent", len(independent(e.Crashes)))}
+func (p *Persister) logEvent(e Event) {
+	fields := []any{slog.String("request", e.ID.String()), slog.Any("servers", serversOf(e.Crashes)), slog.Int("independent", len(independentCrashes(e.Crashes)))}
 	if v := e.Verdict; v != nil {
 		fields = append(fields, slog.Duration("refused_for", v.Until.Sub(p.now())), slog.Int("trials", v.Trials), slog.Any("verdict_servers", v.Servers))
 	}
@@ -126,10 +126,10 @@
 		fields = append(fields, slog.String("cause", string(e.Cause)))
 	}
 	level := slog.LevelInfo
-	if e.Kind == Reached || e.Kind == Dropped {
+	if e.Kind == EventQuarantined || e.Kind == EventEvicted {
 		level = slog.LevelWarn
 	}
-	p.logger.Log(context.Background(), level, messages[e.Kind], fields...)
+	p.logger.Log(context.Background(), level, eventLogMessages[e.Kind], fields...)
 }
 
 // queueWrite marks a request's verdict for writing to the store.
@@ -147,7 +147,7 @@
 func (p *Persister) runStore(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
-	read := p.read(ctx)
+	read := p.readStore(ctx)
 	p.loaded.Store(true)
 	lastRead := p.now()
 	for {
@@ -156,14 +156,14 @@
 			return
 		case id := <-p.writes:
 			p.writeVerdict(ctx, id)
-		case <-p.readRequested:
+		case <-p.readRequests:
 			if p.now().Sub(lastRead) >= minReadInterval {
-				read = p.read(ctx)
+				read = p.readStore(ctx)
 				lastRead = p.now()
 			}
 		case <-tick.C:
 			if !read {
-				read = p.read(ctx)
+				read = p.readStore(ctx)
 				lastRead = p.now()
 			}
 			p.retryWrites(ctx)
@@ -172,7 +172,7 @@
 }
 
 // read adopts the verdicts in the store; false if the store can't be read.
-func (p *Persister) read(ctx context.Context) bool {
+func (p *Persister) readStore(ctx context.Context) bool {
 	values, _, err := p.store.Newest(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -254,7 +254,7 @@
 func (p *Persister) Claim(ctx context.Context, id ID) (*Verdict, error) {
 	unwritten, ok := p.beginClaim(id)
 	if !ok {
-		return nil, errTrialTaken(id)
+		return nil, errTrialClaimed(id)
 	}
 	defer func() {
 		p.mu.Lock()
@@ -271,7 +271,7 @@
 	return nil, err
 }
 
-func errTrialTaken(id ID) error {
+func errTrialClaimed(id ID) error {
 	return fault.New(fault.Quarantined, "the trial of request %s is already claimed", id).WithOutcome(fault.NotRun)
 }
 
@@ -288,7 +288,7 @@
 	}
 	value, found := values[id.String()]
 	if !found && !unwritten {
-		p.tracker.clear(id, Elsewhere, now)
+		p.tracker.clear(id, CauseOtherGateway, now)
 		return nil, nil
 	}
 	if found {
@@ -298,7 +298,7 @@
 		}
 		if v.Trials > current.Trials {
 			p.tracker.AdoptVerdict(id, v, now)
-			return nil, errTrialTaken(id)
+			return nil, errTrialClaimed(id)
 		}
 	}
 	v := current.WithTrial(now)
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -52,7 +52,7 @@
 }
 
 // Two gateways that can't reach each other and have both read that a trial is due: one gets it.
-func TestOneGatewayGetsATrial(t *testing.T) {
+func TestATrialIsClaimedByOneGateway(t *testing.T) {
 	g := NewWithT(t)
 	store, fatal, now := &memoryStore{values: map[string][]byte{}}, id("fatal"), time.Now()
 	v := Verdict{Since: now.Add(-time.Minute), Until: now, Servers: []string{"i-1", "i-2", "i-3"}}
@@ -64,7 +64,7 @@
 	store.concurrentReads = &both
 	won := make(chan *Verdict, 2)
 	for i := range 2 {
-		tracker := newObservedTracker(12)
+		tracker := newTrackerWithHistory(12)
 		tracker.AdoptVerdict(fatal, v, now)
 		persister := NewPersister(tracker, store, fmt.Sprint("edge-", i), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		claims.Go(func() {
--- a/internal/quarantine/property_test.go
+++ b/internal/quarantine/property_test.go
@@ -20,48 +20,48 @@
 
 // scenario is a random test scenario: a fatal request or none, harmless requests, and faults.
 type scenario struct {
-	kind              string
+	route             string
 	gateways, servers int
 	// fatalEvery is the interval of each client of the fatal request, concurrent the number of these clients; 0 for none.
-	fatalEvery time.Duration
-	concurrent int
+	fatalInterval time.Duration
+	fatalClients  int
 	// bodies is the number of different harmless requests, pace their interval, eventRun the time a server takes for an event.
-	bodies   int
-	pace     time.Duration
-	eventRun time.Duration
+	harmlessBodies   int
+	harmlessInterval time.Duration
+	eventInterval    time.Duration
 	// crashEvery is the mean interval of crashes for other reasons, crashedTogether the number of
 	// servers that crash at once; 0 for none.
-	crashEvery      time.Duration
-	crashedTogether int
+	crashInterval   time.Duration
+	serversPerCrash int
 	// partitionAt is when the gateways are split into two sides, for partitionFor; 0 for never.
 	partitionAt, partitionFor time.Duration
 	// storeDownAt is when the store becomes unreachable, for storeDownFor; 0 for never.
 	storeDownAt, storeDownFor time.Duration
 	// kills are the times at which one gateway, or all of them with killAll, are killed and restarted.
-	kills   []time.Duration
-	killAll bool
+	killTimes    []time.Duration
+	killAllNodes bool
 }
 
 const (
 	scenarioDuration = 14 * time.Second
 	// maxCrashRate is the highest rate of crashes for other reasons, in crashes per second of each
 	// server. At this rate half of the servers are down.
-	maxCrashRate = 0.4
+	maxCrashesPerServerSecond = 0.4
 )
 
 func drawScenario(t *rapid.T) scenario {
 	ms := func(from, to int, what string) time.Duration {
 		return time.Duration(rapid.IntRange(from, to).Draw(t, what)) * time.Millisecond
 	}
-	d := scenario{kind: rapid.SampledFrom([]string{"once", "again", "stream", "resume"}).Draw(t, "kind"),
+	d := scenario{route: rapid.SampledFrom([]string{"once", "again", "stream", "resume"}).Draw(t, "kind"),
 		gateways: rapid.IntRange(2, 6).Draw(t, "gateways"), servers: rapid.IntRange(8, 16).Draw(t, "servers"),
-		bodies: rapid.IntRange(1, 40).Draw(t, "bodies"), pace: ms(10, 100, "pace"), eventRun: ms(0, 60, "event run")}
+		harmlessBodies: rapid.IntRange(1, 40).Draw(t, "bodies"), harmlessInterval: ms(10, 100, "pace"), eventInterval: ms(0, 60, "event run")}
 	if rapid.IntRange(0, 3).Draw(t, "fatal") > 0 {
-		d.fatalEvery, d.concurrent = ms(50, 1000, "every"), rapid.IntRange(1, 4).Draw(t, "concurrent")
+		d.fatalInterval, d.fatalClients = ms(50, 1000, "every"), rapid.IntRange(1, 4).Draw(t, "concurrent")
 	}
 	if rapid.Bool().Draw(t, "servers crash") {
-		d.crashedTogether = rapid.IntRange(1, d.servers/3).Draw(t, "together")
-		d.crashEvery = max(ms(150, 2000, "crash every"), time.Duration(float64(d.crashedTogether)/float64(d.servers)/maxCrashRate*float64(time.Second)))
+		d.serversPerCrash = rapid.IntRange(1, d.servers/3).Draw(t, "together")
+		d.crashInterval = max(ms(150, 2000, "crash every"), time.Duration(float64(d.serversPerCrash)/float64(d.servers)/maxCrashesPerServerSecond*float64(time.Second)))
 	}
 	if rapid.Bool().Draw(t, "partition") {
 		d.partitionAt, d.partitionFor = ms(1, 9000, "partition"), ms(500, 9000, "partition for")
@@ -70,9 +70,9 @@
 		d.storeDownAt, d.storeDownFor = ms(1, 9000, "down"), ms(100, 4000, "down for")
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "kills") {
-		d.kills = append(d.kills, ms(5500, 12000, "kill")) // after a verdict
+		d.killTimes = append(d.killTimes, ms(5500, 12000, "kill")) // after a verdict
 	}
-	d.killAll = rapid.Bool().Draw(t, "all")
+	d.killAllNodes = rapid.Bool().Draw(t, "all")
 	return d
 }
 
@@ -80,19 +80,19 @@
 // of a partition. Runs that begin before the first crash is known count as one. As many more are
 // allowed when servers also crash for other reasons, or when all gateways are killed before the store
 // has the verdict.
-func (d scenario) maxCrashes() int {
-	if d.concurrent == 0 {
+func (d scenario) allowedCrashes() int {
+	if d.fatalClients == 0 {
 		return 0
 	}
-	together := d.concurrent*(1+int((crashDelay+detectionDelay)/d.fatalEvery)) - 1
+	together := d.fatalClients*(1+int((crashDelay+detectionDelay)/d.fatalInterval)) - 1
 	most := maxCrashes + together
 	if d.partitionAt > 0 {
 		most += 2*3 + together
 	}
-	if d.crashEvery > 0 {
+	if d.crashInterval > 0 {
 		most += maxCrashes
 	}
-	if d.storeDownAt > 0 && d.killAll && len(d.kills) > 0 {
+	if d.storeDownAt > 0 && d.killAllNodes && len(d.killTimes) > 0 {
 		most += maxCrashes + together
 	}
 	return most
@@ -103,12 +103,12 @@
 	bubble := func(*testing.T) {
 		s := deploy(d.gateways, d.servers, 1)
 		defer s.Close()
-		s.SetEventInterval(d.eventRun)
+		s.SetEventInterval(d.eventInterval)
 		start := time.Now()
 		var duties sync.WaitGroup
-		duties.Go(func() { s.sendHarmless(d.kind, d.bodies, d.pace, scenarioDuration) })
-		for range d.concurrent {
-			duties.Go(func() { s.sendFatal(d.kind, d.fatalEvery, scenarioDuration) })
+		duties.Go(func() { s.sendHarmless(d.route, d.harmlessBodies, d.harmlessInterval, scenarioDuration) })
+		for range d.fatalClients {
+			duties.Go(func() { s.sendFatal(d.route, d.fatalInterval, scenarioDuration) })
 		}
 		duties.Go(func() { s.injectFaults(d, start) })
 		duties.Go(func() { s.killNodes(d, start) })
@@ -116,13 +116,13 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		switch {
-		case len(s.refused) > 0 && !(d.concurrent > 0 && d.partitionAt > 0):
+		case len(s.refusedIDs) > 0 && !(d.fatalClients > 0 && d.partitionAt > 0):
 			// Gateways on different sides of a partition don't know what else ran on the servers, and
 			// may quarantine a request that ran beside the fatal one.
-			violation = fmt.Sprintf("harmless requests were refused as quarantined: %v", s.refused)
-		case len(s.crashTimes) > d.maxCrashes():
-			violation = fmt.Sprintf("the fatal request crashed %d servers, at most %d are allowed", len(s.crashTimes), d.maxCrashes())
-		case d.concurrent > 0 && len(s.crashTimes) < 2:
+			violation = fmt.Sprintf("harmless requests were refused as quarantined: %v", s.refusedIDs)
+		case len(s.crashTimes) > d.allowedCrashes():
+			violation = fmt.Sprintf("the fatal request crashed %d servers, at most %d are allowed", len(s.crashTimes), d.allowedCrashes())
+		case d.fatalClients > 0 && len(s.crashTimes) < 2:
 			violation = fmt.Sprintf("the fatal request crashed %d servers: too few to have been run as intended", len(s.crashTimes))
 		}
 	}
@@ -134,7 +134,7 @@
 func (s *deployment) injectFaults(d scenario, start time.Time) {
 	rnd := rand.New(rand.NewPCG(3, 3))
 	wasPartitioned, wasDown := false, false
-	nextCrash := start.Add(d.crashEvery)
+	nextCrash := start.Add(d.crashInterval)
 	for time.Since(start) < scenarioDuration && s.Sleep(10*time.Millisecond) {
 		now := time.Since(start)
 		if partitioned := d.partitionAt > 0 && now >= d.partitionAt && now < d.partitionAt+d.partitionFor; partitioned != wasPartitioned {
@@ -147,10 +147,10 @@
 				s.PartitionStore(n, down)
 			}
 		}
-		if d.crashEvery > 0 && !time.Now().Before(nextCrash) {
-			nextCrash = time.Now().Add(time.Duration((0.5 + rnd.Float64()) * float64(d.crashEvery)))
+		if d.crashInterval > 0 && !time.Now().Before(nextCrash) {
+			nextCrash = time.Now().Add(time.Duration((0.5 + rnd.Float64()) * float64(d.crashInterval)))
 			from := rnd.IntN(len(s.Servers))
-			for i := range d.crashedTogether {
+			for i := range d.serversPerCrash {
 				s.crashServer(s.Servers[(from+i)%len(s.Servers)])
 			}
 		}
@@ -159,12 +159,12 @@
 
 // killNodes kills gateways and restarts them.
 func (s *deployment) killNodes(d scenario, start time.Time) {
-	for i, at := range d.kills {
+	for i, at := range d.killTimes {
 		if left := at - time.Since(start); left > 0 && !s.Sleep(left) {
 			return
 		}
 		nodes := s.Nodes[i%len(s.Nodes) : i%len(s.Nodes)+1]
-		if d.killAll {
+		if d.killAllNodes {
 			nodes = s.Nodes
 		}
 		for _, n := range nodes {
@@ -178,7 +178,7 @@
 
 // Under any combination of faults, harmless requests are never quarantined and a fatal request crashes
 // only a few servers.
-func TestFatalRequestsEndFewServersAndHarmlessOnesAreServed(t *testing.T) {
+func TestFatalRequestsCrashFewServersAndHarmlessOnesAreServed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawScenario(t)
 		if violation := d.run(); violation != "" {
@@ -188,7 +188,7 @@
 }
 
 // After each refusal period one trial goes to one server, whichever gateways are asked, and the next period is longer.
-func TestTrialsAreFew(t *testing.T) {
+func TestOneTrialAfterEachRefusalPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
@@ -223,8 +223,8 @@
 					}
 				})
 				d.sendHarmless(kind, 12, 15*time.Millisecond, 15*time.Second)
-				g.Expect(d.refused).To(BeEmpty())
-				t.Log(d.answers)
+				g.Expect(d.refusedIDs).To(BeEmpty())
+				t.Log(d.responseCounts)
 			})
 		})
 	}
--- a/internal/quarantine/replication.go
+++ b/internal/quarantine/replication.go
@@ -9,10 +9,10 @@
 // ms, as the clocks of hosts differ. Merging is idempotent and commutative, so updates may be lost,
 // repeated or reordered.
 type Update struct {
-	ID           []byte        `msgpack:"i"`
-	Crashes      []CrashRecord `msgpack:"e,omitempty"`
-	ClearedAgoMS *int64        `msgpack:"c,omitempty"` // nil if the request was not cleared
-	Verdict      *VerdictTerms `msgpack:"v,omitempty"`
+	ID           []byte         `msgpack:"i"`
+	Crashes      []CrashRecord  `msgpack:"e,omitempty"`
+	ClearedAgoMS *int64         `msgpack:"c,omitempty"` // nil if the request was not cleared
+	Verdict      *VerdictRecord `msgpack:"v,omitempty"`
 	// Runs are all ongoing runs of the request at the sending gateway.
 	Runs []RunRecord `msgpack:"r,omitempty"`
 	// OtherServers are servers that crashed recently without running the request, as far as is known.
@@ -31,7 +31,7 @@
 }
 
 // VerdictTerms is the encoded form of a Verdict. Its servers are those of the crashes or of earlier updates.
-type VerdictTerms struct {
+type VerdictRecord struct {
 	SinceAgoMS  int64 `msgpack:"s"`
 	RemainingMS int64 `msgpack:"l"`
 	Trials      int   `msgpack:"t,omitempty"`
@@ -83,7 +83,7 @@
 			due = append(due, id)
 		}
 	}
-	slices.SortFunc(due, func(a, b ID) int { return t.compareStrength(a, b) })
+	slices.SortFunc(due, func(a, b ID) int { return t.compareForSending(a, b) })
 	var out []Update
 	for _, id := range due[:min(len(due), maxUpdatesPerBatch)] {
 		e := t.entries[id]
@@ -99,8 +99,8 @@
 }
 
 // compareStrength orders entries by descending strength.
-func (t *Tracker) compareStrength(a, b ID) int {
-	if weaker(t.entries[a], t.entries[b]) {
+func (t *Tracker) compareForSending(a, b ID) int {
+	if evictedBefore(t.entries[a], t.entries[b]) {
 		return 1
 	}
 	return -1
@@ -125,7 +125,7 @@
 	for id := range t.entries {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(a, b ID) int { return t.compareStrength(a, b) })
+	slices.SortFunc(ids, func(a, b ID) int { return t.compareForSending(a, b) })
 	var out []Update
 	for _, id := range ids[:min(len(ids), maxSnapshotUpdates)] {
 		out = append(out, t.update(id, t.entries[id], now))
@@ -135,8 +135,8 @@
 
 func (t *Tracker) update(id ID, e *entry, now time.Time) Update {
 	u := Update{ID: id[:], ObservedMS: t.observedFor(now).Milliseconds()}
-	if len(e.crashes) >= strongCrashes {
-		others := t.otherCrashes(now, recentWindow, t.ownOrExplained(e))
+	if len(e.crashes) >= strongSuspectCrashes {
+		others := t.otherCrashes(now, recentCrashWindow, t.ownOrExplained(e))
 		u.OtherServers = others[:min(len(others), maxOtherServers)]
 	}
 	ago := func(at time.Time) int64 { return now.Sub(at).Milliseconds() }
@@ -148,7 +148,7 @@
 		u.ClearedAgoMS = &cleared
 	}
 	if e.verdict != nil {
-		u.Verdict = &VerdictTerms{ago(e.verdict.Since), -ago(e.verdict.Until), e.verdict.Trials}
+		u.Verdict = &VerdictRecord{ago(e.verdict.Since), -ago(e.verdict.Until), e.verdict.Trials}
 	}
 	for _, r := range e.localRuns {
 		u.Runs = append(u.Runs, RunRecord{r.key, r.server, ago(r.startedAt), r.confirmed})
@@ -172,29 +172,29 @@
 func (t *Tracker) merge(id ID, u Update, from string, now time.Time) {
 	at := func(ago int64) time.Time { return now.Add(-time.Duration(ago) * time.Millisecond) }
 	if time.Duration(u.ObservedMS)*time.Millisecond > t.observedFor(now)+observationMargin {
-		t.longerObserverAt = now
+		t.longerObserverSeenAt = now
 	}
 	e := t.entry(id)
 	if u.ClearedAgoMS != nil {
 		t.mergeCleared(id, e, at(*u.ClearedAgoMS))
 	}
 	if u.Verdict != nil {
-		t.adoptVerdict(id, e, Verdict{Since: at(u.Verdict.SinceAgoMS), Until: at(-u.Verdict.RemainingMS), Trials: u.Verdict.Trials, Servers: e.serversWith(u.Crashes)})
+		t.adoptVerdict(id, e, Verdict{Since: at(u.Verdict.SinceAgoMS), Until: at(-u.Verdict.RemainingMS), Trials: u.Verdict.Trials, Servers: e.crashedServersWith(u.Crashes)})
 	}
 	for _, crash := range u.Crashes {
 		t.addCrash(id, e, Crash{Server: crash.Server, SentAt: at(crash.SentAgoMS), At: at(crash.AgoMS), rate: float64(crash.Rate)}, now)
 	}
 	for _, instance := range u.OtherServers {
-		t.recordFirst(t.crashed, instance, now)
+		t.recordCrashTime(t.crashedServers, instance, now)
 	}
 	delete(e.remoteRuns, from)
 	for _, r := range u.Runs {
-		e.remoteRuns[from] = append(e.remoteRuns[from], run{key: r.Key, server: r.Server, startedAt: at(r.StartedAgoMS), confirmed: r.Confirmed, heardAt: now})
+		e.remoteRuns[from] = append(e.remoteRuns[from], run{key: r.Key, server: r.Server, startedAt: at(r.StartedAgoMS), confirmed: r.Confirmed, updatedAt: now})
 	}
 	if e.verdict != nil {
 		t.explainAll(id, e, now)
 	}
-	t.changed(e, false, now)
+	t.notifyChange(e, false, now)
 	if e.verdict == nil && len(e.remoteRuns) == 0 {
 		t.removeIfEmpty(id, e)
 	}
@@ -205,7 +205,7 @@
 	had := cloneVerdict(e.verdict)
 	e.clear(at)
 	if had != nil && e.verdict == nil {
-		t.emit(Event{Kind: Lifted, ID: id, Cause: Elsewhere, Verdict: had})
+		t.emit(Event{Kind: EventLifted, ID: id, Cause: CauseOtherGateway, Verdict: had})
 	}
 }
 
@@ -215,12 +215,12 @@
 		return
 	}
 	e.verdict = &v
-	t.emit(Event{Kind: Learnt, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(&v)})
+	t.emit(Event{Kind: EventVerdictReceived, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(&v)})
 }
 
 // serversWith returns the entry's crashed servers together with those of further crashes.
-func (e *entry) serversWith(records []CrashRecord) []string {
-	out := crashedServers(e.crashes)
+func (e *entry) crashedServersWith(records []CrashRecord) []string {
+	out := serversOf(e.crashes)
 	if e.verdict != nil {
 		out = slices.Clone(e.verdict.Servers)
 	}
@@ -241,7 +241,7 @@
 	if e.verdict != nil {
 		t.explainAll(id, e, now)
 	}
-	t.changed(e, false, now)
+	t.notifyChange(e, false, now)
 	t.removeIfEmpty(id, e)
 }
 
--- a/internal/quarantine/scheduling.go
+++ b/internal/quarantine/scheduling.go
@@ -23,7 +23,7 @@
 
 // Begin asks for permission to send the request, under a random key. If it is permitted, Done must be
 // called. Runs of the same suspect are serialized.
-func (t *Tracker) Begin(id ID, key uint64, now time.Time) Decision {
+func (t *Tracker) BeginRun(id ID, key uint64, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -40,12 +40,12 @@
 	if !e.suspect() {
 		return Decision{}
 	}
-	strong := len(e.crashes) >= strongCrashes
-	if wait := e.waitFor(key, strong, now); wait > 0 {
+	strong := len(e.crashes) >= strongSuspectCrashes
+	if wait := e.remainingWait(key, strong, now); wait > 0 {
 		return Decision{Changed: e.changed, Wait: wait, Isolate: strong}
 	}
 	e.localRuns[key] = &run{key: key, startedAt: now, confirmed: !strong}
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 	if strong {
 		return Decision{ConfirmAfter: confirmDelay, Isolate: true}
 	}
@@ -53,9 +53,9 @@
 }
 
 // waitFor returns how long a run has to wait for other runs of the same request.
-func (e *entry) waitFor(key uint64, strong bool, now time.Time) time.Duration {
+func (e *entry) remainingWait(key uint64, strong bool, now time.Time) time.Duration {
 	var wait time.Duration
-	for _, r := range e.runs(now) {
+	for _, r := range e.activeRuns(now) {
 		if r.key == key {
 			continue
 		}
@@ -69,14 +69,14 @@
 }
 
 // runs returns the ongoing runs at this and the other gateways.
-func (e *entry) runs(now time.Time) []run {
+func (e *entry) activeRuns(now time.Time) []run {
 	var out []run
 	for _, r := range e.localRuns {
 		out = append(out, *r)
 	}
 	for _, list := range e.remoteRuns {
 		for _, r := range list {
-			if now.Sub(r.heardAt) <= remoteRunTTL {
+			if now.Sub(r.updatedAt) <= remoteRunTTL {
 				out = append(out, r)
 			}
 		}
@@ -86,7 +86,7 @@
 
 // Confirm asks again for permission after ConfirmAfter. Of two runs that began at the same time the
 // one with the lower key continues and the other waits.
-func (t *Tracker) Confirm(id ID, key uint64, now time.Time) Decision {
+func (t *Tracker) ConfirmRun(id ID, key uint64, now time.Time) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -94,20 +94,20 @@
 		return Decision{}
 	}
 	if e.verdict != nil {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 		return Decision{Verdict: cloneVerdict(e.verdict)}
 	}
 	before := func(r run) bool { return r.key != key && (r.confirmed || r.key < key) }
-	if slices.ContainsFunc(e.runs(now), before) {
-		t.endRun(id, e, key, now)
+	if slices.ContainsFunc(e.activeRuns(now), before) {
+		t.removeRun(id, e, key, now)
 		return Decision{Changed: e.changed, Wait: remoteRunTTL, Isolate: true}
 	}
 	if t.awaitingServer(id, key, now) {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 		return Decision{Changed: e.changed, Wait: confirmDelay, Isolate: true}
 	}
 	e.localRuns[key].confirmed = true
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 	return Decision{Isolate: true}
 }
 
@@ -116,7 +116,7 @@
 func (t *Tracker) awaitingServer(id ID, key uint64, now time.Time) bool {
 	first := func(r run) bool { return r.server == "" && r.key < key && now.Sub(r.startedAt) < placementTimeout }
 	for other, e := range t.entries {
-		if other != id && slices.ContainsFunc(e.runs(now), first) {
+		if other != id && slices.ContainsFunc(e.activeRuns(now), first) {
 			return true
 		}
 	}
@@ -124,7 +124,7 @@
 }
 
 // Check reports whether a request that was permitted, or needed no permission, may still be sent.
-func (t *Tracker) Check(id ID, key uint64) Decision {
+func (t *Tracker) RecheckVerdict(id ID, key uint64) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -141,8 +141,8 @@
 	e := t.entry(id)
 	e.verdict = &v
 	e.localRuns[key] = &run{key: key, startedAt: now, confirmed: true}
-	t.emit(Event{Kind: Renewed, ID: id, Verdict: cloneVerdict(&v), Crashes: slices.Clone(e.crashes)})
-	t.changed(e, true, now)
+	t.emit(Event{Kind: EventTrialStarted, ID: id, Verdict: cloneVerdict(&v), Crashes: slices.Clone(e.crashes)})
+	t.notifyChange(e, true, now)
 }
 
 // SetServer sets the server on which a run is executed.
@@ -151,22 +151,22 @@
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil && e.localRuns[key] != nil {
 		e.localRuns[key].server = server
-		t.changed(e, true, now)
+		t.notifyChange(e, true, now)
 	}
 }
 
 // Done ends a run. The caller records a crash or a response first.
-func (t *Tracker) Done(id ID, key uint64, now time.Time) {
+func (t *Tracker) EndRun(id ID, key uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil && e.localRuns[key] != nil {
-		t.endRun(id, e, key, now)
+		t.removeRun(id, e, key, now)
 	}
 }
 
-func (t *Tracker) endRun(id ID, e *entry, key uint64, now time.Time) {
+func (t *Tracker) removeRun(id ID, e *entry, key uint64, now time.Time) {
 	delete(e.localRuns, key)
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 	t.removeIfEmpty(id, e)
 }
 
@@ -176,7 +176,7 @@
 	defer t.mu.Unlock()
 	out := map[string]bool{}
 	for _, e := range t.entries {
-		for _, r := range e.runs(now) {
+		for _, r := range e.activeRuns(now) {
 			if r.key != key && r.server != "" {
 				out[r.server] = true
 			}
--- a/internal/quarantine/system_test.go
+++ b/internal/quarantine/system_test.go
@@ -40,7 +40,7 @@
 }
 
 // The same request arrives once every 3 s, at each gateway in turn, with only six servers.
-func TestASlowRequestIsQuarantined(t *testing.T) {
+func TestAnInfrequentRequestIsQuarantined(t *testing.T) {
 	for kind := range simfleet.Routes {
 		t.Run(kind, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -48,7 +48,7 @@
 				d := deploy(4, 6, 1)
 				defer d.Close()
 				for i := range 12 {
-					d.SendRequest(d.Nodes[i%len(d.Nodes)], kind, fmt.Sprint("fatal-", i), fatal)
+					d.SendRequest(d.Nodes[i%len(d.Nodes)], kind, fmt.Sprint("fatal-", i), fatalBody)
 					time.Sleep(3 * time.Second)
 				}
 				g.Expect(d.crashCount()).To(BeNumerically("<=", maxCrashes))
@@ -67,11 +67,11 @@
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(HaveLen(1), n.Name)
 		}
-		d.heal()
+		d.disableFatal()
 		d.sendFatal("stream", 500*time.Millisecond, 70*time.Second)
 		for i, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
-			g.Expect(d.SendRequest(n, "stream", fmt.Sprint("again-", i), fatal).Status).To(Equal(200))
+			g.Expect(d.SendRequest(n, "stream", fmt.Sprint("again-", i), fatalBody).Status).To(Equal(200))
 		}
 		g.Expect(d.crashCount()).To(Equal(3))
 		for _, n := range d.Nodes { // all lose their memory
@@ -79,7 +79,7 @@
 			d.StartNode(n)
 		}
 		time.Sleep(5 * time.Second)
-		g.Expect(d.SendRequest(d.Nodes[0], "stream", "later", fatal).Status).To(Equal(200))
+		g.Expect(d.SendRequest(d.Nodes[0], "stream", "later", fatalBody).Status).To(Equal(200))
 	})
 }
 
@@ -92,7 +92,7 @@
 		defer d.Close()
 		d.partitionPeers(true)
 		for i := range 40 { // on one side only
-			d.SendRequest(d.Nodes[i%2], "once", fmt.Sprint("one-side-", i), fatal)
+			d.SendRequest(d.Nodes[i%2], "once", fmt.Sprint("one-side-", i), fatalBody)
 			time.Sleep(150 * time.Millisecond)
 		}
 		g.Expect(d.crashCount()).To(Equal(3))
@@ -131,7 +131,7 @@
 		for _, n := range d.Nodes {
 			d.StartNode(n)
 		}
-		d.heal()
+		d.disableFatal()
 		d.sendFatal("once", 150*time.Millisecond, 30*time.Second)
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
@@ -149,7 +149,7 @@
 		for round := range 5 {
 			var asked sync.WaitGroup
 			for i := range 6 {
-				asked.Go(func() { d.SendRequest(d.Nodes[i%4], "once", fmt.Sprint("copy-", round, "-", i), fatal) })
+				asked.Go(func() { d.SendRequest(d.Nodes[i%4], "once", fmt.Sprint("copy-", round, "-", i), fatalBody) })
 			}
 			asked.Wait()
 			time.Sleep(2 * detectionDelay)
@@ -191,16 +191,16 @@
 		g := NewWithT(t)
 		d := deploy(4, 12, 1)
 		defer d.Close()
-		d.SendRequest(d.Nodes[0], "once", "first", fatal)
+		d.SendRequest(d.Nodes[0], "once", "first", fatalBody)
 		time.Sleep(20 * time.Second) // longer than updates are resent
-		d.SendRequest(d.Nodes[0], "once", "second", fatal)
+		d.SendRequest(d.Nodes[0], "once", "second", fatalBody)
 		time.Sleep(20 * time.Second)
 		d.KillNode(d.Nodes[3])
 		d.StartNode(d.Nodes[3])
 		time.Sleep(3 * time.Second)
 		_, suspects := d.Nodes[3].Gateway().Quarantine().List()
 		g.Expect(suspects).To(Equal(1))
-		d.SendRequest(d.Nodes[3], "once", "third", fatal)
+		d.SendRequest(d.Nodes[3], "once", "third", fatalBody)
 		time.Sleep(time.Second)
 		for _, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(HaveLen(1), n.Name)
@@ -241,7 +241,7 @@
 	defer d.mu.Unlock()
 	found, newest := 0, time.Time{}
 	for i, s := range d.Servers {
-		w := d.CurrentWorker(s)
+		w := d.RunningWorker(s)
 		if w == nil {
 			continue
 		}
@@ -261,14 +261,14 @@
 		d := deploy(4, 12, 1)
 		defer d.Close()
 		d.sendFatal("once", 150*time.Millisecond, 5*time.Second)
-		d.heal()
+		d.disableFatal()
 		list := quarantined(d.Nodes[2])
 		g.Expect(list).To(HaveLen(1))
 		g.Expect(d.Nodes[2].Gateway().Quarantine().Lift(list[0].ID, time.Now())).To(BeTrue())
 		time.Sleep(time.Second)
 		for i, n := range d.Nodes {
 			g.Expect(quarantined(n)).To(BeEmpty(), n.Name)
-			g.Expect(d.SendRequest(n, "once", fmt.Sprint("lifted-", i), fatal).Status).To(Equal(200))
+			g.Expect(d.SendRequest(n, "once", fmt.Sprint("lifted-", i), fatalBody).Status).To(Equal(200))
 		}
 	})
 }
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -19,12 +19,12 @@
 	maxEntries = 4096
 	// maxServers bounds each set of crashed servers: the explained ones, and all of them, which are
 	// kept for the crash rate.
-	maxServers = 1024
+	maxCrashedServers = 1024
 	// maxRequestsPerCrash bounds the request IDs kept for a crashed server, 16 bytes each: 0.5 MB in all.
 	maxRequestsPerCrash = 32
 	// strongCrashes is the number of crashes that makes a request a strong suspect. One crash is
 	// common: every request on the crashed server has it.
-	strongCrashes = 2
+	strongSuspectCrashes = 2
 	// weakSuspectWait is how long a suspect with one crash waits for another run of the same request.
 	// It is longer than fatal requests took to crash a server (0.06 to 0.44 s including the engine's
 	// queue) and short enough for a popular harmless request.
@@ -48,7 +48,7 @@
 	startedAt time.Time
 	// confirmed runs were announced for at least confirmDelay and don't back off.
 	confirmed bool
-	heardAt   time.Time // last update, for a run at another gateway
+	updatedAt time.Time // last update, for a run at another gateway
 }
 
 // entry holds what is known about one request.
@@ -77,20 +77,20 @@
 	entries map[ID]*entry
 	// explained are the crashed server instances whose cause is quarantined, crashed are all of them,
 	// each with the time when this became known.
-	explained, crashed        map[string]time.Time
-	runningAtCrash            map[string][]ID // the requests that ran on a server when it crashed
-	serverCount               int             // reachable servers, as last reported
-	hazard                    hazardEstimator
-	longerObserverAt          time.Time // last update from a gateway that has observed servers for longer
-	nextDue                   time.Time // when the next update or evaluation is due; zero for never
-	events                    []Event
-	eventsReady, updatesReady chan struct{} // hold one signal each
+	explainedCrashes, crashedServers map[string]time.Time
+	requestsAtCrash                  map[string][]ID // the requests that ran on a server when it crashed
+	serverCount                      int             // reachable servers, as last reported
+	hazard                           hazardEstimator
+	longerObserverSeenAt             time.Time // last update from a gateway that has observed servers for longer
+	nextDue                          time.Time // when the next update or evaluation is due; zero for never
+	events                           []Event
+	eventsReady, updatesReady        chan struct{} // hold one signal each
 }
 
 // New returns an empty tracker.
 func New() *Tracker {
-	return &Tracker{entries: map[ID]*entry{}, explained: map[string]time.Time{}, crashed: map[string]time.Time{},
-		runningAtCrash: map[string][]ID{}, eventsReady: make(chan struct{}, 1), updatesReady: make(chan struct{}, 1)}
+	return &Tracker{entries: map[ID]*entry{}, explainedCrashes: map[string]time.Time{}, crashedServers: map[string]time.Time{},
+		requestsAtCrash: map[string][]ID{}, eventsReady: make(chan struct{}, 1), updatesReady: make(chan struct{}, 1)}
 }
 
 // HasEntries reports whether any request is tracked. It takes no lock.
@@ -101,7 +101,7 @@
 	e := t.entries[id]
 	if e == nil {
 		if len(t.entries) >= maxEntries {
-			t.evictWeakest()
+			t.evictOne()
 		}
 		e = &entry{localRuns: map[uint64]*run{}, remoteRuns: map[string][]run{}, changed: make(chan struct{})}
 		t.entries[id] = e
@@ -111,21 +111,21 @@
 }
 
 // evictWeakest removes the suspect with the fewest crashes, the oldest among equals. Quarantined requests go last.
-func (t *Tracker) evictWeakest() {
+func (t *Tracker) evictOne() {
 	var (
 		least   ID
 		weakest *entry
 	)
 	for id, e := range t.entries {
-		if weakest == nil || weaker(e, weakest) {
+		if weakest == nil || evictedBefore(e, weakest) {
 			least, weakest = id, e
 		}
 	}
-	t.emit(Event{Kind: Dropped, ID: least, Crashes: weakest.crashes})
+	t.emit(Event{Kind: EventEvicted, ID: least, Crashes: weakest.crashes})
 	t.remove(least)
 }
 
-func weaker(a, b *entry) bool {
+func evictedBefore(a, b *entry) bool {
 	if (a.verdict == nil) != (b.verdict == nil) {
 		return a.verdict == nil
 	}
@@ -159,7 +159,7 @@
 }
 
 // changed wakes requests that wait on the entry. With broadcast, the change is also sent to the other gateways.
-func (t *Tracker) changed(e *entry, broadcast bool, now time.Time) {
+func (t *Tracker) notifyChange(e *entry, broadcast bool, now time.Time) {
 	close(e.changed)
 	e.changed = make(chan struct{})
 	if broadcast {
@@ -202,12 +202,12 @@
 func (t *Tracker) RecordServerCrash(instance string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.recordFirst(t.crashed, instance, now)
+	t.recordCrashTime(t.crashedServers, instance, now)
 }
 
 // recordFirst records when a server was first known to have crashed.
-func (t *Tracker) recordFirst(in map[string]time.Time, instance string, at time.Time) {
-	if _, known := in[instance]; !known && len(in) < maxServers {
+func (t *Tracker) recordCrashTime(in map[string]time.Time, instance string, at time.Time) {
+	if _, known := in[instance]; !known && len(in) < maxCrashedServers {
 		in[instance] = at
 	}
 }
@@ -217,7 +217,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil {
-		t.changed(e, true, now)
+		t.notifyChange(e, true, now)
 	}
 }
 
@@ -225,7 +225,7 @@
 func (t *Tracker) KnownCrashed(instance string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, known := t.crashed[instance]
+	_, known := t.crashedServers[instance]
 	return known
 }
 
@@ -237,17 +237,17 @@
 	t.hazard.addCrash(crash.Server, now)
 	e := t.entry(id)
 	if t.addCrash(id, e, crash, now) {
-		t.emit(Event{Kind: Suspected, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
-		t.changed(e, true, now)
+		t.emit(Event{Kind: EventSuspected, ID: id, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
+		t.notifyChange(e, true, now)
 	}
 	t.removeIfEmpty(id, e)
-	return len(e.crashes) >= strongCrashes && e.verdict == nil
+	return len(e.crashes) >= strongSuspectCrashes && e.verdict == nil
 }
 
 // addCrash adds a crash to the evidence; false if it adds nothing.
 func (t *Tracker) addCrash(id ID, e *entry, crash Crash, now time.Time) bool {
-	t.recordFirst(t.crashed, crash.Server, crash.At)
-	_, explained := t.explained[crash.Server]
+	t.recordCrashTime(t.crashedServers, crash.Server, crash.At)
+	_, explained := t.explainedCrashes[crash.Server]
 	if e.verdict != nil {
 		// The verdict explains the crash for all other requests on that server.
 		t.explain(id, crash.Server, now)
@@ -256,13 +256,13 @@
 	if known || (explained && e.verdict == nil) || !crash.At.After(e.clearedAt) || now.Sub(crash.At) > evidenceTTL {
 		return false
 	}
-	crash.rate = max(crash.rate, minHazardRate)
+	crash.rate = max(crash.rate, minCrashRate)
 	e.crashes = append(e.crashes, crash)
 	if len(e.crashes) > maxCrashes {
 		e.crashes = withoutWeakest(e.crashes)
 	}
-	if ids := t.runningAtCrash[crash.Server]; len(ids) < maxRequestsPerCrash && (ids != nil || len(t.runningAtCrash) < maxServers) {
-		t.runningAtCrash[crash.Server] = append(ids, id)
+	if ids := t.requestsAtCrash[crash.Server]; len(ids) < maxRequestsPerCrash && (ids != nil || len(t.requestsAtCrash) < maxCrashedServers) {
+		t.requestsAtCrash[crash.Server] = append(ids, id)
 	}
 	if len(e.crashes) >= minCrashes {
 		e.evaluateAt = now.Add(confirmDelay)
@@ -281,12 +281,12 @@
 
 // RecordResponse records that a server answered the request, which clears it: the earlier crashes had
 // another cause.
-func (t *Tracker) RecordResponse(id ID, now time.Time) { t.clear(id, Answered, now) }
+func (t *Tracker) RecordResponse(id ID, now time.Time) { t.clear(id, CauseAnswered, now) }
 
 // Lift ends the quarantine of a request for an operator; false if it is not quarantined.
-func (t *Tracker) Lift(id ID, now time.Time) bool { return t.clear(id, ByOperator, now) }
+func (t *Tracker) Lift(id ID, now time.Time) bool { return t.clear(id, CauseOperator, now) }
 
-func (t *Tracker) clear(id ID, why Cause, now time.Time) bool {
+func (t *Tracker) clear(id ID, why LiftCause, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -295,10 +295,10 @@
 	}
 	lifted := e.verdict != nil
 	if lifted {
-		t.emit(Event{Kind: Lifted, ID: id, Cause: why, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
+		t.emit(Event{Kind: EventLifted, ID: id, Cause: why, Crashes: slices.Clone(e.crashes), Verdict: cloneVerdict(e.verdict)})
 	}
 	e.clear(now)
-	t.changed(e, true, now)
+	t.notifyChange(e, true, now)
 	return lifted
 }
 
@@ -321,23 +321,23 @@
 func (t *Tracker) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, known := range []map[string]time.Time{t.explained, t.crashed} {
+	for _, known := range []map[string]time.Time{t.explainedCrashes, t.crashedServers} {
 		for instance, at := range known {
 			if now.Sub(at) > evidenceTTL {
 				delete(known, instance)
 			}
 		}
 	}
-	for instance := range t.runningAtCrash {
-		if _, known := t.crashed[instance]; !known {
-			delete(t.runningAtCrash, instance)
+	for instance := range t.requestsAtCrash {
+		if _, known := t.crashedServers[instance]; !known {
+			delete(t.requestsAtCrash, instance)
 		}
 	}
 	for id, e := range t.entries {
 		e.crashes = slices.DeleteFunc(e.crashes, func(crash Crash) bool { return e.verdict == nil && now.Sub(crash.At) > evidenceTTL })
 		t.evaluate(id, e, now)
 		if e.verdict != nil && now.Sub(e.verdict.Until) > verdictTTL {
-			t.emit(Event{Kind: Lifted, ID: id, Cause: Forgotten, Verdict: cloneVerdict(e.verdict)})
+			t.emit(Event{Kind: EventLifted, ID: id, Cause: CauseExpired, Verdict: cloneVerdict(e.verdict)})
 			e.verdict = nil
 			e.crashes = nil
 		}
@@ -345,7 +345,7 @@
 			e.clearedAt = time.Time{}
 		}
 		for gateway, runs := range e.remoteRuns {
-			if runs = slices.DeleteFunc(runs, func(r run) bool { return now.Sub(r.heardAt) > remoteRunTTL }); len(runs) == 0 {
+			if runs = slices.DeleteFunc(runs, func(r run) bool { return now.Sub(r.updatedAt) > remoteRunTTL }); len(runs) == 0 {
 				delete(e.remoteRuns, gateway)
 			} else {
 				e.remoteRuns[gateway] = runs
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -30,7 +30,7 @@
 
 // newVerdict returns the verdict for crashes at the given time.
 func newVerdict(crashes []Crash, now time.Time) *Verdict {
-	return &Verdict{Since: now, Until: now.Add(refusalPeriod(0)), Servers: crashedServers(crashes)}
+	return &Verdict{Since: now, Until: now.Add(refusalPeriod(0)), Servers: serversOf(crashes)}
 }
 
 // WithTrial returns the verdict while a trial that begins now is running. It stays in force unless the
@@ -47,7 +47,7 @@
 	return v.Until.After(other.Until.Add(time.Second)) // smaller differences come from datagram delay
 }
 
-func crashedServers(crashes []Crash) []string {
+func serversOf(crashes []Crash) []string {
 	var out []string
 	for _, crash := range crashes {
 		if !slices.Contains(out, crash.Server) {
--- a/internal/quota/home.go
+++ b/internal/quota/home.go
@@ -119,7 +119,7 @@
 		s = &teamState{lastRefill: l.start, grants: map[string]map[uint64]bool{}}
 		l.teams[req.Team] = s
 	}
-	if team.Concurrency > 0 && l.inFlight(s) >= max(1, int(float64(team.Concurrency)*share)) {
+	if team.Concurrency > 0 && l.countInFlight(s) >= max(1, int(float64(team.Concurrency)*share)) {
 		return GrantResponse{Seq: req.Seq, RetryAfterMS: time.Second.Milliseconds()}
 	}
 	if wait := s.takeToken(now, team, share); wait > 0 {
@@ -135,7 +135,7 @@
 }
 
 // inFlight counts a team's grants and drops those of unreachable routers.
-func (l *HomeLimiter) inFlight(s *teamState) int {
+func (l *HomeLimiter) countInFlight(s *teamState) int {
 	n := 0
 	for r, grants := range s.grants {
 		if _, reachable := l.lastSeen[r]; !reachable || len(grants) == 0 {
@@ -171,7 +171,7 @@
 	}
 	l.lastEviction = now
 	for name, s := range l.teams {
-		if now.Sub(s.lastRefill) >= idleTimeout && l.inFlight(s) == 0 {
+		if now.Sub(s.lastRefill) >= idleTimeout && l.countInFlight(s) == 0 {
 			delete(l.teams, name)
 		}
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -22,16 +22,16 @@
 // requests that the teams' home routers granted. It is safe for concurrent use.
 type LocalLimiter struct {
 	mu           sync.Mutex
-	teams        map[string]*usage
+	teams        map[string]*teamUsage
 	lastEviction time.Time
 }
 
 // usage is one team's token bucket and number of requests in flight.
-type usage struct {
-	tokens     float64
-	lastRefill time.Time
-	inFlight   int
-	released   []uint64 // the most recently ended grants of the home
+type teamUsage struct {
+	tokens         float64
+	lastRefill     time.Time
+	inFlight       int
+	recentReleases []uint64 // the most recently ended grants of the home
 }
 
 // idleTimeout is how long the state of an idle team is kept. The bucket is full again
@@ -39,7 +39,7 @@
 const idleTimeout = 10 * time.Minute
 
 func NewLocalLimiter(now time.Time) *LocalLimiter {
-	return &LocalLimiter{teams: map[string]*usage{}, lastEviction: now}
+	return &LocalLimiter{teams: map[string]*teamUsage{}, lastEviction: now}
 }
 
 // Admit admits a request under this router's share of the team's limits. routers is
@@ -53,7 +53,7 @@
 	u := l.teams[name]
 	burst := math.Max(1, float64(team.Burst)*share)
 	if u == nil {
-		u = &usage{tokens: burst, lastRefill: now}
+		u = &teamUsage{tokens: burst, lastRefill: now}
 		l.teams[name] = u
 	}
 	if e := u.checkConcurrency(team, share); e != nil {
@@ -67,11 +67,11 @@
 }
 
 // StartGranted counts a request that the team's home router granted.
-func (l *LocalLimiter) StartGranted(now time.Time, name string) {
+func (l *LocalLimiter) BeginGranted(now time.Time, name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evictIdle(now)
-	u := l.usageOf(name)
+	u := l.usageFor(name)
 	u.lastRefill = now // if the home becomes unreachable, the local bucket refills from here
 	u.inFlight++
 }
@@ -81,7 +81,7 @@
 func (l *LocalLimiter) EndGranted(name string, seq uint64) []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := l.usageOf(name)
+	u := l.usageFor(name)
 	u.inFlight--
 	return u.recordReleased(seq)
 }
@@ -91,24 +91,24 @@
 func (l *LocalLimiter) DiscardGrant(name string, seq uint64) []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usageOf(name).recordReleased(seq)
+	return l.usageFor(name).recordReleased(seq)
 }
 
-func (l *LocalLimiter) usageOf(name string) *usage {
+func (l *LocalLimiter) usageFor(name string) *teamUsage {
 	u := l.teams[name]
 	if u == nil {
-		u = &usage{}
+		u = &teamUsage{}
 		l.teams[name] = u
 	}
 	return u
 }
 
-func (u *usage) recordReleased(seq uint64) []uint64 {
-	u.released = append(u.released, seq)
-	if len(u.released) > maxReleaseSeqs {
-		u.released = u.released[len(u.released)-maxReleaseSeqs:]
+func (u *teamUsage) recordReleased(seq uint64) []uint64 {
+	u.recentReleases = append(u.recentReleases, seq)
+	if len(u.recentReleases) > maxReleaseSeqs {
+		u.recentReleases = u.recentReleases[len(u.recentReleases)-maxReleaseSeqs:]
 	}
-	return append([]uint64(nil), u.released...)
+	return append([]uint64(nil), u.recentReleases...)
 }
 
 // RefusalError converts a refusal by the home router to a typed error.
@@ -121,7 +121,7 @@
 		WithOutcome(fault.NotRun).WithRetryAfter(wait)
 }
 
-func (u *usage) checkConcurrency(team *resource.Team, share float64) *fault.Error {
+func (u *teamUsage) checkConcurrency(team *resource.Team, share float64) *fault.Error {
 	if team.Concurrency == 0 {
 		return nil
 	}
@@ -133,7 +133,7 @@
 		WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 }
 
-func (u *usage) takeToken(now time.Time, team *resource.Team, share, burst float64) *fault.Error {
+func (u *teamUsage) takeToken(now time.Time, team *resource.Team, share, burst float64) *fault.Error {
 	if team.Rate == 0 {
 		u.lastRefill = now
 		return nil
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func (l *LocalLimiter) release(u *usage) {
+func (l *LocalLimiter) release(u *teamUsage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u.inFlight--
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -92,7 +92,7 @@
 	if !c.home.Acquire(now, req, team, c.n).Granted {
 		return nil, false
 	}
-	r.StartGranted(now, "team")
+	r.BeginGranted(now, "team")
 	return func() {
 		notice := ReleaseNotice{Team: "team", Router: req.Router, Seqs: r.EndGranted("team", req.Seq)}
 		if !c.partitioned[i] { // otherwise the notice is lost
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -18,7 +18,7 @@
 const (
 	// shareSurplus is the sum of all shares relative to the rate. No gateway uses more than the rate;
 	// the surplus makes up for the shares of gateways that are down or are changing their borrower.
-	shareSurplus = 1.25
+	shareOversubscription = 1.25
 	// burstWindow is the time whose requests may be sent at once, in addition to one request, as
 	// requests do not arrive evenly.
 	burstWindow = 250 * time.Millisecond
@@ -27,8 +27,8 @@
 	minRate = 0.2
 	// minLoan is the minimum duration of a loan, extended by loanPerGateway for each gateway: the
 	// borrower must hear from each gateway several times during a loan.
-	minLoan        = 2500 * time.Millisecond
-	loanPerGateway = 25 * time.Millisecond
+	minLoanDuration        = 2500 * time.Millisecond
+	loanDurationPerGateway = 25 * time.Millisecond
 	// renewalsPerLoan is how often a loan is renewed during its time, so that a lost renewal has no
 	// effect.
 	renewalsPerLoan = 2.5
@@ -60,8 +60,8 @@
 	tokens     float64 // at refilledAt
 	refilledAt time.Time
 	// borrowed maps other gateways that have lent their share to the expiry of the loan.
-	borrowed   map[string]time.Time
-	nextExpiry time.Time // no loan expires earlier
+	borrowedUntil  map[string]time.Time
+	nextLoanExpiry time.Time // no loan expires earlier
 	// borrower holds this gateway's own share until lentUntil.
 	borrower  string
 	lentUntil time.Time
@@ -80,7 +80,7 @@
 	defer l.mu.Unlock()
 	b := l.buckets[server]
 	if b == nil {
-		b = &bucket{refilledAt: now, tokens: l.random(), borrowed: map[string]time.Time{}}
+		b = &bucket{refilledAt: now, tokens: l.random(), borrowedUntil: map[string]time.Time{}}
 		l.buckets[server] = b
 		l.bucketCount.Store(int32(len(l.buckets)))
 	}
@@ -209,9 +209,9 @@
 	}
 	l.refill(b, now)
 	until := now.Add(l.loanDuration())
-	b.borrowed[from] = until
-	if until.Before(b.nextExpiry) {
-		b.nextExpiry = until
+	b.borrowedUntil[from] = until
+	if until.Before(b.nextLoanExpiry) {
+		b.nextLoanExpiry = until
 	}
 }
 
@@ -222,13 +222,13 @@
 	defer l.mu.Unlock()
 	for _, b := range l.buckets {
 		l.refill(b, now)
-		clear(b.borrowed)
+		clear(b.borrowedUntil)
 	}
 }
 
 // loanDuration returns how long a share is lent.
 func (l *Limiter) loanDuration() time.Duration {
-	return max(minLoan, time.Duration(l.gateways)*loanPerGateway)
+	return max(minLoanDuration, time.Duration(l.gateways)*loanDurationPerGateway)
 }
 
 // usableRate returns the rate that this gateway may use.
@@ -242,23 +242,23 @@
 
 // borrowedShares returns the number of shares that other gateways have lent.
 func (l *Limiter) borrowedShares(b *bucket, now time.Time) int {
-	if now.Before(b.nextExpiry) {
-		return len(b.borrowed)
+	if now.Before(b.nextLoanExpiry) {
+		return len(b.borrowedUntil)
 	}
-	b.nextExpiry = now.Add(l.loanDuration())
-	for from, until := range b.borrowed {
+	b.nextLoanExpiry = now.Add(l.loanDuration())
+	for from, until := range b.borrowedUntil {
 		if !now.Before(until) {
-			delete(b.borrowed, from)
-		} else if until.Before(b.nextExpiry) {
-			b.nextExpiry = until
+			delete(b.borrowedUntil, from)
+		} else if until.Before(b.nextLoanExpiry) {
+			b.nextLoanExpiry = until
 		}
 	}
-	return len(b.borrowed)
+	return len(b.borrowedUntil)
 }
 
 // shareRate returns the rate of the given number of shares.
 func (l *Limiter) shareRate(b *bucket, shares int) float64 {
-	return b.rate * min(1, shareSurplus*float64(shares)/float64(l.gateways))
+	return b.rate * min(1, shareOversubscription*float64(shares)/float64(l.gateways))
 }
 
 // burst returns the number of requests that may be sent at once.
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -68,21 +68,21 @@
 		l.SetGateways(4)
 		l.SetRate(server, 100, at(0))
 	}
-	g.Expect(a.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
+	g.Expect(a.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
 	g.Expect(a.Lend(server, "b", at(0))).To(BeTrue())
 	b.Borrow(server, "a", at(0))
 	g.Expect(a.Budget(server, at(0)).Rate).To(BeZero())
 	g.Expect(a.Allow(server, at(time.Second))).To(BeFalse())
-	g.Expect(b.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareSurplus/2, 0.01))
+	g.Expect(b.Budget(server, at(0)).Rate).To(BeNumerically("~", 100*shareOversubscription/2, 0.01))
 	g.Expect(a.Lend(server, "c", at(time.Second))).To(BeFalse(), "b holds the share")
 	g.Expect(a.Lend(server, "b", at(time.Second))).To(BeTrue(), "renewed")
-	lapsed := time.Second + minLoan
-	g.Expect(a.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
-	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
+	lapsed := time.Second + minLoanDuration
+	g.Expect(a.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
+	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
 	g.Expect(a.Lend(server, "c", at(lapsed))).To(BeTrue())
 	b.Borrow(server, "a", at(lapsed))
 	b.DropBorrowed(at(lapsed))
-	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareSurplus/4, 0.01))
+	g.Expect(b.Budget(server, at(lapsed)).Rate).To(BeNumerically("~", 100*shareOversubscription/4, 0.01))
 }
 
 func TestChangedRateAppliesImmediately(t *testing.T) {
@@ -98,7 +98,7 @@
 // simulation consists of gateways that share the rate of one server during partitions, stalls and
 // restarts. Time advances in steps.
 type simulation struct {
-	random      *rand.Rand
+	rng         *rand.Rand
 	now         time.Duration
 	rate        float64
 	gateways    []*gateway
@@ -112,9 +112,9 @@
 	limiter      *Limiter
 	stalledUntil time.Duration // it does nothing until then
 	// lastHeard is the time of the last datagram from each other gateway.
-	lastHeard []time.Duration
-	lentAt    time.Duration
-	backlog   []datagram // received while stalled
+	lastReceivedAt []time.Duration
+	lastRenewalAt  time.Duration
+	backlog        []datagram // received while stalled
 }
 
 // datagram is a loan or a heartbeat.
@@ -132,9 +132,9 @@
 )
 
 func newSimulation(seed uint64, gateways int, rate float64) *simulation {
-	s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), rate: rate}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 3)), rate: rate}
 	for range gateways {
-		s.gateways = append(s.gateways, &gateway{lastHeard: make([]time.Duration, gateways)})
+		s.gateways = append(s.gateways, &gateway{lastReceivedAt: make([]time.Duration, gateways)})
 		s.partitioned = append(s.partitioned, make([]bool, gateways))
 	}
 	for i := range s.gateways {
@@ -146,19 +146,19 @@
 // restart replaces a gateway by a new one that knows the rate.
 func (s *simulation) restart(i int) {
 	g := s.gateways[i]
-	g.limiter = New(s.random.Float64)
+	g.limiter = New(s.rng.Float64)
 	g.limiter.SetGateways(len(s.gateways))
 	g.limiter.SetRate(server, s.rate, at(s.now))
-	for j := range g.lastHeard {
-		g.lastHeard[j] = s.now
+	for j := range g.lastReceivedAt {
+		g.lastReceivedAt[j] = s.now
 	}
 	g.backlog = nil
 }
 
 // home returns the scheduling gateway from a gateway's point of view: the first that it has heard from.
-func (s *simulation) home(i int) int {
+func (s *simulation) schedulerOf(i int) int {
 	for j := range s.gateways {
-		if j == i || s.now-s.gateways[i].lastHeard[j] <= failureTimeout {
+		if j == i || s.now-s.gateways[i].lastReceivedAt[j] <= failureTimeout {
 			return j
 		}
 	}
@@ -166,21 +166,21 @@
 }
 
 func (s *simulation) send(from, to int, loan bool) {
-	if !s.partitioned[from][to] && s.random.Float64() > 0.02 {
+	if !s.partitioned[from][to] && s.rng.Float64() > 0.02 {
 		s.inFlight = append(s.inFlight, datagram{from, to, loan, s.now + networkDelay})
 	}
 }
 
 func (s *simulation) deliver(l datagram) {
 	g := s.gateways[l.to]
-	g.lastHeard[l.from] = s.now
+	g.lastReceivedAt[l.from] = s.now
 	if l.loan {
 		g.limiter.Borrow(server, fmt.Sprint(l.from), at(s.now))
 	}
 }
 
 // advance runs one step with the given number of requests, each at a random gateway.
-func (s *simulation) advance(requests int) {
+func (s *simulation) step(requests int) {
 	s.now += stepDuration
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(l datagram) bool {
 		if l.arrivesAt > s.now {
@@ -204,20 +204,20 @@
 			g.backlog = nil
 			g.limiter.DropBorrowed(at(s.now))
 		}
-		if s.now-g.lentAt >= g.limiter.RenewalInterval() {
-			g.lentAt = s.now
+		if s.now-g.lastRenewalAt >= g.limiter.RenewalInterval() {
+			g.lastRenewalAt = s.now
 			for j := range s.gateways {
 				if j != i {
 					s.send(i, j, false)
 				}
 			}
-			if home := s.home(i); home != i && g.limiter.Lend(server, fmt.Sprint(home), at(s.now)) {
+			if home := s.schedulerOf(i); home != i && g.limiter.Lend(server, fmt.Sprint(home), at(s.now)) {
 				s.send(i, home, true)
 			}
 		}
 	}
 	for range requests {
-		s.request(s.random.IntN(len(s.gateways)))
+		s.request(s.rng.IntN(len(s.gateways)))
 	}
 }
 
@@ -227,7 +227,7 @@
 	if s.now < s.gateways[i].stalledUntil {
 		return
 	}
-	home := s.home(i)
+	home := s.schedulerOf(i)
 	g := s.gateways[home]
 	if home != i && (s.partitioned[i][home] || s.partitioned[home][i] || s.now < g.stalledUntil) {
 		g = s.gateways[i]
@@ -239,8 +239,8 @@
 
 // injectFault injects one random fault.
 func (s *simulation) injectFault() {
-	i, j := s.random.IntN(len(s.gateways)), s.random.IntN(len(s.gateways))
-	switch s.random.IntN(6) {
+	i, j := s.rng.IntN(len(s.gateways)), s.rng.IntN(len(s.gateways))
+	switch s.rng.IntN(6) {
 	case 0:
 		s.partitioned[i][j] = true // in one direction
 	case 1:
@@ -256,7 +256,7 @@
 			clear(s.partitioned[a])
 		}
 	case 4:
-		s.gateways[i].stalledUntil = s.now + time.Duration(s.random.IntN(6000))*time.Millisecond
+		s.gateways[i].stalledUntil = s.now + time.Duration(s.rng.IntN(6000))*time.Millisecond
 	case 5:
 		s.restart(i)
 	}
@@ -282,7 +282,7 @@
 
 // For any partitions, stalls and restarts a server gets at most 1.5 times its limit plus five requests
 // within any 4 s. Without faults it gets at least 0.7 times its limit.
-func TestALimitIsKeptWhateverHappens(t *testing.T) {
+func TestRateLimitHoldsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{0.2, 1, 4, 60}).Draw(t, "rate")
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "gateways"), rate)
@@ -292,7 +292,7 @@
 			if i%every == every-1 {
 				s.injectFault()
 			}
-			s.advance(requests)
+			s.step(requests)
 		}
 		if n, allowed := s.maxSent(3*time.Second), 1.5*rate*4+5; float64(n) > allowed {
 			t.Fatalf("%d requests sent in 4 s, allowed %v", n, allowed)
@@ -302,12 +302,12 @@
 			s.gateways[a].stalledUntil = 0
 		}
 		for range 500 {
-			s.advance(requests)
+			s.step(requests)
 		}
 		before := len(s.sent)
 		const calm = 1000
 		for range calm {
-			s.advance(requests)
+			s.step(requests)
 		}
 		seconds := calm * stepDuration.Seconds()
 		possible := min(rate, float64(requests)/stepDuration.Seconds()) * seconds
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -32,7 +32,7 @@
 const (
 	Claiming       Phase = iota // being claimed, not started
 	Running                     // started at the backend server
-	Done                        // ended with an answer
+	Completed                   // ended with an answer
 	OutcomeUnknown              // may have run, result unknown
 )
 
@@ -53,8 +53,8 @@
 	holder string // on a witness: who claimed the key; otherwise empty
 	// covered reports whether the witness's records covered the window when
 	// it recorded the claim. If not, repeating the claim does not grant it.
-	covered bool
-	expires time.Time
+	windowCovered bool
+	expiresAt     time.Time
 }
 
 // Store holds an agent's records of keys, both as their home and as a witness.
@@ -66,19 +66,19 @@
 	witnessFromStart bool
 	firstProcess     bool              // no earlier process of this agent can have run a key
 	logRead          bool              // the claims on the log have been read since start
-	entries          map[string]*Entry // as home, by key
-	claims           map[string]*Entry // as witness, by key
-	expiryQueue      []queuedKey       // in order of insertion
+	homeEntries      map[string]*Entry // as home, by key
+	witnessClaims    map[string]*Entry // as witness, by key
+	expiryQueue      []expiryItem      // in order of insertion
 }
 
-type queuedKey struct {
-	key   string
-	claim bool
+type expiryItem struct {
+	key     string
+	isClaim bool
 }
 
 // NewStore returns an empty Store for an agent process started at the given time.
 func NewStore(start time.Time) *Store {
-	return &Store{start: start, witnessSince: start, entries: map[string]*Entry{}, claims: map[string]*Entry{}}
+	return &Store{start: start, witnessSince: start, homeEntries: map[string]*Entry{}, witnessClaims: map[string]*Entry{}}
 }
 
 // SetFirstProcess notes that the log shows no earlier process of this agent.
@@ -96,25 +96,25 @@
 }
 
 // WitnessCovers reports whether this agent's records as a witness cover the window.
-func (s *Store) WitnessCovers(now time.Time, window time.Duration) bool {
+func (s *Store) WitnessCoversWindow(now time.Time, window time.Duration) bool {
 	return s.witnessFromStart || now.Sub(s.witnessSince) >= window
 }
 
 // ClaimedByOther reports whether this agent, as a witness, recorded a claim of the
 // key by another agent. The key may have run there before its home moved here.
 func (s *Store) ClaimedByOther(now time.Time, key string) bool {
-	e := s.claims[key]
-	return e != nil && now.Before(e.expires)
+	e := s.witnessClaims[key]
+	return e != nil && now.Before(e.expiresAt)
 }
 
 // SetLogRead notes that all claims on the log were passed to AddLoggedClaim.
 func (s *Store) SetLogRead() { s.logRead = true }
 
 // Len returns the number of recorded keys and claims.
-func (s *Store) Len() int { return len(s.entries) + len(s.claims) }
+func (s *Store) Len() int { return len(s.homeEntries) + len(s.witnessClaims) }
 
 // Covers reports whether the records of this process cover the whole window.
-func (s *Store) Covers(now time.Time, window time.Duration) bool {
+func (s *Store) CoversWindow(now time.Time, window time.Duration) bool {
 	return s.firstProcess || now.Sub(s.start) >= window
 }
 
@@ -127,8 +127,8 @@
 // with code IdempotencyKeyConflict if the key was used with a different body.
 func (s *Store) Lookup(now time.Time, key string, digest uint64) (*Entry, *fault.Error) {
 	s.evictExpired(now)
-	e := s.entries[key]
-	if e == nil || !now.Before(e.expires) {
+	e := s.homeEntries[key]
+	if e == nil || !now.Before(e.expiresAt) {
 		return nil, nil
 	}
 	if e.Digest != digest {
@@ -141,33 +141,33 @@
 // Reserve adds an entry for a key that is about to be claimed.
 func (s *Store) Reserve(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
 	if s.Len() >= MaxEntries {
-		return nil, fault.New(fault.RecordsFull, "idempotency store is full: %d keys", s.Len()).
+		return nil, fault.New(fault.IdempotencyStoreFull, "idempotency store is full: %d keys", s.Len()).
 			WithOutcome(fault.NotRun).WithRetryAfter(window)
 	}
-	e := &Entry{Digest: digest, expires: now.Add(window)}
-	s.entries[key] = e
-	s.expiryQueue = append(s.expiryQueue, queuedKey{key, false})
+	e := &Entry{Digest: digest, expiresAt: now.Add(window)}
+	s.homeEntries[key] = e
+	s.expiryQueue = append(s.expiryQueue, expiryItem{key, false})
 	return e, nil
 }
 
 // AddLoggedClaim adds an entry for a claim read from the log. Its call may have run.
 func (s *Store) AddLoggedClaim(now time.Time, key string, digest uint64, window time.Duration) {
-	if _, known := s.entries[key]; known || s.Len() >= MaxEntries {
+	if _, known := s.homeEntries[key]; known || s.Len() >= MaxEntries {
 		return
 	}
-	s.entries[key] = &Entry{Digest: digest, Phase: OutcomeUnknown, expires: now.Add(window)}
-	s.expiryQueue = append(s.expiryQueue, queuedKey{key, false})
+	s.homeEntries[key] = &Entry{Digest: digest, Phase: OutcomeUnknown, expiresAt: now.Add(window)}
+	s.expiryQueue = append(s.expiryQueue, expiryItem{key, false})
 }
 
 // Delete removes a key whose call was never started.
-func (s *Store) Delete(key string) { delete(s.entries, key) }
+func (s *Store) Delete(key string) { delete(s.homeEntries, key) }
 
 // Complete stores the answer of a call for repeats.
 func (e *Entry) Complete(r Result) {
 	if len(r.Body) > MaxStoredBodyBytes {
 		r.Body, r.BodyDropped = nil, true
 	}
-	e.Phase, e.Result = Done, r
+	e.Phase, e.Result = Completed, r
 }
 
 // HandleClaim records a claim as a witness and returns the reply. The claim is
@@ -177,23 +177,23 @@
 	s.evictExpired(now)
 	window := time.Duration(c.RetentionMS) * time.Millisecond
 	out := &wire.ClaimResponse{Seq: c.Seq, Result: wire.ClaimGranted}
-	canVouch := s.WitnessCovers(now, window)
-	if e := s.entries[c.Key]; e != nil && now.Before(e.expires) && e.Phase != Claiming {
+	canVouch := s.WitnessCoversWindow(now, window)
+	if e := s.homeEntries[c.Key]; e != nil && now.Before(e.expiresAt) && e.Phase != Claiming {
 		out.Result = wire.ClaimTaken // ran here while this agent was the home
 		return out
 	}
-	old := s.claims[c.Key]
+	old := s.witnessClaims[c.Key]
 	switch {
-	case old != nil && now.Before(old.expires) && old.holder != c.Holder:
+	case old != nil && now.Before(old.expiresAt) && old.holder != c.Holder:
 		out.Result = wire.ClaimTaken
 		return out
-	case old != nil && now.Before(old.expires):
-		canVouch = old.covered
+	case old != nil && now.Before(old.expiresAt):
+		canVouch = old.windowCovered
 	case s.Len() >= MaxEntries:
 		canVouch = false
 	default:
-		s.claims[c.Key] = &Entry{Digest: c.Digest, holder: c.Holder, covered: canVouch, expires: now.Add(window)}
-		s.expiryQueue = append(s.expiryQueue, queuedKey{c.Key, true})
+		s.witnessClaims[c.Key] = &Entry{Digest: c.Digest, holder: c.Holder, windowCovered: canVouch, expiresAt: now.Add(window)}
+		s.expiryQueue = append(s.expiryQueue, expiryItem{c.Key, true})
 	}
 	if !canVouch {
 		out.Result, out.RetryAfterMS = wire.ClaimNotReady, max(0, window-now.Sub(s.witnessSince)).Milliseconds()
@@ -206,12 +206,12 @@
 func (s *Store) evictExpired(now time.Time) {
 	for len(s.expiryQueue) > 0 {
 		head := s.expiryQueue[0]
-		m := s.entries
-		if head.claim {
-			m = s.claims
+		m := s.homeEntries
+		if head.isClaim {
+			m = s.witnessClaims
 		}
 		if e := m[head.key]; e != nil {
-			if now.Before(e.expires) || e.Phase == Running || (e.Phase == Claiming && e.holder == "") {
+			if now.Before(e.expiresAt) || e.Phase == Running || (e.Phase == Claiming && e.holder == "") {
 				return
 			}
 			delete(m, head.key)
@@ -226,7 +226,7 @@
 const (
 	WitnessGranted WitnessReply = iota
 	WitnessTaken
-	WitnessCannotVouch
+	WitnessNotReady
 	WitnessUnreachable
 	NoWitness // the pool has only one server; claims are always recorded on the log
 )
@@ -237,7 +237,7 @@
 const (
 	Run             Decision = iota // start the call
 	RunAfterLogging                 // start the call once the claim is on the log
-	AlreadyRan                      // the call may already have run
+	MayHaveRun                      // the call may already have run
 	Refuse                          // nobody can tell whether the call already ran
 )
 
@@ -249,15 +249,15 @@
 //
 // moved reports that another agent was the home of the key within the window.
 func (s *Store) Decide(now time.Time, window time.Duration, reply WitnessReply, moved bool) Decision {
-	covers := s.Covers(now, window) && !moved
+	covers := s.CoversWindow(now, window) && !moved
 	switch reply {
 	case WitnessTaken:
-		return AlreadyRan
+		return MayHaveRun
 	case WitnessGranted:
 		if covers || s.logRead {
 			return Run
 		}
-	case WitnessCannotVouch:
+	case WitnessNotReady:
 		if covers {
 			return Run
 		}
--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -40,7 +40,7 @@
 		g.Expect(err).To(BeNil())
 	}
 	_, err := s.Reserve(epoch, "one more", 1, window)
-	g.Expect(err.Code).To(Equal(fault.RecordsFull))
+	g.Expect(err.Code).To(Equal(fault.IdempotencyStoreFull))
 	g.Expect(err.Outcome).To(Equal(fault.NotRun))
 }
 
@@ -54,7 +54,7 @@
 	logDown, witnessDown bool
 	homeHadLease         bool
 	runs                 int
-	lastRun              time.Time
+	lastRunTime          time.Time
 }
 
 // restartHome restarts the home agent, which reads the log if it is available.
@@ -92,7 +92,7 @@
 	if !m.witnessDown {
 		c := m.witness.HandleClaim(m.now, &wire.ClaimRequest{Key: key, Holder: fmt.Sprint("home/", m.homeIncarnation), Digest: 1, RetentionMS: window.Milliseconds()})
 		reply = map[wire.ClaimResult]WitnessReply{wire.ClaimGranted: WitnessGranted, wire.ClaimTaken: WitnessTaken,
-			wire.ClaimNotReady: WitnessCannotVouch}[c.Result]
+			wire.ClaimNotReady: WitnessNotReady}[c.Result]
 	}
 	switch m.home.Decide(m.now, window, reply, false) {
 	case RunAfterLogging:
@@ -110,7 +110,7 @@
 	}
 	e.Phase = Running
 	m.runs++
-	m.lastRun = m.now
+	m.lastRunTime = m.now
 	e.Complete(Result{Status: 200})
 }
 
@@ -143,7 +143,7 @@
 			case 6:
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds")) * time.Second)
 			}
-			if m.runs > 0 && m.now.Sub(m.lastRun) >= window {
+			if m.runs > 0 && m.now.Sub(m.lastRunTime) >= window {
 				return // the window of the key has passed
 			}
 			if m.runs > 1 {
--- a/internal/registry/backend.go
+++ b/internal/registry/backend.go
@@ -13,7 +13,7 @@
 	mu                  sync.Mutex
 	inFlight            int   // own requests in progress
 	unreadTokens        int64 // prompt tokens of own requests without a first token
-	reported            Load
+	lastLoad            Load
 	consecutiveFailures int
 	avoidUntil          time.Time
 	errorRate           FailureRate
@@ -56,7 +56,7 @@
 // RecordLoad records the load that the backend server has reported.
 func (b *Backend) RecordLoad(l Load) {
 	b.mu.Lock()
-	b.reported = l
+	b.lastLoad = l
 	b.mu.Unlock()
 }
 
@@ -124,7 +124,7 @@
 func (b *Backend) View(now time.Time) View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	reported := b.reported
+	reported := b.lastLoad
 	if now.Sub(reported.At) > loadReportTTL {
 		reported = Load{}
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -69,7 +69,7 @@
 	// onRestart is called with the address of a server that has restarted.
 	onRestart func(address string)
 	// onEnd is called with the ID of an instance that ended without having drained.
-	onEnd func(instanceID string)
+	onUnexpectedExit func(instanceID string)
 }
 
 // OnRestart registers f to be called with the previous address of each server that has restarted.
@@ -79,12 +79,12 @@
 // OnEnd registers f to be called with the ID of each instance that is no longer listed, or was
 // replaced by another one, without having drained. It must be called before the registry is in use;
 // f must not call the registry.
-func (r *Registry) OnEnd(f func(instanceID string)) { r.onEnd = f }
+func (r *Registry) OnUnexpectedExit(f func(instanceID string)) { r.onUnexpectedExit = f }
 
 // New returns an empty registry.
 func New() *Registry {
 	return &Registry{backends: map[string]*Backend{}, ready: map[string][]*Backend{}, pendingRemovals: map[string]time.Time{},
-		onRestart: func(string) {}, onEnd: func(string) {}}
+		onRestart: func(string) {}, onUnexpectedExit: func(string) {}}
 }
 
 // Apply applies changes in the order in which they were written, and returns the IDs of the removed
@@ -103,13 +103,13 @@
 			continue
 		}
 		if b := r.backends[c.ID]; b != nil && !c.Invalid {
-			r.reportEnded(b)
+			r.reportUnexpectedExit(b)
 		}
 		dropped = r.remove(c.ID, dropped)
 	}
-	dropped = r.expire(now, dropped)
+	dropped = r.applyDueRemovals(now, dropped)
 	r.confirmedAt = now
-	r.rebuild()
+	r.rebuildReady()
 	return dropped
 }
 
@@ -140,7 +140,7 @@
 		// Requests in progress keep the state of the instance that they were sent to, so that their
 		// results do not affect the new one.
 		r.onRestart(b.server().Address)
-		r.reportEnded(b)
+		r.reportUnexpectedExit(b)
 		b = nil
 	}
 	if b == nil {
@@ -151,9 +151,9 @@
 }
 
 // reportEnded calls onEnd for an instance that has ended, unless it was draining.
-func (r *Registry) reportEnded(b *Backend) {
+func (r *Registry) reportUnexpectedExit(b *Backend) {
 	if s := b.server(); !s.Draining {
-		r.onEnd(s.InstanceID())
+		r.onUnexpectedExit(s.InstanceID())
 	}
 }
 
@@ -166,11 +166,11 @@
 	return append(dropped, id)
 }
 
-func (r *Registry) expire(now time.Time, dropped []string) []string {
+func (r *Registry) applyDueRemovals(now time.Time, dropped []string) []string {
 	for id, at := range r.pendingRemovals {
 		if !now.Before(at) {
 			if b := r.backends[id]; b != nil {
-				r.reportEnded(b)
+				r.reportUnexpectedExit(b)
 			}
 			dropped = r.remove(id, dropped)
 		}
@@ -178,7 +178,7 @@
 	return dropped
 }
 
-func (r *Registry) rebuild() {
+func (r *Registry) rebuildReady() {
 	ready := map[string][]*Backend{}
 	for _, b := range r.backends {
 		if s := b.server(); !s.Draining {
@@ -200,7 +200,7 @@
 }
 
 // Reachable returns the number of listed backend servers that are not avoided.
-func (r *Registry) Reachable(now time.Time) int {
+func (r *Registry) ReachableCount(now time.Time) int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	n := 0
@@ -270,12 +270,12 @@
 			r.pendingRemovals[id] = now
 		}
 	}
-	dropped = r.expire(now, nil)
+	dropped = r.applyDueRemovals(now, nil)
 	if at.After(r.confirmedAt) {
 		r.confirmedAt = at
 	}
 	if len(dropped) > 0 {
-		r.rebuild()
+		r.rebuildReady()
 	}
 	return dropped
 }
