--- a/internal/relay/cancel.go
+++ b/internal/relay/cancel.go
@@ -8,15 +8,15 @@
 // cancel cancels the current attempt. The request ends with the fault cause when
 // the agent has confirmed whether the attempt ran, or after CancelTimeout.
 func (m *Machine) cancel(cause *fault.Error) {
-	if m.state == cancelling {
+	if m.state == stateCancelling {
 		return
 	}
 	m.pendingFault = cause
-	if m.state == waiting {
+	if m.state == stateWaiting {
 		m.finish(nil, cause)
 		return
 	}
-	m.state = cancelling
+	m.state = stateCancelling
 	m.effects.SetTimer(TimerCancel, m.cfg.CancelTimeout)
 	m.effects.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
 	if !m.linkUp {
@@ -27,7 +27,7 @@
 
 // HandleCancelled processes the agent's confirmation of a cancel.
 func (m *Machine) HandleCancelled(c *wire.Cancelled) {
-	if m.isCurrent(c.Attempt) && m.state == cancelling {
+	if m.isCurrent(c.Attempt) && m.state == stateCancelling {
 		m.finishCancel(c.Ran)
 	}
 }
@@ -40,11 +40,11 @@
 }
 
 // HandleCallerGone cancels the request because its caller has disconnected.
-func (m *Machine) HandleCallerGone() {
-	if m.state == finished {
+func (m *Machine) HandleCallerDisconnected() {
+	if m.state == stateFinished {
 		return
 	}
-	if m.state == waiting {
+	if m.state == stateWaiting {
 		m.finish(nil, fault.New(fault.Cancelled, "caller disconnected"))
 		return
 	}
--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -30,7 +30,7 @@
 	index       int
 	incarnation int
 	core        *execution.Core
-	links       map[execution.LinkID]*conn
+	links       map[execution.LinkID]*simulatedLink
 	runs        []*run
 	down        bool
 }
@@ -44,7 +44,7 @@
 
 // conn is a link between a request's router and an agent. It keeps the order of
 // messages. After a break, messages in transit to the agent may still arrive.
-type conn struct {
+type simulatedLink struct {
 	id          execution.LinkID
 	agent       *agent
 	incarnation int
@@ -57,23 +57,23 @@
 // request is a Machine with a simulated caller. Each request has links of its
 // own, so there is no ordering between two requests, which is the harder case.
 type request struct {
-	cluster     *cluster
-	id          string
-	machine     *Machine
-	repeat      bool
-	length      int
-	conn        *conn
-	oldConns    []*conn
-	incarnation int // of the agent process that the attempt was offered to
-	timers      map[Timer]time.Time
-	received    []string
-	finishCount int
-	err         *fault.Error
-	offerTime   time.Time
-	abandoned   []abandoned
+	cluster        *cluster
+	id             string
+	machine        *Machine
+	mayRepeat      bool
+	answerLength   int
+	link           *simulatedLink
+	oldLinks       []*simulatedLink
+	incarnation    int // of the agent process that the attempt was offered to
+	timers         map[Timer]time.Time
+	received       []string
+	finishCount    int
+	err            *fault.Error
+	offerTime      time.Time
+	pendingCancels []pendingCancel
 }
 
-type abandoned struct {
+type pendingCancel struct {
 	agent   *agent
 	attempt uint32
 	at      time.Time
@@ -88,7 +88,7 @@
 			Floors: true, Fairness: true, EarlyRefusal: true},
 		MaxAttempts: 20, OrphanTimeout: 3 * time.Second, TombstoneRetention: 20 * time.Second, MaxTombstones: 30,
 	}, a.cluster.now, a, func(string) bool { return true })
-	a.links = map[execution.LinkID]*conn{}
+	a.links = map[execution.LinkID]*simulatedLink{}
 	a.runs = nil
 }
 
@@ -106,19 +106,19 @@
 	return true
 }
 
-func (a *agent) Start(r execution.Run) {
+func (a *agent) StartRun(r execution.Run) {
 	a.runs = append(a.runs, &run{Run: r, tokens: int(r.GeneratedTokens)})
 	req := a.cluster.requestByID(r.Key.RequestID)
 	if req.finishCount > 0 && req.err != nil && req.err.Outcome == fault.NotRun {
 		a.cluster.t.Fatalf("%s was reported as not run and then started", r.Key.RequestID)
 	}
 	a.cluster.starts[r.Key.RequestID]++
-	if !req.repeat && a.cluster.starts[r.Key.RequestID] > 1 {
+	if !req.mayRepeat && a.cluster.starts[r.Key.RequestID] > 1 {
 		a.cluster.t.Fatalf("%s must not be repeated but was started twice", r.Key.RequestID)
 	}
 }
 
-func (a *agent) Stop(k execution.AttemptKey, number int) {
+func (a *agent) StopRun(k execution.AttemptKey, number int) {
 	for _, r := range a.runs {
 		if r.Key == k && r.Number == number {
 			r.stopped = true
@@ -126,9 +126,9 @@
 	}
 }
 
-func (a *agent) Use(execution.LinkID, int) {}
+func (a *agent) AddLinkRequests(execution.LinkID, int) {}
 
-func (a *agent) Claim(execution.AttemptKey, *wire.Offer) {}
+func (a *agent) ClaimKey(execution.AttemptKey, *wire.Offer) {}
 
 func (cl *cluster) requestByID(id string) *request {
 	for _, r := range cl.requests {
@@ -148,9 +148,9 @@
 // connect opens a new link between the request and an agent.
 func (r *request) connect(a *agent) {
 	r.cluster.nextLink++
-	r.conn = &conn{id: r.cluster.nextLink, agent: a, incarnation: a.incarnation, request: r}
-	a.links[r.conn.id] = r.conn
-	a.core.LinkUp(r.cluster.now, r.conn.id, r.id)
+	r.link = &simulatedLink{id: r.cluster.nextLink, agent: a, incarnation: a.incarnation, request: r}
+	a.links[r.link.id] = r.link
+	a.core.LinkUp(r.cluster.now, r.link.id, r.id)
 }
 
 // Offer implements Effects.
@@ -160,13 +160,13 @@
 		code := draw(r.cluster, []fault.Code{fault.NoBackendServer, fault.BackendServersUnreachable, fault.LinkBusy}, "code")
 		return fault.New(code, "no agent reachable").WithOutcome(fault.NotRun)
 	}
-	if r.conn != nil {
-		r.oldConns = append(r.oldConns, r.conn)
+	if r.link != nil {
+		r.oldLinks = append(r.oldLinks, r.link)
 	}
 	r.connect(a)
 	r.incarnation, r.offerTime = a.incarnation, r.cluster.now
-	r.conn.toAgent = append(r.conn.toAgent, &wire.Offer{ID: r.id, Attempt: attempt, Team: "t", Tier: uint8(len(r.id) % 3),
-		StartTimeoutMS: 4000, RunTimeoutMS: 20000, Retryable: r.repeat, Preemptible: r.repeat, MaxTokens: r.length,
+	r.link.toAgent = append(r.link.toAgent, &wire.Offer{ID: r.id, Attempt: attempt, Team: "t", Tier: uint8(len(r.id) % 3),
+		StartTimeoutMS: 4000, RunTimeoutMS: 20000, Retryable: r.mayRepeat, Preemptible: r.mayRepeat, MaxTokens: r.answerLength,
 		ChunksDelivered: done, DeliveredText: doneText, SendWindow: 4})
 	return nil
 }
@@ -180,14 +180,14 @@
 	case *wire.Resume:
 		m.AgeMS = age
 	}
-	if r.conn != nil && !r.conn.broken {
-		r.conn.toAgent = append(r.conn.toAgent, m)
+	if r.link != nil && !r.link.broken {
+		r.link.toAgent = append(r.link.toAgent, m)
 	}
 }
 
 // Abandon implements Effects.
 func (r *request) Abandon(attempt uint32) {
-	r.abandoned = append(r.abandoned, abandoned{r.conn.agent, attempt, r.offerTime})
+	r.pendingCancels = append(r.pendingCancels, pendingCancel{r.link.agent, attempt, r.offerTime})
 }
 
 // Deliver implements Effects.
@@ -205,8 +205,8 @@
 	switch {
 	case r.finishCount > 1:
 		r.cluster.t.Fatalf("%s was finished twice", r.id)
-	case e == nil && len(r.received) != r.length:
-		r.cluster.t.Fatalf("%s ended with %d chunks of %d", r.id, len(r.received), r.length)
+	case e == nil && len(r.received) != r.answerLength:
+		r.cluster.t.Fatalf("%s ended with %d chunks of %d", r.id, len(r.received), r.answerLength)
 	case e != nil && e.Outcome == fault.NotRun && r.cluster.starts[r.id] > 0:
 		r.cluster.t.Fatalf("%s was reported as not run (%v) but was started", r.id, e)
 	case e != nil && e.Outcome == "":
@@ -225,10 +225,10 @@
 // TakeRetry implements Effects.
 func (r *request) TakeRetry() bool { return true }
 
-func (r *request) receive(m wire.Message) {
+func (r *request) handleMessage(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.OfferResponse:
-		r.machine.HandleVerdict(m)
+		r.machine.HandleOfferResponse(m)
 	case *wire.Chunk:
 		r.machine.HandleChunk(m)
 	case *wire.End:
@@ -238,7 +238,7 @@
 	}
 }
 
-func (a *agent) receive(c *conn, m wire.Message) {
+func (a *agent) handleMessage(c *simulatedLink, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Offer:
 		a.core.Offer(a.cluster.now, c.id, m)
@@ -252,35 +252,35 @@
 }
 
 // conns returns every link that may still deliver messages, in a fixed order.
-func (cl *cluster) conns() []*conn {
-	var out []*conn
+func (cl *cluster) allLinks() []*simulatedLink {
+	var out []*simulatedLink
 	for _, r := range cl.requests {
-		out = append(out, r.oldConns...)
-		if r.conn != nil {
-			out = append(out, r.conn)
+		out = append(out, r.oldLinks...)
+		if r.link != nil {
+			out = append(out, r.link)
 		}
 	}
 	return out
 }
 
 // deliverNext delivers the next message in each direction of a link.
-func (cl *cluster) deliverNext(c *conn) {
+func (cl *cluster) deliverNext(c *simulatedLink) {
 	if len(c.toAgent) > 0 {
 		m := c.toAgent[0]
 		c.toAgent = c.toAgent[1:]
 		if c.agent.incarnation == c.incarnation && !c.agent.down {
-			c.agent.receive(c, m)
+			c.agent.handleMessage(c, m)
 		}
 	}
 	if len(c.toRouter) > 0 {
 		m := c.toRouter[0]
 		c.toRouter = c.toRouter[1:]
-		c.request.receive(m)
+		c.request.handleMessage(m)
 	}
 }
 
 // breakLink breaks a link. The agent notices it now or never.
-func (cl *cluster) breakLink(c *conn, agentNotices bool) {
+func (cl *cluster) breakLink(c *simulatedLink, agentNotices bool) {
 	if c.broken {
 		return
 	}
@@ -294,19 +294,19 @@
 	if agentNotices && c.incarnation == c.agent.incarnation {
 		c.agent.core.LinkDown(cl.now, c.id)
 	}
-	if c.request.conn == c {
+	if c.request.link == c {
 		c.request.machine.HandleLinkDown()
 	}
 }
 
 // reconnect replaces the broken link of a request if its agent is up.
 func (cl *cluster) reconnect(r *request) {
-	if r.conn == nil || !r.conn.broken || r.conn.agent.down {
+	if r.link == nil || !r.link.broken || r.link.agent.down {
 		return
 	}
-	old := r.conn
+	old := r.link
 	if rapid.Bool().Draw(cl.t, "old link still delivers") {
-		r.oldConns = append(r.oldConns, old)
+		r.oldLinks = append(r.oldLinks, old)
 	}
 	r.connect(old.agent)
 	r.machine.HandleLinkUp(old.agent.incarnation == r.incarnation)
@@ -323,11 +323,11 @@
 				continue
 			}
 			req := cl.requestByID(x.Key.RequestID)
-			if x.tokens < req.length {
+			if x.tokens < req.answerLength {
 				a.core.Output(cl.now, x.Key, x.Number, []byte(token(x.Key.RequestID, x.tokens)), 1)
 				x.tokens++
 			}
-			if x.tokens >= req.length && !x.stopped {
+			if x.tokens >= req.answerLength && !x.stopped {
 				x.stopped = true
 				a.core.RunEnded(cl.now, x.Key, x.Number, wire.End{}, nil)
 			}
@@ -364,8 +364,8 @@
 }
 
 func (cl *cluster) addRequest(repeat bool) {
-	r := &request{cluster: cl, id: fmt.Sprintf("r%d", len(cl.requests)), repeat: repeat, timers: map[Timer]time.Time{},
-		length: rapid.IntRange(0, 12).Draw(cl.t, "length")}
+	r := &request{cluster: cl, id: fmt.Sprintf("r%d", len(cl.requests)), mayRepeat: repeat, timers: map[Timer]time.Time{},
+		answerLength: rapid.IntRange(0, 12).Draw(cl.t, "length")}
 	r.machine = New(r.id, Config{MaxAttempts: 4, MayRepeat: repeat, Resumable: repeat, RunTimeout: 15 * time.Second,
 		LostTimeout: time.Second, CancelTimeout: 500 * time.Millisecond, OfferReplyTimeout: time.Second}, r)
 	cl.requests = append(cl.requests, r)
--- a/internal/relay/linkstate.go
+++ b/internal/relay/linkstate.go
@@ -7,12 +7,12 @@
 
 // HandleLinkDown notes that the link to the agent is down.
 func (m *Machine) HandleLinkDown() {
-	if m.state == finished || m.state == waiting || !m.linkUp {
+	if m.state == stateFinished || m.state == stateWaiting || !m.linkUp {
 		return
 	}
 	m.linkUp = false
 	m.effects.SetTimer(TimerOfferReply, 0)
-	if m.state == cancelling {
+	if m.state == stateCancelling {
 		return // TimerCancel is running
 	}
 	m.effects.SetTimer(TimerAgentLost, m.cfg.LostTimeout)
@@ -21,17 +21,17 @@
 // HandleLinkUp notes that the link to the agent is up again. sameProcess is false
 // if the agent has restarted and so lost the attempt.
 func (m *Machine) HandleLinkUp(sameProcess bool) {
-	if m.state == finished || m.state == waiting || m.linkUp {
+	if m.state == stateFinished || m.state == stateWaiting || m.linkUp {
 		return
 	}
 	m.linkUp = true
 	m.effects.SetTimer(TimerAgentLost, 0)
 	switch {
-	case !sameProcess && m.state == cancelling:
+	case !sameProcess && m.state == stateCancelling:
 		m.finishCancel(true)
 	case !sameProcess:
-		m.agentLost("agent restarted")
-	case m.state == cancelling:
+		m.handleAgentLost("agent restarted")
+	case m.state == stateCancelling:
 		m.effects.Send(&wire.Cancel{ID: m.id, Attempt: m.attempt})
 	default:
 		m.effects.SetTimer(TimerOfferReply, m.cfg.OfferReplyTimeout)
@@ -40,7 +40,7 @@
 }
 
 // agentLost abandons the current attempt, which may have run.
-func (m *Machine) agentLost(reason string) {
+func (m *Machine) handleAgentLost(reason string) {
 	m.effects.Abandon(m.attempt)
-	m.attemptFailed(fault.New(fault.LinkLost, "%s", reason).WithOutcome(fault.Unknown))
+	m.handleAttemptFailure(fault.New(fault.LinkLost, "%s", reason).WithOutcome(fault.Unknown))
 }
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -18,7 +18,7 @@
 
 func (cl *cluster) step() {
 	kind := rapid.SampledFrom(stepKinds).Draw(cl.t, "step")
-	conns := cl.conns()
+	conns := cl.allLinks()
 	switch kind {
 	case "add request":
 		if len(cl.requests) < 6 {
@@ -39,7 +39,7 @@
 		cl.disruptAgent(kind, a)
 	case "caller gone":
 		if len(cl.requests) > 0 {
-			draw(cl, cl.requests, "which request").machine.HandleCallerGone()
+			draw(cl, cl.requests, "which request").machine.HandleCallerDisconnected()
 		}
 	case "reconnect":
 		for _, r := range cl.requests {
@@ -63,7 +63,7 @@
 	case "kill":
 		a.down = true
 		a.runs = nil
-		for _, c := range cl.conns() {
+		for _, c := range cl.allLinks() {
 			if c.agent == a {
 				cl.breakLink(c, false)
 			}
@@ -108,7 +108,7 @@
 		if open == 0 {
 			return
 		}
-		for _, c := range cl.conns() {
+		for _, c := range cl.allLinks() {
 			cl.deliverNext(c)
 		}
 		cl.stepEngines()
@@ -137,7 +137,7 @@
 		}
 		cl.runToCompletion()
 		cl.advance(time.Minute)
-		for _, c := range cl.conns() { // deliver what is still in transit
+		for _, c := range cl.allLinks() { // deliver what is still in transit
 			for len(c.toAgent) > 0 {
 				cl.deliverNext(c)
 			}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -32,7 +32,7 @@
 const WindowChunks = 128
 
 // maxBusyLinks bounds the further links tried for one offer after a busy one.
-const maxBusyLinks = 16
+const maxBusyLinkRetries = 16
 
 // Timer identifies a timer of a request.
 type Timer uint8
@@ -85,29 +85,29 @@
 type state uint8
 
 const (
-	waiting    state = iota // no agent is reachable
-	offered                 // sent, not accepted or refused yet
-	accepted                // the agent queued or runs it
-	cancelling              // a cancel was sent; the outcome depends on its confirmation
-	finished
+	stateWaiting    state = iota // no agent is reachable
+	stateOffered                 // sent, not accepted or refused yet
+	stateAccepted                // the agent queued or runs it
+	stateCancelling              // a cancel was sent; the outcome depends on its confirmation
+	stateFinished
 )
 
 // Machine is the state machine of one request. Create it with New, then call
 // Start. It is not safe for concurrent use.
 type Machine struct {
-	cfg          Config
-	effects      Effects
-	id           string
-	state        state
-	attempt      uint32
-	assembler    answer.Assembler
-	text         []byte
-	acked        uint32
-	linkUp       bool
-	possibleRuns int          // number of ended attempts that may have run
-	lastFault    *fault.Error // of the last failed attempt; reported if no other agent takes the request
-	pendingFault *fault.Error // fault to report when the cancel or the wait for an agent ends
-	retries      int
+	cfg           Config
+	effects       Effects
+	id            string
+	state         state
+	attempt       uint32
+	assembler     answer.Assembler
+	deliveredText []byte
+	ackedChunks   uint32
+	linkUp        bool
+	possibleRuns  int          // number of ended attempts that may have run
+	lastFault     *fault.Error // of the last failed attempt; reported if no other agent takes the request
+	pendingFault  *fault.Error // fault to report when the cancel or the wait for an agent ends
+	retries       int
 }
 
 // New returns a Machine for the request with the given id.
@@ -116,7 +116,7 @@
 }
 
 // Finished reports whether Effects.Finish was called.
-func (m *Machine) Finished() bool { return m.state == finished }
+func (m *Machine) Finished() bool { return m.state == stateFinished }
 
 // Retries returns the number of offers made after failed attempts.
 func (m *Machine) Retries() int { return m.retries }
@@ -135,15 +135,15 @@
 // network failure connections usually come back within moments.
 func (m *Machine) offer() {
 	m.attempt++
-	e := m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.text))
-	for busyLinks := 0; e != nil && e.Code == fault.LinkBusy && busyLinks < maxBusyLinks; busyLinks++ {
+	e := m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.deliveredText))
+	for busyLinks := 0; e != nil && e.Code == fault.LinkBusy && busyLinks < maxBusyLinkRetries; busyLinks++ {
 		// Nothing was sent, so this still counts as the same attempt.
-		e = m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.text))
+		e = m.effects.Offer(m.attempt, m.assembler.NextSeq(), string(m.deliveredText))
 	}
 	switch {
 	case e == nil:
 	case e.Code == fault.BackendServersUnreachable && (m.lastFault == nil || !IsOverload(m.lastFault.Code)):
-		m.state = waiting
+		m.state = stateWaiting
 		m.pendingFault = e
 		m.effects.SetTimer(TimerOfferReply, 0)
 		m.effects.SetTimer(TimerAgentLost, m.cfg.LostTimeout)
@@ -155,7 +155,7 @@
 		m.finish(nil, m.lastFault)
 		return
 	}
-	m.state, m.linkUp = offered, true
+	m.state, m.linkUp = stateOffered, true
 	m.effects.SetTimer(TimerAgentLost, 0)
 	m.effects.SetTimer(TimerOfferReply, m.cfg.OfferReplyTimeout)
 }
@@ -163,7 +163,7 @@
 // HandleAgentAvailable offers a waiting request again because an agent may be
 // reachable now.
 func (m *Machine) HandleAgentAvailable() {
-	if m.state == waiting {
+	if m.state == stateWaiting {
 		m.attempt-- // the offer that found no agent does not count
 		m.offer()
 	}
@@ -171,33 +171,33 @@
 
 // isCurrent reports whether a message belongs to the current attempt.
 func (m *Machine) isCurrent(attempt uint32) bool {
-	return m.state != finished && m.state != waiting && attempt == m.attempt
+	return m.state != stateFinished && m.state != stateWaiting && attempt == m.attempt
 }
 
 // HandleVerdict processes the agent's reply to an offer or a resume.
-func (m *Machine) HandleVerdict(v *wire.OfferResponse) {
+func (m *Machine) HandleOfferResponse(v *wire.OfferResponse) {
 	if !m.isCurrent(v.Attempt) {
 		return
 	}
 	m.effects.SetTimer(TimerOfferReply, 0)
 	if v.Fault == nil {
-		if m.state == offered {
-			m.state = accepted
+		if m.state == stateOffered {
+			m.state = stateAccepted
 		}
 		return
 	}
 	e := v.Fault.Err()
-	if m.state == cancelling {
+	if m.state == stateCancelling {
 		m.finishCancel(e.Outcome != fault.NotRun)
 		return
 	}
-	m.attemptFailed(e)
+	m.handleAttemptFailure(e)
 }
 
 // attemptFailed offers the request again or finishes it after an attempt ended
 // without a complete answer. The outcome of e tells whether it may have run.
-func (m *Machine) attemptFailed(e *fault.Error) {
-	if m.state == offered || m.state == accepted {
+func (m *Machine) handleAttemptFailure(e *fault.Error) {
+	if m.state == stateOffered || m.state == stateAccepted {
 		m.effects.SetTimer(TimerOfferReply, 0)
 	}
 	m.lastFault = e
@@ -217,13 +217,13 @@
 }
 
 // terminalCodes are the faults that any other agent would return as well.
-var terminalCodes = map[fault.Code]bool{
+var nonRetryableCodes = map[fault.Code]bool{
 	fault.IdempotencyKeyConflict: true, fault.IdempotentResultUnknown: true, fault.TooLarge: true, fault.BadRequest: true,
 	fault.StartDeadlinePassed: true, fault.DeadlinePassed: true,
 }
 
 func (m *Machine) canRetry(e *fault.Error) bool {
-	if terminalCodes[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
+	if nonRetryableCodes[e.Code] || int(m.attempt) >= m.cfg.MaxAttempts {
 		return false
 	}
 	if m.assembler.NextSeq() > 0 && !m.cfg.Resumable {
@@ -237,12 +237,12 @@
 
 // IsOverload reports whether a code is a refusal because of load.
 func IsOverload(c fault.Code) bool {
-	return c == fault.QueueFull || c == fault.WaitTooLong || c == fault.RecordsFull
+	return c == fault.QueueFull || c == fault.WaitTooLong || c == fault.IdempotencyStoreFull
 }
 
 // HandleChunk processes a chunk of the answer.
 func (m *Machine) HandleChunk(c *wire.Chunk) {
-	if !m.isCurrent(c.Attempt) || m.state == cancelling {
+	if !m.isCurrent(c.Attempt) || m.state == stateCancelling {
 		return
 	}
 	switch m.assembler.Accept(c.Seq) {
@@ -253,19 +253,19 @@
 		return
 	case answer.InOrder:
 	}
-	m.state = accepted
+	m.state = stateAccepted
 	if m.cfg.MayRepeat && m.cfg.Resumable {
-		m.text = append(m.text, c.Data...)
+		m.deliveredText = append(m.deliveredText, c.Data...)
 	}
 	m.effects.Deliver(c.Data)
-	if m.assembler.NextSeq()-m.acked >= ackIntervalChunks {
+	if m.assembler.NextSeq()-m.ackedChunks >= ackIntervalChunks {
 		m.ack(false)
 	}
 }
 
 func (m *Machine) ack(final bool) {
-	m.acked = m.assembler.NextSeq()
-	m.effects.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.acked, Final: final})
+	m.ackedChunks = m.assembler.NextSeq()
+	m.effects.Send(&wire.Ack{ID: m.id, Attempt: m.attempt, Next: m.ackedChunks, Final: final})
 }
 
 func (m *Machine) resume() {
@@ -278,14 +278,14 @@
 		return
 	}
 	f := e.Fault.Err()
-	if m.state == cancelling {
+	if m.state == stateCancelling {
 		m.ack(true)
 		m.finishCancel(f == nil || f.Outcome != fault.NotRun)
 		return
 	}
 	if f != nil {
 		m.ack(true)
-		m.attemptFailed(f)
+		m.handleAttemptFailure(f)
 		return
 	}
 	if e.Total != m.assembler.NextSeq() {
@@ -298,24 +298,24 @@
 
 // HandleTimeout processes the expiry of a timer.
 func (m *Machine) HandleTimeout(t Timer) {
-	if m.state == finished {
+	if m.state == stateFinished {
 		return
 	}
 	switch t {
 	case TimerAgentLost:
-		if m.state == waiting {
+		if m.state == stateWaiting {
 			m.finish(nil, m.pendingFault)
 			return
 		}
-		if !m.linkUp && m.state != cancelling {
-			m.agentLost(fmt.Sprintf("agent unreachable for %v", m.cfg.LostTimeout))
+		if !m.linkUp && m.state != stateCancelling {
+			m.handleAgentLost(fmt.Sprintf("agent unreachable for %v", m.cfg.LostTimeout))
 		}
 	case TimerOfferReply:
-		if m.state == offered {
-			m.agentLost(fmt.Sprintf("agent did not reply to the offer within %v", m.cfg.OfferReplyTimeout))
+		if m.state == stateOffered {
+			m.handleAgentLost(fmt.Sprintf("agent did not reply to the offer within %v", m.cfg.OfferReplyTimeout))
 		}
 	case TimerCancel:
-		if m.state == cancelling {
+		if m.state == stateCancelling {
 			m.effects.Abandon(m.attempt)
 			m.finishCancel(true)
 		}
@@ -326,7 +326,7 @@
 
 // finish ends the request. The outcome of the reported fault covers all attempts.
 func (m *Machine) finish(end *wire.End, e *fault.Error) {
-	m.state = finished
+	m.state = stateFinished
 	for _, t := range []Timer{TimerAgentLost, TimerCancel, TimerDeadline, TimerOfferReply} {
 		m.effects.SetTimer(t, 0)
 	}
--- a/internal/resource/view.go
+++ b/internal/resource/view.go
@@ -77,7 +77,7 @@
 }
 
 // TeamByKey returns the name of the team that the API key belongs to.
-func (v *View) TeamByKey(key string) (string, bool) {
+func (v *View) TeamByAPIKey(key string) (string, bool) {
 	name, ok := v.teamByKeyHash[HashAPIKey(key)]
 	return name, ok
 }
@@ -142,7 +142,7 @@
 }
 
 // Has reports whether the pool declares the backend server.
-func (p *Pool) Has(server string) bool { return p.Server(server).Name != "" }
+func (p *Pool) HasServer(server string) bool { return p.Server(server).Name != "" }
 
 // Server returns the declared backend server, or the zero Server if there is none.
 func (p *Pool) Server(name string) Server {
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -31,36 +31,36 @@
 
 const (
 	// bucketRatio is the part of the ratio that requests add to the token bucket.
-	bucketRatio = 0.3
+	bucketRatioFraction = 0.3
 	// depthSlack and refillSlack are the parts of the slack used for the depths of all buckets together and
 	// for their refill per window without requests. The rest covers sends that arrive later than they were
 	// granted and requests that are counted later than they were sent.
-	depthSlack, refillSlack = 0.35, 0.4
+	depthSlackFraction, refillSlackFraction = 0.35, 0.4
 	// SlackInUse is the part of the slack that all gateways together use, provided that none of them
 	// underestimates the number of gateways.
-	SlackInUse = depthSlack + refillSlack
+	UsedSlackFraction = depthSlackFraction + refillSlackFraction
 	// stepsPerWindow is the resolution at which requests and repeats are counted.
 	stepsPerWindow = 40
 	// steps is the number of steps kept: two windows, and the partial steps at their ends.
-	steps = 2*stepsPerWindow + 2
+	stepsKept = 2*stepsPerWindow + 2
 	// tolerance absorbs floating-point rounding.
-	tolerance = 1e-9
+	roundingTolerance = 1e-9
 )
 
 // Budget is the budget of one service at one gateway. It is safe for concurrent use.
 type Budget struct {
-	mu       sync.Mutex
-	settings Settings
-	share    float64 // fraction of the slack
-	start    time.Time
+	mu         sync.Mutex
+	settings   Settings
+	slackShare float64 // fraction of the slack
+	start      time.Time
 
 	tokens   float64
 	tokensAt time.Time
 
-	step         int64 // number of the newest step
-	requests     [steps]int
-	granted      [steps]int
-	fromPrevious [steps]float64 // repeats paid for by the requests of the previous window
+	step              int64 // number of the newest step
+	requests          [stepsKept]int
+	granted           [stepsKept]int
+	chargedToPrevious [stepsKept]float64 // repeats paid for by the requests of the previous window
 	// ignoreUntil is the time until which requests are not counted.
 	ignoreUntil time.Time
 
@@ -79,14 +79,14 @@
 	// Waited is the time from the claim to the decision.
 	Waited time.Duration `json:"waited,omitempty"`
 
-	start        time.Time // of the budget
-	step         int64     // step in which the repeat was granted
-	fromPrevious float64   // part paid for by the requests of the previous window
+	start             time.Time // of the budget
+	step              int64     // step in which the repeat was granted
+	chargedToPrevious float64   // part paid for by the requests of the previous window
 }
 
 // New returns an empty budget that starts at now. Share is this gateway's fraction of the slack.
 func New(s Settings, share float64, now time.Time) *Budget {
-	return &Budget{settings: s, share: share, start: now, tokensAt: now}
+	return &Budget{settings: s, slackShare: share, start: now, tokensAt: now}
 }
 
 // SetSettings changes the bounds. Counts are kept unless the length of the window changes.
@@ -102,37 +102,37 @@
 }
 
 // SetShare sets this gateway's fraction of the slack.
-func (b *Budget) SetShare(share float64, now time.Time) {
+func (b *Budget) SetSlackShare(share float64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	b.share = share
+	b.slackShare = share
 	b.tokens = min(b.tokens, b.depth())
 }
 
 // Stalled reports that the process was stalled since the given time. Requests counted between since and until
 // may be old: they do not add to the budget, and the bucket is emptied.
-func (b *Budget) Stalled(since, until, now time.Time) {
+func (b *Budget) RecordStall(since, until, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
 	b.tokens = 0
 	b.ignoreUntil = until
-	for n := max(b.stepOf(since), b.step-steps+1); n <= b.step; n++ {
-		b.requests[index(n)] = 0
+	for n := max(b.stepOf(since), b.step-stepsKept+1); n <= b.step; n++ {
+		b.requests[ringIndex(n)] = 0
 	}
 }
 
 // Request counts a request for the service.
-func (b *Budget) Request(now time.Time) {
+func (b *Budget) RecordRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
 	if now.Before(b.ignoreUntil) {
 		return
 	}
-	b.requests[index(b.step)]++
-	b.tokens = min(b.tokens+bucketRatio*b.settings.Ratio, b.depth())
+	b.requests[ringIndex(b.step)]++
+	b.tokens = min(b.tokens+bucketRatioFraction*b.settings.Ratio, b.depth())
 }
 
 // Take grants one repeated send and counts it, or denies it if the budget is exhausted or claims are pending.
@@ -150,13 +150,13 @@
 func (b *Budget) take() Decision {
 	d := b.decision()
 	fromPrevious := max(0, 1-b.tokens)
-	if fromPrevious > b.previousCredit()+tolerance {
+	if fromPrevious > b.previousCredit()+roundingTolerance {
 		return d
 	}
 	b.tokens = max(0, b.tokens-1)
-	b.fromPrevious[index(b.step)] += fromPrevious
-	b.granted[index(b.step)]++
-	d.Granted, d.start, d.step, d.fromPrevious = true, b.start, b.step, fromPrevious
+	b.chargedToPrevious[ringIndex(b.step)] += fromPrevious
+	b.granted[ringIndex(b.step)]++
+	d.Granted, d.start, d.step, d.chargedToPrevious = true, b.start, b.step, fromPrevious
 	return d
 }
 
@@ -175,9 +175,9 @@
 
 // release no longer counts a grant. Tokens are not returned, because the bucket may have been refilled since.
 func (b *Budget) release(d Decision) {
-	if d.start.Equal(b.start) && b.step-d.step < steps {
-		b.granted[index(d.step)]--
-		b.fromPrevious[index(d.step)] -= d.fromPrevious
+	if d.start.Equal(b.start) && b.step-d.step < stepsKept {
+		b.granted[ringIndex(d.step)]--
+		b.chargedToPrevious[ringIndex(d.step)] -= d.chargedToPrevious
 	}
 }
 
@@ -185,7 +185,7 @@
 func (b *Budget) decision() Decision {
 	taken := 0
 	for n := b.step - stepsPerWindow; n <= b.step; n++ {
-		taken += b.granted[index(n)]
+		taken += b.granted[ringIndex(n)]
 	}
 	return Decision{Taken: taken, Allowed: math.Round(100*(float64(taken)+b.available())) / 100}
 }
@@ -197,27 +197,27 @@
 // minimum over all windows that contain the current time. A step that is only partly in a window counts for its
 // repeats but not for its requests.
 func (b *Budget) previousCredit() float64 {
-	ratio := (1 - bucketRatio) * b.settings.Ratio
+	ratio := (1 - bucketRatioFraction) * b.settings.Ratio
 	before := 0 // requests of the window before the one that starts in step n
 	for n := b.step - stepsPerWindow + 1; n < b.step; n++ {
-		before += b.requests[index(n)]
+		before += b.requests[ringIndex(n)]
 	}
 	spent := 0.0
 	least := ratio * float64(before)
 	for n := b.step; n >= b.step-stepsPerWindow; n-- {
-		spent += b.fromPrevious[index(n)]
+		spent += b.chargedToPrevious[ringIndex(n)]
 		least = min(least, ratio*float64(before)-spent)
-		before += b.requests[index(n-stepsPerWindow)] - b.requests[index(n-1)]
+		before += b.requests[ringIndex(n-stepsPerWindow)] - b.requests[ringIndex(n-1)]
 	}
 	return max(0, least)
 }
 
 // depth returns the capacity of the bucket.
-func (b *Budget) depth() float64 { return depthSlack * b.settings.Slack * b.share }
+func (b *Budget) depth() float64 { return depthSlackFraction * b.settings.Slack * b.slackShare }
 
 // refill returns the tokens that the bucket gains per second without requests.
 func (b *Budget) refill() float64 {
-	return refillSlack * b.settings.Slack * b.share / b.settings.Window.Seconds()
+	return refillSlackFraction * b.settings.Slack * b.slackShare / b.settings.Window.Seconds()
 }
 
 // advance refills the bucket and clears the steps that have expired by now.
@@ -227,20 +227,20 @@
 		b.tokensAt = now
 	}
 	step := b.stepOf(now)
-	if step-b.step >= steps {
-		b.step = step - steps // all steps have expired
+	if step-b.step >= stepsKept {
+		b.step = step - stepsKept // all steps have expired
 	}
 	for b.step < step {
 		b.step++
-		i := index(b.step)
-		b.requests[i], b.granted[i], b.fromPrevious[i] = 0, 0, 0
+		i := ringIndex(b.step)
+		b.requests[i], b.granted[i], b.chargedToPrevious[i] = 0, 0, 0
 	}
 }
 
 // reset empties the budget.
 func (b *Budget) reset(now time.Time) {
 	b.start, b.step, b.tokens = now, 0, 0
-	b.requests, b.granted, b.fromPrevious = [steps]int{}, [steps]int{}, [steps]float64{}
+	b.requests, b.granted, b.chargedToPrevious = [stepsKept]int{}, [stepsKept]int{}, [stepsKept]float64{}
 }
 
 // stepOf returns the number of the step that contains t. The difference uses the monotonic clock.
@@ -249,4 +249,4 @@
 }
 
 // index returns the ring buffer index of a step, which may be negative.
-func index(step int64) int { return int((step%steps + steps) % steps) }
+func ringIndex(step int64) int { return int((step%stepsKept + stepsKept) % stepsKept) }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -19,7 +19,7 @@
 	g.Expect(b.Take(now).Granted).To(BeFalse())
 	now = now.Add(time.Hour)
 	for range 30 {
-		b.Request(now)
+		b.RecordRequest(now)
 		now = now.Add(time.Second)
 	}
 	granted := 0
@@ -43,7 +43,7 @@
 					retries++
 				}
 			} else {
-				b.Request(now)
+				b.RecordRequest(now)
 				requests++
 			}
 		}
@@ -56,11 +56,11 @@
 	now := time.Now()
 	b := New(Settings{Ratio: 1.0 / 3, Window: 10 * time.Second, Slack: 10}, 1, now)
 	for range 20 {
-		b.Request(now)
+		b.RecordRequest(now)
 	}
 	for taken := range 3 {
 		d := b.Take(now)
-		d.start, d.step, d.fromPrevious = time.Time{}, 0, 0
+		d.start, d.step, d.chargedToPrevious = time.Time{}, 0, 0
 		g.Expect(d).To(Equal(Decision{Granted: taken < 2, Taken: taken, Allowed: 2}))
 	}
 }
@@ -72,7 +72,7 @@
 	s := Settings{Ratio: 1.0 / 3, Window: 10 * time.Second, Slack: 10}
 	b := New(s, 1, now)
 	for range 20 {
-		b.Request(now)
+		b.RecordRequest(now)
 	}
 	g.Expect(b.Take(now).Granted).To(BeTrue())
 	g.Expect(b.Take(now).Granted).To(BeTrue())
@@ -89,14 +89,14 @@
 	since := now
 	now = now.Add(5 * time.Second)
 	for range 100 {
-		b.Request(now)
+		b.RecordRequest(now)
 	}
-	b.Stalled(since, now.Add(200*time.Millisecond), now)
+	b.RecordStall(since, now.Add(200*time.Millisecond), now)
 	for range 100 {
-		b.Request(now.Add(100 * time.Millisecond))
+		b.RecordRequest(now.Add(100 * time.Millisecond))
 	}
 	g.Expect(b.Take(now.Add(150 * time.Millisecond)).Allowed).To(BeNumerically("<", 0.1))
-	g.Expect(b.Take(now.Add(10*time.Second)).Allowed).To(BeNumerically("<=", depthSlack*10), "only the depth of the bucket")
+	g.Expect(b.Take(now.Add(10*time.Second)).Allowed).To(BeNumerically("<=", depthSlackFraction*10), "only the depth of the bucket")
 }
 
 // Guards against counting a repeat twice: when it is granted and when it is sent.
@@ -107,7 +107,7 @@
 	request := func(n int) {
 		for range n {
 			now = now.Add(20 * time.Millisecond)
-			b.Request(now)
+			b.RecordRequest(now)
 		}
 	}
 	request(1500)
@@ -150,7 +150,7 @@
 			sent++
 		}
 	}
-	g.Expect(float64(sent)).To(BeNumerically("<=", SlackInUse*10))
+	g.Expect(float64(sent)).To(BeNumerically("<=", UsedSlackFraction*10))
 }
 
 // Guards against sending a granted repeat that the budget no longer permits.
@@ -160,7 +160,7 @@
 	b := New(Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 0}, 1, now)
 	for range 1000 {
 		now = now.Add(20 * time.Millisecond)
-		b.Request(now)
+		b.RecordRequest(now)
 	}
 	d := b.Take(now)
 	g.Expect(d.Granted).To(BeTrue())
--- a/internal/retrybudget/claim.go
+++ b/internal/retrybudget/claim.go
@@ -8,19 +8,19 @@
 const (
 	// queueBelow is the fraction of a full budget below which claims are queued for GrantInterval, so that claims made
 	// at about the same time are granted by priority rather than in order of arrival.
-	queueBelow = 0.5
+	queueThreshold = 0.5
 	// GrantInterval is the interval at which pending claims are decided.
 	GrantInterval = 10 * time.Millisecond
 	// maxPollInterval bounds the time between two calls of Grant on behalf of the same pending claim.
 	maxPollInterval = 200 * time.Millisecond
 	// minWait is the time that a claim waits before it may be denied because of the claims ahead of it: some of
 	// these may be granted by other gateways in the meantime.
-	minWait = 5 * GrantInterval
+	minWaitBeforeDenial = 5 * GrantInterval
 	// lendAbove is the fraction of a full budget above which repeats are lent to other gateways.
-	lendAbove = 0.1
+	lendThreshold = 0.1
 	// byExpiryEvery makes every nth grant go to the claim that expires first, so that claims of a higher rank don't
 	// starve short-lived ones.
-	byExpiryEvery = 4
+	grantsPerExpiryGrant = 4
 )
 
 // Claim is a request for a repeated send that may wait for budget.
@@ -43,9 +43,9 @@
 
 // claimQueue holds the pending claims in order of arrival.
 type claimQueue struct {
-	claims    []*PendingClaim
-	grants    int       // number of grants so far
-	decidedAt time.Time // time of the last decision about the pending claims
+	claims     []*PendingClaim
+	grantCount int       // number of grants so far
+	decidedAt  time.Time // time of the last decision about the pending claims
 }
 
 // Claim requests a repeated send. If enough of the budget is left or the claim has expired, the decision is immediate
@@ -71,7 +71,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	if len(b.queue.claims) > 0 || b.available() < max(2, lendAbove*b.capacity()) {
+	if len(b.queue.claims) > 0 || b.available() < max(2, lendThreshold*b.capacity()) {
 		return false
 	}
 	return b.take().Granted
@@ -79,7 +79,7 @@
 
 // grantsImmediately reports whether enough of the budget is left to grant a claim without queueing it.
 func (b *Budget) grantsImmediately() bool {
-	return len(b.queue.claims) == 0 && b.available() >= max(1, queueBelow*b.capacity())
+	return len(b.queue.claims) == 0 && b.available() >= max(1, queueThreshold*b.capacity())
 }
 
 // Grant grants pending claims as far as the budget permits, and denies those that have expired or are not expected to
@@ -92,12 +92,12 @@
 	}
 	b.queue.decidedAt = now
 	b.advance(now)
-	for len(b.queue.claims) > 0 && b.available() >= 1-tolerance {
-		p := b.next(now)
+	for len(b.queue.claims) > 0 && b.available() >= 1-roundingTolerance {
+		p := b.nextToGrant(now)
 		if now.Sub(p.since) < GrantInterval && !b.batchDue(now) {
 			break
 		}
-		b.queue.grants++
+		b.queue.grantCount++
 		b.resolve(p, b.take(), now)
 	}
 	pending := slices.SortedFunc(slices.Values(b.queue.claims), byPriority(now))
@@ -106,7 +106,7 @@
 	for _, p := range pending {
 		left := p.claim.Expires.Sub(now)
 		inTime := float64(ahead+1) <= available+perSecond*left.Seconds()
-		if left <= 0 || (now.Sub(p.since) >= minWait && !inTime) {
+		if left <= 0 || (now.Sub(p.since) >= minWaitBeforeDenial && !inTime) {
 			b.resolve(p, b.decision(), now)
 			continue
 		}
@@ -135,9 +135,9 @@
 }
 
 // next returns the claim to grant next.
-func (b *Budget) next(now time.Time) *PendingClaim {
+func (b *Budget) nextToGrant(now time.Time) *PendingClaim {
 	order := byPriority(now)
-	if b.queue.grants%byExpiryEvery == byExpiryEvery-1 {
+	if b.queue.grantCount%grantsPerExpiryGrant == grantsPerExpiryGrant-1 {
 		order = byExpiry
 	}
 	return slices.MinFunc(b.queue.claims, order)
@@ -173,14 +173,14 @@
 
 // capacity returns the number of repeats that the budget permits if none have been granted.
 func (b *Budget) capacity() float64 {
-	return b.depth() + (1-bucketRatio)*b.settings.Ratio*float64(b.recentRequests())
+	return b.depth() + (1-bucketRatioFraction)*b.settings.Ratio*float64(b.recentRequests())
 }
 
 // recentRequests returns the number of requests in the last window.
 func (b *Budget) recentRequests() int {
 	n := 0
 	for step := b.step - stepsPerWindow + 1; step <= b.step; step++ {
-		n += b.requests[index(step)]
+		n += b.requests[ringIndex(step)]
 	}
 	return n
 }
@@ -193,7 +193,7 @@
 
 // Withdraw removes the claim from the queue and returns the decision, which denies the repeat unless it was granted
 // in the meantime. A granted repeat stays counted.
-func (p *PendingClaim) Withdraw() Decision {
+func (p *PendingClaim) Cancel() Decision {
 	p.budget.mu.Lock()
 	defer p.budget.mu.Unlock()
 	if len(p.decision) > 0 {
--- a/internal/retrybudget/claim_test.go
+++ b/internal/retrybudget/claim_test.go
@@ -32,7 +32,7 @@
 func (c *claimFixture) elapse(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.now = c.now.Add(20 * time.Millisecond)
-		c.Request(c.now)
+		c.RecordRequest(c.now)
 		c.Grant(c.now)
 	}
 }
@@ -92,7 +92,7 @@
 	for i := range 30 {
 		c.claim(string(rune('a'+i)), 0, 5*time.Second, 5*time.Second)
 	}
-	c.queue.grants = 0
+	c.queue.grantCount = 0
 	c.claim("call", 9, 4*time.Second, 4*time.Second)
 	c.elapse(1100 * time.Millisecond)
 	g.Expect(c.decided()).To(HaveKeyWithValue("call", true))
@@ -106,7 +106,7 @@
 		c.claim(string(rune('a'+i)), 0, 5*time.Second, 5*time.Second)
 	}
 	c.claim("blocked", 5, 300*time.Millisecond, 300*time.Millisecond)
-	c.elapse(minWait + 20*time.Millisecond)
+	c.elapse(minWaitBeforeDenial + 20*time.Millisecond)
 	g.Expect(c.decided()).To(HaveKeyWithValue("blocked", false))
 	g.Expect(len(c.pending)).To(BeNumerically(">=", 9))
 }
@@ -119,7 +119,7 @@
 		c.claim(string(rune('a'+i)), 0, 300*time.Millisecond, 300*time.Millisecond)
 	}
 	c.claim("long", 1, time.Second, time.Second)
-	c.elapse(minWait + 20*time.Millisecond)
+	c.elapse(minWaitBeforeDenial + 20*time.Millisecond)
 	decided := c.decided()
 	g.Expect(len(decided)).To(BeNumerically(">=", 8))
 	g.Expect(decided).NotTo(HaveKey("long"))
@@ -138,11 +138,11 @@
 }
 
 // Guards against granting a repeat to a withdrawn claim.
-func TestWithdrawnClaimIsNotGranted(t *testing.T) {
+func TestCancelledClaimIsNotGranted(t *testing.T) {
 	g := NewWithT(t)
 	c := newClaimFixture(g, 0)
 	c.claim("a", 0, time.Second, time.Second)
-	c.pending["a"].Withdraw()
+	c.pending["a"].Cancel()
 	before := c.decision().Taken
 	c.elapse(time.Second)
 	g.Expect(c.decided()).To(BeEmpty())
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -33,14 +33,14 @@
 	route             string
 	// requestInterval is the time between requests before changes apply.
 	requestInterval time.Duration
-	changes         []change
+	changes         []workloadChange
 	// oneGateway sends all requests to the first gateway.
-	oneGateway bool
-	faults     []fleetFault
+	singleGateway bool
+	faults        []fleetFault
 }
 
 // change sets the load, and how many of every 10 requests fail and in which way.
-type change struct {
+type workloadChange struct {
 	at      time.Duration
 	load    float64 // factor on the request rate
 	failing int     // of every 10 requests
@@ -60,12 +60,12 @@
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	ms := func(from, to int) time.Duration { return time.Duration(from+rnd.IntN(to-from)) * time.Millisecond }
 	d := fleetScenario{seed: seed, gateways: 1 + rnd.IntN(5), servers: 4 + rnd.IntN(12), route: pick(rnd, "once", "again", "stream", "resume"),
-		requestInterval: ms(20, 100), oneGateway: rnd.IntN(4) == 0}
+		requestInterval: ms(20, 100), singleGateway: rnd.IntN(4) == 0}
 	failures := []worker.Behaviour{{Reject: true}, {DropConnection: true}, {Events: simfleet.StreamEvents, AbortAfterEvents: 3}}
 	for range 3 + rnd.IntN(5) {
-		d.changes = append(d.changes, change{ms(0, 28000), pick(rnd, 0.2, 1, 1, 2, 4), pick(rnd, 0, 0, 3, 6, 10), pick(rnd, failures...)})
+		d.changes = append(d.changes, workloadChange{ms(0, 28000), pick(rnd, 0.2, 1, 1, 2, 4), pick(rnd, 0, 0, 3, 6, 10), pick(rnd, failures...)})
 	}
-	slices.SortFunc(d.changes, func(a, b change) int { return int(a.at - b.at) })
+	slices.SortFunc(d.changes, func(a, b workloadChange) int { return int(a.at - b.at) })
 	kinds := []string{"kill", "kill", "kill all in turn", "partition", "join", "leave", "reload", "store partition", "server restart"}
 	for range pick(rnd, 0, 1, 3, 6) {
 		d.faults = append(d.faults, fleetFault{ms(500, 26000), ms(200, 8000), pick(rnd, kinds...), rnd.IntN(d.gateways)})
@@ -91,7 +91,7 @@
 	var pending sync.WaitGroup
 	for i := 0; time.Since(p.begin) < scenarioDuration; i++ {
 		n := p.Nodes[rnd.IntN(p.gateways)]
-		if p.oneGateway {
+		if p.singleGateway {
 			n = p.Nodes[0]
 		}
 		if n.Gateway().Ready() {
@@ -120,7 +120,7 @@
 		p.load = c.load
 		p.mu.Unlock()
 		for _, s := range p.Servers {
-			if w := p.CurrentWorker(s); w != nil {
+			if w := p.RunningWorker(s); w != nil {
 				w.SetPartialBehaviour(c.failing, 10, c.failure)
 			}
 		}
@@ -190,7 +190,7 @@
 	first := map[string]bool{}
 	var out []time.Time
 	for _, s := range p.Servers {
-		for _, w := range p.Workers(s) {
+		for _, w := range p.AllWorkers(s) {
 			for _, a := range w.Arrivals() {
 				if first[a.ID] {
 					out = append(out, a.At)
@@ -215,7 +215,7 @@
 		tasks.Wait()
 		all := p.repeats()
 		repeats = len(all)
-		worst = retryrule.Worst(retryrule.Rule{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack}, p.requests, all)
+		worst = retryrule.WorstWindow(retryrule.Rule{Ratio: simfleet.RetryRatio, Window: simfleet.RetryWindow, Slack: simfleet.RetrySlack}, p.requests, all)
 	})
 	return worst, repeats
 }
--- a/internal/retrybudget/simulation_test.go
+++ b/internal/retrybudget/simulation_test.go
@@ -64,7 +64,7 @@
 func pick[T any](rnd *rand.Rand, of ...T) T { return of[rnd.IntN(len(of))] }
 
 // node is a simulated gateway.
-type node struct {
+type simulatedGateway struct {
 	budget      *Budget
 	joinsAt     time.Time // when it receives its share of the slack
 	joined      bool
@@ -87,14 +87,14 @@
 	settings Settings
 	rnd      *rand.Rand
 	now      time.Time
-	nodes    []*node
+	nodes    []*simulatedGateway
 	requests []time.Time
 	repeats  []time.Time
 	failing  float64
 }
 
 // step is the time step of the simulation.
-const step = 5 * time.Millisecond
+const timeStep = 5 * time.Millisecond
 
 // run simulates the scenario and returns the times of its requests and repeats.
 func (d scenario) run() (requests, repeats []time.Time) {
@@ -102,19 +102,19 @@
 		now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
 	begin := p.now
 	for range d.gateways {
-		p.nodes = append(p.nodes, &node{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)})
+		p.nodes = append(p.nodes, &simulatedGateway{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)})
 	}
 	for _, s := range d.segments {
 		p.failing = s.failing
 		due := 0.0
-		for end := p.now.Add(s.length); p.now.Before(end); p.now = p.now.Add(step) {
+		for end := p.now.Add(s.length); p.now.Before(end); p.now = p.now.Add(timeStep) {
 			for _, f := range d.faults {
-				if at := begin.Add(f.at); !at.Before(p.now) && at.Before(p.now.Add(step)) {
+				if at := begin.Add(f.at); !at.Before(p.now) && at.Before(p.now.Add(timeStep)) {
 					p.inject(f)
 				}
 			}
 			p.advance()
-			for due += float64(s.perSecond) * step.Seconds(); due >= 1; due-- {
+			for due += float64(s.perSecond) * timeStep.Seconds(); due >= 1; due-- {
 				n := p.rnd.IntN(len(p.nodes))
 				if s.onlyGateway >= 0 {
 					n = s.onlyGateway
@@ -131,16 +131,16 @@
 	n := p.nodes[f.gateway]
 	switch f.kind {
 	case "kill":
-		*n = node{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)}
+		*n = simulatedGateway{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)}
 	case "stall":
 		n.stalledFrom, n.stalledTo = p.now, p.now.Add(f.duration)
 	case "reload":
 		n.budget.SetSettings(p.settings, p.now)
 	case "join":
-		p.nodes = append(p.nodes, &node{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)})
+		p.nodes = append(p.nodes, &simulatedGateway{budget: New(p.settings, 0, p.now), joinsAt: p.now.Add(joinDelay)})
 	case "leave":
 		n.leaving = true
-		n.budget.SetShare(0, p.now)
+		n.budget.SetSlackShare(0, p.now)
 	}
 	p.setShares()
 }
@@ -155,12 +155,12 @@
 	}
 	for _, n := range p.nodes {
 		if n.joined && !n.leaving && !p.stalled(n) {
-			n.budget.SetShare(1/float64(counted), p.now)
+			n.budget.SetSlackShare(1/float64(counted), p.now)
 		}
 	}
 }
 
-func (p *simulation) stalled(n *node) bool { return p.now.Before(n.stalledTo) }
+func (p *simulation) stalled(n *simulatedGateway) bool { return p.now.Before(n.stalledTo) }
 
 // advance ends the stalls and the join delays that are over and sends the delayed repeats that are due. A gateway
 // serves its queue when its stall ends.
@@ -170,7 +170,7 @@
 			for range n.queued {
 				p.serve(n)
 			}
-			n.budget.Stalled(n.stalledFrom, p.now.Add(200*time.Millisecond), p.now)
+			n.budget.RecordStall(n.stalledFrom, p.now.Add(200*time.Millisecond), p.now)
 			n.stalledTo, n.queued = time.Time{}, nil
 			p.setShares()
 		}
@@ -184,7 +184,7 @@
 	}
 }
 
-func (p *simulation) request(n *node) {
+func (p *simulation) request(n *simulatedGateway) {
 	p.requests = append(p.requests, p.now)
 	if p.stalled(n) {
 		n.queued = append(n.queued, p.now)
@@ -195,8 +195,8 @@
 
 // serve sends a request until a send succeeds, the budget denies a repeat, a repeat is delayed or three repeats are
 // sent.
-func (p *simulation) serve(n *node) {
-	n.budget.Request(p.now)
+func (p *simulation) serve(n *simulatedGateway) {
+	n.budget.RecordRequest(p.now)
 	for range 3 {
 		if p.rnd.Float64() >= p.failing {
 			return
@@ -214,7 +214,7 @@
 }
 
 // sendDelayed sends the delayed repeats of a gateway that are due, if their grants can be renewed.
-func (p *simulation) sendDelayed(n *node) {
+func (p *simulation) sendDelayed(n *simulatedGateway) {
 	n.delayed = slices.DeleteFunc(n.delayed, func(r delayedRepeat) bool {
 		if p.now.Before(r.at) {
 			return false
@@ -237,11 +237,11 @@
 		if len(repeats) == 0 {
 			return
 		}
-		d.rule.Slack *= SlackInUse
-		if w := retryrule.Worst(d.rule, requests, repeats); w.Excess() > 1e-6 {
+		d.rule.Slack *= UsedSlackFraction
+		if w := retryrule.WorstWindow(d.rule, requests, repeats); w.Excess() > 1e-6 {
 			t.Fatalf("%d repeats for %d requests in the window at %s, %.1f allowed", w.Retries, w.Requests, w.Start.Sub(requests[0]), w.Allowed)
 		}
-		if w := retryrule.WorstSplit(d.rule, bucketRatio, requests, repeats); w.Excess() > 1e-6 {
+		if w := retryrule.WorstWeightedWindow(d.rule, bucketRatioFraction, requests, repeats); w.Excess() > 1e-6 {
 			t.Fatalf("%d repeats in the window at %s, %.1f paid for", w.Retries, w.Start.Sub(requests[0]), w.Allowed)
 		}
 	})
@@ -254,12 +254,12 @@
 }
 
 // Guards against a budget that denies nearly all repeats.
-func TestASteadilyFailingServiceGetsMostOfItsBudget(t *testing.T) {
+func TestSteadilyFailingServiceUsesMostOfBudget(t *testing.T) {
 	for _, perSecond := range []int{10, 50, 200} {
 		g := NewWithT(t)
 		d := steadyScenario(perSecond, 8*time.Second)
 		requests, repeats := d.run()
-		w := retryrule.Worst(d.rule, requests, repeats)
+		w := retryrule.WorstWindow(d.rule, requests, repeats)
 		g.Expect(float64(w.Retries)).To(BeNumerically(">=", 0.6*w.Allowed), "%d a second", perSecond)
 		last := 0
 		for _, at := range repeats {
@@ -283,7 +283,7 @@
 	}
 	for range 30 * 50 { // at 50 a second
 		now = now.Add(20 * time.Millisecond)
-		budgets[rnd.IntN(gateways)].Request(now)
+		budgets[rnd.IntN(gateways)].RecordRequest(now)
 	}
 	granted := 0
 	for i := range running {
--- a/internal/router/agentlink.go
+++ b/internal/router/agentlink.go
@@ -17,9 +17,9 @@
 )
 
 // attemptID identifies one attempt of a request on a link.
-type attemptID struct {
-	id      string
-	attempt uint32
+type attemptKey struct {
+	requestID string
+	attempt   uint32
 }
 
 // agentLink is the link to one agent and the agent's last reported state. Its
@@ -37,16 +37,16 @@
 	load              wire.Load
 	serving           map[string]bool
 	offersSinceReport int     // offers sent since the agent's last load report
-	meanFirstTokenMS  float64 // moving average of the time to first token; 0 before the first sample
-	attempts          map[attemptID]*call
-	pendingCancels    []attemptID // to be sent after a reconnect
+	ewmaFirstTokenMS  float64 // moving average of the time to first token; 0 before the first sample
+	attempts          map[attemptKey]*call
+	pendingCancels    []attemptKey // to be sent after a reconnect
 	lastUsed          time.Time
 }
 
 func (l *agentLink) status() ProcessStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return ProcessStatus{Name: l.server.Name, Role: "agent", Up: l.conn != nil, Leaving: l.load.Draining, Serving: len(l.serving) > 0,
+	return ProcessStatus{Name: l.server.Name, Role: "agent", Up: l.conn != nil, Draining: l.load.Draining, Serving: len(l.serving) > 0,
 		Revision: l.revision, Running: sum(l.load.Running), Queued: sum(l.load.Queued)}
 }
 
@@ -128,11 +128,11 @@
 		l.pendingCancels = nil // the attempts ended with the old process
 	}
 	for _, a := range l.pendingCancels {
-		conn.Send(&wire.Cancel{ID: a.id, Attempt: a.attempt})
+		conn.Send(&wire.Cancel{ID: a.requestID, Attempt: a.attempt})
 	}
 	l.pendingCancels = nil
 	for _, c := range l.attempts {
-		c.enqueue(linkUp{l, l.incarnation})
+		c.enqueue(linkUpEvent{l, l.incarnation})
 	}
 	l.router.logger.Info("link up", "server", l.server.Name, "same_process", sameProcess)
 }
@@ -145,7 +145,7 @@
 	}
 	l.conn = nil
 	for _, c := range l.attempts {
-		c.enqueue(linkDown{l})
+		c.enqueue(linkDownEvent{l})
 	}
 }
 
@@ -156,16 +156,16 @@
 		l.handleHeartbeat(m)
 	case *wire.OfferResponse:
 		l.updateLoad(m.Load)
-		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
+		l.forwardToCall(attemptKey{m.ID, m.Attempt}, m)
 	case *wire.Chunk:
-		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
+		l.forwardToCall(attemptKey{m.ID, m.Attempt}, m)
 	case *wire.End:
 		l.updateLoad(m.Load)
-		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
+		l.forwardToCall(attemptKey{m.ID, m.Attempt}, m)
 	case *wire.Cancelled:
-		l.routeToCall(attemptID{m.ID, m.Attempt}, m)
+		l.forwardToCall(attemptKey{m.ID, m.Attempt}, m)
 	case *wire.ConfigRequest:
-		l.handleConfigPull(m)
+		l.handleConfigRequest(m)
 	case *wire.ConfigSnapshot:
 		if len(m.Data) > 0 && l.router.Config.InstallSnapshot(m.Data) != nil {
 			telemetry.Count("merlinpost_config_from_peer_broken_total")
@@ -173,7 +173,7 @@
 	}
 }
 
-func (l *agentLink) routeToCall(id attemptID, m wire.Message) {
+func (l *agentLink) forwardToCall(id attemptKey, m wire.Message) {
 	l.mu.Lock()
 	c := l.attempts[id]
 	l.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-func (l *agentLink) handleConfigPull(m *wire.ConfigRequest) {
+func (l *agentLink) handleConfigRequest(m *wire.ConfigRequest) {
 	config := l.router.Config
 	revision, data, err := config.EncodeSnapshot(m.NewerThan)
 	if err != nil || !config.Ready() {
@@ -236,7 +236,7 @@
 	if l.conn == nil {
 		return "", fault.New(fault.LinkBusy, "link to agent %q is down", l.server.Name).WithOutcome(fault.NotRun)
 	}
-	id := attemptID{offer.ID, offer.Attempt}
+	id := attemptKey{offer.ID, offer.Attempt}
 	l.attempts[id] = c
 	l.lastUsed = time.Now()
 	if !l.conn.Send(offer) {
@@ -251,13 +251,13 @@
 
 // state returns the incarnation of the agent process last connected to and
 // whether the link is up.
-func (l *agentLink) state() (incarnation string, up bool) {
+func (l *agentLink) connectionState() (incarnation string, up bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.incarnation, l.conn != nil
 }
 
-func (l *agentLink) unregister(id attemptID) {
+func (l *agentLink) unregister(id attemptKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.attempts[id]; !ok {
@@ -271,8 +271,8 @@
 
 // cancelAttempt sends a cancel now or, if the link is down, after the next
 // reconnect to the same process.
-func (l *agentLink) cancelAttempt(id attemptID) {
-	if l.send(&wire.Cancel{ID: id.id, Attempt: id.attempt}) {
+func (l *agentLink) cancelAttempt(id attemptKey) {
+	if l.send(&wire.Cancel{ID: id.requestID, Attempt: id.attempt}) {
 		return
 	}
 	l.mu.Lock()
@@ -284,7 +284,7 @@
 
 // reconnect closes the connection if it is still to the given agent process;
 // run then dials a new one.
-func (l *agentLink) reconnect(incarnation string) {
+func (l *agentLink) closeConnectionTo(incarnation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil && l.incarnation == incarnation {
@@ -295,16 +295,16 @@
 
 // firstTokenSampleWeight is the weight of a new sample in the exponentially
 // weighted moving average of the time to first token.
-const firstTokenSampleWeight = 0.1
+const firstTokenEWMAWeight = 0.1
 
 // recordFirstToken adds a sample of the time from offer to first token.
 func (l *agentLink) recordFirstToken(d time.Duration) {
 	ms := float64(d) / float64(time.Millisecond)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.meanFirstTokenMS == 0 {
-		l.meanFirstTokenMS = ms
+	if l.ewmaFirstTokenMS == 0 {
+		l.ewmaFirstTokenMS = ms
 		return
 	}
-	l.meanFirstTokenMS += firstTokenSampleWeight * (ms - l.meanFirstTokenMS)
+	l.ewmaFirstTokenMS += firstTokenEWMAWeight * (ms - l.ewmaFirstTokenMS)
 }
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -20,7 +20,7 @@
 	// offerReplyTimeout bounds the wait for an agent to accept or refuse an offer.
 	offerReplyTimeout = time.Second
 	// prefixReplicas is the number of servers of a pool that cache a prompt prefix.
-	prefixReplicas = 2
+	prefixCacheReplicas = 2
 )
 
 // Request is a validated request with its class and target.
@@ -45,14 +45,14 @@
 }
 
 // linkUp and linkDown notify a call of a change of its link.
-type linkUp struct {
+type linkUpEvent struct {
 	link        *agentLink
 	incarnation string
 }
-type linkDown struct{ link *agentLink }
+type linkDownEvent struct{ link *agentLink }
 
 // agentAvailable tells a waiting call that an agent may be reachable now.
-type agentAvailable struct{}
+type agentAvailableEvent struct{}
 
 // eventBufferSize is the capacity of a call's event channel. It has room for the
 // chunk window of an attempt and the control messages around it.
@@ -72,16 +72,16 @@
 
 	link *agentLink
 	// incarnation identifies the agent process that the attempt was offered to.
-	incarnation    string
-	attempt        attemptID
-	offeredAt      time.Time
-	firstTokenSeen bool
-	tried          map[string]bool // servers that were offered the request
-	linkFailed     map[string]bool // servers whose link failed when the offer was sent
-	lastFailed     string          // server that failed the request last
-	end            *wire.End
-	err            *fault.Error
-	deliveryFailed bool
+	incarnation         string
+	attempt             attemptKey
+	offerTime           time.Time
+	firstTokenDelivered bool
+	tried               map[string]bool // servers that were offered the request
+	linkFailed          map[string]bool // servers whose link failed when the offer was sent
+	lastFailed          string          // server that failed the request last
+	end                 *wire.End
+	err                 *fault.Error
+	deliveryFailed      bool
 }
 
 // enqueue passes an event to the call without blocking. The channel has room for
@@ -107,7 +107,7 @@
 	}
 	defer r.inProgress.Add(-1)
 	r.mu.Lock()
-	r.budget.Request(time.Now())
+	r.budget.RecordRequest(time.Now())
 	r.mu.Unlock()
 	c := &call{router: r, req: req, deliver: deliver, events: make(chan any, eventBufferSize), tried: map[string]bool{}, linkFailed: map[string]bool{}}
 	lostTimeoutMS := r.settings.Link.LostMS
@@ -122,7 +122,7 @@
 }
 
 func (c *call) run(ctx context.Context) {
-	defer c.release()
+	defer c.cleanUp()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	c.machine.Start()
@@ -130,14 +130,14 @@
 		timer.Reset(c.timeToNextTimer())
 		select {
 		case e := <-c.events:
-			c.handle(e)
+			c.handleEvent(e)
 		case <-timer.C:
 			c.fireTimers()
 		case <-ctx.Done():
-			c.machine.HandleCallerGone()
+			c.machine.HandleCallerDisconnected()
 		}
 		if c.deliveryFailed {
-			c.machine.HandleCallerGone()
+			c.machine.HandleCallerDisconnected()
 		}
 		if len(c.events) == 0 && c.eventsDropped.Swap(false) {
 			c.resync()
@@ -152,12 +152,12 @@
 		return
 	}
 	c.machine.HandleLinkDown()
-	if incarnation, up := c.link.state(); up {
+	if incarnation, up := c.link.connectionState(); up {
 		c.machine.HandleLinkUp(incarnation == c.incarnation)
 	}
 }
 
-func (c *call) release() {
+func (c *call) cleanUp() {
 	c.router.links.removeWaiter(c)
 	if c.link != nil {
 		c.link.unregister(c.attempt)
@@ -167,11 +167,11 @@
 	}
 }
 
-func (c *call) handle(e any) {
+func (c *call) handleEvent(e any) {
 	switch e := e.(type) {
 	case *wire.OfferResponse:
 		c.recordFailure(e.Fault)
-		c.machine.HandleVerdict(e)
+		c.machine.HandleOfferResponse(e)
 	case *wire.Chunk:
 		c.machine.HandleChunk(e)
 	case *wire.End:
@@ -179,13 +179,13 @@
 		c.machine.HandleEnd(e)
 	case *wire.Cancelled:
 		c.machine.HandleCancelled(e)
-	case linkUp:
+	case linkUpEvent:
 		if e.link == c.link {
 			c.machine.HandleLinkUp(e.incarnation == c.incarnation)
 		}
-	case agentAvailable:
+	case agentAvailableEvent:
 		c.machine.HandleAgentAvailable()
-	case linkDown:
+	case linkDownEvent:
 		if e.link == c.link {
 			c.machine.HandleLinkDown()
 		}
@@ -242,7 +242,7 @@
 	if c.link == nil {
 		return
 	}
-	age := time.Since(c.offeredAt).Milliseconds()
+	age := time.Since(c.offerTime).Milliseconds()
 	switch m := m.(type) {
 	case *wire.Cancel:
 		m.AgeMS = age
@@ -257,17 +257,17 @@
 // other requests are resumed.
 func (c *call) Abandon(attempt uint32) {
 	if c.link != nil {
-		c.link.cancelAttempt(attemptID{c.req.ID, attempt})
-		c.link.reconnect(c.incarnation)
+		c.link.cancelAttempt(attemptKey{c.req.ID, attempt})
+		c.link.closeConnectionTo(c.incarnation)
 		c.avoidCurrentServer()
 	}
 }
 
 // Deliver implements relay.Effects.
 func (c *call) Deliver(data []byte) {
-	if !c.firstTokenSeen {
-		c.firstTokenSeen = true
-		c.link.recordFirstToken(time.Since(c.offeredAt))
+	if !c.firstTokenDelivered {
+		c.firstTokenDelivered = true
+		c.link.recordFirstToken(time.Since(c.offerTime))
 	}
 	if !c.deliveryFailed && c.deliver(data) != nil {
 		c.deliveryFailed = true
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -17,11 +17,11 @@
 	if c.link != nil {
 		c.link.unregister(c.attempt)
 	}
-	l, e := c.chooseOrWait()
+	l, e := c.selectLinkOrWait()
 	if e != nil {
 		return e
 	}
-	c.link, c.attempt, c.offeredAt = l, attemptID{c.req.ID, attempt}, time.Now()
+	c.link, c.attempt, c.offerTime = l, attemptKey{c.req.ID, attempt}, time.Now()
 	class := c.req.Class
 	incarnation, e := l.register(c, &wire.Offer{ID: c.req.ID, Attempt: attempt, Kind: c.req.Kind, Endpoint: c.req.Endpoint,
 		Team: c.req.Team, Class: c.req.ClassName, Tier: uint8(class.Tier), Floor: class.Floor, Target: c.req.Target,
@@ -40,25 +40,25 @@
 
 // chooseOrWait chooses a link or registers the call as a waiter for one. It
 // chooses again after registering because a link may have come up in between.
-func (c *call) chooseOrWait() (*agentLink, *fault.Error) {
-	l, e := c.choose()
+func (c *call) selectLinkOrWait() (*agentLink, *fault.Error) {
+	l, e := c.selectLink()
 	if e == nil || e.Code != fault.BackendServersUnreachable {
 		return l, e
 	}
 	c.router.links.addWaiter(c)
 	clear(c.linkFailed)
-	if l, e = c.choose(); e == nil {
+	if l, e = c.selectLink(); e == nil {
 		c.router.links.removeWaiter(c)
 	}
 	return l, e
 }
 
 // choose returns the link to send the next offer on.
-func (c *call) choose() (*agentLink, *fault.Error) {
+func (c *call) selectLink() (*agentLink, *fault.Error) {
 	if c.req.IdempotencyKey != "" {
-		return c.homeLink()
+		return c.homeAgentLink()
 	}
-	links := c.router.links.poolLinks(c.req.Pool)
+	links := c.router.links.subsetLinks(c.req.Pool)
 	candidates := make([]dispatch.Candidate, len(links))
 	names := make([]string, len(links))
 	for i, l := range links {
@@ -66,9 +66,9 @@
 		names[i] = l.server.Name
 	}
 	if c.req.Prefix != "" && len(names) > 0 {
-		c.markPrefixServers(candidates, names)
+		c.markPrefixCached(candidates, names)
 	}
-	if i, ok := c.pick(candidates); ok {
+	if i, ok := c.pickCandidate(candidates); ok {
 		return links[i], nil
 	}
 	for i := range candidates { // only the server that failed last is left
@@ -76,13 +76,13 @@
 			candidates[i].Excluded = c.tried[c.lastFailed] || c.linkFailed[c.lastFailed]
 		}
 	}
-	if i, ok := c.pick(candidates); ok {
+	if i, ok := c.pickCandidate(candidates); ok {
 		return links[i], nil
 	}
 	return nil, c.noCandidateFault(candidates)
 }
 
-func (c *call) pick(candidates []dispatch.Candidate) (int, bool) {
+func (c *call) pickCandidate(candidates []dispatch.Candidate) (int, bool) {
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
 	return c.router.picker.Pick(dispatch.Request{FailureDomain: c.router.settings.FailureDomain}, candidates, c.router.rng)
@@ -102,7 +102,7 @@
 
 // homeLink returns the link to the home agent of the request's idempotency key.
 // No other agent may run the request, so a refusal is not retried elsewhere.
-func (c *call) homeLink() (*agentLink, *fault.Error) {
+func (c *call) homeAgentLink() (*agentLink, *fault.Error) {
 	pool := c.router.Config.View().Pools[c.req.Pool]
 	if pool == nil {
 		return nil, fault.New(fault.NoBackendServer, "unknown pool %q", c.req.Pool).WithOutcome(fault.NotRun)
@@ -111,8 +111,8 @@
 	for i, s := range pool.Servers {
 		names[i] = s.Name
 	}
-	l := c.router.links.linkTo(pool.Server(rendezvous.First(c.req.IdempotencyKey, names)))
-	if _, up := l.state(); !up {
+	l := c.router.links.getOrOpen(pool.Server(rendezvous.First(c.req.IdempotencyKey, names)))
+	if _, up := l.connectionState(); !up {
 		return nil, fault.New(fault.BackendServersUnreachable, "home server of the idempotency key is unreachable").WithOutcome(fault.NotRun).WithRetryAfter(time.Second)
 	}
 	if c.tried[l.server.Name] {
@@ -124,9 +124,9 @@
 // markPrefixServers marks the servers expected to have the prompt's prefix in
 // their cache. Rendezvous hashing of the prefix makes all routers select the
 // same ones without coordination.
-func (c *call) markPrefixServers(candidates []dispatch.Candidate, names []string) {
+func (c *call) markPrefixCached(candidates []dispatch.Candidate, names []string) {
 	ranked := rendezvous.Rank(c.req.Prefix, names)
-	for _, server := range ranked[:min(prefixReplicas, len(ranked))] {
+	for _, server := range ranked[:min(prefixCacheReplicas, len(ranked))] {
 		for i := range candidates {
 			if candidates[i].Name == server {
 				candidates[i].CachedPrefixShare = 1
@@ -144,7 +144,7 @@
 	tiers := c.req.Class.Tier + 1
 	return dispatch.Candidate{Name: l.server.Name, FailureDomain: l.server.FailureDomain, Connected: l.conn != nil,
 		Draining: leaving || l.load.Draining, TargetLoaded: l.serving[c.req.Target], Queued: sum(firstN(l.load.Queued, tiers)), Running: sum(firstN(l.load.Running, tiers)),
-		Slots: l.load.Slots, SentSinceReport: l.offersSinceReport, ServiceMS: float64(l.load.ServiceMS), FirstTokenMS: l.meanFirstTokenMS,
+		Slots: l.load.Slots, SentSinceReport: l.offersSinceReport, ServiceMS: float64(l.load.ServiceMS), FirstTokenMS: l.ewmaFirstTokenMS,
 		Excluded: c.tried[l.server.Name] || c.linkFailed[l.server.Name] || c.lastFailed == l.server.Name}
 }
 
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -21,47 +21,47 @@
 	}
 	peers := r.liveRouters()
 	home, listed := peers[rendezvous.First(name, memberNames(peers))]
-	if !listed || r.lendingEndpoint == nil {
+	if !listed || r.quotaTransport == nil {
 		return r.localLimiter.Admit(time.Now(), name, team, len(peers))
 	}
-	request := quota.GrantRequest{Seq: r.quotaRequestSeq.Add(1), Team: name, Router: r.processName()}
+	request := quota.GrantRequest{Seq: r.quotaRequestSeq.Add(1), Team: name, Router: r.instanceID()}
 	var reply quota.GrantResponse
 	answered := true
 	if home.Name == r.settings.Name {
-		reply = (*teamHome)(r).Acquire(request)
+		reply = (*quotaHome)(r).Acquire(request)
 	} else {
-		reply, answered = r.lendingEndpoint.Acquire(ctx, home.Address, request)
+		reply, answered = r.quotaTransport.Acquire(ctx, home.Address, request)
 	}
 	switch {
 	case !answered:
 		telemetry.Count("merlinpost_lending_fallback_total")
-		r.reportEnded(name, home, r.localLimiter.DiscardGrant(name, request.Seq)) // the home may have granted it
+		r.releaseGrants(name, home, r.localLimiter.DiscardGrant(name, request.Seq)) // the home may have granted it
 		return r.localLimiter.Admit(time.Now(), name, team, len(peers))
 	case reply.Granted:
-		r.localLimiter.StartGranted(time.Now(), name)
-		return func() { r.reportEnded(name, home, r.localLimiter.EndGranted(name, request.Seq)) }, nil
+		r.localLimiter.BeginGranted(time.Now(), name)
+		return func() { r.releaseGrants(name, home, r.localLimiter.EndGranted(name, request.Seq)) }, nil
 	}
 	return nil, quota.RefusalError(reply, team)
 }
 
 // processName identifies this process to the home routers of teams.
-func (r *Router) processName() string { return r.settings.Name + "/" + r.incarnation }
+func (r *Router) instanceID() string { return r.settings.Name + "/" + r.incarnation }
 
 // reportEnded reports ended requests to the team's home router.
-func (r *Router) reportEnded(name string, home membership.Member, seqs []uint64) {
-	notice := quota.ReleaseNotice{Team: name, Router: r.processName(), Seqs: seqs}
+func (r *Router) releaseGrants(name string, home membership.Member, seqs []uint64) {
+	notice := quota.ReleaseNotice{Team: name, Router: r.instanceID(), Seqs: seqs}
 	if home.Name == r.settings.Name {
-		(*teamHome)(r).Release(notice)
+		(*quotaHome)(r).Release(notice)
 		return
 	}
-	r.lendingEndpoint.Release(home.Address, notice)
+	r.quotaTransport.Release(home.Address, notice)
 }
 
 // teamHome is a Router in its role as the home of teams. It implements lending.Home.
-type teamHome Router
+type quotaHome Router
 
 // Acquire implements lending.Home.
-func (h *teamHome) Acquire(request quota.GrantRequest) quota.GrantResponse {
+func (h *quotaHome) Acquire(request quota.GrantRequest) quota.GrantResponse {
 	team := h.Config.View().Teams[request.Team]
 	if team == nil {
 		return quota.GrantResponse{Seq: request.Seq, RetryAfterMS: time.Second.Milliseconds()}
@@ -70,18 +70,18 @@
 }
 
 // Release implements lending.Home.
-func (h *teamHome) Release(c quota.ReleaseNotice) { h.homeLimiter.Release(c) }
+func (h *quotaHome) Release(c quota.ReleaseNotice) { h.homeLimiter.Release(c) }
 
 // MarkReachable implements lending.Home.
-func (h *teamHome) MarkReachable(router string) { h.homeLimiter.MarkReachable(time.Now(), router) }
+func (h *quotaHome) MarkReachable(router string) { h.homeLimiter.MarkReachable(time.Now(), router) }
 
 // PeersAddress returns the address that serves quota requests of other routers,
 // or "" if there is none.
-func (r *Router) PeersAddress() string {
-	if r.lendingEndpoint == nil {
+func (r *Router) QuotaAddress() string {
+	if r.quotaTransport == nil {
 		return ""
 	}
-	return r.lendingEndpoint.Address()
+	return r.quotaTransport.Address()
 }
 
 // liveRouters returns the live routers of the membership list. A router with a
@@ -89,12 +89,12 @@
 func (r *Router) liveRouters() map[string]membership.Member {
 	out := map[string]membership.Member{}
 	for name, m := range r.members.Members() {
-		if m.Role == "router" && m.State == membership.Live {
+		if m.Role == "router" && m.State == membership.StateLive {
 			out[name] = m
 		}
 	}
-	if _, listed := out[r.settings.Name]; !listed && r.lendingEndpoint != nil {
-		out[r.settings.Name] = membership.Member{Name: r.settings.Name, Role: "router", Address: r.lendingEndpoint.Address(), State: membership.Live}
+	if _, listed := out[r.settings.Name]; !listed && r.quotaTransport != nil {
+		out[r.settings.Name] = membership.Member{Name: r.settings.Name, Role: "router", Address: r.quotaTransport.Address(), State: membership.StateLive}
 	}
 	return out
 }
@@ -120,7 +120,7 @@
 		for name, m := range peers {
 			if now.Sub(lastPing[name]) >= quota.PingInterval {
 				lastPing[name] = now
-				r.lendingEndpoint.Ping(m.Address, r.processName())
+				r.quotaTransport.Ping(m.Address, r.instanceID())
 			}
 		}
 		for name := range lastPing {
--- a/internal/router/links.go
+++ b/internal/router/links.go
@@ -25,18 +25,18 @@
 
 // linkSet holds the links of a router.
 type linkSet struct {
-	router *Router
-	mu     sync.Mutex
-	byName map[string]*agentLink
-	subset map[string][]string // server names by pool
-	ctx    context.Context
+	router        *Router
+	mu            sync.Mutex
+	linksByServer map[string]*agentLink
+	subsetsByPool map[string][]string // server names by pool
+	ctx           context.Context
 
 	waitersMu sync.Mutex
 	waiters   map[*call]bool // calls waiting for a reachable agent
 }
 
 func newLinkSet(r *Router) *linkSet {
-	return &linkSet{router: r, byName: map[string]*agentLink{}, subset: map[string][]string{}, waiters: map[*call]bool{}}
+	return &linkSet{router: r, linksByServer: map[string]*agentLink{}, subsetsByPool: map[string][]string{}, waiters: map[*call]bool{}}
 }
 
 // run maintains links to a subset of each pool, spread over failure domains.
@@ -51,7 +51,7 @@
 			s.reconcile(s.router.Config.View())
 			if now := s.router.Config.View().Revision; now != revision {
 				revision = now
-				s.sendHeartbeats()
+				s.triggerHeartbeats()
 			}
 		} else {
 			s.bootstrap()
@@ -70,10 +70,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.router.members.Members() {
-		if len(s.byName) >= maxBootstrapLinks {
+		if len(s.linksByServer) >= maxBootstrapLinks {
 			return
 		}
-		if m.Role == "agent" && s.byName[m.Name] == nil {
+		if m.Role == "agent" && s.linksByServer[m.Name] == nil {
 			s.openLocked(resource.Server{Name: m.Name, Agent: m.Address, FailureDomain: m.FailureDomain})
 		}
 	}
@@ -86,23 +86,23 @@
 	declared := map[string]resource.Server{}
 	wanted := map[string]bool{}
 	for name, pool := range v.Pools {
-		s.subset[name] = s.chooseSubset(pool)
-		for _, n := range s.subset[name] {
+		s.subsetsByPool[name] = s.selectSubset(pool)
+		for _, n := range s.subsetsByPool[name] {
 			wanted[n] = true
 		}
 		for _, server := range pool.Servers {
 			declared[server.Name] = server
 		}
 	}
-	for name, l := range s.byName {
+	for name, l := range s.linksByServer {
 		server, ok := declared[name]
 		if !ok || server != l.server || (!wanted[name] && l.idle()) {
 			l.cancel()
-			delete(s.byName, name)
+			delete(s.linksByServer, name)
 		}
 	}
 	for name := range wanted {
-		if s.byName[name] == nil {
+		if s.linksByServer[name] == nil {
 			s.openLocked(declared[name])
 		}
 	}
@@ -110,10 +110,10 @@
 
 // sendHeartbeats announces the current revision to every agent without waiting
 // for the next heartbeat.
-func (s *linkSet) sendHeartbeats() {
+func (s *linkSet) triggerHeartbeats() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.byName {
+	for _, l := range s.linksByServer {
 		l.mu.Lock()
 		if l.conn != nil {
 			l.conn.TriggerHeartbeat()
@@ -122,7 +122,7 @@
 	}
 }
 
-func (s *linkSet) chooseSubset(pool *resource.Pool) []string {
+func (s *linkSet) selectSubset(pool *resource.Pool) []string {
 	domains := map[string]string{}
 	for _, server := range pool.Servers {
 		domains[server.Name] = server.FailureDomain
@@ -137,19 +137,19 @@
 
 func (s *linkSet) openLocked(server resource.Server) *agentLink {
 	ctx, cancel := context.WithCancel(s.ctx)
-	l := &agentLink{router: s.router, server: server, cancel: cancel, attempts: map[attemptID]*call{}, lastUsed: time.Now()}
-	s.byName[server.Name] = l
+	l := &agentLink{router: s.router, server: server, cancel: cancel, attempts: map[attemptKey]*call{}, lastUsed: time.Now()}
+	s.linksByServer[server.Name] = l
 	go l.run(ctx)
 	return l
 }
 
 // poolLinks returns the links to the selected servers of a pool.
-func (s *linkSet) poolLinks(name string) []*agentLink {
+func (s *linkSet) subsetLinks(name string) []*agentLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]*agentLink, 0, len(s.subset[name]))
-	for _, n := range s.subset[name] {
-		if l := s.byName[n]; l != nil {
+	out := make([]*agentLink, 0, len(s.subsetsByPool[name]))
+	for _, n := range s.subsetsByPool[name] {
+		if l := s.linksByServer[n]; l != nil {
 			out = append(out, l)
 		}
 	}
@@ -175,17 +175,17 @@
 	s.waitersMu.Lock()
 	defer s.waitersMu.Unlock()
 	for c := range s.waiters {
-		c.enqueue(agentAvailable{})
+		c.enqueue(agentAvailableEvent{})
 		delete(s.waiters, c)
 	}
 }
 
 // linkTo returns the link to a declared server and opens one if there is none,
 // also to a server outside the subset.
-func (s *linkSet) linkTo(server resource.Server) *agentLink {
+func (s *linkSet) getOrOpen(server resource.Server) *agentLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.byName[server.Name]
+	l := s.linksByServer[server.Name]
 	if l == nil {
 		l = s.openLocked(server)
 	}
@@ -198,8 +198,8 @@
 func (s *linkSet) status() []ProcessStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]ProcessStatus, 0, len(s.byName))
-	for _, l := range s.byName {
+	out := make([]ProcessStatus, 0, len(s.linksByServer))
+	for _, l := range s.linksByServer {
 		out = append(out, l.status())
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -33,7 +33,7 @@
 	links           *linkSet
 	localLimiter    *quota.LocalLimiter
 	homeLimiter     *quota.HomeLimiter
-	lendingEndpoint *lending.Transport // nil if every router enforces equal shares only
+	quotaTransport  *lending.Transport // nil if every router enforces equal shares only
 	quotaRequestSeq atomic.Uint64
 
 	mu     sync.Mutex // guards picker, rng and budget
@@ -54,7 +54,7 @@
 // its socket is opened here.
 func New(set settings.Router, logger *slog.Logger) (*Router, error) {
 	p := set.Policy
-	picker, err := dispatch.New(p.Choice, dispatch.Options{PrefixAffinity: p.Prefix, DomainAffinity: p.Domain, StragglerPenalty: p.Straggler, CountUnreported: p.Corrected})
+	picker, err := dispatch.New(p.Choice, dispatch.Options{PrefixAffinity: p.PrefixAffinity, DomainAffinity: p.DomainAffinity, StragglerPenalty: p.StragglerPenalty, CountUnreported: p.CountUnreported})
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	r.members = membership.NewReader(set.Members.Address, "", settings.Millis(set.Members.PollMS), logger)
 	r.links = newLinkSet(r)
 	if set.Peers.Listen != "" {
-		if r.lendingEndpoint, err = lending.Open(set.Peers.Listen, (*teamHome)(r)); err != nil {
+		if r.quotaTransport, err = lending.Open(set.Peers.Listen, (*quotaHome)(r)); err != nil {
 			return nil, err
 		}
 	}
@@ -82,8 +82,8 @@
 	tasks.Go(func() { r.Config.Run(ctx) })
 	tasks.Go(func() { r.members.Run(ctx) })
 	tasks.Go(func() { r.links.run(ctx) })
-	if r.lendingEndpoint != nil {
-		tasks.Go(func() { r.lendingEndpoint.Run(ctx) })
+	if r.quotaTransport != nil {
+		tasks.Go(func() { r.quotaTransport.Run(ctx) })
 		tasks.Go(func() { r.pingPeers(ctx) })
 	}
 	tasks.Wait()
@@ -112,7 +112,7 @@
 	Name     string `json:"name"`
 	Role     string `json:"role"`
 	Up       bool   `json:"up"`
-	Leaving  bool   `json:"leaving"`
+	Draining bool   `json:"leaving"`
 	Serving  bool   `json:"serving"` // for an agent: its backend server has something loaded
 	Revision uint64 `json:"revision"`
 	Running  int    `json:"running"`
@@ -121,7 +121,7 @@
 
 // Status returns the state of this router and of the agents it has links to.
 func (r *Router) Status() []ProcessStatus {
-	out := []ProcessStatus{{Name: r.settings.Name, Role: "router", Up: true, Serving: true, Leaving: r.draining.Load(),
+	out := []ProcessStatus{{Name: r.settings.Name, Role: "router", Up: true, Serving: true, Draining: r.draining.Load(),
 		Revision: r.Config.View().Revision, Running: int(r.InProgress())}}
 	return append(out, r.links.status()...)
 }
@@ -129,7 +129,7 @@
 // Serves reports whether a connected, non-draining agent of the pool has the
 // target loaded.
 func (r *Router) Serves(pool, target string) bool {
-	for _, l := range r.links.poolLinks(pool) {
+	for _, l := range r.links.subsetLinks(pool) {
 		if l.serves(target) {
 			return true
 		}
--- a/internal/routing/change.go
+++ b/internal/routing/change.go
@@ -17,7 +17,7 @@
 type Change struct {
 	From, To int64 // From is 0 if the change holds the whole table
 	Limits   Limits
-	Engines  map[string]Engine
+	Engines  map[string]EngineSettings
 	Keyed    bool
 	// Routes are new or changed; RoutesGone were removed.
 	Routes     []Route
@@ -65,8 +65,8 @@
 // Digest returns a hash of the whole table. Different tables have the same digest with a
 // probability of 1 in 2^64.
 func (t *Table) Digest() uint64 {
-	sum := t.routesDigest + t.keysDigest + digest([]any{t.Version, t.Limits, t.keyed})
-	for service, engine := range t.engines {
+	sum := t.routesDigest + t.keysDigest + digest([]any{t.Version, t.Limits, t.requiresKeys})
+	for service, engine := range t.enginesByService {
 		sum += digest([]any{service, engine})
 	}
 	return sum
@@ -74,32 +74,32 @@
 
 // Diff returns the change from one table to another. A nil old stands for an empty table.
 func Diff(old, next *Table) Change {
-	c := Change{To: next.Version, Limits: next.Limits, Engines: next.engines, Keyed: next.keyed, Digest: next.Digest()}
+	c := Change{To: next.Version, Limits: next.Limits, Engines: next.enginesByService, Keyed: next.requiresKeys, Digest: next.Digest()}
 	if old == nil {
 		old = &Table{}
 	}
 	c.From = old.Version
-	for host, byPrefix := range next.hosts {
+	for host, byPrefix := range next.routesByHost {
 		for prefix, r := range byPrefix {
-			if prev := old.hosts[host][prefix]; prev == nil || prev.digest != r.digest {
+			if prev := old.routesByHost[host][prefix]; prev == nil || prev.digest != r.digest {
 				c.Routes = append(c.Routes, *r)
 			}
 		}
 	}
-	for host, byPrefix := range old.hosts {
+	for host, byPrefix := range old.routesByHost {
 		for prefix := range byPrefix {
-			if next.hosts[host][prefix] == nil {
+			if next.routesByHost[host][prefix] == nil {
 				c.RoutesGone = append(c.RoutesGone, RouteKey{host, prefix})
 			}
 		}
 	}
-	for key, team := range next.teams {
-		if prev := old.teams[key]; prev == nil || !prev.equal(team) {
+	for key, team := range next.teamsByKey {
+		if prev := old.teamsByKey[key]; prev == nil || !prev.equal(team) {
 			c.Keys = append(c.Keys, TeamKey{key, *team})
 		}
 	}
-	for key := range old.teams {
-		if next.teams[key] == nil {
+	for key := range old.teamsByKey {
+		if next.teamsByKey[key] == nil {
 			c.KeysGone = append(c.KeysGone, key)
 		}
 	}
@@ -116,13 +116,13 @@
 	if c.From != t.Version {
 		return nil, fault.New(fault.InvalidConfig, "cannot apply a change from version %d to version %d", c.From, t.Version).WithField("from")
 	}
-	next := &Table{Version: c.To, Limits: c.Limits, keyed: c.Keyed, engines: c.Engines,
-		hosts: maps.Clone(t.hosts), routesDigest: t.routesDigest, keysDigest: t.keysDigest}
-	if next.hosts == nil {
-		next.hosts = map[string]map[string]*Route{}
+	next := &Table{Version: c.To, Limits: c.Limits, requiresKeys: c.Keyed, enginesByService: c.Engines,
+		routesByHost: maps.Clone(t.routesByHost), routesDigest: t.routesDigest, keysDigest: t.keysDigest}
+	if next.routesByHost == nil {
+		next.routesByHost = map[string]map[string]*Route{}
 	}
 	if c.Keyed {
-		next.teams = maps.Clone(t.teams)
+		next.teamsByKey = maps.Clone(t.teamsByKey)
 	} else {
 		next.keysDigest = 0
 	}
@@ -135,7 +135,7 @@
 		if err := r.validate(); err != nil {
 			return nil, err
 		}
-		next.unshare(strings.ToLower(r.Host), unshared)
+		next.copyHostRoutes(strings.ToLower(r.Host), unshared)
 		next.addRoute(r)
 	}
 	for _, key := range c.KeysGone {
@@ -151,24 +151,24 @@
 }
 
 // unshare copies the routes of a host before the first modification.
-func (t *Table) unshare(host string, unshared map[string]bool) {
+func (t *Table) copyHostRoutes(host string, unshared map[string]bool) {
 	if !unshared[host] {
 		unshared[host] = true
-		if byPrefix := t.hosts[host]; byPrefix != nil {
-			t.hosts[host] = maps.Clone(byPrefix)
+		if byPrefix := t.routesByHost[host]; byPrefix != nil {
+			t.routesByHost[host] = maps.Clone(byPrefix)
 		}
 	}
 }
 
 func (t *Table) removeRoute(key RouteKey, unshared map[string]bool) {
-	t.unshare(key.Host, unshared)
-	byPrefix := t.hosts[key.Host]
+	t.copyHostRoutes(key.Host, unshared)
+	byPrefix := t.routesByHost[key.Host]
 	if r := byPrefix[key.PathPrefix]; r != nil {
 		t.routesDigest -= r.digest
 		delete(byPrefix, key.PathPrefix)
 	}
 	if len(byPrefix) == 0 {
-		delete(t.hosts, key.Host)
+		delete(t.routesByHost, key.Host)
 		delete(unshared, key.Host)
 	}
 }
@@ -176,10 +176,10 @@
 // addRoute adds a validated route, replacing one with the same key.
 func (t *Table) addRoute(r *Route) {
 	host := strings.ToLower(r.Host)
-	byPrefix := t.hosts[host]
+	byPrefix := t.routesByHost[host]
 	if byPrefix == nil {
 		byPrefix = map[string]*Route{}
-		t.hosts[host] = byPrefix
+		t.routesByHost[host] = byPrefix
 	}
 	if prev := byPrefix[r.PathPrefix]; prev != nil {
 		t.routesDigest -= prev.digest
@@ -191,17 +191,17 @@
 
 func (t *Table) addKey(key string, team *Team) {
 	t.removeKey(key)
-	if t.teams == nil {
-		t.teams = map[string]*Team{}
+	if t.teamsByKey == nil {
+		t.teamsByKey = map[string]*Team{}
 	}
-	t.teams[key] = team
+	t.teamsByKey[key] = team
 	t.keysDigest += digest(TeamKey{key, *team})
 }
 
 func (t *Table) removeKey(key string) {
-	if team := t.teams[key]; team != nil {
+	if team := t.teamsByKey[key]; team != nil {
 		t.keysDigest -= digest(TeamKey{key, *team})
-		delete(t.teams, key)
+		delete(t.teamsByKey, key)
 	}
 }
 
--- a/internal/routing/change_test.go
+++ b/internal/routing/change_test.go
@@ -14,7 +14,7 @@
 
 // drawTable draws a table with names from a small set, so that two tables have some in common.
 func drawTable(t *rapid.T, version int64) *Table {
-	c := Contents{Version: version, Engines: map[string]Engine{}}
+	c := Config{Version: version, Engines: map[string]EngineSettings{}}
 	name := rapid.SampledFrom([]string{"a", "B", "c"})
 	for range rapid.IntRange(0, 6).Draw(t, "routes") {
 		c.Routes = append(c.Routes, Route{Name: name.Draw(t, "name"), Host: name.Draw(t, "host") + ".example",
@@ -34,7 +34,7 @@
 		}
 	}
 	if rapid.Bool().Draw(t, "model") {
-		c.Engines[name.Draw(t, "model service")] = Engine{Memory: 1000, EventTokens: rapid.IntRange(1, 2).Draw(t, "stride")}
+		c.Engines[name.Draw(t, "model service")] = EngineSettings{Memory: 1000, EventTokens: rapid.IntRange(1, 2).Draw(t, "stride")}
 	}
 	table, err := New(c)
 	if err != nil {
@@ -48,7 +48,7 @@
 	for _, host := range []string{"a.example", "b.example", "C.example"} {
 		for _, path := range []string{"/a/x", "/B/x", "/c/x"} {
 			if r := t.Route(host, path); r != nil {
-				out = append(out, fmt.Sprintf("%s%s: %s %s %d %v %v %s", host, path, r.Name, r.Host, r.Kind, r.Timeout, r.Targets, r.Service(1)))
+				out = append(out, fmt.Sprintf("%s%s: %s %s %d %v %v %s", host, path, r.Name, r.Host, r.Kind, r.Timeout, r.Targets, r.PickService(1)))
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 		if team != nil {
 			out = append(out, fmt.Sprintf("%s %d", team.Name, priorityOf(team)))
 		}
-		out = append(out, fmt.Sprint(t.Engine(key)))
+		out = append(out, fmt.Sprint(t.EngineSettings(key)))
 	}
 	return out
 }
@@ -73,7 +73,7 @@
 
 // For any two tables, the encoded change between them turns the first into the second and leaves
 // the first one unmodified.
-func TestAChangeMakesTheNextTable(t *testing.T) {
+func TestApplyingADiffYieldsTheNextTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		var old *Table
@@ -103,7 +103,7 @@
 }
 
 // A change that is applied to another table than the one it was made from is detected.
-func TestAChangeToAnotherTableIsRefused(t *testing.T) {
+func TestAChangeFromAnotherTableIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		old, other, next := drawTable(t, 3), drawTable(t, 3), drawTable(t, 5)
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestAChangeWithABadRouteIsRefused(t *testing.T) {
+func TestAChangeWithAnInvalidRouteIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	_, err := (*Table)(nil).Apply(Change{To: 1, Routes: []Route{{Name: "r1", PathPrefix: "a"}}})
 	g.Expect(fault.From(err).Field).To(Equal("routes.r1.path_prefix"))
@@ -124,7 +124,7 @@
 
 // largeTable returns a table with a number of routes, which include those of any smaller table.
 func largeTable(version int64, routes int) *Table {
-	c := Contents{Version: version}
+	c := Config{Version: version}
 	for i := range routes {
 		c.Routes = append(c.Routes, Route{Name: fmt.Sprintf("r-%07d", i), Host: fmt.Sprintf("%dfi%d.example", i, i*7919%1000), PathPrefix: fmt.Sprintf("/pu%07d/", i),
 			Kind: Streaming, Timeout: 15 * time.Second, TargetLatency: time.Second, TargetGap: time.Second,
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -67,7 +67,7 @@
 }
 
 // Service returns the service for a random number, which is uniform over all uint64.
-func (r *Route) Service(draw uint64) string {
+func (r *Route) PickService(draw uint64) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
@@ -98,7 +98,7 @@
 
 // Engine holds the operator's settings for the engines of a model service. Zero means not
 // set.
-type Engine struct {
+type EngineSettings struct {
 	// Memory is the capacity in tokens, shared by running requests and cached prefixes.
 	Memory int
 	// EventTokens is the number of generated tokens per event of a stream.
@@ -110,21 +110,21 @@
 	Version int64
 	Limits  Limits
 
-	hosts   map[string]map[string]*Route // by host and path prefix
-	engines map[string]Engine            // by service
-	teams   map[string]*Team             // by key
-	keyed   bool
+	routesByHost     map[string]map[string]*Route // by host and path prefix
+	enginesByService map[string]EngineSettings    // by service
+	teamsByKey       map[string]*Team             // by key
+	requiresKeys     bool
 	// routesDigest and keysDigest are the sums of the digests of the routes and keys.
 	routesDigest, keysDigest uint64
 }
 
 // Contents is the input from which a Table is built.
-type Contents struct {
+type Config struct {
 	Version int64
 	Limits  Limits
 	Routes  []Route
 	// Engines are the settings of the engines of model services, by service.
-	Engines map[string]Engine
+	Engines map[string]EngineSettings
 	// Teams maps each key to its team. If the map is nil, no route requires a
 	// key.
 	Teams map[string]*Team
@@ -132,10 +132,10 @@
 
 // New validates the contents and builds the table. Errors have code
 // InvalidConfig and name the invalid field.
-func New(c Contents) (*Table, error) {
+func New(c Config) (*Table, error) {
 	t := &Table{
-		Version: c.Version, Limits: c.Limits, keyed: c.Teams != nil,
-		hosts: map[string]map[string]*Route{}, engines: c.Engines,
+		Version: c.Version, Limits: c.Limits, requiresKeys: c.Teams != nil,
+		routesByHost: map[string]map[string]*Route{}, enginesByService: c.Engines,
 	}
 	for i := range c.Routes {
 		if err := c.Routes[i].validate(); err != nil {
@@ -181,7 +181,7 @@
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	byPrefix := t.hosts[strings.ToLower(host)]
+	byPrefix := t.routesByHost[strings.ToLower(host)]
 	if byPrefix == nil {
 		return nil
 	}
@@ -194,15 +194,15 @@
 }
 
 // Engine returns the operator's settings for the engines of a service.
-func (t *Table) Engine(service string) Engine { return t.engines[service] }
+func (t *Table) EngineSettings(service string) EngineSettings { return t.enginesByService[service] }
 
 // Authenticate returns the team that holds key, or nil if the key is unknown
 // and the route requires none. Errors have code Unauthorized.
 func (t *Table) Authenticate(r *Route, key string) (*Team, error) {
-	if !t.keyed {
+	if !t.requiresKeys {
 		return nil, nil
 	}
-	if team := t.teams[key]; team != nil && key != "" {
+	if team := t.teamsByKey[key]; team != nil && key != "" {
 		return team, nil
 	}
 	if r.Anonymous {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -110,10 +110,10 @@
 	// Subset is how many agents of a pool this router keeps links to.
 	Subset int `toml:"subset" validate:"min=1,max=4096"`
 	// Prefix, Domain, Straggler and Corrected enable parts of the score.
-	Prefix    bool `toml:"prefix"`
-	Domain    bool `toml:"domain"`
-	Straggler bool `toml:"straggler"`
-	Corrected bool `toml:"corrected"`
+	PrefixAffinity   bool `toml:"prefix"`
+	DomainAffinity   bool `toml:"domain"`
+	StragglerPenalty bool `toml:"straggler"`
+	CountUnreported  bool `toml:"corrected"`
 	// RetryShare is the retry budget, as retries per first attempt.
 	RetryShare float64 `toml:"retry_share" validate:"min=0,max=1"`
 	// RetryBurst is the number of retries allowed without recent traffic.
@@ -205,7 +205,7 @@
 		Log:       defaultLog(),
 		Members:   Members{PollMS: 2000},
 		Link:      defaultLink(),
-		Policy: Policy{Choice: "scored", Subset: 16, Prefix: true, Domain: true, Straggler: true, Corrected: true,
+		Policy: Policy{Choice: "scored", Subset: 16, PrefixAffinity: true, DomainAffinity: true, StragglerPenalty: true, CountUnreported: true,
 			RetryShare: 0.1, RetryBurst: 10, MaxAttempts: 4},
 		Logging: Logging{Format: "text", Level: "info"},
 	}
--- a/internal/simulate/chart/chart_test.go
+++ b/internal/simulate/chart/chart_test.go
@@ -14,7 +14,7 @@
 	result := func(onTime int) []simulate.ClassResult {
 		return []simulate.ClassResult{{Name: "report", Requests: 10, OnTime: onTime}, {Name: "advice", Requests: 10, OnTime: 10}}
 	}
-	s := MeanSeries(simulate.Product, [][]simulate.ClassResult{result(4), result(8)})
+	s := MeanSeries(simulate.Production, [][]simulate.ClassResult{result(4), result(8)})
 	g.Expect(s.OnTimeShares[0]).To(BeNumerically("~", 0.6, 1e-9))
 	g.Expect(s.OnTimeShares[1]).To(BeNumerically("~", 1, 1e-9))
 	var text strings.Builder
--- a/internal/simulate/engine.go
+++ b/internal/simulate/engine.go
@@ -32,7 +32,7 @@
 	rank             int
 	prefillRemaining int // prompt tokens not yet processed
 	generated        int // tokens generated so far
-	started          time.Time
+	enqueuedAt       time.Time
 }
 
 // engine is the state of a simulated engine.
@@ -58,8 +58,8 @@
 // enqueue adds a request to the waiting queue. fetched means that the shared prefix was copied
 // from another engine, so that it needs no prefill.
 func (e *engine) enqueue(j *job, rank int, fetched bool, now time.Time) {
-	r := &activeRequest{job: j, rank: rank, prefillRemaining: j.prompt.Tokens, started: now}
-	shared, tokens := j.prompt.Shared()
+	r := &activeRequest{job: j, rank: rank, prefillRemaining: j.prompt.Tokens, enqueuedAt: now}
+	shared, tokens := j.prompt.SharedPrefix()
 	if e.hasPrefix(shared, now) || fetched {
 		r.prefillRemaining -= tokens
 	} else {
@@ -152,29 +152,29 @@
 
 // job is a client request and its outcome.
 type job struct {
-	id           string
-	class        *Class
-	prompt       placement.Prompt
-	outputTokens int
-	arrived      time.Time
-	sent         time.Time
-	first, done  time.Time
-	refused      bool
-	expired      bool // the deadline has passed and the client has disconnected
-	group        permit.Group
-	onFirst      func(now time.Time)
-	onEnd        func(now time.Time)
-	ended        bool
-	streamStats  permit.StreamStats
-	lastEvent    time.Time // time of the last stream event
+	id                        string
+	class                     *Class
+	prompt                    placement.Prompt
+	outputTokens              int
+	arrivedAt                 time.Time
+	dispatchedAt              time.Time
+	firstTokenAt, completedAt time.Time
+	refused                   bool
+	expired                   bool // the deadline has passed and the client has disconnected
+	group                     permit.Group
+	onFirst                   func(now time.Time)
+	onEnd                     func(now time.Time)
+	ended                     bool
+	streamStats               permit.StreamStats
+	lastEventAt               time.Time // time of the last stream event
 }
 
 // recordEvent adds an event of the response stream to the job's statistics.
 func (j *job) recordEvent(at time.Time) {
 	if j.streamStats.Events > 0 {
-		j.streamStats.Duration += at.Sub(j.lastEvent)
-		j.streamStats.LongestGap = max(j.streamStats.LongestGap, at.Sub(j.lastEvent))
+		j.streamStats.Duration += at.Sub(j.lastEventAt)
+		j.streamStats.LongestGap = max(j.streamStats.LongestGap, at.Sub(j.lastEventAt))
 	}
 	j.streamStats.Events++
-	j.lastEvent = at
+	j.lastEventAt = at
 }
--- a/internal/simulate/result.go
+++ b/internal/simulate/result.go
@@ -18,7 +18,7 @@
 		var firstTokens []time.Duration
 		for _, j := range s.jobs {
 			if j.class == class {
-				firstTokens = r.add(j, firstTokens)
+				firstTokens = r.addJob(j, firstTokens)
 			}
 		}
 		r.LongPromptServedShare = longPromptServedShare(s.jobs, class)
@@ -54,17 +54,17 @@
 
 // metDeadline reports whether the response was complete by the deadline.
 func (j *job) metDeadline() bool {
-	return !j.done.IsZero() && j.done.Sub(j.arrived) <= j.class.Deadline
+	return !j.completedAt.IsZero() && j.completedAt.Sub(j.arrivedAt) <= j.class.Deadline
 }
 
 // add counts the job and appends its time to first token, if it has one, to firstTokens.
-func (r *ClassResult) add(j *job, firstTokens []time.Duration) []time.Duration {
+func (r *ClassResult) addJob(j *job, firstTokens []time.Duration) []time.Duration {
 	r.Requests++
-	if !j.first.IsZero() {
-		firstTokens = append(firstTokens, j.first.Sub(j.arrived))
+	if !j.firstTokenAt.IsZero() {
+		firstTokens = append(firstTokens, j.firstTokenAt.Sub(j.arrivedAt))
 	}
 	switch {
-	case j.metDeadline() && j.first.Sub(j.arrived) <= j.class.FirstTokenTarget && (j.class.MaxEventGap == 0 || j.streamStats.LongestGap <= j.class.MaxEventGap):
+	case j.metDeadline() && j.firstTokenAt.Sub(j.arrivedAt) <= j.class.FirstTokenTarget && (j.class.MaxEventGap == 0 || j.streamStats.LongestGap <= j.class.MaxEventGap):
 		r.OnTime++
 	case j.metDeadline():
 		r.Late++
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -39,27 +39,27 @@
 // and a baseline that sends each request to the engine with the fewest requests in flight from
 // the same gateway.
 const (
-	Product       Variant = "product"
-	NoPermits     Variant = "no_permits"  // gateways place requests without permits, by their own view
-	NoHarm        Variant = "no_harm"     // the effect of a prefill on running streams is ignored
-	NoPacing      Variant = "no_pacing"   // the time that running streams need to finish is ignored
-	NoOrder       Variant = "no_order"    // no engine is preferred for short or long prompts
-	Together      Variant = "together"    // an engine may get further prompts during a prefill
-	NoLearning    Variant = "no_learning" // engine performance estimates keep their initial values
-	NoFetch       Variant = "no_fetch"    // missing prefixes are recomputed rather than fetched
-	ByArrival     Variant = "by_arrival"  // requests that can no longer be on time keep their place
-	Patient       Variant = "patient"     // requests are not refused before their wait limit
-	NoRanks       Variant = "no_ranks"    // all requests have the same rank
-	LeastRequests Variant = "least_requests"
+	Production             Variant = "product"
+	NoPermits              Variant = "no_permits"  // gateways place requests without permits, by their own view
+	IgnoreInterference     Variant = "no_harm"     // the effect of a prefill on running streams is ignored
+	IgnoreResponseTimeouts Variant = "no_pacing"   // the time that running streams need to finish is ignored
+	NoEnginePreference     Variant = "no_order"    // no engine is preferred for short or long prompts
+	ConcurrentPrefills     Variant = "together"    // an engine may get further prompts during a prefill
+	NoLearning             Variant = "no_learning" // engine performance estimates keep their initial values
+	NoFetch                Variant = "no_fetch"    // missing prefixes are recomputed rather than fetched
+	IgnoreLateness         Variant = "by_arrival"  // requests that can no longer be on time keep their place
+	NoEarlyRefusal         Variant = "patient"     // requests are not refused before their wait limit
+	NoRanks                Variant = "no_ranks"    // all requests have the same rank
+	LeastRequests          Variant = "least_requests"
 )
 
 // Variants lists all variants.
-var Variants = []Variant{Product, NoPermits, NoHarm, NoPacing, NoOrder, Together, NoLearning, NoFetch, ByArrival, Patient, NoRanks, LeastRequests}
+var Variants = []Variant{Production, NoPermits, IgnoreInterference, IgnoreResponseTimeouts, NoEnginePreference, ConcurrentPrefills, NoLearning, NoFetch, IgnoreLateness, NoEarlyRefusal, NoRanks, LeastRequests}
 
 // permitPolicies holds the variants that change permit decisions.
 var permitPolicies = map[Variant]permit.Policy{
-	NoHarm: {IgnoreInterference: true}, NoPacing: {IgnoreResponseTimeouts: true}, NoOrder: {NoEnginePreference: true}, Together: {ConcurrentPrefills: true},
-	NoLearning: {NoLearning: true}, NoFetch: {NoFetch: true}, ByArrival: {IgnoreLateness: true}, Patient: {NoEarlyRefusal: true},
+	IgnoreInterference: {IgnoreInterference: true}, IgnoreResponseTimeouts: {IgnoreResponseTimeouts: true}, NoEnginePreference: {NoEnginePreference: true}, ConcurrentPrefills: {ConcurrentPrefills: true},
+	NoLearning: {NoLearning: true}, NoFetch: {NoFetch: true}, IgnoreLateness: {IgnoreLateness: true}, NoEarlyRefusal: {NoEarlyRefusal: true},
 }
 
 // Config describes one simulation.
@@ -147,7 +147,7 @@
 func Run(c Config) []ClassResult {
 	s := &simulation{Config: c, now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(c.Seed, 7)),
 		engines: map[string]*engine{}}
-	s.permits = permit.NewScheduler[*permitRequest](s.groupEngines, func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false },
+	s.permits = permit.NewScheduler[*permitRequest](s.enginesOfGroup, func(string) (enginemodel.Estimates, bool) { return enginemodel.Estimates{}, false },
 		ratelimit.New(s.rng.Float64), permitPolicies[c.Variant])
 	var servers []registry.Server
 	for i := range c.Engines {
@@ -191,12 +191,12 @@
 			t += time.Duration(s.rng.ExpFloat64() / rate * float64(time.Second))
 			j := s.newJob(class)
 			s.jobs = append(s.jobs, j)
-			s.scheduleAt(start.Add(t), func(now time.Time) { s.arrive(j, now) })
+			s.scheduleAt(start.Add(t), func(now time.Time) { s.handleArrival(j, now) })
 		}
 	}
 	var tick func(time.Time)
 	tick = func(now time.Time) {
-		s.handleDue(s.permits.Poll(now))
+		s.handleNotifications(s.permits.Poll(now))
 		if now.Sub(start) < s.Duration+20*time.Second {
 			s.scheduleAfter(20*time.Millisecond, tick)
 		}
@@ -205,7 +205,7 @@
 }
 
 // groupEngines returns the engines of a group as seen by the first gateway.
-func (s *simulation) groupEngines(group permit.Group) []permit.Engine {
+func (s *simulation) enginesOfGroup(group permit.Group) []permit.Engine {
 	candidates := s.candidates(0, s.now)
 	groups := placement.GroupCount(len(candidates))
 	var out []permit.Engine
@@ -229,8 +229,8 @@
 }
 
 // arrive handles the arrival of a request at a random gateway.
-func (s *simulation) arrive(j *job, now time.Time) {
-	j.arrived = now
+func (s *simulation) handleArrival(j *job, now time.Time) {
+	j.arrivedAt = now
 	s.scheduleAt(now.Add(j.class.Deadline), func(time.Time) { j.expired = true })
 	gateway := s.rng.IntN(s.Gateways)
 	req := placement.Request{Prompt: j.prompt, Key: j.id, Draw: s.rng.Float64()}
@@ -241,7 +241,7 @@
 	case NoPermits:
 		s.dispatch(j, gateway, placement.ChooseEngine(req, candidates), now)
 	default:
-		prefix, _ := j.prompt.Shared()
+		prefix, _ := j.prompt.SharedPrefix()
 		s.requestPermit(&permitRequest{job: j, gateway: gateway, groups: placement.RankGroups(prefix, placement.GroupCount(len(candidates)))}, now)
 	}
 }
@@ -258,19 +258,19 @@
 // requestPermit requests a permit from the current group of engines.
 func (s *simulation) requestPermit(p *permitRequest, now time.Time) {
 	j := p.job
-	prefix, shared := j.prompt.Shared()
-	elapsed := now.Sub(j.arrived)
+	prefix, shared := j.prompt.SharedPrefix()
+	elapsed := now.Sub(j.arrivedAt)
 	answer := s.permits.Submit(p.group(), permit.Ask{ID: j.id, Priority: s.rank(j), UniqueTokens: j.prompt.Tokens - shared, PrefixID: prefix, PrefixTokens: shared,
 		OutputTokens: j.prompt.OutputTokens, MaxEventGap: j.class.MaxEventGap, ResponseTimeout: j.class.Deadline - elapsed, FirstTokenTarget: j.class.FirstTokenTarget - elapsed,
 		FirstTokenTimeout: max(4*j.class.FirstTokenTarget-elapsed, 500*time.Millisecond)}, p, now)
-	s.handleAnswer(p, answer, now)
+	s.handleDecision(p, answer, now)
 }
 
-func (s *simulation) handleAnswer(p *permitRequest, answer permit.Decision, now time.Time) {
+func (s *simulation) handleDecision(p *permitRequest, answer permit.Decision, now time.Time) {
 	switch answer.Verdict {
 	case permit.Granted:
 		p.job.group = p.group()
-		s.dispatch(p.job, p.gateway, s.grantedChoice(p, answer, now), now)
+		s.dispatch(p.job, p.gateway, s.grantedPlacement(p, answer, now), now)
 	case permit.Refused, permit.NoEngine:
 		if p.job.refused = len(p.groups) == 1; !p.job.refused {
 			p.groups = p.groups[1:min(len(p.groups), maxGroups)]
@@ -280,7 +280,7 @@
 }
 
 // grantedChoice returns the placement named by a granted permit.
-func (s *simulation) grantedChoice(p *permitRequest, answer permit.Decision, now time.Time) placement.Choice {
+func (s *simulation) grantedPlacement(p *permitRequest, answer permit.Decision, now time.Time) placement.Choice {
 	out := placement.Choice{FetchFrom: answer.FetchFrom, Reason: placement.Decided}
 	candidates := s.candidates(p.gateway, now)
 	for i := range candidates {
@@ -293,10 +293,10 @@
 
 // handleDue handles the decisions on queued permit requests, except those whose deadline has
 // passed.
-func (s *simulation) handleDue(due []permit.Notification[*permitRequest]) {
+func (s *simulation) handleNotifications(due []permit.Notification[*permitRequest]) {
 	for _, d := range due {
 		if !d.To.job.expired {
-			s.handleAnswer(d.To, d.Decision, s.now)
+			s.handleDecision(d.To, d.Decision, s.now)
 		}
 	}
 }
@@ -305,16 +305,16 @@
 func (s *simulation) dispatch(j *job, gateway int, c placement.Choice, now time.Time) {
 	e, b := s.engines[c.Candidate.Server.ID], c.Candidate.Backend
 	fetched := c.FetchFrom != "" && s.engines[c.FetchFrom].hasPrefix(sharedPrefixID(j), now)
-	_, shared := j.prompt.Shared()
+	_, shared := j.prompt.SharedPrefix()
 	prefillTokens := j.prompt.Tokens - shared
 	b.BeginRequest(prefillTokens)
 	e.enqueue(j, s.rank(j), fetched, now)
 	first := func(f *job, at time.Time) {
-		f.first = at
-		s.scheduleAt(at, func(now time.Time) { s.firstToken(f, now) })
+		f.firstTokenAt = at
+		s.scheduleAt(at, func(now time.Time) { s.handleFirstToken(f, now) })
 	}
 	end := func(f *job, at time.Time) {
-		f.done = at
+		f.completedAt = at
 		s.scheduleAt(at, func(now time.Time) { f.onEnd(now) })
 	}
 	j.onEnd = func(now time.Time) {
@@ -324,10 +324,10 @@
 		j.ended = true
 		b.EndRequest()
 		s.permits.Finish(j.group, j.id, j.streamStats, now)
-		s.handleDue(s.permits.Poll(now))
+		s.handleNotifications(s.permits.Poll(now))
 	}
-	s.scheduleAt(j.arrived.Add(j.class.Deadline), func(now time.Time) { j.onEnd(now) })
-	j.sent = now
+	s.scheduleAt(j.arrivedAt.Add(j.class.Deadline), func(now time.Time) { j.onEnd(now) })
+	j.dispatchedAt = now
 	j.onFirst = func(now time.Time) {
 		b.RecordFirstToken(prefillTokens)
 	}
@@ -337,10 +337,10 @@
 	}
 }
 
-func (s *simulation) firstToken(j *job, now time.Time) {
+func (s *simulation) handleFirstToken(j *job, now time.Time) {
 	j.onFirst(now)
-	s.permits.RecordFirstToken(j.group, j.id, now.Sub(j.sent), now)
-	s.handleDue(s.permits.Poll(now))
+	s.permits.RecordFirstToken(j.group, j.id, now.Sub(j.dispatchedAt), now)
+	s.handleNotifications(s.permits.Poll(now))
 }
 
 func (s *simulation) runStep(e *engine, first, end func(*job, time.Time)) {
@@ -361,6 +361,6 @@
 }
 
 func sharedPrefixID(j *job) string {
-	id, _ := j.prompt.Shared()
+	id, _ := j.prompt.SharedPrefix()
 	return id
 }
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -18,13 +18,13 @@
 }
 
 func TestSimulationIsDeterministic(t *testing.T) {
-	NewWithT(t).Expect(simulateAdvisory(Product, 1, 3)).To(Equal(simulateAdvisory(Product, 1, 3)))
+	NewWithT(t).Expect(simulateAdvisory(Production, 1, 3)).To(Equal(simulateAdvisory(Production, 1, 3)))
 }
 
 func TestModerateLoadIsServedOnTime(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(3) {
-		for name, r := range simulateAdvisory(Product, 0.6, seed) {
+		for name, r := range simulateAdvisory(Production, 0.6, seed) {
 			g.Expect(r.OnTimeShare()).To(BeNumerically(">", 0.97), "%s with seed %d", name, seed)
 			g.Expect(r.Refused).To(BeZero())
 		}
@@ -36,7 +36,7 @@
 func TestPermitsKeepReportsOnTimeDuringBurst(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(3) {
-		with, without := simulateAdvisory(Product, 1.2, seed)["report"], simulateAdvisory(NoPermits, 1.2, seed)["report"]
+		with, without := simulateAdvisory(Production, 1.2, seed)["report"], simulateAdvisory(NoPermits, 1.2, seed)["report"]
 		g.Expect(with.OnTimeShare()).To(BeNumerically(">", without.OnTimeShare()+0.4), "seed %d: %+v, %+v", seed, with, without)
 		g.Expect(with.ServedShare()).To(BeNumerically(">", without.ServedShare()-0.02), "seed %d", seed)
 	}
@@ -47,7 +47,7 @@
 func TestReportsAreShedUnderOverload(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(3) {
-		results := simulateAdvisory(Product, 1.5, seed)
+		results := simulateAdvisory(Production, 1.5, seed)
 		g.Expect(results["advice"].OnTimeShare()).To(BeNumerically(">", 0.9), "seed %d: %+v", seed, results["advice"])
 		g.Expect(results["tag"].OnTimeShare()).To(BeNumerically(">", 0.85), "seed %d: %+v", seed, results["tag"])
 		report := results["report"]
@@ -69,7 +69,7 @@
 		s, _ := FindScenario(scenario)
 		for seed := range uint64(3) {
 			for _, r := range Run(Config{Engines: 12, Gateways: 5, Engine: s.Engine, Classes: s.Classes(12, 1.5),
-				Duration: 30 * time.Second, Seed: seed, Variant: Product}) {
+				Duration: 30 * time.Second, Seed: seed, Variant: Production}) {
 				g.Expect(r.LongPromptServedShare).To(BeNumerically(">", 0.7*r.ServedShare()), "%s, seed %d: %+v", scenario, seed, r)
 			}
 		}
@@ -80,6 +80,6 @@
 // recomputed than with the least-requests baseline.
 func TestPrefixAffinityReducesPrefill(t *testing.T) {
 	g := NewWithT(t)
-	product, baseline := simulateAdvisory(Product, 0.8, 1)["report"], simulateAdvisory(LeastRequests, 0.8, 1)["report"]
+	product, baseline := simulateAdvisory(Production, 0.8, 1)["report"], simulateAdvisory(LeastRequests, 0.8, 1)["report"]
 	g.Expect(product.PrefixMissTokens).To(BeNumerically("<", 6*baseline.PrefixMissTokens/10))
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -12,13 +12,13 @@
 
 // prefixCache is an LRU set of prompt prefixes, stored as block hashes.
 type prefixCache struct {
-	limit  int        // in blocks
-	lru    *list.List // of uint64, most recently used first
-	byHash map[uint64]*list.Element
+	maxBlocks int        // in blocks
+	lru       *list.List // of uint64, most recently used first
+	byHash    map[uint64]*list.Element
 }
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, lru: list.New(), byHash: map[uint64]*list.Element{}}
+	return &prefixCache{maxBlocks: limit, lru: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
 // blockHashes returns a hash for each complete block of the prompt. Each hash
@@ -51,7 +51,7 @@
 		c.byHash[b] = c.lru.PushFront(b)
 		added = append(added, b)
 	}
-	for c.lru.Len() > c.limit {
+	for c.lru.Len() > c.maxBlocks {
 		oldest := c.lru.Back()
 		b := oldest.Value.(uint64)
 		c.lru.Remove(oldest)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -49,19 +49,19 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	id           string
-	model        string
-	seed         uint64
-	priority     int
-	arrival      uint64
-	generated    int // tokens generated so far, including resumed ones
-	totalTokens  int
-	blocks       []uint64
-	promptWords  int // length of the prompt
-	cachedBlocks int // leading blocks found in the cache
-	out          chan string
-	done         chan struct{} // closed when the HTTP handler returns
-	err          error
+	id            string
+	model         string
+	seed          uint64
+	priority      int
+	arrivalNumber uint64
+	generated     int // tokens generated so far, including resumed ones
+	totalTokens   int
+	blocks        []uint64
+	promptWords   int // length of the prompt
+	cachedBlocks  int // leading blocks found in the cache
+	tokens        chan string
+	handlerDone   chan struct{} // closed when the HTTP handler returns
+	err           error
 }
 
 // Execution records how often and how far the engine executed a request.
@@ -77,33 +77,33 @@
 type Engine struct {
 	cfg Config
 
-	mu           sync.Mutex
-	faults       Faults
-	waiting      []*sequence
-	running      []*sequence
-	arrivalCount uint64
-	cache        *prefixCache
-	executions   map[string]*Execution
-	loaded       map[string]bool
-	role         string
-	fence        uint64
-	orders       []Order
-	events       []CacheEvent
-	reports      []Report
-	tokensTotal  uint64
-	wake         chan struct{}
-	rng          *rand.Rand
-	exports      map[string][]uint64
+	mu            sync.Mutex
+	faults        Faults
+	waiting       []*sequence
+	running       []*sequence
+	arrivalCount  uint64
+	cache         *prefixCache
+	executions    map[string]*Execution
+	loaded        map[string]bool
+	role          string
+	fencingToken  uint64
+	orders        []Order
+	cacheEvents   []CacheEvent
+	loadReports   []LoadReport
+	tokensTotal   uint64
+	workAvailable chan struct{}
+	rng           *rand.Rand
+	exports       map[string][]uint64
 }
 
 // Report is a load report.
-type Report struct {
-	At      time.Time `json:"at"`
-	Running int       `json:"running"`
-	Waiting int       `json:"waiting"`
-	StepMS  float64   `json:"step_ms"`
-	Tokens  uint64    `json:"tokens_total"`
-	Cached  int       `json:"cached_blocks"`
+type LoadReport struct {
+	At           time.Time `json:"at"`
+	Running      int       `json:"running"`
+	Waiting      int       `json:"waiting"`
+	StepMS       float64   `json:"step_ms"`
+	TokensTotal  uint64    `json:"tokens_total"`
+	CachedBlocks int       `json:"cached_blocks"`
 }
 
 // CacheEvent reports prefix blocks that were stored or evicted.
@@ -117,7 +117,7 @@
 // New returns an engine in which cfg.LoadedModels are loaded.
 func New(cfg Config) *Engine {
 	e := &Engine{cfg: cfg, cache: newPrefixCache(cfg.CacheBlocks), executions: map[string]*Execution{},
-		loaded: map[string]bool{}, role: "mixed", wake: make(chan struct{}, 1),
+		loaded: map[string]bool{}, role: "mixed", workAvailable: make(chan struct{}, 1),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 1)), exports: map[string][]uint64{}}
 	for _, m := range cfg.LoadedModels {
 		e.loaded[m] = true
@@ -130,13 +130,13 @@
 	e.mu.Lock()
 	e.faults = f
 	e.mu.Unlock()
-	e.wakeUp()
+	e.signalWork()
 }
 
 // wakeUp signals Run that there may be work.
-func (e *Engine) wakeUp() {
+func (e *Engine) signalWork() {
 	select {
-	case e.wake <- struct{}{}:
+	case e.workAvailable <- struct{}{}:
 	default:
 	}
 }
@@ -146,11 +146,11 @@
 func (e *Engine) enqueue(s *sequence) {
 	e.mu.Lock()
 	e.arrivalCount++
-	s.arrival = e.arrivalCount
+	s.arrivalNumber = e.arrivalCount
 	e.waiting = append(e.waiting, s)
 	sort.SliceStable(e.waiting, func(i, j int) bool { return e.waiting[i].priority < e.waiting[j].priority })
 	e.mu.Unlock()
-	e.wakeUp()
+	e.signalWork()
 }
 
 // Run executes steps until ctx is done.
@@ -160,11 +160,11 @@
 		d, busy := e.beginStep()
 		if !busy {
 			select {
-			case <-e.wake:
+			case <-e.workAvailable:
 			case <-ctx.Done():
-			case <-time.After(reportInterval):
+			case <-time.After(loadReportInterval):
 			}
-			e.recordReport(0)
+			e.recordLoadReport(0)
 			next = time.Now()
 			continue
 		}
@@ -176,26 +176,26 @@
 			return
 		}
 		e.endStep()
-		e.recordReport(d)
+		e.recordLoadReport(d)
 	}
 }
 
 // reportEvery is the time between load reports.
-const reportInterval = 50 * time.Millisecond
+const loadReportInterval = 50 * time.Millisecond
 
 // recordReport appends a load report unless the last one is more recent than
 // reportInterval.
-func (e *Engine) recordReport(step time.Duration) {
+func (e *Engine) recordLoadReport(step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if n := len(e.reports); n > 0 && now.Sub(e.reports[n-1].At) < reportInterval {
+	if n := len(e.loadReports); n > 0 && now.Sub(e.loadReports[n-1].At) < loadReportInterval {
 		return
 	}
-	e.reports = append(e.reports, Report{now, len(e.running), len(e.waiting),
+	e.loadReports = append(e.loadReports, LoadReport{now, len(e.running), len(e.waiting),
 		float64(step) / float64(time.Millisecond), e.tokensTotal, e.cache.lru.Len()})
-	if len(e.reports) > 1000 {
-		e.reports = append([]Report(nil), e.reports[500:]...)
+	if len(e.loadReports) > 1000 {
+		e.loadReports = append([]LoadReport(nil), e.loadReports[500:]...)
 	}
 }
 
@@ -243,17 +243,17 @@
 }
 
 // maxEvents is the maximum number of retained cache events.
-const maxEvents = 4096
+const maxCacheEvents = 4096
 
 // recordCacheEvent assigns the next sequence number to an event and retains it.
 func (e *Engine) recordCacheEvent(ev CacheEvent) {
 	ev.Seq = 1
-	if n := len(e.events); n > 0 {
-		ev.Seq = e.events[n-1].Seq + 1
+	if n := len(e.cacheEvents); n > 0 {
+		ev.Seq = e.cacheEvents[n-1].Seq + 1
 	}
-	e.events = append(e.events, ev)
-	if len(e.events) > maxEvents {
-		e.events = append([]CacheEvent(nil), e.events[maxEvents/2:]...)
+	e.cacheEvents = append(e.cacheEvents, ev)
+	if len(e.cacheEvents) > maxCacheEvents {
+		e.cacheEvents = append([]CacheEvent(nil), e.cacheEvents[maxCacheEvents/2:]...)
 	}
 }
 
@@ -263,7 +263,7 @@
 		out := list[:0]
 		for _, s := range list {
 			select {
-			case <-s.done:
+			case <-s.handlerDone:
 			default:
 				out = append(out, s)
 			}
@@ -282,19 +282,19 @@
 	for _, s := range e.running {
 		x := e.executions[s.id]
 		if e.faults.FailAfterTokens > 0 && x.Tokens >= e.faults.FailAfterTokens {
-			s.err = errInjected
-			close(s.out)
+			s.err = errSimulatedFailure
+			close(s.tokens)
 			continue
 		}
 		if s.generated < s.totalTokens {
-			s.out <- token(s.seed, s.generated) // never blocks: buffered for the whole answer
+			s.tokens <- token(s.seed, s.generated) // never blocks: buffered for the whole answer
 			s.generated++
 			x.Tokens++
 			e.tokensTotal++
 		}
 		if s.generated >= s.totalTokens {
 			x.Finished++
-			close(s.out)
+			close(s.tokens)
 			continue
 		}
 		remaining = append(remaining, s)
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -15,7 +15,7 @@
 	"github.com/merlinpost/merlinpost/internal/standin"
 )
 
-var errInjected = errors.New("injected failure")
+var errSimulatedFailure = errors.New("injected failure")
 
 // Request is the body of a completion request. The first group of fields are
 // those of the public API that the stand-in supports, the second group are
@@ -81,7 +81,7 @@
 	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { e.handleCompletion(w, r, false) })
 	mux.HandleFunc("GET /v1/models", e.handleModels)
 	mux.HandleFunc("GET /v1/load", e.handleLoad)
-	mux.HandleFunc("GET /v1/cache_events", e.handleEvents)
+	mux.HandleFunc("GET /v1/cache_events", e.handleCacheEvents)
 	mux.HandleFunc("POST /v1/orders", e.handleOrder)
 	mux.HandleFunc("GET /v1/kv/{id}", e.handleExport)
 	mux.HandleFunc("POST /v1/kv", e.handleImport)
@@ -132,7 +132,7 @@
 		return
 	}
 	e.enqueue(s)
-	defer close(s.done)
+	defer close(s.handlerDone)
 	out := &completionWriter{w: w, chat: chat, req: &req, seq: s}
 	if req.Stream {
 		out.writeStream(r)
@@ -145,7 +145,7 @@
 	prompt := req.PromptText()
 	s := &sequence{id: req.RequestID, model: req.Model, seed: xxhash.Sum64String(prompt), priority: req.Priority,
 		totalTokens: AnswerLength(prompt, req.MinTokens, req.MaxTokens), blocks: blockHashes(prompt), promptWords: len(strings.Fields(prompt)),
-		done: make(chan struct{})}
+		handlerDone: make(chan struct{})}
 	if req.Resume != nil {
 		var want strings.Builder
 		for i := range req.Resume.Tokens {
@@ -156,7 +156,7 @@
 		}
 		s.generated = min(req.Resume.Tokens, s.totalTokens)
 	}
-	s.out = make(chan string, s.totalTokens-s.generated+1)
+	s.tokens = make(chan string, s.totalTokens-s.generated+1)
 	return s, nil
 }
 
@@ -182,9 +182,9 @@
 }
 
 type usage struct {
-	Prompt     int `json:"prompt_tokens"`
-	Completion int `json:"completion_tokens"`
-	Total      int `json:"total_tokens"`
+	PromptTokens     int `json:"prompt_tokens"`
+	CompletionTokens int `json:"completion_tokens"`
+	TotalTokens      int `json:"total_tokens"`
 }
 
 type completion struct {
@@ -244,7 +244,7 @@
 	flusher.Flush()
 	for {
 		select {
-		case text, ok := <-o.seq.out:
+		case text, ok := <-o.seq.tokens:
 			if !ok {
 				o.finishStream()
 				return
@@ -271,7 +271,7 @@
 	var text strings.Builder
 	for {
 		select {
-		case t, ok := <-o.seq.out:
+		case t, ok := <-o.seq.tokens:
 			if ok {
 				text.WriteString(t)
 				continue
@@ -296,7 +296,7 @@
 		names = append(names, m)
 	}
 	sort.Strings(names)
-	standin.WriteJSON(w, http.StatusOK, map[string]any{"loaded": names, "role": e.role, "fence": e.fence})
+	standin.WriteJSON(w, http.StatusOK, map[string]any{"loaded": names, "role": e.role, "fence": e.fencingToken})
 }
 
 // handleLoad returns the latest load report that is at least ReportLag old.
@@ -308,8 +308,8 @@
 		return
 	}
 	limit := time.Now().Add(-e.cfg.ReportLag)
-	var out Report
-	for _, r := range e.reports {
+	var out LoadReport
+	for _, r := range e.loadReports {
 		if r.At.After(limit) {
 			break
 		}
@@ -320,7 +320,7 @@
 
 // handleEvents returns the cache events that are older than ReportLag. Each event
 // is dropped with probability EventLossRate.
-func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -330,7 +330,7 @@
 	}
 	limit := time.Now().Add(-e.cfg.ReportLag)
 	out := []CacheEvent{}
-	for _, ev := range e.events {
+	for _, ev := range e.cacheEvents {
 		if ev.Seq >= from && ev.At.Before(limit) && e.rng.Float64() >= e.cfg.EventLossRate {
 			out = append(out, ev)
 		}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,12 +10,12 @@
 
 // Order is a control command for the engine.
 type Order struct {
-	Op      string `json:"op"` // "load", "unload" or "role"
-	Target  string `json:"target"`
-	Adapter bool   `json:"adapter"`
-	Role    string `json:"role"`
-	Fence   uint64 `json:"fence"` // fencing token of the sender
-	By      string `json:"by"`
+	Op           string `json:"op"` // "load", "unload" or "role"
+	Target       string `json:"target"`
+	Adapter      bool   `json:"adapter"`
+	Role         string `json:"role"`
+	FencingToken uint64 `json:"fence"` // fencing token of the sender
+	IssuedBy     string `json:"by"`
 }
 
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
@@ -55,10 +55,10 @@
 		return http.StatusBadRequest, `op: must be "load", "unload" or "role"`
 	}
 	if e.cfg.Fencing {
-		if o.Fence < e.fence {
-			return http.StatusConflict, fmt.Sprintf("fence %d is older than %d", o.Fence, e.fence)
+		if o.FencingToken < e.fencingToken {
+			return http.StatusConflict, fmt.Sprintf("fence %d is older than %d", o.FencingToken, e.fencingToken)
 		}
-		e.fence = o.Fence
+		e.fencingToken = o.FencingToken
 	}
 	e.orders = append(e.orders, o)
 	return http.StatusOK, ""
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -101,7 +101,7 @@
 
 // read returns a batch that starts at offset from, whether that offset has been
 // trimmed, and a channel that is closed at the next append.
-func (s *Service) read(name string, from uint64) (configlog.Batch, bool, <-chan struct{}) {
+func (s *Service) readBatch(name string, from uint64) (configlog.Batch, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stream(name)
@@ -183,7 +183,7 @@
 	deadline := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer deadline.Stop()
 	for {
-		b, trimmed, appended := s.read(r.PathValue("stream"), from)
+		b, trimmed, appended := s.readBatch(r.PathValue("stream"), from)
 		if trimmed {
 			standin.WriteJSON(w, http.StatusGone, b)
 			return
--- a/internal/standin/memnet/memnet.go
+++ b/internal/standin/memnet/memnet.go
@@ -25,21 +25,21 @@
 type Network struct {
 	delay time.Duration
 
-	mu          sync.Mutex
-	hosts       []*Host
-	packets     map[netip.AddrPort]*PacketConn
-	listeners   map[netip.AddrPort]*listener
-	partitioned map[[2]*Host]bool
-	healed      chan struct{} // closed and replaced when a partition ends
-	conns       []*conn
-	closed      bool
+	mu             sync.Mutex
+	hosts          []*Host
+	packetConns    map[netip.AddrPort]*PacketConn
+	listeners      map[netip.AddrPort]*listener
+	partitioned    map[[2]*Host]bool
+	partitionEnded chan struct{} // closed and replaced when a partition ends
+	conns          []*conn
+	closed         bool
 }
 
 // New returns a network without hosts. Each message takes delay in addition to its
 // transmission time on the links.
 func New(delay time.Duration) *Network {
-	return &Network{delay: delay, packets: map[netip.AddrPort]*PacketConn{}, listeners: map[netip.AddrPort]*listener{},
-		partitioned: map[[2]*Host]bool{}, healed: make(chan struct{})}
+	return &Network{delay: delay, packetConns: map[netip.AddrPort]*PacketConn{}, listeners: map[netip.AddrPort]*listener{},
+		partitioned: map[[2]*Host]bool{}, partitionEnded: make(chan struct{})}
 }
 
 // Close closes all connections and rejects new ones.
@@ -53,7 +53,7 @@
 }
 
 // addConns registers both ends of a connection. It returns false if the network is closed.
-func (n *Network) addConns(ends ...*conn) bool {
+func (n *Network) registerConns(ends ...*conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conns = append(n.conns, ends...)
@@ -62,18 +62,18 @@
 
 // Host is a host of the network.
 type Host struct {
-	net           *Network
+	network       *Network
 	ip            netip.Addr
 	bitsPerSecond float64   // of the link; 0 means unlimited
 	busyUntil     time.Time // end of the current transmission to the host
-	received      int
+	receivedBytes int
 }
 
 // Host adds a host whose link has the given bandwidth; 0 means unlimited.
 func (n *Network) Host(bitsPerSecond float64) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h := &Host{net: n, ip: netip.AddrFrom4([4]byte{10, 0, byte(len(n.hosts) / 250), byte(1 + len(n.hosts)%250)}), bitsPerSecond: bitsPerSecond}
+	h := &Host{network: n, ip: netip.AddrFrom4([4]byte{10, 0, byte(len(n.hosts) / 250), byte(1 + len(n.hosts)%250)}), bitsPerSecond: bitsPerSecond}
 	n.hosts = append(n.hosts, h)
 	return h
 }
@@ -82,10 +82,10 @@
 func (h *Host) Address(port uint16) netip.AddrPort { return netip.AddrPortFrom(h.ip, port) }
 
 // Received returns the number of bytes that the host has received over connections.
-func (h *Host) Received() int {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	return h.received
+func (h *Host) ReceivedBytes() int {
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	return h.receivedBytes
 }
 
 // SetPartitioned interrupts the path between two hosts or restores it. While it is
@@ -95,19 +95,19 @@
 	defer n.mu.Unlock()
 	n.partitioned[[2]*Host{a, b}], n.partitioned[[2]*Host{b, a}] = interrupted, interrupted
 	if !interrupted {
-		close(n.healed)
-		n.healed = make(chan struct{})
+		close(n.partitionEnded)
+		n.partitionEnded = make(chan struct{})
 	}
 }
 
 // partitionHealed returns a channel that is closed when a partition ends, or nil if the path
 // between the two hosts is not interrupted. Any partition's end closes the channel, so
 // callers must check again.
-func (n *Network) partitionHealed(from, to *Host) <-chan struct{} {
+func (n *Network) partitionEnd(from, to *Host) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.partitioned[[2]*Host{from, to}] {
-		return n.healed
+		return n.partitionEnded
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 func (n *Network) reserveLink(from, to *Host, bytes int) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	to.received += bytes
+	to.receivedBytes += bytes
 	now := time.Now()
 	if to.busyUntil.Before(now) {
 		to.busyUntil = now
@@ -134,31 +134,31 @@
 
 // PacketConn sends and receives datagrams at an address of a host.
 type PacketConn struct {
-	host    *Host
-	address netip.AddrPort
-	queue   chan packet
-	closed  chan struct{}
-	once    sync.Once
+	host         *Host
+	address      netip.AddrPort
+	receiveQueue chan datagram
+	closed       chan struct{}
+	once         sync.Once
 }
 
-type packet struct {
+type datagram struct {
 	data []byte
 	from netip.AddrPort
 }
 
 // ListenPacket opens a port of the host for datagrams.
 func (h *Host) ListenPacket(port uint16) *PacketConn {
-	p := &PacketConn{host: h, address: h.Address(port), queue: make(chan packet, queueLength), closed: make(chan struct{})}
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	h.net.packets[p.address] = p
+	p := &PacketConn{host: h, address: h.Address(port), receiveQueue: make(chan datagram, queueLength), closed: make(chan struct{})}
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	h.network.packetConns[p.address] = p
 	return p
 }
 
 // ReadFromUDPAddrPort waits for a datagram.
 func (p *PacketConn) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	select {
-	case m := <-p.queue:
+	case m := <-p.receiveQueue:
 		return copy(b, m.data), m.from, nil
 	case <-p.closed:
 		return 0, netip.AddrPort{}, net.ErrClosed
@@ -168,16 +168,16 @@
 // WriteToUDPAddrPort sends a datagram. It is lost without an error if nothing listens at the
 // destination, the path is interrupted, or the receive queue is full.
 func (p *PacketConn) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
-	n := p.host.net
+	n := p.host.network
 	n.mu.Lock()
-	receiver := n.packets[to]
+	receiver := n.packetConns[to]
 	lost := receiver == nil || n.partitioned[[2]*Host{p.host, receiver.host}]
 	n.mu.Unlock()
 	if !lost {
-		m := packet{append([]byte(nil), b...), p.address}
+		m := datagram{append([]byte(nil), b...), p.address}
 		time.AfterFunc(n.delay, func() {
 			select {
-			case receiver.queue <- m:
+			case receiver.receiveQueue <- m:
 			default: // the receive queue is full
 			}
 		})
@@ -204,9 +204,9 @@
 // Listen opens a port of the host for connections.
 func (h *Host) Listen(port uint16) net.Listener {
 	l := &listener{host: h, address: h.Address(port), backlog: make(chan net.Conn, queueLength), closed: make(chan struct{})}
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	h.net.listeners[l.address] = l
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	h.network.listeners[l.address] = l
 	return l
 }
 
@@ -236,13 +236,13 @@
 	if err != nil {
 		return nil, err
 	}
-	h.net.mu.Lock()
-	l := h.net.listeners[to]
-	h.net.mu.Unlock()
+	h.network.mu.Lock()
+	l := h.network.listeners[to]
+	h.network.mu.Unlock()
 	if l == nil {
 		return nil, errConnRefused
 	}
-	for healed := h.net.partitionHealed(h, l.host); healed != nil; healed = h.net.partitionHealed(h, l.host) {
+	for healed := h.network.partitionEnd(h, l.host); healed != nil; healed = h.network.partitionEnd(h, l.host) {
 		select {
 		case <-healed:
 		case <-ctx.Done():
@@ -257,7 +257,7 @@
 	localPipe, remotePipe := net.Pipe()
 	shared := &closeSignal{closed: make(chan struct{})}
 	local, remote := &conn{Conn: localPipe, closeSignal: shared, from: h, to: l.host}, &conn{Conn: remotePipe, closeSignal: shared, from: l.host, to: h}
-	if !h.net.addConns(local, remote) {
+	if !h.network.registerConns(local, remote) {
 		return nil, errConnRefused
 	}
 	select {
@@ -284,19 +284,19 @@
 // Write sends b in segments, after the network's delay and at the bandwidth of the slower
 // link.
 func (c *conn) Write(b []byte) (sent int, err error) {
-	timer := time.NewTimer(c.from.net.delay)
+	timer := time.NewTimer(c.from.network.delay)
 	defer timer.Stop()
 	for len(b) > 0 {
 		if err := waitFor(c, timer.C); err != nil {
 			return sent, err
 		}
-		for healed := c.from.net.partitionHealed(c.from, c.to); healed != nil; healed = c.from.net.partitionHealed(c.from, c.to) {
+		for healed := c.from.network.partitionEnd(c.from, c.to); healed != nil; healed = c.from.network.partitionEnd(c.from, c.to) {
 			if err := waitFor(c, healed); err != nil {
 				return sent, err
 			}
 		}
 		n := min(len(b), segmentBytes)
-		timer.Reset(time.Until(c.from.net.reserveLink(c.from, c.to, n)))
+		timer.Reset(time.Until(c.from.network.reserveLink(c.from, c.to, n)))
 		if err := waitFor(c, timer.C); err != nil {
 			return sent, err
 		}
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -17,7 +17,7 @@
 type Faults struct {
 	// DelayMS is the delay, in milliseconds, between executing a call and
 	// responding to it.
-	DelayMS int `json:"slow_ms"`
+	ResponseDelayMS int `json:"slow_ms"`
 	// DropResponses closes the connection after a call has been executed,
 	// without a response.
 	DropResponses bool `json:"lose_answers"`
@@ -26,21 +26,21 @@
 // Service responds to each call with the request body and the number of times
 // this body has been executed.
 type Service struct {
-	mu     sync.Mutex
-	name   string
-	runs   map[string]int // executions by request body
-	total  int
-	faults Faults
+	mu         sync.Mutex
+	name       string
+	executions map[string]int // executions by request body
+	total      int
+	faults     Faults
 }
 
 // New returns a service that has executed no calls.
-func New(name string) *Service { return &Service{name: name, runs: map[string]int{}} }
+func New(name string) *Service { return &Service{name: name, executions: map[string]int{}} }
 
 // Response is the response to a call.
 type Response struct {
-	Service string `json:"service"`
-	Run     int    `json:"run"` // number of executions of this body so far
-	Echo    string `json:"echo"`
+	Service         string `json:"service"`
+	ExecutionNumber int    `json:"run"` // number of executions of this body so far
+	Echo            string `json:"echo"`
 }
 
 // Handler serves POST on any path, PUT /standin/faults and GET /standin/runs,
@@ -56,18 +56,18 @@
 		}
 	})
 	mux.HandleFunc("GET /standin/runs", func(w http.ResponseWriter, _ *http.Request) {
-		standin.WriteJSON(w, http.StatusOK, s.Runs())
+		standin.WriteJSON(w, http.StatusOK, s.Executions())
 	})
 	mux.HandleFunc("POST /", s.handleCall)
 	return mux
 }
 
 // Runs returns the number of executions by request body.
-func (s *Service) Runs() map[string]int {
+func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]int, len(s.runs))
-	for k, n := range s.runs {
+	out := make(map[string]int, len(s.executions))
+	for k, n := range s.executions {
 		out[k] = n
 	}
 	return out
@@ -80,11 +80,11 @@
 		return
 	}
 	s.mu.Lock()
-	s.runs[string(data)]++
+	s.executions[string(data)]++
 	s.total++
-	run, f := s.runs[string(data)], s.faults
+	run, f := s.executions[string(data)], s.faults
 	s.mu.Unlock()
-	if !standin.SleepContext(r.Context(), time.Duration(f.DelayMS)*time.Millisecond) {
+	if !standin.SleepContext(r.Context(), time.Duration(f.ResponseDelayMS)*time.Millisecond) {
 		return
 	}
 	if f.DropResponses {
--- a/internal/standin/platformstore/store.go
+++ b/internal/standin/platformstore/store.go
@@ -43,9 +43,9 @@
 }
 
 type topic struct {
-	first   int64 // offset of the oldest retained record
-	records []record
-	latest  map[string]latestRecord // by key
+	firstOffset int64 // offset of the oldest retained record
+	records     []record
+	latest      map[string]latestRecord // by key
 }
 
 type latestRecord struct {
@@ -69,8 +69,8 @@
 	responseDelay time.Duration
 	linkMu        sync.Mutex // held while a chunk of a response crosses the link
 	// appendMu is held from the check of an append's condition until the append is complete.
-	appendMu  sync.Mutex
-	chunkTime time.Duration
+	appendMu      sync.Mutex
+	chunkDuration time.Duration
 }
 
 // chunkBytes is the size of the chunks in which a response crosses a link of
@@ -82,9 +82,9 @@
 func (s *Store) SetBandwidth(bitsPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.chunkTime = 0
+	s.chunkDuration = 0
 	if bitsPerSecond > 0 {
-		s.chunkTime = time.Duration(8 * chunkBytes / bitsPerSecond * float64(time.Second))
+		s.chunkDuration = time.Duration(8 * chunkBytes / bitsPerSecond * float64(time.Second))
 	}
 }
 
@@ -107,7 +107,7 @@
 // configured bandwidth.
 func (s *Store) writeResponse(w http.ResponseWriter, r *http.Request, body []byte) {
 	s.mu.Lock()
-	perPiece, chunked, delay := s.chunkTime, s.chunked, s.responseDelay
+	perPiece, chunked, delay := s.chunkDuration, s.chunked, s.responseDelay
 	s.mu.Unlock()
 	if !standin.SleepContext(r.Context(), delay) {
 		return
@@ -178,7 +178,7 @@
 func copyTopics(topics map[string]*topic) map[string]*topic {
 	out := map[string]*topic{}
 	for name, t := range topics {
-		out[name] = &topic{first: t.first, records: slices.Clone(t.records), latest: maps.Clone(t.latest)}
+		out[name] = &topic{firstOffset: t.firstOffset, records: slices.Clone(t.records), latest: maps.Clone(t.latest)}
 	}
 	return out
 }
@@ -190,7 +190,7 @@
 	defer s.mu.Unlock()
 	s.topics = copyTopics(snapshot.topics)
 	s.era++
-	s.notifyChange()
+	s.notifyReaders()
 }
 
 // Address returns the IP:PORT of the store.
@@ -200,7 +200,7 @@
 func (s *Store) SetMode(m Mode) {
 	s.mu.Lock()
 	s.mode = m
-	s.notifyChange()
+	s.notifyReaders()
 	s.mu.Unlock()
 }
 
@@ -212,7 +212,7 @@
 }
 
 // notifyChange wakes the readers that wait for new records. The caller holds mu.
-func (s *Store) notifyChange() {
+func (s *Store) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -232,14 +232,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
-	offset := t.first + int64(len(t.records))
+	offset := t.firstOffset + int64(len(t.records))
 	t.records = append(t.records, record{key, value})
 	if value == nil {
 		delete(t.latest, key)
 	} else {
 		t.latest[key] = latestRecord{value, offset}
 	}
-	s.notifyChange()
+	s.notifyReaders()
 }
 
 // PutJSON appends a record whose value is v as JSON.
@@ -257,9 +257,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
-	t.first += int64(len(t.records))
+	t.firstOffset += int64(len(t.records))
 	t.records = nil
-	s.notifyChange()
+	s.notifyReaders()
 }
 
 // applyMode counts the call and applies the mode. It returns false if the call must not be processed further.
@@ -295,14 +295,14 @@
 	for timedOut := false; ; {
 		s.mu.Lock()
 		t := s.topic(query.Get("topic"))
-		changed, end := s.changed, t.first+int64(len(t.records))
+		changed, end := s.changed, t.firstOffset+int64(len(t.records))
 		switch {
-		case from < t.first || from > end:
+		case from < t.firstOffset || from > end:
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		case from < end || timedOut:
-			body := encodeRecords(end, t.first, t.records[min(from-t.first, int64(len(t.records))):], maxReadBytes(query))
+			body := encodeRecords(end, t.firstOffset, t.records[min(from-t.firstOffset, int64(len(t.records))):], maxReadBytes(query))
 			s.mu.Unlock()
 			s.writeResponse(w, r, body)
 			return
@@ -363,7 +363,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
-	return t.first + int64(len(t.records))
+	return t.firstOffset + int64(len(t.records))
 }
 
 // maxReadBytes returns the maximum size of a read's response, 1 MiB by default.
@@ -408,7 +408,7 @@
 	}{Items: []item{}}
 	s.mu.Lock()
 	t := s.topic(r.URL.Query().Get("topic"))
-	page.End = t.first + int64(len(t.records))
+	page.End = t.firstOffset + int64(len(t.records))
 	keys := make([]string, 0, len(t.latest))
 	for key := range t.latest {
 		if key > r.URL.Query().Get("after") {
--- a/internal/standin/retryrule/retryrule.go
+++ b/internal/standin/retryrule/retryrule.go
@@ -35,11 +35,11 @@
 
 // Worst returns the window with the largest excess, or the zero Window if there are no retries. The time of a
 // request is when its caller sends it, the time of a retry is when it reaches a server.
-func Worst(rule Rule, requests, retries []time.Time) Window {
+func WorstWindow(rule Rule, requests, retries []time.Time) Window {
 	requests, retries = sorted(requests), sorted(retries)
 	var worst Window
-	for i, start := range windowStarts(rule, retries) {
-		w := rule.window(start, requests, retries)
+	for i, start := range candidateStarts(rule, retries) {
+		w := rule.windowAt(start, requests, retries)
 		if i == 0 || w.Excess() > worst.Excess() {
 			worst = w
 		}
@@ -48,7 +48,7 @@
 }
 
 // windowStarts returns the window starts to check.
-func windowStarts(rule Rule, retries []time.Time) []time.Time {
+func candidateStarts(rule Rule, retries []time.Time) []time.Time {
 	if len(retries) == 0 {
 		return nil
 	}
@@ -64,7 +64,7 @@
 }
 
 // window returns the counts for the window that starts at start.
-func (r Rule) window(start time.Time, requests, retries []time.Time) Window {
+func (r Rule) windowAt(start time.Time, requests, retries []time.Time) Window {
 	w := Window{Start: start, Retries: countWithin(retries, start, r.Window)}
 	for _, earlier := range []time.Duration{0, r.Window / 2, r.Window} {
 		w.Requests = max(w.Requests, countWithin(requests, start.Add(-earlier), r.Window))
@@ -75,10 +75,10 @@
 
 // WorstSplit is like Worst with a stricter limit: the fraction current of the ratio applies to the requests of the
 // window itself, the rest to those of the preceding window. Requests is not set in the result.
-func WorstSplit(rule Rule, current float64, requests, retries []time.Time) Window {
+func WorstWeightedWindow(rule Rule, current float64, requests, retries []time.Time) Window {
 	requests, retries = sorted(requests), sorted(retries)
 	var worst Window
-	for i, start := range windowStarts(rule, retries) {
+	for i, start := range candidateStarts(rule, retries) {
 		w := Window{Start: start, Retries: countWithin(retries, start, rule.Window)}
 		weighted := current*float64(countWithin(requests, start, rule.Window)) + (1-current)*float64(countWithin(requests, start.Add(-rule.Window), rule.Window))
 		w.Allowed = rule.Ratio*weighted + rule.Slack
--- a/internal/standin/simfleet/simfleet.go
+++ b/internal/standin/simfleet/simfleet.go
@@ -49,11 +49,11 @@
 type Node struct {
 	Name    string
 	Host    *memnet.Host
-	current atomic.Pointer[process]
+	process atomic.Pointer[gatewayProcess]
 }
 
 // process is one run of a gateway, from its start until it is killed.
-type process struct {
+type gatewayProcess struct {
 	gateway *gateway.Gateway
 	peers   *peers.Peers
 	ctx     context.Context
@@ -62,16 +62,16 @@
 }
 
 // Gateway returns the running gateway, or the last one if none is running.
-func (n *Node) Gateway() *gateway.Gateway { return n.current.Load().gateway }
+func (n *Node) Gateway() *gateway.Gateway { return n.process.Load().gateway }
 
 // Server is a host that runs a backend server, which can be killed and restarted.
 type Server struct {
-	ID       string
-	host     *memnet.Host
-	port     uint16
-	current  *worker.Worker // nil while the server is down
-	sequence int
-	workers  []*worker.Worker // one for each start so far
+	ID         string
+	host       *memnet.Host
+	port       uint16
+	worker     *worker.Worker // nil while the server is down
+	startCount int
+	workers    []*worker.Worker // one for each start so far
 }
 
 // Fleet is a simulated deployment.
@@ -81,7 +81,7 @@
 	Store         *platformstore.Store
 	onServerStart func(*Server, *worker.Worker) // called for each start of a server
 
-	net       *memnet.Network
+	network   *memnet.Network
 	storeHost *memnet.Host
 	tasks     sync.WaitGroup
 	ctx       context.Context
@@ -91,7 +91,7 @@
 	mu            sync.Mutex
 	rng           *rand.Rand
 	eventInterval time.Duration
-	nodes         []*Node // all nodes, including those added by AddNode
+	allNodes      []*Node // all nodes, including those added by AddNode
 }
 
 // Routes holds the configured routes by name, with the settings that differ between them.
@@ -127,16 +127,16 @@
 	if onServerStart == nil {
 		onServerStart = func(*Server, *worker.Worker) {}
 	}
-	f := &Fleet{net: memnet.New(500 * time.Microsecond), Store: platformstore.New(), rng: rand.New(rand.NewPCG(seed, 1)), onServerStart: onServerStart}
+	f := &Fleet{network: memnet.New(500 * time.Microsecond), Store: platformstore.New(), rng: rand.New(rand.NewPCG(seed, 1)), onServerStart: onServerStart}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.storeHost = f.net.Host(0)
+	f.storeHost = f.network.Host(0)
 	listener := f.storeHost.Listen(storePort)
 	store := &http.Server{Handler: f.Store.Handler()}
 	f.tasks.Go(func() { _ = store.Serve(listener) }) // returns ErrServerClosed after Close
 	context.AfterFunc(f.ctx, func() { _ = store.Close() })
 	f.Store.Put(platformstore.TopicOperator, "config", encodeConfig())
 	for i := range servers {
-		s := &Server{ID: fmt.Sprint("i-", i), host: f.net.Host(0), port: workerPort}
+		s := &Server{ID: fmt.Sprint("i-", i), host: f.network.Host(0), port: workerPort}
 		f.Servers = append(f.Servers, s)
 		f.StartServer(s)
 	}
@@ -149,9 +149,9 @@
 
 // AddNode starts an additional gateway on a new host.
 func (f *Fleet) AddNode(name string) *Node {
-	n := &Node{Name: name, Host: f.net.Host(0)}
+	n := &Node{Name: name, Host: f.network.Host(0)}
 	f.mu.Lock()
-	f.nodes = append(f.nodes, n)
+	f.allNodes = append(f.allNodes, n)
 	f.mu.Unlock()
 	f.StartNode(n)
 	return n
@@ -159,18 +159,18 @@
 
 // Close stops all gateways, servers and background tasks.
 func (f *Fleet) Close() {
-	for _, n := range f.nodes {
+	for _, n := range f.allNodes {
 		f.KillNode(n)
 	}
 	f.mu.Lock()
 	f.cancel()
 	for _, s := range f.Servers {
-		if s.current != nil {
-			s.current.Close()
+		if s.worker != nil {
+			s.worker.Close()
 		}
 	}
 	f.mu.Unlock()
-	f.net.Close()
+	f.network.Close()
 	f.tasks.Wait()
 	time.Sleep(5 * time.Second) // let pending connection attempts finish
 }
@@ -179,18 +179,18 @@
 
 // StartNode starts a gateway without any state from earlier runs.
 func (f *Fleet) StartNode(n *Node) {
-	p := &process{}
+	p := &gatewayProcess{}
 	p.ctx, p.cancel = context.WithCancel(f.ctx)
 	servers := registry.New()
 	p.gateway = gateway.New(gateway.Settings{Retries: retrybudget.Settings{Ratio: RetryRatio, Window: RetryWindow, Slack: RetrySlack}},
 		platform.Dialect{}, servers, discardLogger())
-	p.gateway.UseNetwork(n.Host.DialContext)
+	p.gateway.UseDialer(n.Host.DialContext)
 	others := peers.New(n.Name, n.Host.ListenPacket(peerPort), peers.Capacity{Cores: 0.3}, p.gateway, discardLogger())
 	p.gateway.UsePeers(others)
 	p.peers = others
 	share := configshare.New(n.Host.DialContext, 0, discardLogger())
 	follower := follow.New(follow.Dependencies{Connect: func(address string) follow.Store {
-		return platform.NewStoreOver(n.Host.DialContext, address, discardLogger())
+		return platform.NewStoreWithDial(n.Host.DialContext, address, discardLogger())
 	},
 		Topics: platform.Topics, Decoder: platform.Decoder{}, Gateway: p.gateway, Servers: servers, Peers: others, Share: share, Logger: discardLogger()},
 		follow.Settings{Address: f.storeHost.Address(storePort).String(), DrainWithin: DrainWithin, ApplyWithin: ApplyWithin})
@@ -200,18 +200,18 @@
 	for _, task := range []func(){func() { keeper.Run(p.ctx) }, func() { share.Serve(p.ctx, shareListener) }, func() { follower.Run(p.ctx) }, func() { others.Run(p.ctx) }} {
 		p.tasks.Go(task)
 	}
-	n.current.Store(p)
+	n.process.Store(p)
 }
 
 // KillNode kills a gateway; its state is lost.
 func (f *Fleet) KillNode(n *Node) {
-	p := n.current.Load()
+	p := n.process.Load()
 	p.cancel()
 	p.tasks.Wait()
 }
 
 // AnnounceNodeStop makes a gateway announce that it is about to stop. It keeps serving until it is killed.
-func (f *Fleet) AnnounceNodeStop(n *Node) { n.current.Load().peers.AnnounceLeave() }
+func (f *Fleet) AnnounceNodeStop(n *Node) { n.process.Load().peers.AnnounceLeave() }
 
 // StartServer starts a server under its ID at a new port and adds it to the server list.
 func (f *Fleet) StartServer(s *Server) {
@@ -220,11 +220,11 @@
 	if f.ctx.Err() != nil {
 		return
 	}
-	s.sequence++
+	s.startCount++
 	s.port++
 	w := worker.StartOn(s.ID, s.host.Listen(s.port))
-	w.SetBehaviour(f.workerBehaviour())
-	s.current = w
+	w.SetBehaviour(f.serverBehaviour())
+	s.worker = w
 	s.workers = append(s.workers, w)
 	f.onServerStart(s, w)
 	f.publishServer(s, "ready")
@@ -239,31 +239,31 @@
 
 // publishServer writes a server's entry in the server list. The caller holds mu.
 func (f *Fleet) publishServer(s *Server, state string) {
-	f.Store.PutJSON(platformstore.TopicServers, s.ID, map[string]any{"service": serviceName, "address": s.current.Address(), "zone": "z", "slots": 64,
-		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": s.sequence, "born": s.current.StartedMS})
+	f.Store.PutJSON(platformstore.TopicServers, s.ID, map[string]any{"service": serviceName, "address": s.worker.Address(), "zone": "z", "slots": 64,
+		"version": "v1", "cold_remaining_ms": 0, "state": state, "sequence": s.startCount, "born": s.worker.StartedMS})
 }
 
 // KillServer kills a server without changing the server list. It returns false if the server is not running.
 func (f *Fleet) KillServer(s *Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s.current == nil {
+	if s.worker == nil {
 		return false
 	}
-	s.current.Close()
-	s.current = nil
+	s.worker.Close()
+	s.worker = nil
 	return true
 }
 
 // CurrentWorker returns the running worker of a server, or nil if the server is down.
-func (f *Fleet) CurrentWorker(s *Server) *worker.Worker {
+func (f *Fleet) RunningWorker(s *Server) *worker.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return s.current
+	return s.worker
 }
 
 // Workers returns the workers of all starts of a server so far.
-func (f *Fleet) Workers(s *Server) []*worker.Worker {
+func (f *Fleet) AllWorkers(s *Server) []*worker.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*worker.Worker(nil), s.workers...)
@@ -294,12 +294,12 @@
 
 // PartitionNodes interrupts or restores the path between two gateways' hosts.
 func (f *Fleet) PartitionNodes(a, b *Node, interrupted bool) {
-	f.net.SetPartitioned(a.Host, b.Host, interrupted)
+	f.network.SetPartitioned(a.Host, b.Host, interrupted)
 }
 
 // PartitionStore interrupts or restores the path between a gateway's host and the store.
 func (f *Fleet) PartitionStore(n *Node, interrupted bool) {
-	f.net.SetPartitioned(n.Host, f.storeHost, interrupted)
+	f.network.SetPartitioned(n.Host, f.storeHost, interrupted)
 }
 
 // SetEventInterval sets the time between the events of streams.
@@ -308,14 +308,14 @@
 	defer f.mu.Unlock()
 	f.eventInterval = interval
 	for _, s := range f.Servers {
-		if s.current != nil {
-			s.current.SetBehaviour(f.workerBehaviour())
+		if s.worker != nil {
+			s.worker.SetBehaviour(f.serverBehaviour())
 		}
 	}
 }
 
 // workerBehaviour returns the behaviour of all servers.
-func (f *Fleet) workerBehaviour() worker.Behaviour {
+func (f *Fleet) serverBehaviour() worker.Behaviour {
 	return worker.Behaviour{Events: StreamEvents, AbortAfterEvents: -1, EventInterval: f.eventInterval}
 }
 
@@ -330,7 +330,7 @@
 
 // SendRequest sends a request to a gateway and waits for the outcome.
 func (f *Fleet) SendRequest(n *Node, route, id, body string) (r Response) {
-	p, start := n.current.Load(), time.Now()
+	p, start := n.process.Load(), time.Now()
 	req := httptest.NewRequestWithContext(p.ctx, http.MethodPost, "/"+route+"/x", strings.NewReader(body))
 	req.Host = "a.example"
 	req.Header.Set("X-Attempt-Id", id)
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -73,25 +73,25 @@
 	StartedMS int64
 	listener  net.Listener
 
-	mu              sync.Mutex
-	behaviour       Behaviour
-	queued          []Behaviour // for the next requests, one each; takes precedence over behaviour
-	partial         Behaviour   // for partialN of every partialOf requests
-	partialN        int
-	partialOf       int
-	executions      []Execution
-	disconnects     int // callers that disconnected while their request was processed
-	conns           map[net.Conn]bool
-	connectionCount int
-	arrivals        []Arrival
-	crashTrigger    crashTrigger
-	extraHeaders    string // header lines added to all responses
+	mu               sync.Mutex
+	behaviour        Behaviour
+	queuedBehaviours []Behaviour // for the next requests, one each; takes precedence over behaviour
+	partialBehaviour Behaviour   // for partialN of every partialOf requests
+	partialN         int
+	partialOf        int
+	executions       []Execution
+	disconnectCount  int // callers that disconnected while their request was processed
+	conns            map[net.Conn]bool
+	connectionCount  int
+	arrivals         []Arrival
+	crashTrigger     crashTrigger
+	extraHeaders     string // header lines added to all responses
 }
 
 // crashTrigger describes a request that crashes the worker that executes it.
 type crashTrigger struct {
 	body    string
-	after   time.Duration
+	delay   time.Duration
 	onCrash func()
 }
 
@@ -112,7 +112,7 @@
 // StartOn is like Start with a listener, which the worker closes.
 func StartOn(id string, l net.Listener) *Worker {
 	w := &Worker{ID: id, StartedMS: time.Now().UnixMilli(), listener: l, behaviour: Behaviour{AbortAfterEvents: -1}, conns: map[net.Conn]bool{}}
-	go w.accept()
+	go w.acceptConnections()
 	return w
 }
 
@@ -145,14 +145,14 @@
 // per request.
 func (w *Worker) QueueBehaviours(b ...Behaviour) {
 	w.mu.Lock()
-	w.queued = append(w.queued, b...)
+	w.queuedBehaviours = append(w.queuedBehaviours, b...)
 	w.mu.Unlock()
 }
 
 // SetPartialBehaviour sets how the worker handles n out of every "of" requests from now on.
 func (w *Worker) SetPartialBehaviour(n, of int, b Behaviour) {
 	w.mu.Lock()
-	w.partial, w.partialN, w.partialOf = b, n, of
+	w.partialBehaviour, w.partialN, w.partialOf = b, n, of
 	w.mu.Unlock()
 }
 
@@ -191,10 +191,10 @@
 
 // Disconnects returns the number of callers that disconnected while their request was
 // processed.
-func (w *Worker) Disconnects() int {
+func (w *Worker) DisconnectCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.disconnects
+	return w.disconnectCount
 }
 
 // ConnectionCount returns the number of connections accepted so far.
@@ -218,7 +218,7 @@
 	return append([]Arrival(nil), w.arrivals...)
 }
 
-func (w *Worker) accept() {
+func (w *Worker) acceptConnections() {
 	for {
 		c, err := w.listener.Accept()
 		if err != nil {
@@ -228,11 +228,11 @@
 		w.conns[c] = true
 		w.connectionCount++
 		w.mu.Unlock()
-		go w.serve(c)
+		go w.serveConnection(c)
 	}
 }
 
-func (w *Worker) serve(c net.Conn) {
+func (w *Worker) serveConnection(c net.Conn) {
 	defer func() {
 		_ = c.Close()
 		w.mu.Lock()
@@ -256,13 +256,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.arrivals = append(w.arrivals, Arrival{id, time.Now()})
-	if len(w.queued) > 0 {
-		b := w.queued[0]
-		w.queued = w.queued[1:]
+	if len(w.queuedBehaviours) > 0 {
+		b := w.queuedBehaviours[0]
+		w.queuedBehaviours = w.queuedBehaviours[1:]
 		return b
 	}
 	if w.partialN > 0 && len(w.arrivals)%w.partialOf < w.partialN {
-		return w.partial
+		return w.partialBehaviour
 	}
 	return w.behaviour
 }
@@ -335,7 +335,7 @@
 	if stream {
 		_ = w.writeStreamHeader(c, id) // the connection is closed in any case
 	}
-	time.Sleep(trigger.after)
+	time.Sleep(trigger.delay)
 	w.Close()
 	trigger.onCrash()
 	return false
@@ -371,7 +371,7 @@
 func (w *Worker) awaitDisconnect(r *bufio.Reader) {
 	_, _ = r.Peek(1)
 	w.mu.Lock()
-	w.disconnects++
+	w.disconnectCount++
 	w.mu.Unlock()
 }
 
--- a/internal/telemetry/request.go
+++ b/internal/telemetry/request.go
@@ -26,9 +26,9 @@
 	}
 	labels := []string{"team", team, "class", class}
 	r := &RequestMetrics{class: class, team: team,
-		firstToken:    metrics.GetOrCreateHistogram(metricName("merlinpost_first_token_seconds", labels)),
-		betweenTokens: metrics.GetOrCreateHistogram(metricName("merlinpost_between_tokens_seconds", labels)),
-		duration:      metrics.GetOrCreateHistogram(metricName("merlinpost_request_seconds", labels))}
+		firstToken:    metrics.GetOrCreateHistogram(seriesName("merlinpost_first_token_seconds", labels)),
+		betweenTokens: metrics.GetOrCreateHistogram(seriesName("merlinpost_between_tokens_seconds", labels)),
+		duration:      metrics.GetOrCreateHistogram(seriesName("merlinpost_request_seconds", labels))}
 	actual, _ := requestMetrics.LoadOrStore(key, r)
 	return actual.(*RequestMetrics)
 }
@@ -39,23 +39,23 @@
 
 // Observation records the timing of one request. It is not safe for concurrent
 // use.
-type Observation struct {
-	metrics    *RequestMetrics
-	targets    LatencyTargets
-	start      time.Time
-	lastToken  time.Time
-	tokens     int
-	slowGaps   int
-	firstToken time.Duration
+type RequestObservation struct {
+	metrics        *RequestMetrics
+	targets        LatencyTargets
+	start          time.Time
+	lastToken      time.Time
+	tokens         int
+	gapsOverTarget int
+	firstToken     time.Duration
 }
 
 // Observe starts recording a request that arrived at start.
-func (r *RequestMetrics) Observe(start time.Time, targets LatencyTargets) *Observation {
-	return &Observation{metrics: r, targets: targets, start: start}
+func (r *RequestMetrics) Observe(start time.Time, targets LatencyTargets) *RequestObservation {
+	return &RequestObservation{metrics: r, targets: targets, start: start}
 }
 
 // Token records that a token was relayed to the caller.
-func (o *Observation) Token(now time.Time) {
+func (o *RequestObservation) RecordToken(now time.Time) {
 	o.tokens++
 	if o.tokens == 1 {
 		o.firstToken = now.Sub(o.start)
@@ -64,7 +64,7 @@
 		gap := now.Sub(o.lastToken)
 		o.metrics.betweenTokens.Update(gap.Seconds())
 		if o.targets.BetweenTokens > 0 && gap > o.targets.BetweenTokens {
-			o.slowGaps++
+			o.gapsOverTarget++
 		}
 	}
 	o.lastToken = now
@@ -72,11 +72,11 @@
 
 // maxSlowGapRatio is the fraction of gaps between tokens that may exceed the
 // target: the target applies to the 95th percentile.
-const maxSlowGapRatio = 0.05
+const maxGapsOverTargetRatio = 0.05
 
 // End records the end of the request. code is the error code, or empty if the
 // response was complete.
-func (o *Observation) End(now time.Time, code, outcome string) {
+func (o *RequestObservation) RecordEnd(now time.Time, code, outcome string) {
 	total := now.Sub(o.start)
 	o.metrics.duration.Update(total.Seconds())
 	result := "answered"
@@ -94,8 +94,8 @@
 	Add("merlinpost_tokens_total", o.tokens, "class", o.metrics.class)
 }
 
-func (o *Observation) meetsTargets(total time.Duration) bool {
+func (o *RequestObservation) meetsTargets(total time.Duration) bool {
 	t := o.targets
 	return (t.FirstToken == 0 || o.firstToken <= t.FirstToken) && (t.Total == 0 || total <= t.Total) &&
-		float64(o.slowGaps) <= maxSlowGapRatio*float64(max(0, o.tokens-1))
+		float64(o.gapsOverTarget) <= maxGapsOverTargetRatio*float64(max(0, o.tokens-1))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -19,7 +19,7 @@
 
 // metricName returns the metric with its labels, given as alternating names and
 // values.
-func metricName(metric string, labels []string) string {
+func seriesName(metric string, labels []string) string {
 	if len(labels) == 0 {
 		return metric
 	}
@@ -41,22 +41,22 @@
 
 // Count adds 1 to a counter. Labels are given as alternating names and values.
 func Count(metric string, labels ...string) {
-	metrics.GetOrCreateCounter(metricName(metric, labels)).Inc()
+	metrics.GetOrCreateCounter(seriesName(metric, labels)).Inc()
 }
 
 // Add adds n to a counter.
 func Add(metric string, n int, labels ...string) {
-	metrics.GetOrCreateCounter(metricName(metric, labels)).Add(n)
+	metrics.GetOrCreateCounter(seriesName(metric, labels)).Add(n)
 }
 
 // SetGauge sets the value of a gauge.
 func SetGauge(metric string, value float64, labels ...string) {
-	metrics.GetOrCreateGauge(metricName(metric, labels), nil).Set(value)
+	metrics.GetOrCreateGauge(seriesName(metric, labels), nil).Set(value)
 }
 
 // ObserveDuration records a duration, in seconds, in a histogram.
 func ObserveDuration(metric string, d time.Duration, labels ...string) {
-	metrics.GetOrCreateHistogram(metricName(metric, labels)).Update(d.Seconds())
+	metrics.GetOrCreateHistogram(seriesName(metric, labels)).Update(d.Seconds())
 }
 
 // Handler serves the metrics in the Prometheus text format.
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -11,13 +11,13 @@
 )
 
 func TestLabelValuesAreEscaped(t *testing.T) {
-	NewWithT(t).Expect(metricName("m", []string{"team", "a\"b\\c\n"})).To(Equal(`m{team="a\"b\\c\n"}`))
+	NewWithT(t).Expect(seriesName("m", []string{"team", "a\"b\\c\n"})).To(Equal(`m{team="a\"b\\c\n"}`))
 }
 
 func TestTokenGapTargetAppliesTo95thPercentile(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(0, 0)
-	observe := func(slow int) *Observation {
+	observe := func(slow int) *RequestObservation {
 		o := RequestMetricsFor("t", "c").Observe(start, LatencyTargets{FirstToken: time.Second, BetweenTokens: 50 * time.Millisecond})
 		now := start
 		for i := range 101 {
@@ -26,7 +26,7 @@
 				gap = 60 * time.Millisecond
 			}
 			now = now.Add(gap)
-			o.Token(now)
+			o.RecordToken(now)
 		}
 		return o
 	}
@@ -48,9 +48,9 @@
 				now := time.Unix(0, 0)
 				for range 50 {
 					now = now.Add(time.Duration(rand.IntN(1_000_000_000)))
-					o.Token(now)
+					o.RecordToken(now)
 				}
-				o.End(now, "", "")
+				o.RecordEnd(now, "", "")
 			}
 		}
 		rounds++
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -16,10 +16,10 @@
 const (
 	// MaxFrame is the maximum payload size of a frame in bytes. It exceeds the largest
 	// request body and the configuration snapshot at the target size (docs/CAPACITY.md).
-	MaxFrame = 8 << 20
+	MaxPayloadBytes = 8 << 20
 	// headerSize covers a four-byte big-endian payload length and the type byte.
-	headerSize   = 5
-	ioBufferSize = 16 << 10
+	headerBytes   = 5
+	ioBufferBytes = 16 << 10
 )
 
 // Writer encodes messages into frames. It is not safe for concurrent use: a single
@@ -32,7 +32,7 @@
 
 // NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer {
-	fw := &Writer{out: bufio.NewWriterSize(w, ioBufferSize)}
+	fw := &Writer{out: bufio.NewWriterSize(w, ioBufferBytes)}
 	fw.enc = msgpack.NewEncoder(&fw.buf)
 	fw.enc.UseArrayEncodedStructs(true)
 	fw.enc.UseCompactInts(true)
@@ -46,10 +46,10 @@
 	if err := w.enc.Encode(m); err != nil {
 		return fault.New(fault.Internal, "encode message type %d: %w", m.Type(), err)
 	}
-	if w.buf.Len() > MaxFrame {
-		return fault.New(fault.TooLarge, "message type %d too large: %d bytes, limit %d", m.Type(), w.buf.Len(), MaxFrame)
+	if w.buf.Len() > MaxPayloadBytes {
+		return fault.New(fault.TooLarge, "message type %d too large: %d bytes, limit %d", m.Type(), w.buf.Len(), MaxPayloadBytes)
 	}
-	var header [headerSize]byte
+	var header [headerBytes]byte
 	binary.BigEndian.PutUint32(header[:4], uint32(w.buf.Len()))
 	header[4] = byte(m.Type())
 	if _, err := w.out.Write(header[:]); err != nil {
@@ -71,12 +71,12 @@
 }
 
 // NewReader returns a Reader that reads from r.
-func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, ioBufferSize)} }
+func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, ioBufferBytes)} }
 
 // Read returns the next message. Malformed input gives an error with code BadFrame or
 // TooLarge; a connection closed between frames gives io.EOF.
 func (r *Reader) Read() (Message, error) {
-	var header [headerSize]byte
+	var header [headerBytes]byte
 	if _, err := io.ReadFull(r.in, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil, fault.New(fault.BadFrame, "connection closed within a frame header: %w", err)
@@ -84,18 +84,18 @@
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(header[:4])
-	if size > MaxFrame {
-		return nil, fault.New(fault.TooLarge, "frame too large: %d bytes, limit %d", size, MaxFrame)
+	if size > MaxPayloadBytes {
+		return nil, fault.New(fault.TooLarge, "frame too large: %d bytes, limit %d", size, MaxPayloadBytes)
 	}
 	m := newMessage(Type(header[4]))
 	if m == nil {
 		return nil, fault.New(fault.BadFrame, "unknown message type %d", header[4])
 	}
-	payload, err := r.payload(int(size))
+	payload, err := r.readPayload(int(size))
 	if err != nil {
 		return nil, fault.New(fault.BadFrame, "connection closed within a frame payload: %w", err)
 	}
-	if err := decode(payload, m); err != nil {
+	if err := decodePayload(payload, m); err != nil {
 		return nil, fault.New(fault.BadFrame, "decode message type %d: %w", header[4], err)
 	}
 	return m, nil
@@ -103,13 +103,13 @@
 
 // payload reads size bytes. It grows the buffer as data arrives, so that a peer cannot
 // make it allocate a large buffer by announcing a large frame and sending little.
-func (r *Reader) payload(size int) ([]byte, error) {
+func (r *Reader) readPayload(size int) ([]byte, error) {
 	if cap(r.buf) < size {
 		var grown bytes.Buffer
 		if _, err := io.CopyN(&grown, r.in, int64(size)); err != nil {
 			return nil, err
 		}
-		if size <= ioBufferSize {
+		if size <= ioBufferBytes {
 			r.buf = grown.Bytes()
 		}
 		return grown.Bytes(), nil
@@ -119,7 +119,7 @@
 }
 
 // decode converts panics of the decoder on malicious input to errors.
-func decode(payload []byte, m Message) (err error) {
+func decodePayload(payload []byte, m Message) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("decoder panicked: %v", p)
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -48,7 +48,7 @@
 func TestMalformedFramesReturnTypedErrors(t *testing.T) {
 	valid := encodeAll(t, &Heartbeat{Revision: 9})
 	oversize := append([]byte(nil), valid...)
-	binary.BigEndian.PutUint32(oversize, MaxFrame+1)
+	binary.BigEndian.PutUint32(oversize, MaxPayloadBytes+1)
 	unknown := append([]byte(nil), valid...)
 	unknown[4] = 200
 	garbage := append([]byte(nil), valid...)
