--- a/e2e/notices_test.go
+++ b/e2e/notices_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// sendInterval is the interval between requests, each to a random gateway.
+	// requestInterval is the interval between requests, each to a random gateway.
 	requestInterval = 20 * time.Millisecond
 	// limitWindow is the window in which arrivals are counted.
 	limitWindow = 4 * time.Second
--- a/e2e/scenario_test.go
+++ b/e2e/scenario_test.go
@@ -83,7 +83,7 @@
 
 func scenarioOf(ts *testscript.TestScript) *scenario { return ts.Value(scenarioKey{}).(*scenario) }
 
-// options parses name=value arguments.
+// parseOptions parses name=value arguments.
 func parseOptions(ts *testscript.TestScript, args []string) map[string]string {
 	out := map[string]string{}
 	for _, a := range args {
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -80,7 +80,7 @@
 	granted           map[string]*entry
 	lastSequence      uint64        // of the last request
 	prefillsDone      int           // number of completed prefills
-	minToleratedGap   time.Duration // the shortest event gap that a request tolerates, recorded at minGapAt
+	minToleratedGap   time.Duration // the shortest event gap that a request tolerates, recorded at minToleratedGapAt
 	minToleratedGapAt time.Time
 	load              loadByPriority
 	lastSweep         time.Time   // when waiting and granted requests were last checked for expiry
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -144,7 +144,7 @@
 }
 
 // Reserve adds an entry for a key that is about to be claimed. It returns a fault with
-// code RecordsFull if the Store has no room.
+// code IdempotencyStoreFull if the Store has no room.
 func (s *Store) Reserve(now time.Time, key string, digest uint64, window time.Duration) (*Entry, *fault.Error) {
 	if s.Len() >= MaxEntries {
 		return nil, fault.New(fault.IdempotencyStoreFull, "idempotency store is full: %d keys", s.Len()).
